--- a/chivetrack/components/placement/choice.py
+++ b/chivetrack/components/placement/choice.py
@@ -9,7 +9,7 @@
 from chivetrack.components.announcements.models import EndpointRecord
 from chivetrack.components.observation.speeds import ServiceSpeeds
 from chivetrack.components.placement.loads import LoadTable
-from chivetrack.components.placement.parts import PartBook
+from chivetrack.components.placement.parts import PartTracker
 from chivetrack.components.placement.weights import (
     DEFAULT_WEIGHTS,
     FEW_ROUTERS,
@@ -87,7 +87,7 @@
         *,
         zone: str,
         loads: LoadTable,
-        parts: PartBook,
+        parts: PartTracker,
         weights: PlacementWeights = DEFAULT_WEIGHTS,
     ) -> None:
         """Take the own zone, what is known of the endpoints and what costs how much."""
--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -30,7 +30,7 @@
     told_at: float = float("-inf")
 
 
-class PartBook:
+class PartTracker:
     """Remembers which parts were sent where; least recently used ones go first."""
 
     def __init__(self) -> None:
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -12,7 +12,7 @@
 from chivetrack.components.placement.parts import (
     MIN_EXPECTED_TOKENS,
     MIN_TOLD_TOKENS,
-    PartBook,
+    PartTracker,
 )
 from chivetrack.components.placement.weights import DEFAULT_WEIGHTS, PlacementWeights
 from chivetrack.components.traffic.models import Service
@@ -43,7 +43,7 @@
     def __init__(self, *, zone: str, weights: PlacementWeights = DEFAULT_WEIGHTS) -> None:
         """Start with nothing in use and nothing learned."""
         self.loads = LoadTable()
-        self.parts = PartBook()
+        self.parts = PartTracker()
         self._speeds: dict[str, ServiceSpeeds] = {}
         self._silence = SilenceTable()
         self._chooser = Chooser(zone=zone, loads=self.loads, parts=self.parts, weights=weights)
--- a/tests/components/placement/test_choice.py
+++ b/tests/components/placement/test_choice.py
@@ -15,7 +15,7 @@
     find_bound,
 )
 from chivetrack.components.placement.loads import LoadTable
-from chivetrack.components.placement.parts import MIN_TOLD_TOKENS, USABLE_SHARE, PartBook
+from chivetrack.components.placement.parts import MIN_TOLD_TOKENS, USABLE_SHARE, PartTracker
 from chivetrack.components.placement.placement import Placement
 from chivetrack.components.placement.weights import HOMES
 from chivetrack.components.traffic.models import EngineProfile, Service
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         self.loads = LoadTable()
-        self.parts = PartBook()
+        self.parts = PartTracker()
         self.chooser = Chooser(zone="z0", loads=self.loads, parts=self.parts)
         self.candidates = [
             Candidate(
@@ -164,7 +164,7 @@
                 for one in engines
             ]
             loads.take_others(told, now=0.0)
-            chooser = Chooser(zone=f"z{number % 3}", loads=loads, parts=PartBook())
+            chooser = Chooser(zone=f"z{number % 3}", loads=loads, parts=PartTracker())
             key = f"s{number % 50}"
             parts = (PromptPart(key, 700), PromptPart(f"o{number}", 130))
             choice = chooser.choose(
@@ -269,7 +269,7 @@
 
 class PartBookTest(unittest.TestCase):
     def test_least_recently_used_parts_go_first(self) -> None:
-        book = PartBook()
+        book = PartTracker()
         old, new = PromptPart("old", 60), PromptPart("new", 60)
         capacity = int(100 / USABLE_SHARE)
         book.note("e", [old], now=0.0, capacity=capacity)
@@ -278,13 +278,13 @@
         self.assertEqual(book.count_cached("e", [new]), 60)
 
     def test_only_the_beginning_of_a_prompt_counts(self) -> None:
-        book = PartBook()
+        book = PartTracker()
         book.note("e", [PromptPart("b", 10)], now=0.0, capacity=1000)
         self.assertEqual(book.count_cached("e", [PromptPart("a", 5), PromptPart("b", 10)]), 0)
 
     def test_news_of_other_routers(self) -> None:
         """A router tells a placement once, and again when it may have been forgotten."""
-        ours, theirs = PartBook(), PartBook()
+        ours, theirs = PartTracker(), PartTracker()
         part = PromptPart("a", MIN_TOLD_TOKENS)
         theirs.note("e2", [part], now=10.0, capacity=1000, min_told=MIN_TOLD_TOKENS + 1)
         theirs.note("e2", [PromptPart("s", 5)], now=10.0, capacity=1000)
@@ -307,7 +307,7 @@
         Believed, the prompt is sent there as if it were cached and read again, while the
         engine that really has it goes unasked.
         """
-        book = PartBook()
+        book = PartTracker()
         book.forget("e", emptied_at=10.0)
         old = PlacedPart(part="d:5000", endpoint_id="e", age_s=4.0)
         book.take_news([old], now=12.0, capacity=100_000)
