--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -120,7 +120,7 @@
             cached = self._enter(placed.endpoint_id, part, at, capacity)
             cached.told_at = max(cached.told_at, at)
 
-    def list_news(self, now: float) -> Iterator[PlacedPart]:
+    def pop_placements(self, now: float) -> Iterator[PlacedPart]:
         """Yield what the other routers have not been told."""
         for key in list(self._news)[:MAX_NEWS]:
             part_id, endpoint_id = key
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -174,9 +174,9 @@
         """Yield what this router uses."""
         return self.loads.list_own()
 
-    def list_news(self, now: float) -> Iterator[PlacedPart]:
+    def pop_placements(self, now: float) -> Iterator[PlacedPart]:
         """Yield the placements that the other routers have not been told."""
-        return self.parts.list_news(now)
+        return self.parts.pop_placements(now)
 
     def forget(self, endpoint_id: str, *, emptied_at: float | None = None) -> None:
         """Begin anew with an endpoint; ``emptied_at`` is when it was seen to have restarted."""
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -261,7 +261,7 @@
         self._told_loads = {one.endpoint_id: one for one in loads}
         return OwnNews(
             loads=loads,
-            placed=tuple(self.placement.list_news(now)),
+            placed=tuple(self.placement.pop_placements(now)),
             crash_reports=self.crashes.list_current(now=now),
             quarantine_revision=self.quarantine_revision,
             is_stopping=self.is_stopping,
