--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -348,7 +348,7 @@
     ) -> None:
         capacity = self._deployment.engine.memory_tokens
         router.placement.take_others(loads, now=now / 1000)
-        router.placement.take_news(news, now=now / 1000, capacity=capacity)
+        router.placement.handle_placements(news, now=now / 1000, capacity=capacity)
 
 
 def _add_up(told: list[list[EndpointLoad]]) -> dict[str, tuple[int, int]]:
--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -104,7 +104,7 @@
         self._sums[endpoint_id] = total
         return cached
 
-    def take_news(self, news: Iterable[PlacedPart], *, now: float, capacity: int) -> None:
+    def handle_placements(self, news: Iterable[PlacedPart], *, now: float, capacity: int) -> None:
         """Note what other routers have sent."""
         for placed in news:
             part_id, _, tokens = placed.part.rpartition(":")
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -166,9 +166,9 @@
         """Take what the other routers have in use."""
         self.loads.take_others(loads, now=now)
 
-    def take_news(self, placed: Iterable[PlacedPart], *, now: float, capacity: int) -> None:
+    def handle_placements(self, placed: Iterable[PlacedPart], *, now: float, capacity: int) -> None:
         """Take what the other routers have sent where; ``capacity`` of a cache in tokens."""
-        self.parts.take_news(placed, now=now, capacity=capacity)
+        self.parts.handle_placements(placed, now=now, capacity=capacity)
 
     def list_own(self) -> Iterator[EndpointLoad]:
         """Yield what this router uses."""
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -124,7 +124,7 @@
                 self.take_silent_endpoints(view.silent)
             if view.loads is not None:
                 self._take_loads(view.loads, now)
-            self.placement.take_news(view.placed, now=now, capacity=self._memory_tokens)
+            self.placement.handle_placements(view.placed, now=now, capacity=self._memory_tokens)
         self._note_ready()
 
     def _take_loads(self, loads: Sequence[EndpointLoad], now: float) -> None:
--- a/tests/components/placement/test_choice.py
+++ b/tests/components/placement/test_choice.py
@@ -292,7 +292,7 @@
         theirs.note("e", [part], now=10.0, capacity=1000)
         (news,) = theirs.pop_placements(10.5)
         self.assertEqual(news.age_s, 0.5)
-        ours.take_news([news], now=3.0, capacity=1000)
+        ours.handle_placements([news], now=3.0, capacity=1000)
         self.assertEqual(ours.count_cached("e", [part]), MIN_TOLD_TOKENS)
         self.assertEqual(list(theirs.pop_placements(11.1)), [])
         theirs.note("e", [part], now=12.0, capacity=1000)
@@ -310,11 +310,11 @@
         book = PartTracker()
         book.forget("e", emptied_at=10.0)
         old = PlacedPart(part="d:5000", endpoint_id="e", age_s=4.0)
-        book.take_news([old], now=12.0, capacity=100_000)
+        book.handle_placements([old], now=12.0, capacity=100_000)
         parts = (PromptPart("d", 5000),)
         self.assertEqual(book.count_cached("e", parts), 0)
         new = PlacedPart(part="d:5000", endpoint_id="e", age_s=1.0)
-        book.take_news([new], now=12.0, capacity=100_000)
+        book.handle_placements([new], now=12.0, capacity=100_000)
         self.assertEqual(book.count_cached("e", parts), 5000)
 
     def test_try_that_failed_before_its_prompt_was_read(self) -> None:
