--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -86,7 +86,9 @@
             if cached is not None:
                 self._sums[endpoint_id] -= cached.tokens
 
-    def note_own(self, endpoint_id: str, part: PromptPart, *, now: float, capacity: int) -> None:
+    def record_unshared(
+        self, endpoint_id: str, part: PromptPart, *, now: float, capacity: int
+    ) -> None:
         """Note a part that only the request or its session has; no other router asks for it."""
         self._enter(endpoint_id, part, now, capacity)
 
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -103,7 +103,7 @@
                 capacity=capacity,
                 min_told=MIN_EXPECTED_TOKENS if is_expected else MIN_TOLD_TOKENS,
             )
-            self.parts.note_own(endpoint_id, facts.parts[-1], now=now, capacity=capacity)
+            self.parts.record_unshared(endpoint_id, facts.parts[-1], now=now, capacity=capacity)
         speeds = self.get_speeds(choice.record.service)
         waiting = self.loads.count_tokens(endpoint_id, now, rate=speeds.read_tokens_per_ms)
         self.loads.start(endpoint_id, choice.missing_tokens)
