--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -284,7 +284,7 @@
         for request in self._jobs[name]:
             placement = request.router.placement
             if request.placed is not None and request.job.first_at is not None:
-                placement.note_first(request.placed, now=now / 1000)
+                placement.record_first_event(request.placed, now=now / 1000)
             is_over = request.job.ended_at is not None or request.job.gave_up
             if is_over and request.placed is not None:
                 is_whole = request.job.ended_at is not None
--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -93,7 +93,9 @@
         known = self._slowness.get(endpoint_id)
         return 1.0 if known is None else math.exp(known.find(now))
 
-    def note_first(self, endpoint_id: str, *, tokens: float, took_ms: float, now: float) -> None:
+    def record_first_event(
+        self, endpoint_id: str, *, tokens: float, took_ms: float, now: float
+    ) -> None:
         """Learn from a first event that came after ``took_ms``; ``tokens`` were to be read."""
         expected = self._first.value + tokens / self._rate.value
         self._note_ratio(endpoint_id, took_ms, expected, now)
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -129,14 +129,14 @@
         """Return whether an endpoint owes an answer and has said nothing since."""
         return self._silence.is_silent(endpoint_id, now)
 
-    def note_first(self, placed: Placed, *, now: float) -> None:
+    def record_first_event(self, placed: Placed, *, now: float) -> None:
         """Take a prompt as read: its first event has come."""
         if placed.first_at is not None:
             return
         placed.first_at = now
         self.loads.begin(placed.endpoint_id, placed.missing_tokens)
         if placed.has_prompt:
-            self.get_speeds(placed.service).note_first(
+            self.get_speeds(placed.service).record_first_event(
                 placed.endpoint_id,
                 tokens=placed.missing_tokens + placed.ahead_tokens,
                 took_ms=(now - placed.started_at) * 1000,
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -372,7 +372,7 @@
     def note_first_event(self, call: Call) -> None:
         """Take a prompt as read."""
         if call.placed is not None:
-            self.placement.note_first(call.placed, now=time.monotonic())
+            self.placement.record_first_event(call.placed, now=time.monotonic())
 
     def note_overdue(self, call: Call) -> bool:
         """Note that no byte has come in time; return whether the endpoint is silent for all."""
--- a/tests/components/observation/test_silence.py
+++ b/tests/components/observation/test_silence.py
@@ -80,7 +80,7 @@
         speeds = ServiceSpeeds()
         for number in range(40):
             late = 40.0 * (1 + number % 20)
-            speeds.note_first("e0", tokens=100, took_ms=late, now=number * 0.05)
+            speeds.record_first_event("e0", tokens=100, took_ms=late, now=number * 0.05)
         expected_ms = speeds.expect_first_ms("e0", 100, now=2.0)
         self.assertGreater(find_patience(expected_ms, speeds.spread), 0.8)
 
--- a/tests/components/observation/test_speeds.py
+++ b/tests/components/observation/test_speeds.py
@@ -57,7 +57,7 @@
             else:
                 took_ms = (FIRST_MS + choice.missing_tokens / self.rate) * self.slowness[name]
                 took_ms *= noise
-                self.placement.note_first(placed, now=self.now + took_ms / 1000)
+                self.placement.record_first_event(placed, now=self.now + took_ms / 1000)
             placed.is_whole = True
             self.placement.finish(placed, now=self.now + took_ms / 1000)
         return got
--- a/tests/components/placement/test_choice.py
+++ b/tests/components/placement/test_choice.py
@@ -330,7 +330,7 @@
         self.assertEqual(placement.parts.count_cached(name, facts.shared_parts), 0)
         self.assertEqual(list(placement.pop_placements(0.1)), [])
         read = placement.start(choice, facts, now=0.2, capacity=500_000)
-        placement.note_first(read, now=0.3)
+        placement.record_first_event(read, now=0.3)
         again = placement.start(choice, facts, now=0.4, capacity=500_000)
         placement.finish(again, now=0.5)
         self.assertEqual(placement.parts.count_cached(name, facts.shared_parts), 10_512)
