--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -113,7 +113,7 @@
         if tokens:
             self._token.add(took_ms / tokens)
 
-    def note_plain(self, endpoint_id: str, *, took_ms: float, now: float) -> None:
+    def record_plain_answer(self, endpoint_id: str, *, took_ms: float, now: float) -> None:
         """Learn from a whole answer without a stream."""
         self._note_ratio(endpoint_id, took_ms, self._plain.value, now)
         self._plain.add(took_ms)
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -158,7 +158,7 @@
             speeds.note_answer(took_ms, tokens=placed.output_tokens)
         elif not placed.has_prompt:
             took_ms = (now - placed.started_at) * 1000
-            speeds.note_plain(placed.endpoint_id, took_ms=took_ms, now=now)
+            speeds.record_plain_answer(placed.endpoint_id, took_ms=took_ms, now=now)
 
     # What routers tell each other
 
--- a/tests/components/observation/test_speeds.py
+++ b/tests/components/observation/test_speeds.py
@@ -116,7 +116,7 @@
     def test_new_lifetime_starts_clean(self) -> None:
         speeds = ServiceSpeeds()
         for _ in range(20):
-            speeds.note_plain("e", took_ms=900.0, now=0.0)
+            speeds.record_plain_answer("e", took_ms=900.0, now=0.0)
         self.assertGreater(speeds.find_slowness("e", 0.0), 1.5)
         speeds.forget("e")
         self.assertEqual(speeds.find_slowness("e", 0.0), 1.0)
