--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -104,7 +104,7 @@
         elif tokens >= LARGE_READ_TOKENS and took_ms > self._first.value:
             self._rate.add(tokens / (took_ms - self._first.value))
 
-    def note_answer(self, took_ms: float, *, tokens: int = 0) -> None:
+    def record_stream(self, took_ms: float, *, tokens: int = 0) -> None:
         """Learn from a stream that ended ``took_ms`` after its first event.
 
         ``tokens`` is the length that its caller expected, 0 if unknown.
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -155,7 +155,7 @@
         speeds = self.get_speeds(placed.service)
         if placed.first_at is not None:
             took_ms = (now - placed.first_at) * 1000
-            speeds.note_answer(took_ms, tokens=placed.output_tokens)
+            speeds.record_stream(took_ms, tokens=placed.output_tokens)
         elif not placed.has_prompt:
             took_ms = (now - placed.started_at) * 1000
             speeds.record_plain_answer(placed.endpoint_id, took_ms=took_ms, now=now)
--- a/tests/components/observation/test_speeds.py
+++ b/tests/components/observation/test_speeds.py
@@ -127,7 +127,7 @@
         speeds = ServiceSpeeds()
         for _ in range(400):
             tokens = random.choice((50, 200, 800))
-            speeds.note_answer(10.0 * tokens * random.lognormvariate(0.0, 0.5), tokens=tokens)
+            speeds.record_stream(10.0 * tokens * random.lognormvariate(0.0, 0.5), tokens=tokens)
         self.assertLess(abs(speeds.expect_answer_ms(400) / 4000 - 1.4), 0.4)
         self.assertEqual(speeds.expect_answer_ms(0), speeds.answer_ms)
 
