--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -59,17 +59,17 @@
         *,
         now: float,
         capacity: int,
-        min_told: int = MIN_TOLD_TOKENS,
+        min_reported_tokens: int = MIN_TOLD_TOKENS,
     ) -> tuple[PromptPart, ...]:
         """Note that shared parts were sent to an endpoint by this router.
 
-        The other routers are told if one of them has ``min_told`` tokens or more. All are
+        The other routers are told if one of them has ``min_reported_tokens`` tokens or more. All are
         told then: a part counts as cached only if those before it are. Returns the parts
         that were not believed to be there before.
         """
         shared = list(parts)
         new = tuple(part for part in shared if self._find(endpoint_id, part.part_id) is None)
-        is_told = max((part.tokens for part in shared), default=0) >= min_told
+        is_told = max((part.tokens for part in shared), default=0) >= min_reported_tokens
         for part in shared:
             cached = self._enter(endpoint_id, part, now, capacity)
             if is_told and now - cached.told_at >= TELL_AGAIN_S:
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -101,7 +101,7 @@
                 facts.shared_parts,
                 now=now,
                 capacity=capacity,
-                min_told=MIN_EXPECTED_TOKENS if is_expected else MIN_TOLD_TOKENS,
+                min_reported_tokens=MIN_EXPECTED_TOKENS if is_expected else MIN_TOLD_TOKENS,
             )
             self.parts.record_unshared(endpoint_id, facts.parts[-1], now=now, capacity=capacity)
         speeds = self.get_speeds(choice.record.service)
--- a/tests/components/placement/test_choice.py
+++ b/tests/components/placement/test_choice.py
@@ -286,7 +286,7 @@
         """A router tells a placement once, and again when it may have been forgotten."""
         ours, theirs = PartTracker(), PartTracker()
         part = PromptPart("a", MIN_TOLD_TOKENS)
-        theirs.note("e2", [part], now=10.0, capacity=1000, min_told=MIN_TOLD_TOKENS + 1)
+        theirs.note("e2", [part], now=10.0, capacity=1000, min_reported_tokens=MIN_TOLD_TOKENS + 1)
         theirs.note("e2", [PromptPart("s", 5)], now=10.0, capacity=1000)
         self.assertEqual(list(theirs.pop_placements(10.0)), [])
         theirs.note("e", [part], now=10.0, capacity=1000)
