--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -27,7 +27,7 @@
 class _Cached:
     tokens: int
     used_at: float
-    told_at: float = float("-inf")
+    reported_at: float = float("-inf")
 
 
 class PartTracker:
@@ -72,8 +72,8 @@
         is_told = max((part.tokens for part in shared), default=0) >= min_reported_tokens
         for part in shared:
             cached = self._enter(endpoint_id, part, now, capacity)
-            if is_told and now - cached.told_at >= TELL_AGAIN_S:
-                cached.told_at = now
+            if is_told and now - cached.reported_at >= TELL_AGAIN_S:
+                cached.reported_at = now
                 self._news[(part.part_id, endpoint_id)] = None
         return new
 
@@ -116,11 +116,11 @@
                 continue
             known = self._find(placed.endpoint_id, part_id)
             if known is not None and known.used_at >= at:
-                known.told_at = max(known.told_at, at)
+                known.reported_at = max(known.reported_at, at)
                 continue
             part = PromptPart(part_id, int(tokens))
             cached = self._enter(placed.endpoint_id, part, at, capacity)
-            cached.told_at = max(cached.told_at, at)
+            cached.reported_at = max(cached.reported_at, at)
 
     def pop_placements(self, now: float) -> Iterator[PlacedPart]:
         """Yield what the other routers have not been told."""
