--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -15,7 +15,7 @@
 # what all know already would fill the links of replicas.
 TELL_AGAIN_S = 10.0
 # A part that is read in less than 10 ms is not worth a message to all.
-MIN_TOLD_TOKENS = 400
+MIN_REPORTED_TOKENS = 400
 # Among many routers only so large a part is told where all expect it anyway: told by 87
 # routers to each other, all placements of a day's first seconds took twice the links of
 # the replicas.
@@ -59,7 +59,7 @@
         *,
         now: float,
         capacity: int,
-        min_reported_tokens: int = MIN_TOLD_TOKENS,
+        min_reported_tokens: int = MIN_REPORTED_TOKENS,
     ) -> tuple[PromptPart, ...]:
         """Note that shared parts were sent to an endpoint by this router.
 
--- a/tests/components/placement/test_choice.py
+++ b/tests/components/placement/test_choice.py
@@ -15,7 +15,7 @@
     find_bound,
 )
 from chivetrack.components.placement.loads import LoadTable
-from chivetrack.components.placement.parts import MIN_TOLD_TOKENS, USABLE_SHARE, PartTracker
+from chivetrack.components.placement.parts import MIN_REPORTED_TOKENS, USABLE_SHARE, PartTracker
 from chivetrack.components.placement.placement import Placement
 from chivetrack.components.placement.weights import HOMES
 from chivetrack.components.traffic.models import EngineProfile, Service
@@ -285,15 +285,17 @@
     def test_news_of_other_routers(self) -> None:
         """A router tells a placement once, and again when it may have been forgotten."""
         ours, theirs = PartTracker(), PartTracker()
-        part = PromptPart("a", MIN_TOLD_TOKENS)
-        theirs.note("e2", [part], now=10.0, capacity=1000, min_reported_tokens=MIN_TOLD_TOKENS + 1)
+        part = PromptPart("a", MIN_REPORTED_TOKENS)
+        theirs.note(
+            "e2", [part], now=10.0, capacity=1000, min_reported_tokens=MIN_REPORTED_TOKENS + 1
+        )
         theirs.note("e2", [PromptPart("s", 5)], now=10.0, capacity=1000)
         self.assertEqual(list(theirs.pop_placements(10.0)), [])
         theirs.note("e", [part], now=10.0, capacity=1000)
         (news,) = theirs.pop_placements(10.5)
         self.assertEqual(news.age_s, 0.5)
         ours.handle_placements([news], now=3.0, capacity=1000)
-        self.assertEqual(ours.count_cached("e", [part]), MIN_TOLD_TOKENS)
+        self.assertEqual(ours.count_cached("e", [part]), MIN_REPORTED_TOKENS)
         self.assertEqual(list(theirs.pop_placements(11.1)), [])
         theirs.note("e", [part], now=12.0, capacity=1000)
         ours.note("e", [part], now=5.0, capacity=1000)
