--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -19,7 +19,7 @@
 # Among many routers only so large a part is told where all expect it anyway: told by 87
 # routers to each other, all placements of a day's first seconds took twice the links of
 # the replicas.
-MIN_EXPECTED_TOKENS = 2000
+MIN_REPORTED_HOME_TOKENS = 2000
 MAX_NEWS = 48
 
 
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -10,7 +10,7 @@
 from chivetrack.components.placement.choice import Candidate, Choice, Chooser, Source
 from chivetrack.components.placement.loads import LoadTable
 from chivetrack.components.placement.parts import (
-    MIN_EXPECTED_TOKENS,
+    MIN_REPORTED_HOME_TOKENS,
     MIN_REPORTED_TOKENS,
     PartTracker,
 )
@@ -101,7 +101,9 @@
                 facts.shared_parts,
                 now=now,
                 capacity=capacity,
-                min_reported_tokens=MIN_EXPECTED_TOKENS if is_expected else MIN_REPORTED_TOKENS,
+                min_reported_tokens=(
+                    MIN_REPORTED_HOME_TOKENS if is_expected else MIN_REPORTED_TOKENS
+                ),
             )
             self.parts.record_unshared(endpoint_id, facts.parts[-1], now=now, capacity=capacity)
         speeds = self.get_speeds(choice.record.service)
