--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -13,7 +13,7 @@
 USABLE_SHARE = 0.7
 # A placement is told to the other routers when it is new, and again after this much;
 # what all know already would fill the links of replicas.
-TELL_AGAIN_S = 10.0
+REPORT_INTERVAL_S = 10.0
 # A part that is read in less than 10 ms is not worth a message to all.
 MIN_REPORTED_TOKENS = 400
 # Among many routers only so large a part is told where all expect it anyway: told by 87
@@ -72,7 +72,7 @@
         is_told = max((part.tokens for part in shared), default=0) >= min_reported_tokens
         for part in shared:
             cached = self._enter(endpoint_id, part, now, capacity)
-            if is_told and now - cached.reported_at >= TELL_AGAIN_S:
+            if is_told and now - cached.reported_at >= REPORT_INTERVAL_S:
                 cached.reported_at = now
                 self._news[(part.part_id, endpoint_id)] = None
         return new
