--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -20,7 +20,7 @@
 # routers to each other, all placements of a day's first seconds took twice the links of
 # the replicas.
 MIN_REPORTED_HOME_TOKENS = 2000
-MAX_NEWS = 48
+MAX_REPORTED_PLACEMENTS = 48
 
 
 @dataclass(slots=True)
@@ -124,7 +124,7 @@
 
     def pop_placements(self, now: float) -> Iterator[PlacedPart]:
         """Yield what the other routers have not been told."""
-        for key in list(self._news)[:MAX_NEWS]:
+        for key in list(self._news)[:MAX_REPORTED_PLACEMENTS]:
             part_id, endpoint_id = key
             cached = self._find(endpoint_id, part_id)
             del self._news[key]
