--- a/chivetrack/components/observation/silence.py
+++ b/chivetrack/components/observation/silence.py
@@ -19,7 +19,7 @@
 MAX_SILENT_SHARE = 0.25
 
 
-def find_patience(expected_ms: float, spread: float) -> float:
+def find_wait_limit(expected_ms: float, spread: float) -> float:
     """Return for how long a first byte is waited for without doubt, in seconds.
 
     ``spread`` is the factor by which slow answers usually are over what is expected. Under
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -5,7 +5,7 @@
 
 from chivetrack.components.distribution.const import MANY_ROUTERS
 from chivetrack.components.distribution.messages import EndpointLoad, PlacedPart
-from chivetrack.components.observation.silence import SilenceTable, find_patience
+from chivetrack.components.observation.silence import SilenceTable, find_wait_limit
 from chivetrack.components.observation.speeds import ServiceSpeeds
 from chivetrack.components.placement.choice import Candidate, Choice, Chooser, Source
 from chivetrack.components.placement.loads import LoadTable
@@ -109,7 +109,7 @@
         speeds = self.get_speeds(choice.record.service)
         waiting = self.loads.count_tokens(endpoint_id, now, rate=speeds.read_tokens_per_ms)
         self.loads.start(endpoint_id, choice.missing_tokens)
-        patience_s = find_patience(choice.expected_ms, speeds.spread)
+        patience_s = find_wait_limit(choice.expected_ms, speeds.spread)
         return Placed(
             endpoint_id=endpoint_id,
             service=choice.record.service,
--- a/tests/components/observation/test_silence.py
+++ b/tests/components/observation/test_silence.py
@@ -5,7 +5,7 @@
 from chivetrack.components.observation.silence import (
     MIN_PATIENCE_S,
     SilenceTable,
-    find_patience,
+    find_wait_limit,
     leave_out_silent,
 )
 from chivetrack.components.observation.speeds import ServiceSpeeds
@@ -64,8 +64,8 @@
         self.table.finish("e", number)
 
     def test_patience_grows_with_what_is_expected(self) -> None:
-        self.assertEqual(find_patience(5.0, 2.0), MIN_PATIENCE_S)
-        self.assertGreater(find_patience(400.0, 2.0), 2.0)
+        self.assertEqual(find_wait_limit(5.0, 2.0), MIN_PATIENCE_S)
+        self.assertGreater(find_wait_limit(400.0, 2.0), 2.0)
 
     def test_overload_is_no_silence(self) -> None:
         """Four times the usual load; every engine owes answers for a second.
@@ -82,7 +82,7 @@
             late = 40.0 * (1 + number % 20)
             speeds.record_first_event("e0", tokens=100, took_ms=late, now=number * 0.05)
         expected_ms = speeds.expect_first_ms("e0", 100, now=2.0)
-        self.assertGreater(find_patience(expected_ms, speeds.spread), 0.8)
+        self.assertGreater(find_wait_limit(expected_ms, speeds.spread), 0.8)
 
 
 if __name__ == "__main__":
