--- a/chivetrack/components/observation/silence.py
+++ b/chivetrack/components/observation/silence.py
@@ -56,11 +56,11 @@
         self._endpoints: dict[str, _Endpoint] = {}
         self._numbers = count()
 
-    def start(self, endpoint_id: str, *, now: float, patience_s: float) -> int:
+    def start(self, endpoint_id: str, *, now: float, wait_limit_s: float) -> int:
         """Note that a request goes out; return the number of the try."""
         number = next(self._numbers)
         endpoint = self._endpoints.setdefault(endpoint_id, _Endpoint())
-        endpoint.waiting[number] = (now, now + patience_s)
+        endpoint.waiting[number] = (now, now + wait_limit_s)
         return number
 
     def hear(self, endpoint_id: str, number: int, *, now: float) -> None:
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -29,7 +29,7 @@
     ahead_tokens: float
     has_prompt: bool
     started_at: float
-    patience_s: float
+    wait_limit_s: float
     number: int = 0
     new_parts: tuple[PromptPart, ...] = ()
     output_tokens: int = 0
@@ -109,7 +109,7 @@
         speeds = self.get_speeds(choice.record.service)
         waiting = self.loads.count_tokens(endpoint_id, now, rate=speeds.read_tokens_per_ms)
         self.loads.start(endpoint_id, choice.missing_tokens)
-        patience_s = find_wait_limit(choice.expected_ms, speeds.spread)
+        wait_limit_s = find_wait_limit(choice.expected_ms, speeds.spread)
         return Placed(
             endpoint_id=endpoint_id,
             service=choice.record.service,
@@ -118,8 +118,8 @@
             has_prompt=bool(facts.parts),
             new_parts=new_parts,
             started_at=now,
-            patience_s=patience_s,
-            number=self._silence.start(endpoint_id, now=now, patience_s=patience_s),
+            wait_limit_s=wait_limit_s,
+            number=self._silence.start(endpoint_id, now=now, wait_limit_s=wait_limit_s),
             output_tokens=facts.likely_output_tokens,
         )
 
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -156,12 +156,12 @@
         """
         if call.placed is None:
             return
-        patience_s = call.placed.patience_s
-        while not connection.wait_readable(min(patience_s, call.ends_at - time.monotonic())):
+        wait_limit_s = call.placed.wait_limit_s
+        while not connection.wait_readable(min(wait_limit_s, call.ends_at - time.monotonic())):
             left_s = call.ends_at - time.monotonic()
             is_silent = self._note_overdue(call)
             if may_repeat and is_silent and left_s > LEAST_TIME_ELSEWHERE_S:
-                raise MaybeRanError(f"silent for {patience_s:.2f} s")
+                raise MaybeRanError(f"silent for {wait_limit_s:.2f} s")
             if left_s <= 0 or not may_repeat:
                 return
         self._hear(call)
--- a/tests/components/observation/test_silence.py
+++ b/tests/components/observation/test_silence.py
@@ -21,8 +21,8 @@
         Nothing fails before those callers' deadlines. Until then each further request sent
         there would wait as long; the third one already goes elsewhere.
         """
-        first = self.table.start("e", now=10.0, patience_s=0.3)
-        self.table.start("e", now=10.1, patience_s=0.3)
+        first = self.table.start("e", now=10.0, wait_limit_s=0.3)
+        self.table.start("e", now=10.1, wait_limit_s=0.3)
         self.assertFalse(self.table.is_silent("e", 10.35))
         self.assertTrue(self.table.is_silent("e", 10.5))
         self.assertFalse(self.table.is_silent("other", 10.5))
@@ -35,28 +35,28 @@
         One of them takes its whole time limit. Nothing else is heard from its endpoint
         meanwhile, which is healthy and would be held back for the whole fleet.
         """
-        self.table.start("e", now=10.0, patience_s=0.3)
+        self.table.start("e", now=10.0, wait_limit_s=0.3)
         self.assertFalse(self.table.is_silent("e", 12.0))
 
     def test_long_request_beside_answers(self) -> None:
         """One request takes long; others of the endpoint get their bytes meanwhile."""
-        self.table.start("e", now=10.0, patience_s=0.3)
-        other = self.table.start("e", now=10.1, patience_s=0.3)
+        self.table.start("e", now=10.0, wait_limit_s=0.3)
+        other = self.table.start("e", now=10.1, wait_limit_s=0.3)
         self.table.hear("e", other, now=10.2)
         self.assertFalse(self.table.is_silent("e", 12.0))
 
     def test_streams_that_die_with_their_endpoint(self) -> None:
         """A stream got bytes until the power went; requests that came later show it."""
-        stream = self.table.start("e", now=10.0, patience_s=0.3)
+        stream = self.table.start("e", now=10.0, wait_limit_s=0.3)
         self.table.hear("e", stream, now=10.5)
-        self.table.start("e", now=10.6, patience_s=0.3)
-        self.table.start("e", now=10.6, patience_s=0.3)
+        self.table.start("e", now=10.6, wait_limit_s=0.3)
+        self.table.start("e", now=10.6, wait_limit_s=0.3)
         self.assertFalse(self.table.is_silent("e", 10.8))
         self.assertTrue(self.table.is_silent("e", 11.0))
 
     def test_endpoint_starts_again(self) -> None:
-        number = self.table.start("e", now=10.0, patience_s=0.3)
-        self.table.start("e", now=10.0, patience_s=0.3)
+        number = self.table.start("e", now=10.0, wait_limit_s=0.3)
+        self.table.start("e", now=10.0, wait_limit_s=0.3)
         self.assertTrue(self.table.is_silent("e", 11.0))
         self.table.forget("e")
         self.assertFalse(self.table.is_silent("e", 11.0))
--- a/tests/daemon/fleet/test_forwarder.py
+++ b/tests/daemon/fleet/test_forwarder.py
@@ -74,7 +74,7 @@
         ahead_tokens=0,
         has_prompt=False,
         started_at=0.0,
-        patience_s=0.1,
+        wait_limit_s=0.1,
     )
 
 
