--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -80,7 +80,7 @@
             resting=resting,
         )
 
-    def expect_whole_s(self, choice: Choice, facts: RequestFacts) -> float:
+    def expect_complete_s(self, choice: Choice, facts: RequestFacts) -> float:
         """Return within which time (s) most answers like this one are whole."""
         speeds = self.get_speeds(choice.record.service)
         if not facts.parts:
--- a/chivetrack/daemon/fleet/refusals.py
+++ b/chivetrack/daemon/fleet/refusals.py
@@ -56,7 +56,7 @@
         if self.window is None or may_have_run(call.tries):
             return False
         now = time.monotonic()
-        expected_s = self._view.placement.expect_whole_s(choice, call.facts)
+        expected_s = self._view.placement.expect_complete_s(choice, call.facts)
         do_others_accept = self._view.do_others_accept
         if self.window.takes(
             ends_at=call.ends_at,
