--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -52,7 +52,7 @@
             tokens += part.tokens
         return tokens
 
-    def note(
+    def record_sent(
         self,
         endpoint_id: str,
         parts: Iterable[PromptPart],
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -96,7 +96,7 @@
         new_parts: tuple[PromptPart, ...] = ()
         if facts.parts:
             is_expected = choice.is_home and routers > MANY_ROUTERS
-            new_parts = self.parts.note(
+            new_parts = self.parts.record_sent(
                 endpoint_id,
                 facts.shared_parts,
                 now=now,
--- a/tests/components/placement/test_choice.py
+++ b/tests/components/placement/test_choice.py
@@ -67,7 +67,7 @@
         choice = self.choose(facts)
         endpoint_id = choice.record.endpoint_id
         self.loads.start(endpoint_id, choice.missing_tokens)
-        self.parts.note(endpoint_id, facts.parts, now=0.0, capacity=500_000)
+        self.parts.record_sent(endpoint_id, facts.parts, now=0.0, capacity=500_000)
         return choice
 
 
@@ -227,7 +227,7 @@
         loads = [EndpointLoad(f"e{n}", running) for n, running in enumerate((31, 20, 20, 20))]
         world.loads.take_others(loads, now=0.0)
         facts = make_facts()
-        world.parts.note("e0", facts.shared_parts, now=0.0, capacity=500_000)
+        world.parts.record_sent("e0", facts.shared_parts, now=0.0, capacity=500_000)
         resting = [one.record.endpoint_id for one in world.candidates[4:]]
         stays = world.choose(facts, candidates=left, routers=9)
         self.assertEqual(stays.record.endpoint_id, "e0")
@@ -241,7 +241,7 @@
         world.loads.take_others(loads, now=0.0)
         resting = [one.record.endpoint_id for one in world.candidates[3:]]
         facts = make_facts()
-        world.parts.note("e2", facts.shared_parts, now=0.0, capacity=500_000)
+        world.parts.record_sent("e2", facts.shared_parts, now=0.0, capacity=500_000)
         choice = world.choose(facts, candidates=world.candidates[:3], routers=9, resting=resting)
         self.assertIn(choice.record.endpoint_id, ("e0", "e1"))
 
@@ -272,35 +272,35 @@
         book = PartTracker()
         old, new = PromptPart("old", 60), PromptPart("new", 60)
         capacity = int(100 / USABLE_SHARE)
-        book.note("e", [old], now=0.0, capacity=capacity)
-        book.note("e", [new], now=1.0, capacity=capacity)
+        book.record_sent("e", [old], now=0.0, capacity=capacity)
+        book.record_sent("e", [new], now=1.0, capacity=capacity)
         self.assertEqual(book.count_cached("e", [old]), 0)
         self.assertEqual(book.count_cached("e", [new]), 60)
 
     def test_only_the_beginning_of_a_prompt_counts(self) -> None:
         book = PartTracker()
-        book.note("e", [PromptPart("b", 10)], now=0.0, capacity=1000)
+        book.record_sent("e", [PromptPart("b", 10)], now=0.0, capacity=1000)
         self.assertEqual(book.count_cached("e", [PromptPart("a", 5), PromptPart("b", 10)]), 0)
 
     def test_news_of_other_routers(self) -> None:
         """A router tells a placement once, and again when it may have been forgotten."""
         ours, theirs = PartTracker(), PartTracker()
         part = PromptPart("a", MIN_REPORTED_TOKENS)
-        theirs.note(
+        theirs.record_sent(
             "e2", [part], now=10.0, capacity=1000, min_reported_tokens=MIN_REPORTED_TOKENS + 1
         )
-        theirs.note("e2", [PromptPart("s", 5)], now=10.0, capacity=1000)
+        theirs.record_sent("e2", [PromptPart("s", 5)], now=10.0, capacity=1000)
         self.assertEqual(list(theirs.pop_placements(10.0)), [])
-        theirs.note("e", [part], now=10.0, capacity=1000)
+        theirs.record_sent("e", [part], now=10.0, capacity=1000)
         (news,) = theirs.pop_placements(10.5)
         self.assertEqual(news.age_s, 0.5)
         ours.handle_placements([news], now=3.0, capacity=1000)
         self.assertEqual(ours.count_cached("e", [part]), MIN_REPORTED_TOKENS)
         self.assertEqual(list(theirs.pop_placements(11.1)), [])
-        theirs.note("e", [part], now=12.0, capacity=1000)
-        ours.note("e", [part], now=5.0, capacity=1000)
+        theirs.record_sent("e", [part], now=12.0, capacity=1000)
+        ours.record_sent("e", [part], now=5.0, capacity=1000)
         self.assertEqual([*theirs.pop_placements(12.0), *ours.pop_placements(5.0)], [])
-        theirs.note("e", [part], now=25.0, capacity=1000)
+        theirs.record_sent("e", [part], now=25.0, capacity=1000)
         self.assertEqual(len(list(theirs.pop_placements(25.0))), 1)
 
     def test_news_of_the_lifetime_before(self) -> None:
