--- a/chivetrack/components/placement/loads.py
+++ b/chivetrack/components/placement/loads.py
@@ -39,7 +39,7 @@
         use = self._get(endpoint_id)
         use.running = max(0, use.running - 1)
 
-    def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
+    def handle_other_loads(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
         """Replace what is known of the other routers."""
         for use in self._uses.values():
             use.others_running = 0
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -166,7 +166,7 @@
 
     def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
         """Take what the other routers have in use."""
-        self.loads.take_others(loads, now=now)
+        self.loads.handle_other_loads(loads, now=now)
 
     def handle_placements(self, placed: Iterable[PlacedPart], *, now: float, capacity: int) -> None:
         """Take what the other routers have sent where; ``capacity`` of a cache in tokens."""
--- a/tests/components/placement/test_choice.py
+++ b/tests/components/placement/test_choice.py
@@ -163,7 +163,7 @@
                 EndpointLoad(endpoint_id=one.record.endpoint_id, running=random.randrange(8, 14))
                 for one in engines
             ]
-            loads.take_others(told, now=0.0)
+            loads.handle_other_loads(told, now=0.0)
             chooser = Chooser(zone=f"z{number % 3}", loads=loads, parts=PartTracker())
             key = f"s{number % 50}"
             parts = (PromptPart(key, 700), PromptPart(f"o{number}", 130))
@@ -193,7 +193,7 @@
                     EndpointLoad(endpoint_id=f"e{n}", running=random.randrange(5, 9))
                     for n in range(6)
                 ]
-                world.loads.take_others(told, now=0.0)
+                world.loads.handle_other_loads(told, now=0.0)
                 parts = (PromptPart(dossier, 700), PromptPart("o", 130))
                 facts = RequestFacts(request_id="q", parts=parts, prompt_tokens=830)
                 places.add(world.choose(facts, routers=9).record.endpoint_id)
@@ -209,7 +209,7 @@
             choice = world.choose(facts, candidates=left, routers=87)
             homes.add(choice.record.endpoint_id)
         told = [EndpointLoad(endpoint_id=one, running=20) for one in homes]
-        world.loads.take_others(told, now=0.0)
+        world.loads.handle_other_loads(told, now=0.0)
         choice = world.choose(facts, routers=87)
         self.assertNotIn(choice.record.endpoint_id, homes)
 
@@ -225,7 +225,7 @@
             for one in world.candidates[:4]
         ]
         loads = [EndpointLoad(f"e{n}", running) for n, running in enumerate((31, 20, 20, 20))]
-        world.loads.take_others(loads, now=0.0)
+        world.loads.handle_other_loads(loads, now=0.0)
         facts = make_facts()
         world.parts.record_sent("e0", facts.shared_parts, now=0.0, capacity=500_000)
         resting = [one.record.endpoint_id for one in world.candidates[4:]]
@@ -238,7 +238,7 @@
         """Half of the engines is cold and idle, the others hold 60 and more each."""
         world = World()
         loads = [EndpointLoad(f"e{n}", running) for n, running in enumerate((61, 62, 70))]
-        world.loads.take_others(loads, now=0.0)
+        world.loads.handle_other_loads(loads, now=0.0)
         resting = [one.record.endpoint_id for one in world.candidates[3:]]
         facts = make_facts()
         world.parts.record_sent("e2", facts.shared_parts, now=0.0, capacity=500_000)
@@ -344,7 +344,7 @@
         loads.start("e", 100)
         other = LoadTable()
         other.start("e", 50)
-        loads.take_others(other.list_own(), now=0.0)
+        loads.handle_other_loads(other.list_own(), now=0.0)
         self.assertEqual(loads.count_running("e", 1.0), 2)
         # What others sent is read meanwhile, at 57 tokens a millisecond.
         self.assertEqual(loads.count_tokens("e", 0.0, rate=57.0), 150)
