--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -164,7 +164,7 @@
 
     # What routers tell each other
 
-    def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
+    def handle_other_loads(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
         """Take what the other routers have in use."""
         self.loads.handle_other_loads(loads, now=now)
 
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -129,7 +129,7 @@
 
     def _take_loads(self, loads: Sequence[EndpointLoad], now: float) -> None:
         self.health.take_others(loads, now=now)
-        self.placement.take_others(loads, now=now)
+        self.placement.handle_other_loads(loads, now=now)
 
     def take_loads(self, payload: bytes) -> None:
         """Take the packed loads of all routers; what this one told of itself is taken off."""
