--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -123,7 +123,7 @@
             output_tokens=facts.likely_output_tokens,
         )
 
-    def hear(self, placed: Placed, *, now: float) -> None:
+    def record_bytes(self, placed: Placed, *, now: float) -> None:
         """Note bytes of an endpoint."""
         self._silence.hear(placed.endpoint_id, placed.number, now=now)
 
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -367,7 +367,7 @@
     def hear(self, call: Call) -> None:
         """Note that the endpoint which has a request sent bytes."""
         if call.placed is not None:
-            self.placement.hear(call.placed, now=time.monotonic())
+            self.placement.record_bytes(call.placed, now=time.monotonic())
 
     def note_first_event(self, call: Call) -> None:
         """Take a prompt as read."""
