--- a/chivetrack/components/observation/silence.py
+++ b/chivetrack/components/observation/silence.py
@@ -63,7 +63,7 @@
         endpoint.waiting[number] = (now, now + wait_limit_s)
         return number
 
-    def hear(self, endpoint_id: str, number: int, *, now: float) -> None:
+    def record_bytes(self, endpoint_id: str, number: int, *, now: float) -> None:
         """Note bytes of an endpoint; the try has its first byte."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -125,7 +125,7 @@
 
     def record_bytes(self, placed: Placed, *, now: float) -> None:
         """Note bytes of an endpoint."""
-        self._silence.hear(placed.endpoint_id, placed.number, now=now)
+        self._silence.record_bytes(placed.endpoint_id, placed.number, now=now)
 
     def is_silent(self, endpoint_id: str, now: float) -> bool:
         """Return whether an endpoint owes an answer and has said nothing since."""
--- a/tests/components/observation/test_silence.py
+++ b/tests/components/observation/test_silence.py
@@ -42,13 +42,13 @@
         """One request takes long; others of the endpoint get their bytes meanwhile."""
         self.table.start("e", now=10.0, wait_limit_s=0.3)
         other = self.table.start("e", now=10.1, wait_limit_s=0.3)
-        self.table.hear("e", other, now=10.2)
+        self.table.record_bytes("e", other, now=10.2)
         self.assertFalse(self.table.is_silent("e", 12.0))
 
     def test_streams_that_die_with_their_endpoint(self) -> None:
         """A stream got bytes until the power went; requests that came later show it."""
         stream = self.table.start("e", now=10.0, wait_limit_s=0.3)
-        self.table.hear("e", stream, now=10.5)
+        self.table.record_bytes("e", stream, now=10.5)
         self.table.start("e", now=10.6, wait_limit_s=0.3)
         self.table.start("e", now=10.6, wait_limit_s=0.3)
         self.assertFalse(self.table.is_silent("e", 10.8))
@@ -60,7 +60,7 @@
         self.assertTrue(self.table.is_silent("e", 11.0))
         self.table.forget("e")
         self.assertFalse(self.table.is_silent("e", 11.0))
-        self.table.hear("e", number, now=11.0)
+        self.table.record_bytes("e", number, now=11.0)
         self.table.finish("e", number)
 
     def test_patience_grows_with_what_is_expected(self) -> None:
