--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -347,7 +347,7 @@
         self, router: _Router, loads: list[EndpointLoad], news: Sequence[PlacedPart], now: float
     ) -> None:
         capacity = self._deployment.engine.memory_tokens
-        router.placement.take_others(loads, now=now / 1000)
+        router.placement.handle_other_loads(loads, now=now / 1000)
         router.placement.handle_placements(news, now=now / 1000, capacity=capacity)
 
 
