--- a/chivetrack/components/placement/loads.py
+++ b/chivetrack/components/placement/loads.py
@@ -29,7 +29,7 @@
         use.running += 1
         use.tokens += tokens
 
-    def begin(self, endpoint_id: str, tokens: int) -> None:
+    def finish_reading(self, endpoint_id: str, tokens: int) -> None:
         """Count a request's prompt as read: its first event has come."""
         use = self._get(endpoint_id)
         use.tokens = max(0, use.tokens - tokens)
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -136,7 +136,7 @@
         if placed.first_at is not None:
             return
         placed.first_at = now
-        self.loads.begin(placed.endpoint_id, placed.missing_tokens)
+        self.loads.finish_reading(placed.endpoint_id, placed.missing_tokens)
         if placed.has_prompt:
             self.get_speeds(placed.service).record_first_event(
                 placed.endpoint_id,
@@ -148,7 +148,7 @@
     def finish(self, placed: Placed, *, now: float) -> None:
         """Count a request as ended; only whole answers tell of an endpoint's speed."""
         if placed.first_at is None:
-            self.loads.begin(placed.endpoint_id, placed.missing_tokens)
+            self.loads.finish_reading(placed.endpoint_id, placed.missing_tokens)
             self.parts.withdraw(placed.endpoint_id, placed.new_parts)
         self.loads.finish(placed.endpoint_id)
         self._silence.finish(placed.endpoint_id, placed.number)
--- a/tests/components/placement/test_choice.py
+++ b/tests/components/placement/test_choice.py
@@ -350,7 +350,7 @@
         self.assertEqual(loads.count_tokens("e", 0.0, rate=57.0), 150)
         self.assertEqual(loads.count_tokens("e", 1.0, rate=57.0), 100)
         self.assertEqual(loads.count_running("e", 10.0), 1)
-        loads.begin("e", 100)
+        loads.finish_reading("e", 100)
         loads.finish("e")
         self.assertEqual(list(loads.list_own()), [])
 
