--- a/chivetrack/components/placement/__init__.py
+++ b/chivetrack/components/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoint a request goes to, decided without I/O."""
+"""Select the endpoint for each request, without I/O."""
--- a/chivetrack/components/placement/choice.py
+++ b/chivetrack/components/placement/choice.py
@@ -1,4 +1,4 @@
-"""Chooses among the endpoints of a service."""
+"""Choice of an endpoint of a service by estimated cost."""
 
 import heapq
 from collections.abc import Collection, Mapping, Sequence
@@ -23,8 +23,8 @@
 class Candidate:
     """An endpoint that may be chosen.
 
-    ``failure_share``: of its latest tries, 0 to 1. ``is_slow``: just started, and
-    nothing limits what it gets while it is cold.
+    ``failure_share``: the share of its latest attempts that failed, 0 to 1. ``is_slow``: it
+    has just started, and no slow start limits its requests while it is cold.
     """
 
     record: EndpointRecord
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Source:
-    """An engine that may have parts cached; a new one has got few prompts yet."""
+    """An engine that may have parts cached; a new engine has received few prompts so far."""
 
     record: EndpointRecord
     is_new: bool = False
@@ -43,12 +43,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Choice:
-    """Where a request goes.
-
-    ``missing_tokens`` have to be read there; ``fetch_from`` is the address of an engine
-    that is believed to have more of the prompt cached. ``is_home``: other routers expect
-    the prompt there without being told. ``expected_ms`` is the expected time to the first
-    event, or to a plain answer; ``certain_ms`` is the part of it that known work takes.
+    """The endpoint chosen for a request.
+
+    ``missing_tokens``: prompt tokens that the endpoint has to read. ``running``: requests in
+    flight there, from all routers. ``cost_ms``: the cost by which endpoints are compared.
+    ``fetch_from``: the address of an engine that probably has more of the prompt cached.
+    ``is_home``: the endpoint is the prompt's first home, where other routers expect the
+    prompt without a report. ``expected_ms``: the expected time to the first event, or to a
+    plain answer; ``certain_ms``: its part that is taken by known work.
     """
 
     record: EndpointRecord
@@ -62,8 +64,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Prompt:
-    """What is known of a prompt at all engines."""
+class _PromptState:
+    """The state of a prompt across all engines.
+
+    ``shared``: its tokens in shared parts. ``best``, ``best_at``: the most cached tokens, and
+    the engine that has them. ``homes``: the first candidates in its rendezvous order.
+    ``old_home``: the first engine in that order that is not new.
+    """
 
     tokens: int
     shared: int
@@ -75,11 +82,11 @@
 
 
 class Chooser:
-    """Weighs cached prompts, load and distance; free of I/O.
+    """Selects endpoints by cached prompts, load and distance; without I/O.
 
-    It answers prompts of 10,000 shared tokens that return to many routers at once: each
-    is read at one engine, and one that would hold more than its share hands its cached
-    parts to another.
+    Prompts of 10,000 shared tokens may arrive at many routers at once. Each prompt is read at
+    one engine; when that engine would exceed its bound on requests, another engine fetches the
+    cached parts from it.
     """
 
     def __init__(
@@ -90,7 +97,7 @@
         parts: PartTracker,
         weights: PlacementWeights = DEFAULT_WEIGHTS,
     ) -> None:
-        """Take the own zone, what is known of the endpoints and what costs how much."""
+        """Initialize the chooser for a router in ``zone``."""
         self._zone = zone
         self._loads = loads
         self._parts = parts
@@ -108,12 +115,12 @@
         speeds: ServiceSpeeds | None = None,
         resting: Collection[str] = (),
     ) -> Choice | None:
-        """Return the cheapest endpoint, ``None`` without candidates.
+        """Return the endpoint of the lowest cost, or ``None`` without candidates.
 
-        ``sources`` are engines that cached parts may be taken from, also leaving ones;
-        ``routers`` is how many choose at the same time; ``speeds`` is what has been learned
-        of the service's endpoints. ``resting`` are the ids of sound endpoints that get
-        nothing now; they count towards the mean load of the service.
+        ``sources``: engines from which cached parts may be fetched, including leaving ones.
+        ``routers``: number of routers that choose at the same time. ``speeds``: speed
+        statistics of the service's endpoints. ``resting``: ids of healthy endpoints that get
+        no requests now; they count towards the mean load of the service.
         """
         if not candidates:
             return None
@@ -126,12 +133,12 @@
         engine = None if service is None else service.engine
         prompt = None
         if engine is not None and facts.parts:
-            known = sources or [Source(record=one.record) for one in candidates]
-            prompt = self._look_up(facts, candidates, known, engine.can_fetch)
+            prompt_sources = sources or [Source(record=one.record) for one in candidates]
+            prompt = self._describe_prompt(facts, candidates, prompt_sources, engine.can_fetch)
             if routers > 1:
-                within = self._narrow(within, prompt, facts)
+                within = self._keep_homes(within, prompt, facts)
         choices = [
-            self._weigh(one, facts, running[one.record.endpoint_id], prompt, speeds, now)
+            self._score_engine(one, facts, running[one.record.endpoint_id], prompt, speeds, now)
             for one in within
         ]
         return min(choices, key=lambda one: one.cost_ms)
@@ -144,116 +151,126 @@
         routers: int,
         now: float,
     ) -> list[Candidate]:
-        """Keep the endpoints that hold no more than the bound; the least loaded always do."""
+        """Return the candidates that stay within the bound with one more request.
+
+        If all would exceed it, the least loaded candidates are returned.
+        """
         total = sum(running.values())
         mean = total / len(running)
-        rest = sum(self._loads.count_running(one, now) for one in resting)
-        service_mean = (total + rest) / (len(running) + len(resting))
+        resting_running = sum(self._loads.count_running(one, now) for one in resting)
+        service_mean = (total + resting_running) / (len(running) + len(resting))
         bound = find_bound(mean, routers, self._weights, service_mean=service_mean)
         within = [one for one in candidates if running[one.record.endpoint_id] + 1 <= bound]
         if within:
             return within
-        least = min(running.values()) + self._weights.bound_slack
-        return [one for one in candidates if running[one.record.endpoint_id] <= least]
+        least_loaded_bound = min(running.values()) + self._weights.bound_slack
+        return [one for one in candidates if running[one.record.endpoint_id] <= least_loaded_bound]
 
-    def _narrow(
-        self, within: list[Candidate], prompt: _Prompt, facts: RequestFacts
+    def _keep_homes(
+        self, within: list[Candidate], prompt: _PromptState, facts: RequestFacts
     ) -> list[Candidate]:
-        """Keep the prompt's homes and the engines that are known to have it cached."""
-        left = [
+        """Return the prompt's homes and the engines known to have all its shared parts.
+
+        If none of these is within the bound, all candidates within it are returned.
+        """
+        homes = [
             one
             for one in within
             if one.record in prompt.homes or self._has_all_shared(one.record, prompt, facts)
         ]
-        return left or within
+        return homes or within
 
-    def _has_all_shared(self, record: EndpointRecord, prompt: _Prompt, facts: RequestFacts) -> bool:
+    def _has_all_shared(
+        self, record: EndpointRecord, prompt: _PromptState, facts: RequestFacts
+    ) -> bool:
         cached = self._parts.count_cached(record.endpoint_id, facts.shared_parts)
         return prompt.shared > 0 and cached >= prompt.shared
 
-    def _look_up(
+    def _describe_prompt(
         self,
         facts: RequestFacts,
         candidates: Sequence[Candidate],
         sources: Sequence[Source],
         can_fetch: bool,
-    ) -> _Prompt:
+    ) -> _PromptState:
         records = [one.record for one in sources]
         cached = {
             one.endpoint_id: self._parts.count_cached(one.endpoint_id, facts.shared_parts)
             for one in records
         }
         best_at = max(records, key=lambda one: cached[one.endpoint_id])
-        old = [one.record for one in sources if not one.is_new]
+        established = [one.record for one in sources if not one.is_new]
         key = (facts.shared_parts or facts.parts)[-1].part_id
-        return _Prompt(
+        return _PromptState(
             tokens=facts.prompt_tokens,
             shared=sum(part.tokens for part in facts.shared_parts),
             best=cached[best_at.endpoint_id],
             best_at=best_at,
             homes=_find_homes([one.record for one in candidates], key, self._weights.homes),
-            old_home=_find_homes(old or records, key, 1)[0],
+            old_home=_find_homes(established or records, key, 1)[0],
             can_fetch=can_fetch,
         )
 
-    def _weigh(
+    def _score_engine(
         self,
         candidate: Candidate,
         facts: RequestFacts,
         running: int,
-        prompt: _Prompt | None,
+        prompt: _PromptState | None,
         speeds: ServiceSpeeds,
         now: float,
     ) -> Choice:
         if prompt is None:
-            return self._weigh_plain(candidate, running, speeds, now)
+            return self._score_plain(candidate, running, speeds, now)
         record = candidate.record
         weights = self._weights
-        rate = speeds.read_tokens_per_ms
+        read_rate = speeds.read_tokens_per_ms
         slowness = speeds.find_slowness(record.endpoint_id, now)
         cached = self._parts.count_cached(record.endpoint_id, facts.parts)
         missing = max(0, prompt.tokens - cached)
-        fetched, source = self._find_source(record, cached, prompt)
-        read = missing - fetched
-        waiting = self._loads.count_tokens(record.endpoint_id, now, rate=rate)
+        fetched, fetch_from = self._find_source(record, cached, prompt)
+        tokens_to_read = missing - fetched
+        waiting_tokens = self._loads.count_tokens(record.endpoint_id, now, rate=read_rate)
         queued_ms = _count_queued_turns(record, running) * speeds.answer_ms
-        again = max(0.0, prompt.best - cached - fetched)
-        work = (read + waiting + again * weights.read_again_factor) / rate + queued_ms
+        reread = max(0.0, prompt.best - cached - fetched)
+        work = (
+            tokens_to_read + waiting_tokens + reread * weights.read_again_factor
+        ) / read_rate + queued_ms
         work += running * weights.running_share * speeds.answer_ms
-        cost = self._weigh_place(candidate)
-        cost += work * slowness + fetched * weights.fetch_share / rate
+        cost = self._score_location(candidate)
+        cost += work * slowness + fetched * weights.fetch_share / read_rate
         is_home = record is prompt.homes[0]
         if not cached and is_home:
-            cost -= weights.home_chance * min(prompt.shared, missing) / rate
-        first_ms = speeds.expect_first_ms(record.endpoint_id, read + waiting, now)
+            cost -= weights.home_chance * min(prompt.shared, missing) / read_rate
+        first_ms = speeds.expect_first_ms(record.endpoint_id, tokens_to_read + waiting_tokens, now)
         return Choice(
             record=record,
-            missing_tokens=max(0, round(read)),
+            missing_tokens=max(0, round(tokens_to_read)),
             running=running,
             cost_ms=cost,
-            fetch_from=source,
+            fetch_from=fetch_from,
             is_home=is_home,
             expected_ms=first_ms + queued_ms * slowness,
-            certain_ms=(read + waiting) / rate + queued_ms,
+            certain_ms=(tokens_to_read + waiting_tokens) / read_rate + queued_ms,
         )
 
-    def _weigh_plain(
+    def _score_plain(
         self, candidate: Candidate, running: int, speeds: ServiceSpeeds, now: float
     ) -> Choice:
         record = candidate.record
-        usual_ms = speeds.expect_plain_ms(record.endpoint_id, now)
+        plain_ms = speeds.expect_plain_ms(record.endpoint_id, now)
         turns = 1 + running * self._weights.plain_turns / max(1, record.slots)
         queued = _count_queued_turns(record, running)
         return Choice(
             record=record,
             missing_tokens=0,
             running=running,
-            cost_ms=self._weigh_place(candidate) + turns * usual_ms,
-            expected_ms=(1 + queued) * usual_ms,
+            cost_ms=self._score_location(candidate) + turns * plain_ms,
+            expected_ms=(1 + queued) * plain_ms,
             certain_ms=queued * speeds.plain_ms,
         )
 
-    def _weigh_place(self, candidate: Candidate) -> float:
+    def _score_location(self, candidate: Candidate) -> float:
         cost = 0.0
         if candidate.record.zone != self._zone:
             cost += self._weights.other_zone_ms
@@ -265,20 +282,20 @@
         return cost
 
     def _find_source(
-        self, record: EndpointRecord, cached: int, prompt: _Prompt
+        self, record: EndpointRecord, cached: int, prompt: _PromptState
     ) -> tuple[float, str]:
-        """Return how many tokens are likely taken over, and from which address."""
-        gain = prompt.best - cached
-        if prompt.can_fetch and gain >= self._weights.min_fetch_tokens:
-            return gain, prompt.best_at.address
-        unknown = prompt.shared - max(cached, prompt.best)
+        """Return the expected number of fetched tokens, and the address to fetch them from."""
+        cached_elsewhere = prompt.best - cached
+        if prompt.can_fetch and cached_elsewhere >= self._weights.min_fetch_tokens:
+            return cached_elsewhere, prompt.best_at.address
+        unlocated = prompt.shared - max(cached, prompt.best)
         if (
             not prompt.can_fetch
             or record is prompt.old_home
-            or unknown < self._weights.min_fetch_tokens
+            or unlocated < self._weights.min_fetch_tokens
         ):
             return 0.0, ""
-        return self._weights.home_chance * unknown, prompt.old_home.address
+        return self._weights.home_chance * unlocated, prompt.old_home.address
 
 
 def find_bound(
@@ -288,12 +305,15 @@
     *,
     service_mean: float | None = None,
 ) -> float:
-    """Return how many requests an endpoint may hold, given the mean of those to choose from.
+    """Return the largest number of requests that an endpoint may hold.
+
+    ``mean``: mean number of requests of the candidates. ``service_mean``: that of the whole
+    service. While one of three zones is empty or restarts cold, the service's mean is a third
+    lower than that of the candidates, and so is the number that operators allow.
 
-    Each router sees its own requests at once and those of all others half a second late.
-    Among many routers nearly all is late, so that the same bound is overshot by more.
-    ``service_mean`` is that of the whole service. Where one of three zones is empty or comes
-    back cold it is lower by a third, and so is what operators allow.
+    A router counts its own requests immediately and those of other routers half a second
+    late. With many routers most of the count is late, and the load overshoots the bound by
+    more; the factor is lower then.
     """
     share = min(1.0, FEW_ROUTERS / max(1, routers))
     factor = weights.bound_many + (weights.bound_few - weights.bound_many) * share
@@ -304,16 +324,18 @@
 
 
 def _count_queued_turns(record: EndpointRecord, running: int) -> float:
-    """Return for how many turns of all slots a further request would wait for one."""
+    """Return the number of service times that a further request would wait for a free slot."""
     return max(0, running + 1 - record.slots) / max(1, record.slots)
 
 
 def _find_homes(
     records: Sequence[EndpointRecord], key: str, count: int
 ) -> tuple[EndpointRecord, ...]:
-    """Return the first engines in the prompt's rendezvous order."""
-    return tuple(heapq.nlargest(count, records, key=lambda one: _score(one.endpoint_id, key)))
+    """Return the first ``count`` engines in the rendezvous order of the prompt."""
+    return tuple(
+        heapq.nlargest(count, records, key=lambda one: _hash_rendezvous(one.endpoint_id, key))
+    )
 
 
-def _score(endpoint_id: str, key: str) -> int:
+def _hash_rendezvous(endpoint_id: str, key: str) -> int:
     return xxhash.xxh64_intdigest(f"{endpoint_id}/{key}".encode())
--- a/chivetrack/components/placement/loads.py
+++ b/chivetrack/components/placement/loads.py
@@ -1,4 +1,4 @@
-"""How much of each endpoint is in use, by this router and by all others."""
+"""Load of each endpoint, by this router and by all other routers."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class _Use:
+class _EndpointUse:
     running: int = 0
     tokens: int = 0
     others_running: int = 0
@@ -17,20 +17,20 @@
 
 
 class LoadTable:
-    """Counts requests in flight and prompt tokens that wait to be read."""
+    """Counts requests in flight and prompt tokens that have not been read yet, by endpoint."""
 
     def __init__(self) -> None:
-        """Start with nothing in use."""
-        self._uses: dict[str, _Use] = {}
+        """Initialize the table without any load."""
+        self._loads: dict[str, _EndpointUse] = {}
 
     def start(self, endpoint_id: str, tokens: int) -> None:
-        """Count a request that is sent."""
+        """Count a request that is sent to an endpoint, and the prompt tokens to be read for it."""
         use = self._get(endpoint_id)
         use.running += 1
         use.tokens += tokens
 
     def finish_reading(self, endpoint_id: str, tokens: int) -> None:
-        """Count a request's prompt as read: its first event has come."""
+        """Count the prompt of a request as read, since its first event has arrived."""
         use = self._get(endpoint_id)
         use.tokens = max(0, use.tokens - tokens)
 
@@ -40,8 +40,8 @@
         use.running = max(0, use.running - 1)
 
     def handle_other_loads(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
-        """Replace what is known of the other routers."""
-        for use in self._uses.values():
+        """Replace the load of the other routers, summed by endpoint."""
+        for use in self._loads.values():
             use.others_running = 0
             use.others_tokens = 0
         for load in loads:
@@ -51,15 +51,18 @@
             use.others_at = now
 
     def count_running(self, endpoint_id: str, now: float) -> int:
-        """Return the requests in flight at an endpoint, of all routers."""
+        """Return the number of requests in flight at an endpoint, from all routers.
+
+        The load of the other routers counts for ``OTHERS_FRESH_S`` after its arrival.
+        """
         use = self._get(endpoint_id)
         return use.running + (use.others_running if now - use.others_at <= OTHERS_FRESH_S else 0)
 
     def count_tokens(self, endpoint_id: str, now: float, *, rate: float) -> int:
-        """Return the prompt tokens that an endpoint has still to read.
+        """Return the number of prompt tokens that an endpoint has not read yet.
 
-        What other routers told is some hundred ms old; meanwhile the endpoint reads on,
-        ``rate`` tokens a ms.
+        The load reported by other routers is some hundred milliseconds old. The tokens that
+        the endpoint has read since then, at ``rate`` tokens/ms, are subtracted from it.
         """
         use = self._get(endpoint_id)
         if not use.others_tokens:
@@ -68,19 +71,19 @@
         return use.tokens + max(0, round(use.others_tokens - read))
 
     def list_own(self) -> Iterator[EndpointLoad]:
-        """Yield what this router uses."""
-        for endpoint_id, use in self._uses.items():
+        """Yield the load of this router, by endpoint."""
+        for endpoint_id, use in self._loads.items():
             if use.running or use.tokens:
                 yield EndpointLoad(endpoint_id=endpoint_id, running=use.running, tokens=use.tokens)
 
     def forget(self, endpoint_id: str) -> None:
         """Drop an endpoint that has gone."""
-        use = self._uses.get(endpoint_id)
+        use = self._loads.get(endpoint_id)
         if use is not None and not use.running:
-            del self._uses[endpoint_id]
+            del self._loads[endpoint_id]
 
-    def _get(self, endpoint_id: str) -> _Use:
-        use = self._uses.get(endpoint_id)
+    def _get(self, endpoint_id: str) -> _EndpointUse:
+        use = self._loads.get(endpoint_id)
         if use is None:
-            use = self._uses[endpoint_id] = _Use()
+            use = self._loads[endpoint_id] = _EndpointUse()
         return use
--- a/chivetrack/components/placement/parts.py
+++ b/chivetrack/components/placement/parts.py
@@ -1,4 +1,4 @@
-"""What is believed to be in the caches of model engines."""
+"""Estimated contents of the prompt caches of model engines."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Iterator
@@ -8,18 +8,20 @@
 from chivetrack.components.distribution.placements import AGE_DIGITS
 from chivetrack.components.traffic.requests import PromptPart
 
-# Engines evict the least recently used parts, and running requests take memory too; an
-# estimate that fills the whole capacity would count on parts that are gone.
+# Share of an engine's memory that is assumed to hold cached parts. Engines evict the least
+# recently used parts, and running requests take memory too; an estimate that fills the whole
+# capacity would include evicted parts.
 USABLE_SHARE = 0.7
-# A placement is told to the other routers when it is new, and again after this much;
-# what all know already would fill the links of replicas.
+# A placement (a part sent to an endpoint) is reported to the other routers when it is new, and
+# again after this interval. Reports of known placements would fill the links of the replicas.
 REPORT_INTERVAL_S = 10.0
-# A part that is read in less than 10 ms is not worth a message to all.
+# Smaller parts are not reported: an engine reads them in less than 10 ms.
 MIN_REPORTED_TOKENS = 400
-# Among many routers only so large a part is told where all expect it anyway: told by 87
-# routers to each other, all placements of a day's first seconds took twice the links of
-# the replicas.
+# With many routers, smaller parts are not reported when they are sent to their first home,
+# where all routers expect them anyway. Reports of all placements from 87 routers took twice the
+# capacity of the replicas' links in the first seconds of a day.
 MIN_REPORTED_HOME_TOKENS = 2000
+# Most placements in one report.
 MAX_REPORTED_PLACEMENTS = 48
 
 
@@ -31,17 +33,20 @@
 
 
 class PartTracker:
-    """Remembers which parts were sent where; least recently used ones go first."""
+    """Tracks which prompt parts are cached at which endpoint.
+
+    The least recently used parts are evicted first, as in the engines.
+    """
 
     def __init__(self) -> None:
-        """Start with empty caches."""
+        """Initialize the tracker with empty caches."""
         self._caches: dict[str, OrderedDict[str, _Cached]] = {}
-        self._sums: dict[str, int] = {}
-        self._news: OrderedDict[tuple[str, str], None] = OrderedDict()
-        self._empty_at: dict[str, float] = {}
+        self._token_sums: dict[str, int] = {}
+        self._unreported: OrderedDict[tuple[str, str], None] = OrderedDict()
+        self._emptied_at: dict[str, float] = {}
 
     def count_cached(self, endpoint_id: str, parts: Iterable[PromptPart]) -> int:
-        """Return how many tokens at the beginning of a prompt need not be read again."""
+        """Return the number of tokens at the start of a prompt that an endpoint has cached."""
         cache = self._caches.get(endpoint_id)
         if cache is None:
             return 0
@@ -61,73 +66,86 @@
         capacity: int,
         min_reported_tokens: int = MIN_REPORTED_TOKENS,
     ) -> tuple[PromptPart, ...]:
-        """Note that shared parts were sent to an endpoint by this router.
+        """Record the shared parts of a prompt that this router sent to an endpoint.
 
-        The other routers are told if one of them has ``min_reported_tokens`` tokens or more. All are
-        told then: a part counts as cached only if those before it are. Returns the parts
-        that were not believed to be there before.
+        If any part has ``min_reported_tokens`` tokens or more, all parts are reported to the
+        other routers, since a part counts as cached only if all parts before it do. Returns
+        the parts that were not recorded there before.
         """
         shared = list(parts)
         new = tuple(part for part in shared if self._find(endpoint_id, part.part_id) is None)
-        is_told = max((part.tokens for part in shared), default=0) >= min_reported_tokens
+        is_reported = max((part.tokens for part in shared), default=0) >= min_reported_tokens
         for part in shared:
-            cached = self._enter(endpoint_id, part, now, capacity)
-            if is_told and now - cached.reported_at >= REPORT_INTERVAL_S:
+            cached = self._insert(endpoint_id, part, now, capacity)
+            if is_reported and now - cached.reported_at >= REPORT_INTERVAL_S:
                 cached.reported_at = now
-                self._news[(part.part_id, endpoint_id)] = None
+                self._unreported[(part.part_id, endpoint_id)] = None
         return new
 
     def withdraw(self, endpoint_id: str, parts: Iterable[PromptPart]) -> None:
-        """Drop parts that were sent to an endpoint which failed before it had read them."""
+        """Remove parts that were sent to an endpoint which failed before it had read them."""
         cache = self._caches.get(endpoint_id, OrderedDict())
         for part in parts:
             cached = cache.pop(part.part_id, None)
-            self._news.pop((part.part_id, endpoint_id), None)
+            self._unreported.pop((part.part_id, endpoint_id), None)
             if cached is not None:
-                self._sums[endpoint_id] -= cached.tokens
+                self._token_sums[endpoint_id] -= cached.tokens
 
     def record_unshared(
         self, endpoint_id: str, part: PromptPart, *, now: float, capacity: int
     ) -> None:
-        """Note a part that only the request or its session has; no other router asks for it."""
-        self._enter(endpoint_id, part, now, capacity)
+        """Record a part that belongs to a single request or session.
+
+        It is not reported, since no other router sends it.
+        """
+        self._insert(endpoint_id, part, now, capacity)
 
-    def _enter(self, endpoint_id: str, part: PromptPart, now: float, capacity: int) -> _Cached:
+    def _insert(self, endpoint_id: str, part: PromptPart, now: float, capacity: int) -> _Cached:
         cache = self._caches.setdefault(endpoint_id, OrderedDict())
         cached = cache.pop(part.part_id, None)
-        total = self._sums.get(endpoint_id, 0) - (cached.tokens if cached else 0) + part.tokens
+        total = (
+            self._token_sums.get(endpoint_id, 0) - (cached.tokens if cached else 0) + part.tokens
+        )
         cached = cached or _Cached(part.tokens, now)
         cached.tokens = part.tokens
         cached.used_at = max(cached.used_at, now)
         cache[part.part_id] = cached
         while total > capacity * USABLE_SHARE and len(cache) > 1:
-            _, old = cache.popitem(last=False)
-            total -= old.tokens
-        self._sums[endpoint_id] = total
+            _, evicted = cache.popitem(last=False)
+            total -= evicted.tokens
+        self._token_sums[endpoint_id] = total
         return cached
 
-    def handle_placements(self, news: Iterable[PlacedPart], *, now: float, capacity: int) -> None:
-        """Note what other routers have sent."""
-        for placed in news:
+    def handle_placements(
+        self, placements: Iterable[PlacedPart], *, now: float, capacity: int
+    ) -> None:
+        """Record placements that other routers have reported.
+
+        ``capacity`` is the cache size of an engine in tokens.
+        """
+        for placed in placements:
             part_id, _, tokens = placed.part.rpartition(":")
-            at = now - placed.age_s
-            if at < self._empty_at.get(placed.endpoint_id, at):
-                # Sent to the lifetime before; what it had cached is gone.
+            placed_at = now - placed.age_s
+            if placed_at < self._emptied_at.get(placed.endpoint_id, placed_at):
+                # Sent to the previous incarnation of the endpoint, whose cache is lost.
                 continue
             known = self._find(placed.endpoint_id, part_id)
-            if known is not None and known.used_at >= at:
-                known.reported_at = max(known.reported_at, at)
+            if known is not None and known.used_at >= placed_at:
+                known.reported_at = max(known.reported_at, placed_at)
                 continue
             part = PromptPart(part_id, int(tokens))
-            cached = self._enter(placed.endpoint_id, part, at, capacity)
-            cached.reported_at = max(cached.reported_at, at)
+            cached = self._insert(placed.endpoint_id, part, placed_at, capacity)
+            cached.reported_at = max(cached.reported_at, placed_at)
 
     def pop_placements(self, now: float) -> Iterator[PlacedPart]:
-        """Yield what the other routers have not been told."""
-        for key in list(self._news)[:MAX_REPORTED_PLACEMENTS]:
+        """Yield placements to be reported to the other routers, and clear them.
+
+        At most ``MAX_REPORTED_PLACEMENTS`` are yielded; the rest stays for the next call.
+        """
+        for key in list(self._unreported)[:MAX_REPORTED_PLACEMENTS]:
             part_id, endpoint_id = key
             cached = self._find(endpoint_id, part_id)
-            del self._news[key]
+            del self._unreported[key]
             if cached is not None:
                 name = f"{part_id}:{cached.tokens}"
                 age_s = round(max(0.0, now - cached.used_at), AGE_DIGITS)
@@ -138,12 +156,12 @@
         return None if cache is None else cache.get(part_id)
 
     def forget(self, endpoint_id: str, *, emptied_at: float | None = None) -> None:
-        """Drop what an endpoint had cached; its memory is empty after a restart.
+        """Clear the cache of an endpoint, whose memory is empty after a restart.
 
-        ``emptied_at`` is when it was seen to have restarted: what other routers tell of
-        earlier placements, for seconds still, no longer holds.
+        ``emptied_at`` is the time at which the restart was noticed. Other routers go on
+        reporting earlier placements for seconds; these are ignored.
         """
         if emptied_at is not None:
-            self._empty_at[endpoint_id] = emptied_at
+            self._emptied_at[endpoint_id] = emptied_at
         self._caches.pop(endpoint_id, None)
-        self._sums.pop(endpoint_id, None)
+        self._token_sums.pop(endpoint_id, None)
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -1,4 +1,4 @@
-"""Where requests go, and what is learned from how they end; free of I/O."""
+"""Placement of requests on endpoints, and the statistics of their answers; without I/O."""
 
 from collections.abc import Collection, Iterable, Iterator, Sequence
 from dataclasses import dataclass
@@ -21,7 +21,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class Placed:
-    """A try that is under way at an endpoint; times are of the steady clock in seconds."""
+    """An attempt in progress at an endpoint.
+
+    Times are monotonic, in seconds. ``missing_tokens``: prompt tokens that the engine has to
+    read for this request. ``ahead_tokens``: prompt tokens that it has to read before those.
+    ``number``: the number of the attempt in ``SilenceTable``. ``new_parts``: shared parts
+    that were first recorded at the endpoint with this attempt.
+    """
 
     endpoint_id: str
     service: str
@@ -38,10 +44,10 @@
 
 
 class Placement:
-    """Chooses endpoints, counts what is in use there and learns from what comes back."""
+    """Chooses endpoints, counts their load and learns their speed from the answers."""
 
     def __init__(self, *, zone: str, weights: PlacementWeights = DEFAULT_WEIGHTS) -> None:
-        """Start with nothing in use and nothing learned."""
+        """Initialize the placement for a router in ``zone``, without load or statistics."""
         self.loads = LoadTable()
         self.parts = PartTracker()
         self._speeds: dict[str, ServiceSpeeds] = {}
@@ -49,7 +55,7 @@
         self._chooser = Chooser(zone=zone, loads=self.loads, parts=self.parts, weights=weights)
 
     def get_speeds(self, service: str) -> ServiceSpeeds:
-        """Return what has been learned of a service's endpoints."""
+        """Return the speed statistics of a service's endpoints."""
         speeds = self._speeds.get(service)
         if speeds is None:
             speeds = self._speeds[service] = ServiceSpeeds()
@@ -66,7 +72,10 @@
         routers: int = 1,
         resting: Collection[str] = (),
     ) -> Choice | None:
-        """Return the best endpoint, ``None`` without candidates; see ``Chooser``."""
+        """Return the endpoint of the lowest cost, or ``None`` without candidates.
+
+        See ``Chooser.choose`` for the parameters.
+        """
         if not candidates:
             return None
         return self._chooser.choose(
@@ -81,7 +90,7 @@
         )
 
     def expect_complete_s(self, choice: Choice, facts: RequestFacts) -> float:
-        """Return within which time (s) most answers like this one are whole."""
+        """Return the time in seconds within which most such answers are complete."""
         speeds = self.get_speeds(choice.record.service)
         if not facts.parts:
             return choice.expected_ms * speeds.spread / 1000
@@ -91,7 +100,11 @@
     def start(
         self, choice: Choice, facts: RequestFacts, *, now: float, capacity: int, routers: int = 1
     ) -> Placed:
-        """Count a request at the endpoint that was chosen; ``capacity`` of a cache in tokens."""
+        """Count a request at the chosen endpoint.
+
+        ``capacity`` is the cache size of an engine in tokens; ``routers`` is the number of
+        routers in the fleet.
+        """
         endpoint_id = choice.record.endpoint_id
         new_parts: tuple[PromptPart, ...] = ()
         if facts.parts:
@@ -124,15 +137,15 @@
         )
 
     def record_bytes(self, placed: Placed, *, now: float) -> None:
-        """Note bytes of an endpoint."""
+        """Record that bytes of an answer have arrived from its endpoint."""
         self._silence.record_bytes(placed.endpoint_id, placed.number, now=now)
 
     def is_silent(self, endpoint_id: str, now: float) -> bool:
-        """Return whether an endpoint owes an answer and has said nothing since."""
+        """Return whether answers of an endpoint are overdue and it has sent no bytes since."""
         return self._silence.is_silent(endpoint_id, now)
 
     def record_first_event(self, placed: Placed, *, now: float) -> None:
-        """Take a prompt as read: its first event has come."""
+        """Record the first event of an answer, which shows that the prompt has been read."""
         if placed.first_at is not None:
             return
         placed.first_at = now
@@ -146,7 +159,10 @@
             )
 
     def finish(self, placed: Placed, *, now: float) -> None:
-        """Count a request as ended; only whole answers tell of an endpoint's speed."""
+        """Count a request as ended.
+
+        Only complete answers update the speed statistics.
+        """
         if placed.first_at is None:
             self.loads.finish_reading(placed.endpoint_id, placed.missing_tokens)
             self.parts.withdraw(placed.endpoint_id, placed.new_parts)
@@ -162,26 +178,32 @@
             took_ms = (now - placed.started_at) * 1000
             speeds.record_plain_answer(placed.endpoint_id, took_ms=took_ms, now=now)
 
-    # What routers tell each other
+    # Reports between routers
 
     def handle_other_loads(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
-        """Take what the other routers have in use."""
+        """Handle the loads that the other routers have reported."""
         self.loads.handle_other_loads(loads, now=now)
 
     def handle_placements(self, placed: Iterable[PlacedPart], *, now: float, capacity: int) -> None:
-        """Take what the other routers have sent where; ``capacity`` of a cache in tokens."""
+        """Handle the placements that the other routers have reported.
+
+        ``capacity`` is the cache size of an engine in tokens.
+        """
         self.parts.handle_placements(placed, now=now, capacity=capacity)
 
     def list_own(self) -> Iterator[EndpointLoad]:
-        """Yield what this router uses."""
+        """Yield the load of this router, by endpoint."""
         return self.loads.list_own()
 
     def pop_placements(self, now: float) -> Iterator[PlacedPart]:
-        """Yield the placements that the other routers have not been told."""
+        """Yield placements to be reported to the other routers, and clear them."""
         return self.parts.pop_placements(now)
 
     def forget(self, endpoint_id: str, *, emptied_at: float | None = None) -> None:
-        """Begin anew with an endpoint; ``emptied_at`` is when it was seen to have restarted."""
+        """Reset the statistics of an endpoint that has restarted or left.
+
+        ``emptied_at`` is the time at which a restart was noticed.
+        """
         self.parts.forget(endpoint_id, emptied_at=emptied_at)
         self._silence.forget(endpoint_id)
         for speeds in self._speeds.values():
--- a/chivetrack/components/placement/weights.py
+++ b/chivetrack/components/placement/weights.py
@@ -1,38 +1,45 @@
-"""What counts how much when an endpoint is chosen; times in milliseconds."""
+"""Weights of the cost function that selects an endpoint; times in milliseconds."""
 
 from dataclasses import dataclass
 
-# What one router knows of the others comes late. A prompt goes to one of a few engines on
-# which all agree without a word, and elsewhere only when those are full: otherwise most
-# fetches ask an engine that never had the prompt.
+# Number of home engines of a prompt: the first ones in its rendezvous order, which all routers
+# compute alike. Reports between routers arrive late, so a prompt goes to one of its homes and
+# elsewhere only when the homes are full. Otherwise most fetches would address an engine that
+# never had the prompt.
 HOMES = 3
 
-# Up to so many routers each sees enough of the traffic itself.
+# Up to this number of routers, each router sees a sufficient share of the traffic itself.
 FEW_ROUTERS = 9
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementWeights:
-    """The weights of one choice, as shares of what is learned of the endpoints.
-
-    ``running_share``: of a usual answer's time, what one more running request costs the
-    others: each step of a stream takes a thirtieth longer, for a fifth of its time.
-    ``other_zone_ms``: two ways of 1 to 1.4 ms, and the bytes are paid for; more would move
-    prompts' memory to the near zone.
-    ``plain_turns``: a request of a plain service waits for so many turns where all slots
-    are taken. ``fetch_share``: of the time to read the same tokens; the transfer takes a
-    tenth, and occupies both engines' links and twice the memory.
-    ``home_chance``: a prompt that is not known to be cached anywhere has most likely been
-    sent to its first choice by another router, whose word is not here yet.
-    ``read_again_factor``: reading what another engine has cached also delays every stream
-    that runs beside it. ``min_fetch_tokens``: less is not worth the transfer's own delay.
-    ``cold_ms``, ``silent_ms``: an endpoint that stays slow after its start, or that no
-    replica hears any more.
-    ``failure_ms``: a failed try costs its caller a new one, half a second later, or all.
-    ``bound_few``, ``bound_many``, ``bound_slack``: whatever a prompt would save, no endpoint
-    gets more than this factor (with few routers, with many) over the mean of those to choose
-    from, and so many; ``bound_service``: nor than this factor over the mean of its service.
-    Operators allow twice that mean and 3; lagging counts need room.
+    """Weights of the cost function.
+
+    ``running_share``: the cost of one more running request to the others, as a share of the
+    usual answer time. Each step of a stream takes a thirtieth longer, for a fifth of its time.
+    ``other_zone_ms``: the round trip to another zone, two ways of 1 to 1.4 ms, plus the price
+    of the traffic. A larger value would move the cached prompts to the near zone.
+    ``plain_turns``: the number of service times that a request of a plain service waits when
+    all slots are taken.
+    ``fetch_share``: the cost of fetching cached tokens, as a multiple of the time to read
+    them. The transfer itself takes a tenth of that time, but it occupies the links of both
+    engines and twice the memory.
+    ``home_chance``: the probability that a prompt with no known cached copy has already been
+    sent to its first home by another router whose report has not arrived yet.
+    ``read_again_factor``: the factor on the cost of reading tokens that another engine has
+    cached, since the reading also delays every stream that runs beside it.
+    ``min_fetch_tokens``: the smallest fetch; a smaller one takes longer than reading.
+    ``homes``: the number of home engines of a prompt.
+    ``cold_ms``, ``silent_ms``: the penalty for an endpoint that stays slow after its start,
+    and for one from which no replica receives heartbeats.
+    ``failure_ms``: the cost of a failed attempt; its caller sends the request again half a
+    second later, or loses it.
+    ``bound_few``, ``bound_many``, ``bound_slack``: no endpoint gets more requests than this
+    factor (with few and with many routers) times the mean of the candidates, plus the slack,
+    whatever time a cached prompt would save.
+    ``bound_service``: the same factor for the mean of the whole service. Operators allow
+    twice that mean plus 3; the bounds are lower because the counts lag.
     """
 
     running_share: float = 0.006
--- a/tests/components/placement/test_choice.py
+++ b/tests/components/placement/test_choice.py
@@ -1,4 +1,4 @@
-"""Where requests go: cached prompts against load and distance."""
+"""Tests for the choice of endpoints by cached prompts, load and distance."""
 
 import unittest
 from random import Random
@@ -35,7 +35,7 @@
 
 
 class World:
-    """Six engines in three zones, seen by a router in zone z0."""
+    """Six engines in three zones, and the chooser of a router in zone z0."""
 
     def __init__(self) -> None:
         self.loads = LoadTable()
@@ -73,10 +73,10 @@
 
 class ChooserTest(unittest.TestCase):
     def test_routers_agree_on_a_prompt_that_is_cached_nowhere(self) -> None:
-        """Two routers get requests for the same new dossier at the same moment.
+        """Routers get requests for the same new dossier at the same moment.
 
-        Neither knows of the other. If they chose by load alone, 10,000 tokens would be
-        read at two engines; both take the same home, whatever its zone.
+        No router knows of the others' requests. Chosen by load alone, 10,000 tokens would be
+        read at several engines. All must choose the same home, whatever its zone.
         """
         for dossier in ("d1", "d2", "d3", "d4"):
             homes = set()
@@ -86,18 +86,18 @@
                 homes.add(world.choose(make_facts(dossier)).record.endpoint_id)
             self.assertEqual(len(homes), 1, dossier)
 
-    def test_returning_dossier_goes_where_it_was_read(self) -> None:
+    def test_returning_dossier_goes_to_the_engine_that_read_it(self) -> None:
         world = World()
         first = world.send(make_facts(own="o1"))
         again = world.send(make_facts(own="o2"))
         self.assertEqual(again.record, first.record)
         self.assertEqual(again.missing_tokens, 1_300)
 
-    def test_dossier_that_everybody_asks_for(self) -> None:
+    def test_dossier_that_all_requests_share(self) -> None:
         """One dossier gets all the traffic for seconds.
 
-        Its engine would hold all requests and each would wait for the others. No engine
-        gets more than the bound over the mean, so the dossier is read at more of them.
+        Its engine would hold all requests, and each would wait for the others. No engine may
+        exceed the bound relative to the mean, so more engines read the dossier.
         """
         world = World()
         counts: dict[str, int] = {}
@@ -108,11 +108,11 @@
             self.assertLessEqual(max(counts.values()), 2 * number / 6 + 3)
         self.assertGreaterEqual(len(counts), 4)
 
-    def test_leaving_engine_hands_its_dossier_over(self) -> None:
+    def test_dossier_is_fetched_from_a_leaving_engine(self) -> None:
         """The engine that has a dossier cached is leaving and gets no new work.
 
-        Read anew, the dossier would take 185 ms of another engine. The next one fetches it
-        from the leaving engine, which still answers.
+        Reading the dossier again would take 185 ms at another engine. The chosen engine
+        fetches it from the leaving one, which still answers.
         """
         world = World()
         first = world.send(make_facts(own="o1")).record
@@ -124,11 +124,12 @@
         plain = world.choose(make_facts(own="o2"), candidates=rest, sources=sources)
         self.assertEqual(plain.fetch_from, "")
 
-    def test_home_that_is_new_fetches_from_the_one_before(self) -> None:
-        """An engine joins and becomes the home of a dossier that another one has cached.
+    def test_new_home_fetches_from_the_previous_home(self) -> None:
+        """An engine joins and becomes the home of a dossier that another engine has cached.
 
-        A router that never sent the dossier expects it at its home. Nobody told it of the
-        earlier one, since that was expected too; the new home fetches it from there.
+        Placements at the previous home were not reported, since all routers expected them
+        there. A router that never sent the dossier must have the new home fetch it from the
+        previous one.
         """
         world = World()
         names = [one.record.endpoint_id for one in world.candidates]
@@ -145,11 +146,11 @@
                 self.assertNotEqual(choice.fetch_from, home.address)
 
     def test_many_routers_keep_a_prompt_at_its_homes(self) -> None:
-        """87 routers in three zones get prompts of 700 shared tokens, no news arrives.
+        """87 routers in three zones get prompts of 700 shared tokens without any reports.
 
-        Each router sees the load of the 30 engines as it was at another moment. Were the
-        emptiest or nearest engine taken each time, a prompt would soon lie at twenty of
-        them, and nobody knew at which: most fetches asked an engine that had never read it.
+        Each router sees the load of the 30 engines at a different time. If each chose the
+        least loaded or nearest engine, a prompt would soon be cached at twenty engines that no
+        router knows, and most fetches would address an engine that has never read it.
         """
         random = Random(7)
         engines = [
@@ -159,11 +160,11 @@
         places: dict[str, set[str]] = {}
         for number in range(1500):
             loads = LoadTable()
-            told = [
+            reports = [
                 EndpointLoad(endpoint_id=one.record.endpoint_id, running=random.randrange(8, 14))
                 for one in engines
             ]
-            loads.handle_other_loads(told, now=0.0)
+            loads.handle_other_loads(reports, now=0.0)
             chooser = Chooser(zone=f"z{number % 3}", loads=loads, parts=PartTracker())
             key = f"s{number % 50}"
             parts = (PromptPart(key, 700), PromptPart(f"o{number}", 130))
@@ -179,9 +180,9 @@
         self.assertLessEqual(max(len(one) for one in places.values()), HOMES)
 
     def test_few_routers_keep_a_prompt_at_its_homes_too(self) -> None:
-        """Nine routers, six engines; what each believes of the load is half a second old.
+        """Nine routers choose among six engines by load reports that are half a second old.
 
-        The nearest or emptiest engine would be another one at each router.
+        The nearest or least loaded engine differs from router to router.
         """
         random = Random(5)
         for dossier in ("d1", "d2", "d3"):
@@ -189,18 +190,18 @@
             for number in range(60):
                 world = World()
                 world.chooser = Chooser(zone=f"z{number % 3}", loads=world.loads, parts=world.parts)
-                told = [
+                reports = [
                     EndpointLoad(endpoint_id=f"e{n}", running=random.randrange(5, 9))
                     for n in range(6)
                 ]
-                world.loads.handle_other_loads(told, now=0.0)
+                world.loads.handle_other_loads(reports, now=0.0)
                 parts = (PromptPart(dossier, 700), PromptPart("o", 130))
                 facts = RequestFacts(request_id="q", parts=parts, prompt_tokens=830)
                 places.add(world.choose(facts, routers=9).record.endpoint_id)
             self.assertLessEqual(len(places), HOMES)
 
-    def test_full_homes_do_not_hold_a_prompt_back(self) -> None:
-        """All homes of a prompt are over the bound, and the rest of the engines is empty."""
+    def test_prompt_leaves_its_homes_when_they_are_full(self) -> None:
+        """All homes of a prompt exceed the bound, and the other engines are idle."""
         world = World()
         facts = make_facts()
         homes = set()
@@ -208,16 +209,16 @@
             left = [one for one in world.candidates if one.record.endpoint_id not in homes]
             choice = world.choose(facts, candidates=left, routers=87)
             homes.add(choice.record.endpoint_id)
-        told = [EndpointLoad(endpoint_id=one, running=20) for one in homes]
-        world.loads.handle_other_loads(told, now=0.0)
+        reports = [EndpointLoad(endpoint_id=one, running=20) for one in homes]
+        world.loads.handle_other_loads(reports, now=0.0)
         choice = world.choose(facts, routers=87)
         self.assertNotIn(choice.record.endpoint_id, homes)
 
     def test_bound_while_a_zone_gets_nothing(self) -> None:
         """A third of the engines is evacuated; the others hold 20, 20, 20 and 31 requests.
 
-        Operators allow twice the mean of all six, 30, and three. Against the mean of those
-        four alone nine routers would let the fullest rise to 40.
+        Operators allow twice the mean of all six, which is 30, plus three. Relative to the
+        mean of these four alone, nine routers would load the fullest engine with 40 requests.
         """
         world = World()
         left = [
@@ -229,13 +230,13 @@
         facts = make_facts()
         world.parts.record_sent("e0", facts.shared_parts, now=0.0, capacity=500_000)
         resting = [one.record.endpoint_id for one in world.candidates[4:]]
-        stays = world.choose(facts, candidates=left, routers=9)
-        self.assertEqual(stays.record.endpoint_id, "e0")
-        moves = world.choose(facts, candidates=left, routers=9, resting=resting)
-        self.assertNotEqual(moves.record.endpoint_id, "e0")
+        within_bound = world.choose(facts, candidates=left, routers=9)
+        self.assertEqual(within_bound.record.endpoint_id, "e0")
+        over_bound = world.choose(facts, candidates=left, routers=9, resting=resting)
+        self.assertNotEqual(over_bound.record.endpoint_id, "e0")
 
-    def test_least_loaded_stay_where_all_are_over_the_bound(self) -> None:
-        """Half of the engines is cold and idle, the others hold 60 and more each."""
+    def test_least_loaded_are_chosen_where_all_exceed_the_bound(self) -> None:
+        """Half of the engines are cold and idle; the others hold 60 requests or more each."""
         world = World()
         loads = [EndpointLoad(f"e{n}", running) for n, running in enumerate((61, 62, 70))]
         world.loads.handle_other_loads(loads, now=0.0)
@@ -245,7 +246,7 @@
         choice = world.choose(facts, candidates=world.candidates[:3], routers=9, resting=resting)
         self.assertIn(choice.record.endpoint_id, ("e0", "e1"))
 
-    def test_bound_leaves_room_for_what_other_routers_send_meanwhile(self) -> None:
+    def test_bound_leaves_room_for_requests_not_yet_reported(self) -> None:
         for routers in (1, 9, 87, 380):
             for mean in (0.0, 5.0, 15.0, 60.0):
                 self.assertLess(find_bound(mean, routers), 2.0 * mean + 3.0)
@@ -261,29 +262,29 @@
                 world.loads.start(endpoint_id, 0)
         self.assertNotIn(world.choose(facts, PLAIN).record.endpoint_id, near)
 
-    def test_nothing_to_choose_from(self) -> None:
+    def test_no_candidates(self) -> None:
         world = World()
         choice = world.chooser.choose([], service=ENGINE, facts=make_facts(), now=0.0)
         self.assertIsNone(choice)
 
 
 class PartBookTest(unittest.TestCase):
-    def test_least_recently_used_parts_go_first(self) -> None:
-        book = PartTracker()
+    def test_least_recently_used_parts_are_evicted_first(self) -> None:
+        tracker = PartTracker()
         old, new = PromptPart("old", 60), PromptPart("new", 60)
         capacity = int(100 / USABLE_SHARE)
-        book.record_sent("e", [old], now=0.0, capacity=capacity)
-        book.record_sent("e", [new], now=1.0, capacity=capacity)
-        self.assertEqual(book.count_cached("e", [old]), 0)
-        self.assertEqual(book.count_cached("e", [new]), 60)
+        tracker.record_sent("e", [old], now=0.0, capacity=capacity)
+        tracker.record_sent("e", [new], now=1.0, capacity=capacity)
+        self.assertEqual(tracker.count_cached("e", [old]), 0)
+        self.assertEqual(tracker.count_cached("e", [new]), 60)
 
     def test_only_the_beginning_of_a_prompt_counts(self) -> None:
-        book = PartTracker()
-        book.record_sent("e", [PromptPart("b", 10)], now=0.0, capacity=1000)
-        self.assertEqual(book.count_cached("e", [PromptPart("a", 5), PromptPart("b", 10)]), 0)
+        tracker = PartTracker()
+        tracker.record_sent("e", [PromptPart("b", 10)], now=0.0, capacity=1000)
+        self.assertEqual(tracker.count_cached("e", [PromptPart("a", 5), PromptPart("b", 10)]), 0)
 
-    def test_news_of_other_routers(self) -> None:
-        """A router tells a placement once, and again when it may have been forgotten."""
+    def test_placements_of_other_routers(self) -> None:
+        """A router reports a placement once, and again after the report interval."""
         ours, theirs = PartTracker(), PartTracker()
         part = PromptPart("a", MIN_REPORTED_TOKENS)
         theirs.record_sent(
@@ -292,9 +293,9 @@
         theirs.record_sent("e2", [PromptPart("s", 5)], now=10.0, capacity=1000)
         self.assertEqual(list(theirs.pop_placements(10.0)), [])
         theirs.record_sent("e", [part], now=10.0, capacity=1000)
-        (news,) = theirs.pop_placements(10.5)
-        self.assertEqual(news.age_s, 0.5)
-        ours.handle_placements([news], now=3.0, capacity=1000)
+        (placement,) = theirs.pop_placements(10.5)
+        self.assertEqual(placement.age_s, 0.5)
+        ours.handle_placements([placement], now=3.0, capacity=1000)
         self.assertEqual(ours.count_cached("e", [part]), MIN_REPORTED_TOKENS)
         self.assertEqual(list(theirs.pop_placements(11.1)), [])
         theirs.record_sent("e", [part], now=12.0, capacity=1000)
@@ -303,24 +304,24 @@
         theirs.record_sent("e", [part], now=25.0, capacity=1000)
         self.assertEqual(len(list(theirs.pop_placements(25.0))), 1)
 
-    def test_news_of_the_lifetime_before(self) -> None:
-        """An engine crashes and is back in a second; others still tell what it had cached.
+    def test_placements_of_the_previous_incarnation(self) -> None:
+        """An engine restarts within a second; others still report what it had cached.
 
-        Believed, the prompt is sent there as if it were cached and read again, while the
-        engine that really has it goes unasked.
+        If these reports counted, the prompt would be sent there as if it were cached and be
+        read again, while the engine that has it cached would not be used.
         """
-        book = PartTracker()
-        book.forget("e", emptied_at=10.0)
+        tracker = PartTracker()
+        tracker.forget("e", emptied_at=10.0)
         old = PlacedPart(part="d:5000", endpoint_id="e", age_s=4.0)
-        book.handle_placements([old], now=12.0, capacity=100_000)
+        tracker.handle_placements([old], now=12.0, capacity=100_000)
         parts = (PromptPart("d", 5000),)
-        self.assertEqual(book.count_cached("e", parts), 0)
+        self.assertEqual(tracker.count_cached("e", parts), 0)
         new = PlacedPart(part="d:5000", endpoint_id="e", age_s=1.0)
-        book.handle_placements([new], now=12.0, capacity=100_000)
-        self.assertEqual(book.count_cached("e", parts), 5000)
+        tracker.handle_placements([new], now=12.0, capacity=100_000)
+        self.assertEqual(tracker.count_cached("e", parts), 5000)
 
-    def test_try_that_failed_before_its_prompt_was_read(self) -> None:
-        """An engine refuses connections; the prompt that was sent there is not cached there."""
+    def test_attempt_that_failed_before_its_prompt_was_read(self) -> None:
+        """An engine refuses connections, so it has not cached the prompt sent to it."""
         world = World()
         placement = Placement(zone="z0")
         facts = make_facts()
@@ -339,14 +340,14 @@
 
 
 class LoadTableTest(unittest.TestCase):
-    def test_others_are_believed_for_a_while(self) -> None:
+    def test_load_of_other_routers_expires(self) -> None:
         loads = LoadTable()
         loads.start("e", 100)
         other = LoadTable()
         other.start("e", 50)
         loads.handle_other_loads(other.list_own(), now=0.0)
         self.assertEqual(loads.count_running("e", 1.0), 2)
-        # What others sent is read meanwhile, at 57 tokens a millisecond.
+        # The engine meanwhile reads the prompts of other routers, at 57 tokens/ms.
         self.assertEqual(loads.count_tokens("e", 0.0, rate=57.0), 150)
         self.assertEqual(loads.count_tokens("e", 1.0, rate=57.0), 100)
         self.assertEqual(loads.count_running("e", 10.0), 1)
