--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -26,7 +26,7 @@
 from benchmarks.placement.reports import subscribe_reports
 from benchmarks.placement.world import Policy, World
 from chivetrack.components.endpoints.models import EndpointKind, EndpointState
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.load.models import LoadCounts
 from chivetrack.components.load.pacer import CountsPacer
 from chivetrack.components.routing.hints import CacheHints
@@ -89,7 +89,7 @@
         """Start with the full list of engines."""
         self.router_id = f"router-{number}"
         self.view = RouterView(engines=list(world.engines.values()))
-        self.load = LoadBook(router_id=self.router_id)
+        self.load = LoadTracker(router_id=self.router_id)
         self.pacer = CountsPacer()
         self.armed_at = inf
         self.hints = CacheHints()
--- a/benchmarks/placement/timing.py
+++ b/benchmarks/placement/timing.py
@@ -7,7 +7,7 @@
 from benchmarks.placement.const import CAPACITY, MICROSECONDS, REGION, SERVICE
 from benchmarks.placement.engines import FakeEngine
 from benchmarks.placement.fleet import RouterView
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.routing.models import Demand
 from chivetrack.components.routing.placer import Placer
 
@@ -20,7 +20,7 @@
     """Return p50 and p99 microseconds of a placement with ``count`` endpoints."""
     random = Random(seed)
     engines = [FakeEngine(engine_id=f"engine-{n}", cache_tokens=1) for n in range(count)]
-    load = LoadBook(router_id="router")
+    load = LoadTracker(router_id="router")
     for engine in engines:
         for _ in range(int(CAPACITY * _LOAD_SHARE * random.uniform(0.8, 1.2))):
             load.start(engine.engine_id, 0.0)
--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -30,7 +30,7 @@
 from chivetrack.components.limits.exchange import DemandExchange
 from chivetrack.components.limits.limiter import Limiter
 from chivetrack.components.limits.shares import ShareBook
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.load.exchange import LoadExchange
 from chivetrack.components.membership.const import FLEET_TOPICS
 from chivetrack.components.membership.membership import Membership
@@ -94,7 +94,7 @@
     gossip: Gossip
     membership: Membership
     registry: EndpointRegistry
-    load: LoadBook
+    load: LoadTracker
     configuration: Configuration
     proposals: ProposalClient
     directory: ConfigDirectory
@@ -128,7 +128,7 @@
     configuration: Configuration,
     proposals: ProposalClient,
     registry: EndpointRegistry,
-    load: LoadBook,
+    load: LoadTracker,
     membership: Membership,
     random_source: Random,
     to_wall_ms: Callable[[float], int],
@@ -197,7 +197,7 @@
     )
     membership = Membership(gossip=gossip, own=own, seeds=options.seeds, random=random_source)
     registry = EndpointRegistry(gossip=gossip, instance_id=identity.instance_id)
-    load = LoadBook(router_id=identity.instance_id, incarnation=identity.incarnation)
+    load = LoadTracker(router_id=identity.instance_id, incarnation=identity.incarnation)
     configuration = Configuration(
         instance=identity.instance_id,
         incarnation=identity.incarnation,
--- a/chivetrack/components/drains/observation.py
+++ b/chivetrack/components/drains/observation.py
@@ -4,7 +4,7 @@
 
 from chivetrack.components.drains.models import DrainObservation, InstanceState, ObservedLoad
 from chivetrack.components.endpoints.registry import EndpointRegistry
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 
 
 class FleetObserver:
@@ -14,7 +14,7 @@
         self,
         *,
         registry: EndpointRegistry,
-        load: LoadBook,
+        load: LoadTracker,
         list_instances: Callable[[float], Sequence[InstanceState]],
         to_wall_ms: Callable[[float], int],
     ) -> None:
--- a/chivetrack/components/fleet/roster.py
+++ b/chivetrack/components/fleet/roster.py
@@ -5,7 +5,7 @@
 from chivetrack.components.configuration.configuration import Configuration
 from chivetrack.components.configuration.models import PeersChanged
 from chivetrack.components.fleet.models import ROLE_REPLICA
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.membership.membership import Membership
 from chivetrack.components.membership.models import Instance, InstanceStatus
 from chivetrack.components.proposals.client import ProposalClient
@@ -29,7 +29,7 @@
         membership: Membership,
         configuration: Configuration,
         proposals: ProposalClient,
-        load: LoadBook,
+        load: LoadTracker,
     ) -> None:
         """Listen to the membership."""
         self._own = own
--- a/chivetrack/components/load/book.py
+++ b/chivetrack/components/load/book.py
@@ -15,7 +15,7 @@
 from chivetrack.components.load.reservations import Reservations
 
 
-class LoadBook:
+class LoadTracker:
     """Estimates the requests in flight on each endpoint.
 
     Own requests are exact. For those of other routers there are two sources, which
--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -2,7 +2,7 @@
 
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.gossip.models import News, Urgency
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.load.models import LoadCounts
 from chivetrack.components.load.pacer import CountsPacer
 from chivetrack.core import Effect, Event, TimeReached, WakeAt
@@ -17,7 +17,7 @@
 class LoadExchange:
     """Publishes this router's counts when the pacer says so, and takes in the others'."""
 
-    def __init__(self, *, book: LoadBook, gossip: Gossip) -> None:
+    def __init__(self, *, book: LoadTracker, gossip: Gossip) -> None:
         """Connect a load book with gossip."""
         self._book = book
         self._gossip = gossip
--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from chivetrack.components.endpoints.models import EndpointState
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.routing.bounds import LoadBound, get_slow_start
 from chivetrack.components.routing.const import (
     COLD_HEADROOM,
@@ -41,7 +41,7 @@
         self,
         *,
         view: EndpointView,
-        load: LoadBook,
+        load: LoadTracker,
         random: Random,
         hints: CacheHints | None = None,
     ) -> None:
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from math import inf
 
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.load.models import LoadCounts, LoadSummary
 from chivetrack.components.routing.const import ASK_TIMEOUT_S, AVOID_OWNER_S, MAX_ASKED
 from chivetrack.components.routing.messages import SlotAnswer, SlotRequest
@@ -49,7 +49,7 @@
     """Places requests by asking the owners, and answers for the endpoints it owns."""
 
     def __init__(
-        self, *, router_id: str, placer: Placer, load: LoadBook, router_ids: Collection[str]
+        self, *, router_id: str, placer: Placer, load: LoadTracker, router_ids: Collection[str]
     ) -> None:
         """Ask and answer among ``router_ids``, this router included."""
         self._router_id = router_id
--- a/tests/components/load/test_book.py
+++ b/tests/components/load/test_book.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.load.const import (
     PEER_SILENCE_S,
     REPORT_MAX_AGE_S,
@@ -25,7 +25,7 @@
 
 class LoadBookTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = LoadBook(router_id="me")
+        self.book = LoadTracker(router_id="me")
 
     def merge(self, counts: LoadCounts, *, now: float, source: str = "r2") -> MergeVerdict:
         return self.book.merge_counts(source, counts, age_s=0.1, now=now)
@@ -160,7 +160,7 @@
         self.book.start("a", 0.0)
         sent = self.book.collect_counts(0.0)
         self.assertEqual(unpack(pack(sent)), sent)
-        other = LoadBook(router_id="other")
+        other = LoadTracker(router_id="other")
         other.merge_counts("me", sent, age_s=0.1, now=0.1)
         self.assertEqual(other.get_estimate("a", 0.1).in_flight, 1)
 
@@ -175,9 +175,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.book = LoadBook(router_id="me")
+        self.book = LoadTracker(router_id="me")
         self.own = dict.fromkeys(ENDPOINTS, 0)
-        self.others = {name: LoadBook(router_id=name, incarnation=1) for name in ("r2", "r3")}
+        self.others = {name: LoadTracker(router_id=name, incarnation=1) for name in ("r2", "r3")}
         self.incarnations = {"r2": 1, "r3": 1}
         self.sent: list[tuple[str, float, LoadCounts]] = []
         self.newest: dict[str, tuple[float, LoadCounts]] = {}
@@ -223,7 +223,7 @@
             self.buried[name] = self.incarnations[name]
             self.newest.pop(name, None)
         self.incarnations[name] += 1
-        self.others[name] = LoadBook(router_id=name, incarnation=self.incarnations[name])
+        self.others[name] = LoadTracker(router_id=name, incarnation=self.incarnations[name])
 
     @invariant()
     def agrees_with_the_oracle(self) -> None:
--- a/tests/components/routing/test_placer.py
+++ b/tests/components/routing/test_placer.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from chivetrack.components.endpoints.models import Availability
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.routing.const import HINTS_WARM_UP_S
 from chivetrack.components.routing.hints import CacheHints
 from chivetrack.components.routing.order import hash_affinity
@@ -20,7 +20,7 @@
 class PlacerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.view = FakeView(make_endpoints(6))
-        self.load = LoadBook(router_id="router-1")
+        self.load = LoadTracker(router_id="router-1")
         self.hints = CacheHints()
         self.placer = Placer(view=self.view, load=self.load, random=Random(1), hints=self.hints)
 
@@ -194,7 +194,7 @@
         demand = make_demand(data.draw(st.text(min_size=1)), excluded=excluded)
         answers = []
         for order in (endpoints, endpoints[::-1]):
-            load = LoadBook(router_id="r")
+            load = LoadTracker(router_id="r")
             for name, count in loads.items():
                 for _ in range(count):
                     load.start(name, 0.0)
@@ -231,7 +231,7 @@
     def test_homes_follow_capacity_and_few_move_on_a_leave(self) -> None:
         endpoints = [make_endpoint(f"e{n}", capacity=8 if n % 2 else 16) for n in range(20)]
         view = FakeView(endpoints)
-        placer = Placer(view=view, load=LoadBook(router_id="r"), random=Random(0))
+        placer = Placer(view=view, load=LoadTracker(router_id="r"), random=Random(0))
         chats = [f"chat-{number}" for number in range(6000)]
         before = [placer.place(make_demand(chat), now=0.0).endpoint for chat in chats]
         counts = Counter(endpoint.endpoint_id for endpoint in before if endpoint)
--- a/tests/components/routing/test_slots.py
+++ b/tests/components/routing/test_slots.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from random import Random
 
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.routing.const import ASK_TIMEOUT_S
 from chivetrack.components.routing.messages import SlotRequest
 from chivetrack.components.routing.placer import Placer
@@ -25,7 +25,7 @@
         self.names = [f"r{number}" for number in range(routers)]
         view = FakeView(make_endpoints(endpoints))
         self.ids = [endpoint.endpoint_id for endpoint in make_endpoints(endpoints)]
-        self.loads = {name: LoadBook(router_id=name) for name in self.names}
+        self.loads = {name: LoadTracker(router_id=name) for name in self.names}
         self.slots = {
             name: SlotPlacer(
                 router_id=name,
