--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -26,9 +26,9 @@
 from benchmarks.placement.reports import subscribe_reports
 from benchmarks.placement.world import Policy, World
 from chivetrack.components.endpoints.models import EndpointKind, EndpointState
-from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.load.models import LoadCounts
 from chivetrack.components.load.pacer import CountsPacer
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.routing.hints import CacheHints
 from chivetrack.components.routing.models import Demand
 from chivetrack.components.routing.order import hash_affinity
--- a/benchmarks/placement/timing.py
+++ b/benchmarks/placement/timing.py
@@ -7,7 +7,7 @@
 from benchmarks.placement.const import CAPACITY, MICROSECONDS, REGION, SERVICE
 from benchmarks.placement.engines import FakeEngine
 from benchmarks.placement.fleet import RouterView
-from chivetrack.components.load.book import LoadTracker
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.routing.models import Demand
 from chivetrack.components.routing.placer import Placer
 
--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -30,8 +30,8 @@
 from chivetrack.components.limits.exchange import DemandExchange
 from chivetrack.components.limits.limiter import Limiter
 from chivetrack.components.limits.shares import ShareBook
-from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.load.exchange import LoadExchange
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.membership.const import FLEET_TOPICS
 from chivetrack.components.membership.membership import Membership
 from chivetrack.components.membership.models import Instance, InstanceStatus, Life, Seed
--- a/chivetrack/components/drains/observation.py
+++ b/chivetrack/components/drains/observation.py
@@ -4,7 +4,7 @@
 
 from chivetrack.components.drains.models import DrainObservation, InstanceState, ObservedLoad
 from chivetrack.components.endpoints.registry import EndpointRegistry
-from chivetrack.components.load.book import LoadTracker
+from chivetrack.components.load.tracker import LoadTracker
 
 
 class FleetObserver:
--- a/chivetrack/components/fleet/roster.py
+++ b/chivetrack/components/fleet/roster.py
@@ -5,7 +5,7 @@
 from chivetrack.components.configuration.configuration import Configuration
 from chivetrack.components.configuration.models import PeersChanged
 from chivetrack.components.fleet.models import ROLE_REPLICA
-from chivetrack.components.load.book import LoadTracker
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.membership.membership import Membership
 from chivetrack.components.membership.models import Instance, InstanceStatus
 from chivetrack.components.proposals.client import ProposalClient
--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -2,9 +2,9 @@
 
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.gossip.models import News, Urgency
-from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.load.models import LoadCounts
 from chivetrack.components.load.pacer import CountsPacer
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.core import Effect, Event, TimeReached, WakeAt
 from chivetrack.helpers.codec import DecodeError, decode_as, encode
 
--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from chivetrack.components.endpoints.models import EndpointState
-from chivetrack.components.load.book import LoadTracker
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.routing.bounds import LoadBound, get_slow_start
 from chivetrack.components.routing.const import (
     COLD_HEADROOM,
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, replace
 from math import inf
 
-from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.load.models import LoadCounts, LoadSummary
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.routing.const import ASK_TIMEOUT_S, AVOID_OWNER_S, MAX_ASKED
 from chivetrack.components.routing.messages import SlotAnswer, SlotRequest
 from chivetrack.components.routing.models import Candidate, Demand, Placement
--- a/tests/components/load/test_book.py
+++ b/tests/components/load/test_book.py
@@ -6,7 +6,6 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from chivetrack.components.load.book import LoadTracker
 from chivetrack.components.load.const import (
     PEER_SILENCE_S,
     REPORT_MAX_AGE_S,
@@ -14,6 +13,7 @@
     SUMMARY_WARM_UP_S,
 )
 from chivetrack.components.load.models import LoadCounts, MergeVerdict
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.helpers.codec import pack, unpack
 
 ENDPOINTS = ["a", "b", "c"]
--- a/tests/components/routing/test_placer.py
+++ b/tests/components/routing/test_placer.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from chivetrack.components.endpoints.models import Availability
-from chivetrack.components.load.book import LoadTracker
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.routing.const import HINTS_WARM_UP_S
 from chivetrack.components.routing.hints import CacheHints
 from chivetrack.components.routing.order import hash_affinity
--- a/tests/components/routing/test_slots.py
+++ b/tests/components/routing/test_slots.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from random import Random
 
-from chivetrack.components.load.book import LoadTracker
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.routing.const import ASK_TIMEOUT_S
 from chivetrack.components.routing.messages import SlotRequest
 from chivetrack.components.routing.placer import Placer
