--- a/chivetrack/components/routing/news.py
+++ b/chivetrack/components/routing/news.py
@@ -7,7 +7,7 @@
 )
 
 
-class PendingNews:
+class ReportSchedule:
     """By owner: which endpoints it should hear of, and when."""
 
     def __init__(self) -> None:
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -16,7 +16,7 @@
 from chivetrack.components.routing.const import ASK_TIMEOUT_S, AVOID_OWNER_S, MAX_ASKED
 from chivetrack.components.routing.messages import SlotAnswer, SlotRequest
 from chivetrack.components.routing.models import Candidate, Demand, Placement
-from chivetrack.components.routing.news import PendingNews
+from chivetrack.components.routing.news import ReportSchedule
 from chivetrack.components.routing.owners import OwnerMap
 from chivetrack.components.routing.placer import Look, Placer
 from chivetrack.core import Effect, Event, MessageReceived, SendMessage, TimeReached, WakeAt
@@ -56,7 +56,7 @@
         self._placer = placer
         self._load = load
         self._owners = OwnerMap(router_ids=router_ids)
-        self._news = PendingNews()
+        self._news = ReportSchedule()
         self._questions: dict[int, _Question] = {}
         self._ticket = 0
         self._avoided: dict[str, float] = {}
