--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -16,9 +16,9 @@
 from chivetrack.components.routing.const import ASK_TIMEOUT_S, AVOID_OWNER_S, MAX_ASKED
 from chivetrack.components.routing.messages import SlotAnswer, SlotRequest
 from chivetrack.components.routing.models import Candidate, Demand, Placement
-from chivetrack.components.routing.news import ReportSchedule
 from chivetrack.components.routing.owners import OwnerMap
 from chivetrack.components.routing.placer import Look, Placer
+from chivetrack.components.routing.report_schedule import ReportSchedule
 from chivetrack.core import Effect, Event, MessageReceived, SendMessage, TimeReached, WakeAt
 
 _NONE = ""
