--- a/chivetrack/components/routing/report_schedule.py
+++ b/chivetrack/components/routing/report_schedule.py
@@ -14,7 +14,7 @@
         """Start with no news."""
         self._due: dict[str, float] = {}
 
-    def note_start(self, owner: str, now: float) -> None:
+    def schedule_start_report(self, owner: str, now: float) -> None:
         """Want to tell of a start."""
         self._note(owner, now + START_REPORT_DELAY_S)
 
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -253,7 +253,7 @@
         owner = self._owners.find_owner(endpoint_id)
         if owner == self._router_id:
             return []
-        self._news.note_start(owner, now)
+        self._news.schedule_start_report(owner, now)
         return self._wake()
 
     def _wake(self) -> list[Effect]:
