--- a/chivetrack/components/routing/report_schedule.py
+++ b/chivetrack/components/routing/report_schedule.py
@@ -18,7 +18,7 @@
         """Want to tell of a start."""
         self._note(owner, now + START_REPORT_DELAY_S)
 
-    def note_now(self, owner: str, now: float) -> None:
+    def schedule_immediate_report(self, owner: str, now: float) -> None:
         """Want to tell at once."""
         self._note(owner, now)
 
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -223,7 +223,7 @@
         # No reservation stands for this one, so its owner should hear at once.
         owner = self._owners.find_owner(placement.endpoint.endpoint_id)
         if owner != self._router_id:
-            self._news.note_now(owner, now)
+            self._news.schedule_immediate_report(owner, now)
         return self._count(question, placement, now) + self._tell(now)
 
     def _place_on(self, question: _Question, look: Look, now: float) -> list[Effect]:
