--- a/chivetrack/components/routing/report_schedule.py
+++ b/chivetrack/components/routing/report_schedule.py
@@ -22,7 +22,7 @@
         """Want to tell at once."""
         self._note(owner, now)
 
-    def note_finish(self, owner: str, now: float) -> None:
+    def schedule_finish_report(self, owner: str, now: float) -> None:
         """Want to tell of a finish."""
         self._note(owner, now + FINISH_REPORT_DELAY_S)
 
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -91,7 +91,7 @@
         owner = self._owners.find_owner(endpoint_id)
         if owner == self._router_id:
             return []
-        self._news.note_finish(owner, now)
+        self._news.schedule_finish_report(owner, now)
         return self._wake()
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
