--- a/chivetrack/components/routing/report_schedule.py
+++ b/chivetrack/components/routing/report_schedule.py
@@ -26,7 +26,7 @@
         """Want to tell of a finish."""
         self._note(owner, now + FINISH_REPORT_DELAY_S)
 
-    def note_told(self, owner: str, now: float, *, has_counts: bool) -> None:
+    def record_sent(self, owner: str, now: float, *, has_counts: bool) -> None:
         """Strike out what was told; what is not zero is told again before long."""
         self._due.pop(owner, None)
         if has_counts:
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -174,7 +174,7 @@
     def _collect(self, owner: str, now: float) -> LoadCounts:
         """Return the counts for an owner's endpoints; must not go unsent."""
         scope = [name for name in self._load.list_own() if self._owners.find_owner(name) == owner]
-        self._news.note_told(owner, now, has_counts=bool(scope))
+        self._news.record_sent(owner, now, has_counts=bool(scope))
         settled = min(self._questions, default=self._ticket + 1) - 1
         return self._load.collect_counts(now, scope=scope, settled=settled)
 
