--- a/chivetrack/components/routing/report_schedule.py
+++ b/chivetrack/components/routing/report_schedule.py
@@ -32,7 +32,7 @@
         if has_counts:
             self._due[owner] = now + OWNER_HEARTBEAT_S
 
-    def find_due(self) -> float | None:
+    def find_next_due(self) -> float | None:
         """Return when the next owner should hear."""
         return min(self._due.values(), default=None)
 
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -258,7 +258,7 @@
 
     def _wake(self) -> list[Effect]:
         """Ask to be woken for the next news, unless that was asked already."""
-        due = self._news.find_due()
+        due = self._news.find_next_due()
         if due is None or due >= self._armed_at:
             return []
         self._armed_at = due
