--- a/chivetrack/components/routing/const.py
+++ b/chivetrack/components/routing/const.py
@@ -38,7 +38,7 @@
 COLD_HEADROOM: Final = 0.2
 """The share of the bound's headroom above the mean that a cold chat may use."""
 
-MAX_ASKED: Final = 4
+MAX_QUERIED_ENDPOINTS: Final = 4
 """Endpoints whose owners are asked for a slot before the choice is made without."""
 
 ASK_TIMEOUT_S: Final = 0.05
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -13,7 +13,7 @@
 
 from chivetrack.components.load.models import LoadCounts, LoadSummary
 from chivetrack.components.load.tracker import LoadTracker
-from chivetrack.components.routing.const import ASK_TIMEOUT_S, AVOID_OWNER_S, MAX_ASKED
+from chivetrack.components.routing.const import ASK_TIMEOUT_S, AVOID_OWNER_S, MAX_QUERIED_ENDPOINTS
 from chivetrack.components.routing.messages import SlotAnswer, SlotRequest
 from chivetrack.components.routing.models import Candidate, Demand, Placement
 from chivetrack.components.routing.owners import OwnerMap
@@ -81,7 +81,7 @@
 
     def place(self, request_id: str, demand: Demand, *, now: float) -> list[Effect]:
         """Begin to place a request; its ``Placed`` comes now or with a later event."""
-        looks = self._placer.preview(demand, now=now, count=MAX_ASKED)
+        looks = self._placer.preview(demand, now=now, count=MAX_QUERIED_ENDPOINTS)
         question = _Question(request_id=request_id, demand=demand, looks=looks, tried=[])
         return self._go_on(question, now)
 
@@ -135,7 +135,7 @@
         """
         question.spreads = True
         question.looks = self._placer.preview(
-            replace(self._spare(question), affinity=""), now=now, count=MAX_ASKED
+            replace(self._spare(question), affinity=""), now=now, count=MAX_QUERIED_ENDPOINTS
         )
         return self._go_on(question, now)
 
