--- a/chivetrack/components/routing/const.py
+++ b/chivetrack/components/routing/const.py
@@ -41,7 +41,7 @@
 MAX_QUERIED_ENDPOINTS: Final = 4
 """Endpoints whose owners are asked for a slot before the choice is made without."""
 
-ASK_TIMEOUT_S: Final = 0.05
+SLOT_REQUEST_TIMEOUT_S: Final = 0.05
 """How long an owner has to answer; a hundredth of that is usual."""
 
 AVOID_OWNER_S: Final = 2.0
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -13,7 +13,11 @@
 
 from chivetrack.components.load.models import LoadCounts, LoadSummary
 from chivetrack.components.load.tracker import LoadTracker
-from chivetrack.components.routing.const import ASK_TIMEOUT_S, AVOID_OWNER_S, MAX_QUERIED_ENDPOINTS
+from chivetrack.components.routing.const import (
+    AVOID_OWNER_S,
+    MAX_QUERIED_ENDPOINTS,
+    SLOT_REQUEST_TIMEOUT_S,
+)
 from chivetrack.components.routing.messages import SlotAnswer, SlotRequest
 from chivetrack.components.routing.models import Candidate, Demand, Placement
 from chivetrack.components.routing.owners import OwnerMap
@@ -152,7 +156,7 @@
             asked.append(question.looks.pop(0))
         question.tried += asked
         question.owner = owner
-        question.asked_until = now + ASK_TIMEOUT_S
+        question.asked_until = now + SLOT_REQUEST_TIMEOUT_S
         self._ticket += 1
         self._questions[self._ticket] = question
         counts = self._collect(owner, now)
--- a/tests/components/routing/test_slots.py
+++ b/tests/components/routing/test_slots.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from chivetrack.components.load.tracker import LoadTracker
-from chivetrack.components.routing.const import ASK_TIMEOUT_S
+from chivetrack.components.routing.const import SLOT_REQUEST_TIMEOUT_S
 from chivetrack.components.routing.messages import SlotRequest
 from chivetrack.components.routing.placer import Placer
 from chivetrack.components.routing.slots import Placed, SlotPlacer
@@ -196,7 +196,7 @@
             effects = slots.place(f"q{number}", make_demand(f"c{number}"), now=network.now)
             asked += any(is_question(effect) for effect in effects)
             network.take("r0", effects)
-            for _ in range(int(ASK_TIMEOUT_S / STEP_S) + 1):
+            for _ in range(int(SLOT_REQUEST_TIMEOUT_S / STEP_S) + 1):
                 network.advance()
             self.assertIn(f"q{number}", network.placed)
         self.assertLess(asked, 10)
