--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class LoadSample:
     """A look at one endpoint: the load known here and how much it may carry."""
 
     endpoint: EndpointState
@@ -62,7 +62,7 @@
         looks = self._look(tier, demand, key, now)
         return self._choose(tier, pool, looks, now)
 
-    def preview(self, demand: Demand, *, now: float, count: int) -> list[Look]:
+    def preview(self, demand: Demand, *, now: float, count: int) -> list[LoadSample]:
         """Return the first endpoints in the order in which they would be tried.
 
         Their limits take slow start into account. Empty when no endpoint fits.
@@ -96,7 +96,7 @@
                 return tier
         return usable[shares.index(min(shares))]
 
-    def _look(self, tier: Tier, demand: Demand, key: bytes, now: float) -> Iterator[Look]:
+    def _look(self, tier: Tier, demand: Demand, key: bytes, now: float) -> Iterator[LoadSample]:
         """Yield the endpoints in the chat's order, a hinted one first."""
         bound = LoadBound(
             multiple=demand.load_bound, total=self._sum_load(tier) + 1.0, capacity=tier.capacity
@@ -110,9 +110,9 @@
                 continue
             yield self._look_at(endpoint, bound, headroom)
 
-    def _look_at(self, endpoint: EndpointState, bound: LoadBound, headroom: float) -> Look:
+    def _look_at(self, endpoint: EndpointState, bound: LoadBound, headroom: float) -> LoadSample:
         load = self._load.estimates.get(endpoint.endpoint_id, 0.0)
-        return Look(endpoint, load, bound.get_limit(endpoint, headroom=headroom))
+        return LoadSample(endpoint, load, bound.get_limit(endpoint, headroom=headroom))
 
     def _is_cold(self, demand: Demand, now: float) -> bool:
         return not demand.affinity or self._hints.is_warm(now)
@@ -125,8 +125,8 @@
         names = [name for name in self._hints.find(key, now) if name not in demand.excluded]
         return [tier.by_id[name] for name in names if name in tier.by_id]
 
-    def _choose(self, tier: Tier, pool: Pool, looks: Iterator[Look], now: float) -> Placement:
-        seen: list[Look] = []
+    def _choose(self, tier: Tier, pool: Pool, looks: Iterator[LoadSample], now: float) -> Placement:
+        seen: list[LoadSample] = []
         for look in looks:
             seen.append(look)
             share = get_slow_start(look.endpoint, now)
@@ -140,14 +140,16 @@
         reason = f"all {len(seen)} endpoints are at their bound, took the least loaded"
         return self._answer(least, seen, _explain(pool, tier, reason), now)
 
-    def _answer(self, chosen: Look, seen: list[Look], reason: str, now: float) -> Placement:
+    def _answer(
+        self, chosen: LoadSample, seen: list[LoadSample], reason: str, now: float
+    ) -> Placement:
         shown = seen[:MAX_CANDIDATES]
         if chosen not in shown:
             shown[-1] = chosen
         candidates = tuple(self._describe(look, chosen, now) for look in shown)
         return Placement(endpoint=chosen.endpoint, reason=reason, candidates=candidates)
 
-    def _describe(self, look: Look, chosen: Look, now: float) -> Candidate:
+    def _describe(self, look: LoadSample, chosen: LoadSample, now: float) -> Candidate:
         endpoint_id = look.endpoint.endpoint_id
         return Candidate(
             endpoint_id=endpoint_id,
@@ -158,18 +160,18 @@
         )
 
 
-def _lower_limit(look: Look, now: float) -> Look:
+def _lower_limit(look: LoadSample, now: float) -> LoadSample:
     share = get_slow_start(look.endpoint, now)
-    return Look(look.endpoint, look.load, max(1.0, look.limit * share))
+    return LoadSample(look.endpoint, look.load, max(1.0, look.limit * share))
 
 
-def _judge(look: Look, chosen: Look) -> str:
+def _judge(look: LoadSample, chosen: LoadSample) -> str:
     if look is chosen:
         return "chosen"
     return "at its bound" if look.load + 1.0 > look.limit else "in slow start"
 
 
-def _describe_rank(seen: list[Look]) -> str:
+def _describe_rank(seen: list[LoadSample]) -> str:
     if len(seen) == 1:
         return "first choice"
     return f"choice {len(seen)}, those before are at their bound or in slow start"
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -21,7 +21,7 @@
 from chivetrack.components.routing.messages import SlotAnswer, SlotRequest
 from chivetrack.components.routing.models import Candidate, Demand, Placement
 from chivetrack.components.routing.owners import OwnerMap
-from chivetrack.components.routing.placer import Look, Placer
+from chivetrack.components.routing.placer import LoadSample, Placer
 from chivetrack.components.routing.report_schedule import ReportSchedule
 from chivetrack.core import Effect, Event, MessageReceived, SendMessage, TimeReached, WakeAt
 
@@ -42,8 +42,8 @@
 
     request_id: str
     demand: Demand
-    looks: list[Look]
-    tried: list[Look]
+    looks: list[LoadSample]
+    tried: list[LoadSample]
     owner: str = ""
     asked_until: float = 0.0
     spreads: bool = False
@@ -172,7 +172,7 @@
             *self._wake(),
         ]
 
-    def _is_owned_by(self, owner: str, look: Look) -> bool:
+    def _is_owned_by(self, owner: str, look: LoadSample) -> bool:
         return self._owners.find_owner(look.endpoint.endpoint_id) == owner
 
     def _collect(self, owner: str, now: float) -> LoadCounts:
@@ -230,7 +230,7 @@
             self._news.schedule_immediate_report(owner, now)
         return self._count(question, placement, now) + self._tell(now)
 
-    def _place_on(self, question: _Question, look: Look, now: float) -> list[Effect]:
+    def _place_on(self, question: _Question, look: LoadSample, now: float) -> list[Effect]:
         candidates = tuple(
             Candidate(
                 endpoint_id=each.endpoint.endpoint_id,
