--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -62,7 +62,7 @@
         looks = self._look(tier, demand, key, now)
         return self._choose(tier, pool, looks, now)
 
-    def preview(self, demand: Demand, *, now: float, count: int) -> list[LoadSample]:
+    def sample_endpoints(self, demand: Demand, *, now: float, count: int) -> list[LoadSample]:
         """Return the first endpoints in the order in which they would be tried.
 
         Their limits take slow start into account. Empty when no endpoint fits.
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -85,7 +85,7 @@
 
     def place(self, request_id: str, demand: Demand, *, now: float) -> list[Effect]:
         """Begin to place a request; its ``Placed`` comes now or with a later event."""
-        looks = self._placer.preview(demand, now=now, count=MAX_QUERIED_ENDPOINTS)
+        looks = self._placer.sample_endpoints(demand, now=now, count=MAX_QUERIED_ENDPOINTS)
         question = _Question(request_id=request_id, demand=demand, looks=looks, tried=[])
         return self._go_on(question, now)
 
@@ -138,7 +138,7 @@
         all routers at once; in random order its requests spread over all endpoints.
         """
         question.spreads = True
-        question.looks = self._placer.preview(
+        question.looks = self._placer.sample_endpoints(
             replace(self._spare(question), affinity=""), now=now, count=MAX_QUERIED_ENDPOINTS
         )
         return self._go_on(question, now)
