--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -59,7 +59,7 @@
         if tier is None:
             return _refuse(pool, demand)
         key = self._make_key(demand)
-        looks = self._look(tier, demand, key, now)
+        looks = self._iterate_samples(tier, demand, key, now)
         return self._choose(tier, pool, looks, now)
 
     def sample_endpoints(self, demand: Demand, *, now: float, count: int) -> list[LoadSample]:
@@ -72,7 +72,7 @@
         tier = self._choose_tier(pool, demand)
         if tier is None:
             return []
-        looks = islice(self._look(tier, demand, self._make_key(demand), now), count)
+        looks = islice(self._iterate_samples(tier, demand, self._make_key(demand), now), count)
         return [_lower_limit(look, now) for look in looks]
 
     def _make_key(self, demand: Demand) -> bytes:
@@ -96,7 +96,9 @@
                 return tier
         return usable[shares.index(min(shares))]
 
-    def _look(self, tier: Tier, demand: Demand, key: bytes, now: float) -> Iterator[LoadSample]:
+    def _iterate_samples(
+        self, tier: Tier, demand: Demand, key: bytes, now: float
+    ) -> Iterator[LoadSample]:
         """Yield the endpoints in the chat's order, a hinted one first."""
         bound = LoadBound(
             multiple=demand.load_bound, total=self._sum_load(tier) + 1.0, capacity=tier.capacity
