--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -105,14 +105,14 @@
         )
         hinted = self._find_hinted(tier, demand, key, now)
         for endpoint in hinted:
-            yield self._look_at(endpoint, bound, 1.0)
+            yield self._sample(endpoint, bound, 1.0)
         headroom = COLD_HEADROOM if self._is_cold(demand, now) else 1.0
         for endpoint in tier.order.iterate(key):
             if endpoint in hinted or endpoint.endpoint_id in demand.excluded:
                 continue
-            yield self._look_at(endpoint, bound, headroom)
+            yield self._sample(endpoint, bound, headroom)
 
-    def _look_at(self, endpoint: EndpointState, bound: LoadBound, headroom: float) -> LoadSample:
+    def _sample(self, endpoint: EndpointState, bound: LoadBound, headroom: float) -> LoadSample:
         load = self._load.estimates.get(endpoint.endpoint_id, 0.0)
         return LoadSample(endpoint, load, bound.get_limit(endpoint, headroom=headroom))
 
