--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -158,7 +158,7 @@
             in_flight=look.load,
             limit=look.limit,
             age_s=self._load.get_age(endpoint_id, now),
-            verdict=_judge(look, chosen),
+            verdict=_describe_verdict(look, chosen),
         )
 
 
@@ -167,7 +167,7 @@
     return LoadSample(look.endpoint, look.load, max(1.0, look.limit * share))
 
 
-def _judge(look: LoadSample, chosen: LoadSample) -> str:
+def _describe_verdict(look: LoadSample, chosen: LoadSample) -> str:
     if look is chosen:
         return "chosen"
     return "at its bound" if look.load + 1.0 > look.limit else "in slow start"
