--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -148,10 +148,10 @@
         shown = seen[:MAX_CANDIDATES]
         if chosen not in shown:
             shown[-1] = chosen
-        candidates = tuple(self._describe(look, chosen, now) for look in shown)
+        candidates = tuple(self._build_candidate(look, chosen, now) for look in shown)
         return Placement(endpoint=chosen.endpoint, reason=reason, candidates=candidates)
 
-    def _describe(self, look: LoadSample, chosen: LoadSample, now: float) -> Candidate:
+    def _build_candidate(self, look: LoadSample, chosen: LoadSample, now: float) -> Candidate:
         endpoint_id = look.endpoint.endpoint_id
         return Candidate(
             endpoint_id=endpoint_id,
