--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -133,16 +133,18 @@
             seen.append(look)
             share = get_slow_start(look.endpoint, now)
             if look.load + 1.0 <= max(1.0, look.limit * share):
-                return self._answer(look, seen, _explain(pool, tier, _describe_rank(seen)), now)
+                return self._build_placement(
+                    look, seen, _explain(pool, tier, _describe_rank(seen)), now
+                )
         below = [look for look in seen if look.load + 1.0 <= look.limit]
         if below:
             reason = "only endpoints in slow start are below their bound"
-            return self._answer(below[0], seen, _explain(pool, tier, reason), now)
+            return self._build_placement(below[0], seen, _explain(pool, tier, reason), now)
         least = min(seen, key=lambda look: look.load / max(look.endpoint.capacity, 1))
         reason = f"all {len(seen)} endpoints are at their bound, took the least loaded"
-        return self._answer(least, seen, _explain(pool, tier, reason), now)
+        return self._build_placement(least, seen, _explain(pool, tier, reason), now)
 
-    def _answer(
+    def _build_placement(
         self, chosen: LoadSample, seen: list[LoadSample], reason: str, now: float
     ) -> Placement:
         shown = seen[:MAX_CANDIDATES]
