--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -57,7 +57,7 @@
         pool = self._pools.find(demand)
         tier = self._choose_tier(pool, demand)
         if tier is None:
-            return _refuse(pool, demand)
+            return _build_refusal(pool, demand)
         key = self._make_key(demand)
         looks = self._iterate_samples(tier, demand, key, now)
         return self._choose(tier, pool, looks, now)
@@ -187,6 +187,6 @@
     return f"{reason} ({tier.name})"
 
 
-def _refuse(pool: Pool, demand: Demand) -> Placement:
+def _build_refusal(pool: Pool, demand: Demand) -> Placement:
     reason = pool.missing or f"all fitting endpoints were tried ({len(demand.excluded)})"
     return Placement(endpoint=None, reason=reason, retry_after_s=RETRY_WHEN_NONE_FITS_S)
