--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -107,7 +107,7 @@
         if not isinstance(event, MessageReceived):
             return []
         if isinstance(event.message, SlotRequest):
-            return self._answer(event.source, event.message, now)
+            return self._handle_request(event.source, event.message, now)
         if isinstance(event.message, SlotAnswer):
             return self._take(event.message, now)
         if isinstance(event.message, LoadCounts):
@@ -182,7 +182,7 @@
         settled = min(self._questions, default=self._ticket + 1) - 1
         return self._load.collect_counts(now, scope=scope, settled=settled)
 
-    def _answer(self, source: str, request: SlotRequest, now: float) -> list[Effect]:
+    def _handle_request(self, source: str, request: SlotRequest, now: float) -> list[Effect]:
         """Grant a slot; a request that comes twice gets the same answer."""
         self._load.merge_counts(source, request.counts, age_s=0.0, now=now)
         granted = self._load.find_reserved(source, request.ticket)
