--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -109,7 +109,7 @@
         if isinstance(event.message, SlotRequest):
             return self._handle_request(event.source, event.message, now)
         if isinstance(event.message, SlotAnswer):
-            return self._take(event.message, now)
+            return self._handle_answer(event.message, now)
         if isinstance(event.message, LoadCounts):
             self._load.merge_counts(event.source, event.message, age_s=0.0, now=now)
         if isinstance(event.message, LoadSummary):
@@ -197,7 +197,7 @@
                 return endpoint_id
         return _NONE
 
-    def _take(self, answer: SlotAnswer, now: float) -> list[Effect]:
+    def _handle_answer(self, answer: SlotAnswer, now: float) -> list[Effect]:
         question = self._questions.pop(answer.ticket, None)
         if question is None:
             return []
