--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Question:
+class _PendingRequest:
     """A request on its way: what is left to try and who was asked."""
 
     request_id: str
@@ -61,7 +61,7 @@
         self._load = load
         self._owners = OwnerMap(router_ids=router_ids)
         self._news = ReportSchedule()
-        self._questions: dict[int, _Question] = {}
+        self._questions: dict[int, _PendingRequest] = {}
         self._ticket = 0
         self._avoided: dict[str, float] = {}
         self._owned: list[str] = []
@@ -86,7 +86,7 @@
     def place(self, request_id: str, demand: Demand, *, now: float) -> list[Effect]:
         """Begin to place a request; its ``Placed`` comes now or with a later event."""
         looks = self._placer.sample_endpoints(demand, now=now, count=MAX_QUERIED_ENDPOINTS)
-        question = _Question(request_id=request_id, demand=demand, looks=looks, tried=[])
+        question = _PendingRequest(request_id=request_id, demand=demand, looks=looks, tried=[])
         return self._go_on(question, now)
 
     def finish(self, endpoint_id: str, *, now: float) -> list[Effect]:
@@ -117,7 +117,7 @@
                 self._load.report_total(name, in_flight, age_s=0.0, now=now)
         return []
 
-    def _go_on(self, question: _Question, now: float) -> list[Effect]:
+    def _go_on(self, question: _PendingRequest, now: float) -> list[Effect]:
         while question.looks:
             owner = self._owners.find_owner(question.looks[0].endpoint.endpoint_id)
             if owner != self._router_id:
@@ -131,7 +131,7 @@
             return self._fall_back(question, now)
         return self._spread(question, now)
 
-    def _spread(self, question: _Question, now: float) -> list[Effect]:
+    def _spread(self, question: _PendingRequest, now: float) -> list[Effect]:
         """Ask for a slot anywhere, after the chat's first choices have refused.
 
         A dossier that many chats share would fill its next choices one by one, each by
@@ -143,12 +143,12 @@
         )
         return self._go_on(question, now)
 
-    def _spare(self, question: _Question) -> Demand:
+    def _spare(self, question: _PendingRequest) -> Demand:
         """Return the demand without the endpoints that are known to be full."""
         refused = {look.endpoint.endpoint_id for look in question.tried}
         return replace(question.demand, excluded=question.demand.excluded | refused)
 
-    def _ask(self, question: _Question, owner: str, now: float) -> list[Effect]:
+    def _ask(self, question: _PendingRequest, owner: str, now: float) -> list[Effect]:
         if self._avoided.get(owner, now) > now:
             return self._fall_back(question, now)
         asked = [question.looks.pop(0)]
@@ -217,7 +217,7 @@
             effects += self._fall_back(question, now)
         return effects
 
-    def _fall_back(self, question: _Question, now: float) -> list[Effect]:
+    def _fall_back(self, question: _PendingRequest, now: float) -> list[Effect]:
         """Choose by estimates, sparing the endpoints that are known to be full."""
         placement = self._placer.place(self._spare(question), now=now)
         if placement.endpoint is None:
@@ -230,7 +230,7 @@
             self._news.schedule_immediate_report(owner, now)
         return self._count(question, placement, now) + self._tell(now)
 
-    def _place_on(self, question: _Question, look: LoadSample, now: float) -> list[Effect]:
+    def _place_on(self, question: _PendingRequest, look: LoadSample, now: float) -> list[Effect]:
         candidates = tuple(
             Candidate(
                 endpoint_id=each.endpoint.endpoint_id,
@@ -245,7 +245,7 @@
         placement = Placement(endpoint=look.endpoint, reason=reason, candidates=candidates)
         return self._count(question, placement, now)
 
-    def _count(self, question: _Question, placement: Placement, now: float) -> list[Effect]:
+    def _count(self, question: _PendingRequest, placement: Placement, now: float) -> list[Effect]:
         placed = Placed(request_id=question.request_id, placement=placement)
         endpoint = placement.endpoint
         if endpoint is None:
