--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -61,7 +61,7 @@
         self._load = load
         self._owners = OwnerMap(router_ids=router_ids)
         self._news = ReportSchedule()
-        self._questions: dict[int, _PendingRequest] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._ticket = 0
         self._avoided: dict[str, float] = {}
         self._owned: list[str] = []
@@ -158,7 +158,7 @@
         question.owner = owner
         question.asked_until = now + SLOT_REQUEST_TIMEOUT_S
         self._ticket += 1
-        self._questions[self._ticket] = question
+        self._pending[self._ticket] = question
         counts = self._collect(owner, now)
         request = SlotRequest(
             ticket=self._ticket,
@@ -179,7 +179,7 @@
         """Return the counts for an owner's endpoints; must not go unsent."""
         scope = [name for name in self._load.list_own() if self._owners.find_owner(name) == owner]
         self._news.record_sent(owner, now, has_counts=bool(scope))
-        settled = min(self._questions, default=self._ticket + 1) - 1
+        settled = min(self._pending, default=self._ticket + 1) - 1
         return self._load.collect_counts(now, scope=scope, settled=settled)
 
     def _handle_request(self, source: str, request: SlotRequest, now: float) -> list[Effect]:
@@ -198,7 +198,7 @@
         return _NONE
 
     def _handle_answer(self, answer: SlotAnswer, now: float) -> list[Effect]:
-        question = self._questions.pop(answer.ticket, None)
+        question = self._pending.pop(answer.ticket, None)
         if question is None:
             return []
         for look in question.tried:
@@ -209,9 +209,9 @@
     def _expire(self, now: float) -> list[Effect]:
         """Do without the owners that have not answered in time."""
         effects: list[Effect] = []
-        late = [ticket for ticket, each in self._questions.items() if each.asked_until <= now]
+        late = [ticket for ticket, each in self._pending.items() if each.asked_until <= now]
         for ticket in late:
-            question = self._questions.pop(ticket)
+            question = self._pending.pop(ticket)
             question.tried.clear()
             self._avoided[question.owner] = now + AVOID_OWNER_S
             effects += self._fall_back(question, now)
