--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -87,7 +87,7 @@
         """Begin to place a request; its ``Placed`` comes now or with a later event."""
         looks = self._placer.sample_endpoints(demand, now=now, count=MAX_QUERIED_ENDPOINTS)
         question = _PendingRequest(request_id=request_id, demand=demand, looks=looks, tried=[])
-        return self._go_on(question, now)
+        return self._continue(question, now)
 
     def finish(self, endpoint_id: str, *, now: float) -> list[Effect]:
         """Take in that a placed request is over."""
@@ -117,7 +117,7 @@
                 self._load.report_total(name, in_flight, age_s=0.0, now=now)
         return []
 
-    def _go_on(self, question: _PendingRequest, now: float) -> list[Effect]:
+    def _continue(self, question: _PendingRequest, now: float) -> list[Effect]:
         while question.looks:
             owner = self._owners.find_owner(question.looks[0].endpoint.endpoint_id)
             if owner != self._router_id:
@@ -141,7 +141,7 @@
         question.looks = self._placer.sample_endpoints(
             replace(self._spare(question), affinity=""), now=now, count=MAX_QUERIED_ENDPOINTS
         )
-        return self._go_on(question, now)
+        return self._continue(question, now)
 
     def _spare(self, question: _PendingRequest) -> Demand:
         """Return the demand without the endpoints that are known to be full."""
@@ -204,7 +204,7 @@
         for look in question.tried:
             if look.endpoint.endpoint_id == answer.endpoint_id:
                 return self._place_on(question, look, now)
-        return self._go_on(question, now)
+        return self._continue(question, now)
 
     def _expire(self, now: float) -> list[Effect]:
         """Do without the owners that have not answered in time."""
