--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -129,9 +129,9 @@
                 return self._place_on(question, look, now)
         if question.spreads or not question.tried:
             return self._fall_back(question, now)
-        return self._spread(question, now)
+        return self._retry_in_random_order(question, now)
 
-    def _spread(self, question: _PendingRequest, now: float) -> list[Effect]:
+    def _retry_in_random_order(self, question: _PendingRequest, now: float) -> list[Effect]:
         """Ask for a slot anywhere, after the chat's first choices have refused.
 
         A dossier that many chats share would fill its next choices one by one, each by
