--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -139,11 +139,13 @@
         """
         question.spreads = True
         question.looks = self._placer.sample_endpoints(
-            replace(self._spare(question), affinity=""), now=now, count=MAX_QUERIED_ENDPOINTS
+            replace(self._exclude_refused(question), affinity=""),
+            now=now,
+            count=MAX_QUERIED_ENDPOINTS,
         )
         return self._continue(question, now)
 
-    def _spare(self, question: _PendingRequest) -> Demand:
+    def _exclude_refused(self, question: _PendingRequest) -> Demand:
         """Return the demand without the endpoints that are known to be full."""
         refused = {look.endpoint.endpoint_id for look in question.tried}
         return replace(question.demand, excluded=question.demand.excluded | refused)
@@ -219,7 +221,7 @@
 
     def _fall_back(self, question: _PendingRequest, now: float) -> list[Effect]:
         """Choose by estimates, sparing the endpoints that are known to be full."""
-        placement = self._placer.place(self._spare(question), now=now)
+        placement = self._placer.place(self._exclude_refused(question), now=now)
         if placement.endpoint is None:
             placement = self._placer.place(question.demand, now=now)
         if placement.endpoint is None:
