--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -121,7 +121,7 @@
         while question.looks:
             owner = self._owners.find_owner(question.looks[0].endpoint.endpoint_id)
             if owner != self._router_id:
-                return self._ask(question, owner, now)
+                return self._request_slot(question, owner, now)
             look = question.looks.pop(0)
             question.tried.append(look)
             estimate = self._load.get_estimate(look.endpoint.endpoint_id, now)
@@ -150,7 +150,7 @@
         refused = {look.endpoint.endpoint_id for look in question.tried}
         return replace(question.demand, excluded=question.demand.excluded | refused)
 
-    def _ask(self, question: _PendingRequest, owner: str, now: float) -> list[Effect]:
+    def _request_slot(self, question: _PendingRequest, owner: str, now: float) -> list[Effect]:
         if self._avoided.get(owner, now) > now:
             return self._fall_back(question, now)
         asked = [question.looks.pop(0)]
