--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -161,7 +161,7 @@
         question.asked_until = now + SLOT_REQUEST_TIMEOUT_S
         self._ticket += 1
         self._pending[self._ticket] = question
-        counts = self._collect(owner, now)
+        counts = self._collect_counts(owner, now)
         request = SlotRequest(
             ticket=self._ticket,
             endpoint_ids=[look.endpoint.endpoint_id for look in asked],
@@ -177,7 +177,7 @@
     def _is_owned_by(self, owner: str, look: LoadSample) -> bool:
         return self._owners.find_owner(look.endpoint.endpoint_id) == owner
 
-    def _collect(self, owner: str, now: float) -> LoadCounts:
+    def _collect_counts(self, owner: str, now: float) -> LoadCounts:
         """Return the counts for an owner's endpoints; must not go unsent."""
         scope = [name for name in self._load.list_own() if self._owners.find_owner(name) == owner]
         self._news.record_sent(owner, now, has_counts=bool(scope))
@@ -272,6 +272,6 @@
 
     def _tell(self, now: float) -> list[Effect]:
         return [
-            SendMessage(target=owner, message=self._collect(owner, now))
+            SendMessage(target=owner, message=self._collect_counts(owner, now))
             for owner in self._news.list_due(now)
         ]
