--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -103,7 +103,7 @@
         if isinstance(event, TimeReached):
             if now >= self._armed_at:
                 self._armed_at = inf
-            return self._expire(now) + self._tell(now) + self._wake()
+            return self._expire_requests(now) + self._tell(now) + self._wake()
         if not isinstance(event, MessageReceived):
             return []
         if isinstance(event.message, SlotRequest):
@@ -208,7 +208,7 @@
                 return self._place_on(question, look, now)
         return self._continue(question, now)
 
-    def _expire(self, now: float) -> list[Effect]:
+    def _expire_requests(self, now: float) -> list[Effect]:
         """Do without the owners that have not answered in time."""
         effects: list[Effect] = []
         late = [ticket for ticket, each in self._pending.items() if each.asked_until <= now]
