--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -103,7 +103,7 @@
         if isinstance(event, TimeReached):
             if now >= self._armed_at:
                 self._armed_at = inf
-            return self._expire_requests(now) + self._tell(now) + self._wake()
+            return self._expire_requests(now) + self._send_due_reports(now) + self._wake()
         if not isinstance(event, MessageReceived):
             return []
         if isinstance(event.message, SlotRequest):
@@ -230,7 +230,7 @@
         owner = self._owners.find_owner(placement.endpoint.endpoint_id)
         if owner != self._router_id:
             self._news.schedule_immediate_report(owner, now)
-        return self._count(question, placement, now) + self._tell(now)
+        return self._count(question, placement, now) + self._send_due_reports(now)
 
     def _place_on(self, question: _PendingRequest, look: LoadSample, now: float) -> list[Effect]:
         candidates = tuple(
@@ -270,7 +270,7 @@
         self._armed_at = due
         return [WakeAt(at=due)]
 
-    def _tell(self, now: float) -> list[Effect]:
+    def _send_due_reports(self, now: float) -> list[Effect]:
         return [
             SendMessage(target=owner, message=self._collect_counts(owner, now))
             for owner in self._news.list_due(now)
