--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -76,7 +76,11 @@
             name for name in endpoint_ids if self._owners.find_owner(name) == self._router_id
         ]
         self._load.set_owned(self._owned, now)
-        return [effect for name in self._load.list_own() for effect in self._note_start(name, now)]
+        return [
+            effect
+            for name in self._load.list_own()
+            for effect in self._schedule_start_report(name, now)
+        ]
 
     def collect_summary(self, now: float) -> LoadSummary:
         """Return the loads of the owned endpoints, for all other routers."""
@@ -253,9 +257,9 @@
         if endpoint is None:
             return [placed]
         self._load.start(endpoint.endpoint_id, now)
-        return [placed, *self._note_start(endpoint.endpoint_id, now)]
+        return [placed, *self._schedule_start_report(endpoint.endpoint_id, now)]
 
-    def _note_start(self, endpoint_id: str, now: float) -> list[Effect]:
+    def _schedule_start_report(self, endpoint_id: str, now: float) -> list[Effect]:
         owner = self._owners.find_owner(endpoint_id)
         if owner == self._router_id:
             return []
