--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -100,14 +100,14 @@
         if owner == self._router_id:
             return []
         self._news.schedule_finish_report(owner, now)
-        return self._wake()
+        return self._schedule_wake()
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Take a question, an answer, counts or the time."""
         if isinstance(event, TimeReached):
             if now >= self._armed_at:
                 self._armed_at = inf
-            return self._expire_requests(now) + self._send_due_reports(now) + self._wake()
+            return self._expire_requests(now) + self._send_due_reports(now) + self._schedule_wake()
         if not isinstance(event, MessageReceived):
             return []
         if isinstance(event.message, SlotRequest):
@@ -175,7 +175,7 @@
         return [
             SendMessage(target=owner, message=request),
             WakeAt(at=question.asked_until),
-            *self._wake(),
+            *self._schedule_wake(),
         ]
 
     def _is_owned_by(self, owner: str, look: LoadSample) -> bool:
@@ -264,9 +264,9 @@
         if owner == self._router_id:
             return []
         self._news.schedule_start_report(owner, now)
-        return self._wake()
+        return self._schedule_wake()
 
-    def _wake(self) -> list[Effect]:
+    def _schedule_wake(self) -> list[Effect]:
         """Ask to be woken for the next news, unless that was asked already."""
         due = self._news.find_next_due()
         if due is None or due >= self._armed_at:
