--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -60,7 +60,7 @@
         self._placer = placer
         self._load = load
         self._owners = OwnerMap(router_ids=router_ids)
-        self._news = ReportSchedule()
+        self._reports = ReportSchedule()
         self._pending: dict[int, _PendingRequest] = {}
         self._ticket = 0
         self._avoided: dict[str, float] = {}
@@ -99,7 +99,7 @@
         owner = self._owners.find_owner(endpoint_id)
         if owner == self._router_id:
             return []
-        self._news.schedule_finish_report(owner, now)
+        self._reports.schedule_finish_report(owner, now)
         return self._schedule_wake()
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
@@ -184,7 +184,7 @@
     def _collect_counts(self, owner: str, now: float) -> LoadCounts:
         """Return the counts for an owner's endpoints; must not go unsent."""
         scope = [name for name in self._load.list_own() if self._owners.find_owner(name) == owner]
-        self._news.record_sent(owner, now, has_counts=bool(scope))
+        self._reports.record_sent(owner, now, has_counts=bool(scope))
         settled = min(self._pending, default=self._ticket + 1) - 1
         return self._load.collect_counts(now, scope=scope, settled=settled)
 
@@ -233,7 +233,7 @@
         # No reservation stands for this one, so its owner should hear at once.
         owner = self._owners.find_owner(placement.endpoint.endpoint_id)
         if owner != self._router_id:
-            self._news.schedule_immediate_report(owner, now)
+            self._reports.schedule_immediate_report(owner, now)
         return self._count(question, placement, now) + self._send_due_reports(now)
 
     def _place_on(self, question: _PendingRequest, look: LoadSample, now: float) -> list[Effect]:
@@ -263,12 +263,12 @@
         owner = self._owners.find_owner(endpoint_id)
         if owner == self._router_id:
             return []
-        self._news.schedule_start_report(owner, now)
+        self._reports.schedule_start_report(owner, now)
         return self._schedule_wake()
 
     def _schedule_wake(self) -> list[Effect]:
         """Ask to be woken for the next news, unless that was asked already."""
-        due = self._news.find_next_due()
+        due = self._reports.find_next_due()
         if due is None or due >= self._armed_at:
             return []
         self._armed_at = due
@@ -277,5 +277,5 @@
     def _send_due_reports(self, now: float) -> list[Effect]:
         return [
             SendMessage(target=owner, message=self._collect_counts(owner, now))
-            for owner in self._news.list_due(now)
+            for owner in self._reports.list_due(now)
         ]
