--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -65,7 +65,7 @@
         self._ticket = 0
         self._avoided: dict[str, float] = {}
         self._owned: list[str] = []
-        self._armed_at = inf
+        self._wake_at = inf
 
     def set_view(
         self, *, router_ids: Collection[str], endpoint_ids: Collection[str], now: float
@@ -105,8 +105,8 @@
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Take a question, an answer, counts or the time."""
         if isinstance(event, TimeReached):
-            if now >= self._armed_at:
-                self._armed_at = inf
+            if now >= self._wake_at:
+                self._wake_at = inf
             return self._expire_requests(now) + self._send_due_reports(now) + self._schedule_wake()
         if not isinstance(event, MessageReceived):
             return []
@@ -269,9 +269,9 @@
     def _schedule_wake(self) -> list[Effect]:
         """Ask to be woken for the next news, unless that was asked already."""
         due = self._reports.find_next_due()
-        if due is None or due >= self._armed_at:
+        if due is None or due >= self._wake_at:
             return []
-        self._armed_at = due
+        self._wake_at = due
         return [WakeAt(at=due)]
 
     def _send_due_reports(self, now: float) -> list[Effect]:
