--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -45,7 +45,7 @@
     looks: list[LoadSample]
     tried: list[LoadSample]
     owner: str = ""
-    asked_until: float = 0.0
+    answer_due_at: float = 0.0
     spreads: bool = False
 
 
@@ -162,7 +162,7 @@
             asked.append(question.looks.pop(0))
         question.tried += asked
         question.owner = owner
-        question.asked_until = now + SLOT_REQUEST_TIMEOUT_S
+        question.answer_due_at = now + SLOT_REQUEST_TIMEOUT_S
         self._ticket += 1
         self._pending[self._ticket] = question
         counts = self._collect_counts(owner, now)
@@ -174,7 +174,7 @@
         )
         return [
             SendMessage(target=owner, message=request),
-            WakeAt(at=question.asked_until),
+            WakeAt(at=question.answer_due_at),
             *self._schedule_wake(),
         ]
 
@@ -215,7 +215,7 @@
     def _expire_requests(self, now: float) -> list[Effect]:
         """Do without the owners that have not answered in time."""
         effects: list[Effect] = []
-        late = [ticket for ticket, each in self._pending.items() if each.asked_until <= now]
+        late = [ticket for ticket, each in self._pending.items() if each.answer_due_at <= now]
         for ticket in late:
             question = self._pending.pop(ticket)
             question.tried.clear()
