--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -46,7 +46,7 @@
     tried: list[LoadSample]
     owner: str = ""
     answer_due_at: float = 0.0
-    spreads: bool = False
+    is_random_order: bool = False
 
 
 class SlotPlacer:
@@ -131,7 +131,7 @@
             estimate = self._load.get_estimate(look.endpoint.endpoint_id, now)
             if estimate.in_flight + 1.0 <= look.limit:
                 return self._place_on(question, look, now)
-        if question.spreads or not question.tried:
+        if question.is_random_order or not question.tried:
             return self._fall_back(question, now)
         return self._retry_in_random_order(question, now)
 
@@ -141,7 +141,7 @@
         A dossier that many chats share would fill its next choices one by one, each by
         all routers at once; in random order its requests spread over all endpoints.
         """
-        question.spreads = True
+        question.is_random_order = True
         question.looks = self._placer.sample_endpoints(
             replace(self._exclude_refused(question), affinity=""),
             now=now,
