--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -59,8 +59,8 @@
         if tier is None:
             return _build_refusal(pool, demand)
         key = self._make_key(demand)
-        looks = self._iterate_samples(tier, demand, key, now)
-        return self._choose(tier, pool, looks, now)
+        samples = self._iterate_samples(tier, demand, key, now)
+        return self._choose(tier, pool, samples, now)
 
     def sample_endpoints(self, demand: Demand, *, now: float, count: int) -> list[LoadSample]:
         """Return the first endpoints in the order in which they would be tried.
@@ -72,8 +72,8 @@
         tier = self._choose_tier(pool, demand)
         if tier is None:
             return []
-        looks = islice(self._iterate_samples(tier, demand, self._make_key(demand), now), count)
-        return [_lower_limit(look, now) for look in looks]
+        samples = islice(self._iterate_samples(tier, demand, self._make_key(demand), now), count)
+        return [_lower_limit(look, now) for look in samples]
 
     def _make_key(self, demand: Demand) -> bytes:
         if demand.affinity:
@@ -127,9 +127,11 @@
         names = [name for name in self._hints.find(key, now) if name not in demand.excluded]
         return [tier.by_id[name] for name in names if name in tier.by_id]
 
-    def _choose(self, tier: Tier, pool: Pool, looks: Iterator[LoadSample], now: float) -> Placement:
+    def _choose(
+        self, tier: Tier, pool: Pool, samples: Iterator[LoadSample], now: float
+    ) -> Placement:
         seen: list[LoadSample] = []
-        for look in looks:
+        for look in samples:
             seen.append(look)
             share = get_slow_start(look.endpoint, now)
             if look.load + 1.0 <= max(1.0, look.limit * share):
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -42,7 +42,7 @@
 
     request_id: str
     demand: Demand
-    looks: list[LoadSample]
+    samples: list[LoadSample]
     tried: list[LoadSample]
     owner: str = ""
     answer_due_at: float = 0.0
@@ -89,8 +89,8 @@
 
     def place(self, request_id: str, demand: Demand, *, now: float) -> list[Effect]:
         """Begin to place a request; its ``Placed`` comes now or with a later event."""
-        looks = self._placer.sample_endpoints(demand, now=now, count=MAX_QUERIED_ENDPOINTS)
-        question = _PendingRequest(request_id=request_id, demand=demand, looks=looks, tried=[])
+        samples = self._placer.sample_endpoints(demand, now=now, count=MAX_QUERIED_ENDPOINTS)
+        question = _PendingRequest(request_id=request_id, demand=demand, samples=samples, tried=[])
         return self._continue(question, now)
 
     def finish(self, endpoint_id: str, *, now: float) -> list[Effect]:
@@ -122,11 +122,11 @@
         return []
 
     def _continue(self, question: _PendingRequest, now: float) -> list[Effect]:
-        while question.looks:
-            owner = self._owners.find_owner(question.looks[0].endpoint.endpoint_id)
+        while question.samples:
+            owner = self._owners.find_owner(question.samples[0].endpoint.endpoint_id)
             if owner != self._router_id:
                 return self._request_slot(question, owner, now)
-            look = question.looks.pop(0)
+            look = question.samples.pop(0)
             question.tried.append(look)
             estimate = self._load.get_estimate(look.endpoint.endpoint_id, now)
             if estimate.in_flight + 1.0 <= look.limit:
@@ -142,7 +142,7 @@
         all routers at once; in random order its requests spread over all endpoints.
         """
         question.is_random_order = True
-        question.looks = self._placer.sample_endpoints(
+        question.samples = self._placer.sample_endpoints(
             replace(self._exclude_refused(question), affinity=""),
             now=now,
             count=MAX_QUERIED_ENDPOINTS,
@@ -157,9 +157,9 @@
     def _request_slot(self, question: _PendingRequest, owner: str, now: float) -> list[Effect]:
         if self._avoided.get(owner, now) > now:
             return self._fall_back(question, now)
-        asked = [question.looks.pop(0)]
-        while question.looks and self._is_owned_by(owner, question.looks[0]):
-            asked.append(question.looks.pop(0))
+        asked = [question.samples.pop(0)]
+        while question.samples and self._is_owned_by(owner, question.samples[0]):
+            asked.append(question.samples.pop(0))
         question.tried += asked
         question.owner = owner
         question.answer_due_at = now + SLOT_REQUEST_TIMEOUT_S
