--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -73,7 +73,7 @@
         if tier is None:
             return []
         samples = islice(self._iterate_samples(tier, demand, self._make_key(demand), now), count)
-        return [_lower_limit(look, now) for look in samples]
+        return [_lower_limit(sample, now) for sample in samples]
 
     def _make_key(self, demand: Demand) -> bytes:
         if demand.affinity:
@@ -131,18 +131,18 @@
         self, tier: Tier, pool: Pool, samples: Iterator[LoadSample], now: float
     ) -> Placement:
         seen: list[LoadSample] = []
-        for look in samples:
-            seen.append(look)
-            share = get_slow_start(look.endpoint, now)
-            if look.load + 1.0 <= max(1.0, look.limit * share):
+        for sample in samples:
+            seen.append(sample)
+            share = get_slow_start(sample.endpoint, now)
+            if sample.load + 1.0 <= max(1.0, sample.limit * share):
                 return self._build_placement(
-                    look, seen, _explain(pool, tier, _describe_rank(seen)), now
+                    sample, seen, _explain(pool, tier, _describe_rank(seen)), now
                 )
-        below = [look for look in seen if look.load + 1.0 <= look.limit]
+        below = [sample for sample in seen if sample.load + 1.0 <= sample.limit]
         if below:
             reason = "only endpoints in slow start are below their bound"
             return self._build_placement(below[0], seen, _explain(pool, tier, reason), now)
-        least = min(seen, key=lambda look: look.load / max(look.endpoint.capacity, 1))
+        least = min(seen, key=lambda sample: sample.load / max(sample.endpoint.capacity, 1))
         reason = f"all {len(seen)} endpoints are at their bound, took the least loaded"
         return self._build_placement(least, seen, _explain(pool, tier, reason), now)
 
@@ -152,29 +152,29 @@
         shown = seen[:MAX_CANDIDATES]
         if chosen not in shown:
             shown[-1] = chosen
-        candidates = tuple(self._build_candidate(look, chosen, now) for look in shown)
+        candidates = tuple(self._build_candidate(sample, chosen, now) for sample in shown)
         return Placement(endpoint=chosen.endpoint, reason=reason, candidates=candidates)
 
-    def _build_candidate(self, look: LoadSample, chosen: LoadSample, now: float) -> Candidate:
-        endpoint_id = look.endpoint.endpoint_id
+    def _build_candidate(self, sample: LoadSample, chosen: LoadSample, now: float) -> Candidate:
+        endpoint_id = sample.endpoint.endpoint_id
         return Candidate(
             endpoint_id=endpoint_id,
-            in_flight=look.load,
-            limit=look.limit,
+            in_flight=sample.load,
+            limit=sample.limit,
             age_s=self._load.get_age(endpoint_id, now),
-            verdict=_describe_verdict(look, chosen),
+            verdict=_describe_verdict(sample, chosen),
         )
 
 
-def _lower_limit(look: LoadSample, now: float) -> LoadSample:
-    share = get_slow_start(look.endpoint, now)
-    return LoadSample(look.endpoint, look.load, max(1.0, look.limit * share))
+def _lower_limit(sample: LoadSample, now: float) -> LoadSample:
+    share = get_slow_start(sample.endpoint, now)
+    return LoadSample(sample.endpoint, sample.load, max(1.0, sample.limit * share))
 
 
-def _describe_verdict(look: LoadSample, chosen: LoadSample) -> str:
-    if look is chosen:
+def _describe_verdict(sample: LoadSample, chosen: LoadSample) -> str:
+    if sample is chosen:
         return "chosen"
-    return "at its bound" if look.load + 1.0 > look.limit else "in slow start"
+    return "at its bound" if sample.load + 1.0 > sample.limit else "in slow start"
 
 
 def _describe_rank(seen: list[LoadSample]) -> str:
--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -126,11 +126,11 @@
             owner = self._owners.find_owner(question.samples[0].endpoint.endpoint_id)
             if owner != self._router_id:
                 return self._request_slot(question, owner, now)
-            look = question.samples.pop(0)
-            question.tried.append(look)
-            estimate = self._load.get_estimate(look.endpoint.endpoint_id, now)
-            if estimate.in_flight + 1.0 <= look.limit:
-                return self._place_on(question, look, now)
+            sample = question.samples.pop(0)
+            question.tried.append(sample)
+            estimate = self._load.get_estimate(sample.endpoint.endpoint_id, now)
+            if estimate.in_flight + 1.0 <= sample.limit:
+                return self._place_on(question, sample, now)
         if question.is_random_order or not question.tried:
             return self._fall_back(question, now)
         return self._retry_in_random_order(question, now)
@@ -151,7 +151,7 @@
 
     def _exclude_refused(self, question: _PendingRequest) -> Demand:
         """Return the demand without the endpoints that are known to be full."""
-        refused = {look.endpoint.endpoint_id for look in question.tried}
+        refused = {sample.endpoint.endpoint_id for sample in question.tried}
         return replace(question.demand, excluded=question.demand.excluded | refused)
 
     def _request_slot(self, question: _PendingRequest, owner: str, now: float) -> list[Effect]:
@@ -168,8 +168,8 @@
         counts = self._collect_counts(owner, now)
         request = SlotRequest(
             ticket=self._ticket,
-            endpoint_ids=[look.endpoint.endpoint_id for look in asked],
-            limits=[look.limit for look in asked],
+            endpoint_ids=[sample.endpoint.endpoint_id for sample in asked],
+            limits=[sample.limit for sample in asked],
             counts=counts,
         )
         return [
@@ -178,8 +178,8 @@
             *self._schedule_wake(),
         ]
 
-    def _is_owned_by(self, owner: str, look: LoadSample) -> bool:
-        return self._owners.find_owner(look.endpoint.endpoint_id) == owner
+    def _is_owned_by(self, owner: str, sample: LoadSample) -> bool:
+        return self._owners.find_owner(sample.endpoint.endpoint_id) == owner
 
     def _collect_counts(self, owner: str, now: float) -> LoadCounts:
         """Return the counts for an owner's endpoints; must not go unsent."""
@@ -207,9 +207,9 @@
         question = self._pending.pop(answer.ticket, None)
         if question is None:
             return []
-        for look in question.tried:
-            if look.endpoint.endpoint_id == answer.endpoint_id:
-                return self._place_on(question, look, now)
+        for sample in question.tried:
+            if sample.endpoint.endpoint_id == answer.endpoint_id:
+                return self._place_on(question, sample, now)
         return self._continue(question, now)
 
     def _expire_requests(self, now: float) -> list[Effect]:
@@ -236,19 +236,19 @@
             self._reports.schedule_immediate_report(owner, now)
         return self._count(question, placement, now) + self._send_due_reports(now)
 
-    def _place_on(self, question: _PendingRequest, look: LoadSample, now: float) -> list[Effect]:
+    def _place_on(self, question: _PendingRequest, sample: LoadSample, now: float) -> list[Effect]:
         candidates = tuple(
             Candidate(
                 endpoint_id=each.endpoint.endpoint_id,
                 in_flight=each.load,
                 limit=each.limit,
                 age_s=0.0,
-                verdict="granted by its owner" if each is look else "refused by its owner",
+                verdict="granted by its owner" if each is sample else "refused by its owner",
             )
-            for each in question.tried[: question.tried.index(look) + 1]
+            for each in question.tried[: question.tried.index(sample) + 1]
         )
         reason = f"slot granted, choice {len(candidates)}"
-        placement = Placement(endpoint=look.endpoint, reason=reason, candidates=candidates)
+        placement = Placement(endpoint=sample.endpoint, reason=reason, candidates=candidates)
         return self._count(question, placement, now)
 
     def _count(self, question: _PendingRequest, placement: Placement, now: float) -> list[Effect]:
