--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -90,8 +90,8 @@
     def place(self, request_id: str, demand: Demand, *, now: float) -> list[Effect]:
         """Begin to place a request; its ``Placed`` comes now or with a later event."""
         samples = self._placer.sample_endpoints(demand, now=now, count=MAX_QUERIED_ENDPOINTS)
-        question = _PendingRequest(request_id=request_id, demand=demand, samples=samples, tried=[])
-        return self._continue(question, now)
+        pending = _PendingRequest(request_id=request_id, demand=demand, samples=samples, tried=[])
+        return self._continue(pending, now)
 
     def finish(self, endpoint_id: str, *, now: float) -> list[Effect]:
         """Take in that a placed request is over."""
@@ -121,50 +121,50 @@
                 self._load.report_total(name, in_flight, age_s=0.0, now=now)
         return []
 
-    def _continue(self, question: _PendingRequest, now: float) -> list[Effect]:
-        while question.samples:
-            owner = self._owners.find_owner(question.samples[0].endpoint.endpoint_id)
+    def _continue(self, pending: _PendingRequest, now: float) -> list[Effect]:
+        while pending.samples:
+            owner = self._owners.find_owner(pending.samples[0].endpoint.endpoint_id)
             if owner != self._router_id:
-                return self._request_slot(question, owner, now)
-            sample = question.samples.pop(0)
-            question.tried.append(sample)
+                return self._request_slot(pending, owner, now)
+            sample = pending.samples.pop(0)
+            pending.tried.append(sample)
             estimate = self._load.get_estimate(sample.endpoint.endpoint_id, now)
             if estimate.in_flight + 1.0 <= sample.limit:
-                return self._place_on(question, sample, now)
-        if question.is_random_order or not question.tried:
-            return self._fall_back(question, now)
-        return self._retry_in_random_order(question, now)
+                return self._place_on(pending, sample, now)
+        if pending.is_random_order or not pending.tried:
+            return self._fall_back(pending, now)
+        return self._retry_in_random_order(pending, now)
 
-    def _retry_in_random_order(self, question: _PendingRequest, now: float) -> list[Effect]:
+    def _retry_in_random_order(self, pending: _PendingRequest, now: float) -> list[Effect]:
         """Ask for a slot anywhere, after the chat's first choices have refused.
 
         A dossier that many chats share would fill its next choices one by one, each by
         all routers at once; in random order its requests spread over all endpoints.
         """
-        question.is_random_order = True
-        question.samples = self._placer.sample_endpoints(
-            replace(self._exclude_refused(question), affinity=""),
+        pending.is_random_order = True
+        pending.samples = self._placer.sample_endpoints(
+            replace(self._exclude_refused(pending), affinity=""),
             now=now,
             count=MAX_QUERIED_ENDPOINTS,
         )
-        return self._continue(question, now)
+        return self._continue(pending, now)
 
-    def _exclude_refused(self, question: _PendingRequest) -> Demand:
+    def _exclude_refused(self, pending: _PendingRequest) -> Demand:
         """Return the demand without the endpoints that are known to be full."""
-        refused = {sample.endpoint.endpoint_id for sample in question.tried}
-        return replace(question.demand, excluded=question.demand.excluded | refused)
+        refused = {sample.endpoint.endpoint_id for sample in pending.tried}
+        return replace(pending.demand, excluded=pending.demand.excluded | refused)
 
-    def _request_slot(self, question: _PendingRequest, owner: str, now: float) -> list[Effect]:
+    def _request_slot(self, pending: _PendingRequest, owner: str, now: float) -> list[Effect]:
         if self._avoided.get(owner, now) > now:
-            return self._fall_back(question, now)
-        asked = [question.samples.pop(0)]
-        while question.samples and self._is_owned_by(owner, question.samples[0]):
-            asked.append(question.samples.pop(0))
-        question.tried += asked
-        question.owner = owner
-        question.answer_due_at = now + SLOT_REQUEST_TIMEOUT_S
+            return self._fall_back(pending, now)
+        asked = [pending.samples.pop(0)]
+        while pending.samples and self._is_owned_by(owner, pending.samples[0]):
+            asked.append(pending.samples.pop(0))
+        pending.tried += asked
+        pending.owner = owner
+        pending.answer_due_at = now + SLOT_REQUEST_TIMEOUT_S
         self._ticket += 1
-        self._pending[self._ticket] = question
+        self._pending[self._ticket] = pending
         counts = self._collect_counts(owner, now)
         request = SlotRequest(
             ticket=self._ticket,
@@ -174,7 +174,7 @@
         )
         return [
             SendMessage(target=owner, message=request),
-            WakeAt(at=question.answer_due_at),
+            WakeAt(at=pending.answer_due_at),
             *self._schedule_wake(),
         ]
 
@@ -204,39 +204,39 @@
         return _NONE
 
     def _handle_answer(self, answer: SlotAnswer, now: float) -> list[Effect]:
-        question = self._pending.pop(answer.ticket, None)
-        if question is None:
+        pending = self._pending.pop(answer.ticket, None)
+        if pending is None:
             return []
-        for sample in question.tried:
+        for sample in pending.tried:
             if sample.endpoint.endpoint_id == answer.endpoint_id:
-                return self._place_on(question, sample, now)
-        return self._continue(question, now)
+                return self._place_on(pending, sample, now)
+        return self._continue(pending, now)
 
     def _expire_requests(self, now: float) -> list[Effect]:
         """Do without the owners that have not answered in time."""
         effects: list[Effect] = []
         late = [ticket for ticket, each in self._pending.items() if each.answer_due_at <= now]
         for ticket in late:
-            question = self._pending.pop(ticket)
-            question.tried.clear()
-            self._avoided[question.owner] = now + AVOID_OWNER_S
-            effects += self._fall_back(question, now)
+            pending = self._pending.pop(ticket)
+            pending.tried.clear()
+            self._avoided[pending.owner] = now + AVOID_OWNER_S
+            effects += self._fall_back(pending, now)
         return effects
 
-    def _fall_back(self, question: _PendingRequest, now: float) -> list[Effect]:
+    def _fall_back(self, pending: _PendingRequest, now: float) -> list[Effect]:
         """Choose by estimates, sparing the endpoints that are known to be full."""
-        placement = self._placer.place(self._exclude_refused(question), now=now)
+        placement = self._placer.place(self._exclude_refused(pending), now=now)
         if placement.endpoint is None:
-            placement = self._placer.place(question.demand, now=now)
+            placement = self._placer.place(pending.demand, now=now)
         if placement.endpoint is None:
-            return [Placed(request_id=question.request_id, placement=placement)]
+            return [Placed(request_id=pending.request_id, placement=placement)]
         # No reservation stands for this one, so its owner should hear at once.
         owner = self._owners.find_owner(placement.endpoint.endpoint_id)
         if owner != self._router_id:
             self._reports.schedule_immediate_report(owner, now)
-        return self._count(question, placement, now) + self._send_due_reports(now)
+        return self._count(pending, placement, now) + self._send_due_reports(now)
 
-    def _place_on(self, question: _PendingRequest, sample: LoadSample, now: float) -> list[Effect]:
+    def _place_on(self, pending: _PendingRequest, sample: LoadSample, now: float) -> list[Effect]:
         candidates = tuple(
             Candidate(
                 endpoint_id=each.endpoint.endpoint_id,
@@ -245,14 +245,14 @@
                 age_s=0.0,
                 verdict="granted by its owner" if each is sample else "refused by its owner",
             )
-            for each in question.tried[: question.tried.index(sample) + 1]
+            for each in pending.tried[: pending.tried.index(sample) + 1]
         )
         reason = f"slot granted, choice {len(candidates)}"
         placement = Placement(endpoint=sample.endpoint, reason=reason, candidates=candidates)
-        return self._count(question, placement, now)
+        return self._count(pending, placement, now)
 
-    def _count(self, question: _PendingRequest, placement: Placement, now: float) -> list[Effect]:
-        placed = Placed(request_id=question.request_id, placement=placement)
+    def _count(self, pending: _PendingRequest, placement: Placement, now: float) -> list[Effect]:
+        placed = Placed(request_id=pending.request_id, placement=placement)
         endpoint = placement.endpoint
         if endpoint is None:
             return [placed]
