--- a/chivetrack/components/routing/hints.py
+++ b/chivetrack/components/routing/hints.py
@@ -47,7 +47,7 @@
 
     def store(self, key: bytes, endpoint_id: str, incarnation: int, *, stored_at: float) -> None:
         """Note that an endpoint held a chat's context at a time."""
-        self._note_heard(stored_at)
+        self._record_event_time(stored_at)
         if not self._accept(endpoint_id, incarnation):
             return
         hints = [hint for hint in self._hints.get(key, ()) if self._is_current(hint)]
@@ -67,7 +67,7 @@
 
     def evict(self, key: bytes, endpoint_id: str, incarnation: int, *, evicted_at: float) -> None:
         """Note that an endpoint dropped a chat's context at a time."""
-        self._note_heard(evicted_at)
+        self._record_event_time(evicted_at)
         self._accept(endpoint_id, incarnation)
         kept = tuple(
             hint
@@ -99,7 +99,7 @@
             return False
         return now - self._first_at >= HINTS_WARM_UP_S
 
-    def _note_heard(self, at: float) -> None:
+    def _record_event_time(self, at: float) -> None:
         if self._first_at is None:
             self._first_at = at
         self._last_at = max(self._last_at, at)
