--- a/chivetrack/components/routing/hints.py
+++ b/chivetrack/components/routing/hints.py
@@ -48,7 +48,7 @@
     def store(self, key: bytes, endpoint_id: str, incarnation: int, *, stored_at: float) -> None:
         """Note that an endpoint held a chat's context at a time."""
         self._record_event_time(stored_at)
-        if not self._accept(endpoint_id, incarnation):
+        if not self._update_incarnation(endpoint_id, incarnation):
             return
         hints = [hint for hint in self._hints.get(key, ()) if self._is_current(hint)]
         old = next((hint for hint in hints if hint.endpoint_id == endpoint_id), None)
@@ -68,7 +68,7 @@
     def evict(self, key: bytes, endpoint_id: str, incarnation: int, *, evicted_at: float) -> None:
         """Note that an endpoint dropped a chat's context at a time."""
         self._record_event_time(evicted_at)
-        self._accept(endpoint_id, incarnation)
+        self._update_incarnation(endpoint_id, incarnation)
         kept = tuple(
             hint
             for hint in self._hints.get(key, ())
@@ -78,7 +78,7 @@
 
     def restart(self, endpoint_id: str, incarnation: int) -> None:
         """Note that an endpoint runs under a new incarnation, with an empty cache."""
-        self._accept(endpoint_id, incarnation)
+        self._update_incarnation(endpoint_id, incarnation)
 
     def find(self, key: bytes, now: float) -> tuple[str, ...]:
         """Return the endpoints that probably hold the chat's context, newest first."""
@@ -110,7 +110,7 @@
         else:
             self._hints.pop(key, None)
 
-    def _accept(self, endpoint_id: str, incarnation: int) -> bool:
+    def _update_incarnation(self, endpoint_id: str, incarnation: int) -> bool:
         newest = self._incarnations.get(endpoint_id, incarnation)
         self._incarnations[endpoint_id] = max(newest, incarnation)
         return incarnation >= newest
