--- a/tests/components/routing/test_slots.py
+++ b/tests/components/routing/test_slots.py
@@ -99,7 +99,7 @@
         router, endpoint_id = self.running.pop(self.random.randrange(len(self.running)))
         self.take(router, self.slots[router].finish(endpoint_id, now=self.now))
 
-    def count_untold(self) -> Counter[str]:
+    def count_unreported(self) -> Counter[str]:
         oldest = self.now - MAX_DELAY_S - 2 * STEP_S
         self.unreserved = [each for each in self.unreserved if each[0] >= oldest]
         return Counter(endpoint_id for _, endpoint_id in self.unreserved)
@@ -131,7 +131,7 @@
                     network.finish_one()
                 network.advance()
                 true = Counter(endpoint_id for _, endpoint_id in network.running)
-                untold = network.count_untold()
+                untold = network.count_unreported()
                 for endpoint_id in network.ids:
                     counted = network.count_by_owner(endpoint_id)
                     self.assertGreaterEqual(counted + untold[endpoint_id], true[endpoint_id])
