--- a/tests/components/routing/test_slots.py
+++ b/tests/components/routing/test_slots.py
@@ -95,7 +95,7 @@
         demand = make_demand(affinity)
         self.take(router, self.slots[router].place(request_id, demand, now=self.now))
 
-    def finish_one(self) -> None:
+    def finish_random(self) -> None:
         router, endpoint_id = self.running.pop(self.random.randrange(len(self.running)))
         self.take(router, self.slots[router].finish(endpoint_id, now=self.now))
 
@@ -128,7 +128,7 @@
                     number = len(network.placed) + 1000 * step
                     network.place(f"{number}-{network.random.random()}", f"c{number % 40}")
                 while len(network.running) > 80:
-                    network.finish_one()
+                    network.finish_random()
                 network.advance()
                 true = Counter(endpoint_id for _, endpoint_id in network.running)
                 untold = network.count_unreported()
@@ -147,7 +147,7 @@
             network.place(f"q{number}", f"c{number}")
             network.advance()
         while len(network.running) > 20:
-            network.finish_one()
+            network.finish_random()
         for seconds in (0.3, 4.0, 10.0):
             with self.subTest(seconds=seconds):
                 for _ in range(int(seconds / STEP_S)):
