--- a/tests/components/routing/test_slots.py
+++ b/tests/components/routing/test_slots.py
@@ -109,7 +109,7 @@
         return self.loads[owner].get_estimate(endpoint_id, self.now).in_flight
 
 
-def is_question(effect: Effect) -> bool:
+def is_slot_request(effect: Effect) -> bool:
     return isinstance(effect, SendMessage) and isinstance(effect.message, SlotRequest)
 
 
@@ -194,7 +194,7 @@
         asked = 0
         for number in range(40):
             effects = slots.place(f"q{number}", make_demand(f"c{number}"), now=network.now)
-            asked += any(is_question(effect) for effect in effects)
+            asked += any(is_slot_request(effect) for effect in effects)
             network.take("r0", effects)
             for _ in range(int(SLOT_REQUEST_TIMEOUT_S / STEP_S) + 1):
                 network.advance()
