--- a/chivetrack/components/routing/bounds.py
+++ b/chivetrack/components/routing/bounds.py
@@ -1,4 +1,4 @@
-"""How many requests an endpoint may carry."""
+"""Limits on the number of requests of an endpoint."""
 
 from dataclasses import dataclass
 from math import ceil
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadBound:
-    """The bound for one placement.
+    """The load bound for one placement.
 
-    ``total`` is what all endpoints carry together with the request to be placed,
-    ``capacity`` their summed capacity, ``multiple`` the allowed multiple of the mean.
+    ``total`` is the number of requests at all endpoints, including the one to be placed;
+    ``capacity`` is the summed capacity; ``multiple`` is the allowed multiple of the mean.
     """
 
     multiple: float
@@ -20,23 +20,25 @@
     capacity: float
 
     def get_limit(self, endpoint: EndpointState, *, headroom: float = 1.0) -> float:
-        """Return how many requests the endpoint may carry, the new one included.
+        """Return the most requests that the endpoint may carry, including the new one.
 
-        The mean counts the new request. Where ``multiple`` times the mean is less than
-        the mean rounded up, the latter holds: with three requests on six endpoints
-        some endpoint must carry one, which is twice the mean. Some endpoint is always
-        below that, so the bound never refuses all of them when counts are whole.
+        ``headroom`` is the share of the difference between mean and bound that may be used.
+
+        The mean includes the new request. If ``multiple`` times the mean is less than the
+        mean rounded up, the latter applies: with three requests on six endpoints, some
+        endpoint must carry one request, which is twice the mean. Some endpoint is always
+        below that limit, so the bound never refuses all endpoints if the counts are complete.
         """
-        fair = self.total * max(endpoint.capacity, 1) / self.capacity
-        return max(float(ceil(fair)), (1.0 + (self.multiple - 1.0) * headroom) * fair)
+        fair_share = self.total * max(endpoint.capacity, 1) / self.capacity
+        return max(float(ceil(fair_share)), (1.0 + (self.multiple - 1.0) * headroom) * fair_share)
 
 
 def get_slow_start(endpoint: EndpointState, now: float) -> float:
     """Return the share of its limit that an endpoint may use, by its age.
 
-    A new endpoint has an empty cache, and all chats that it is now the home of would
-    come at once. Those that its share doesn't admit go to the next endpoint in their
-    order, which is the one that served them before.
+    A new endpoint has an empty cache, and all chats for which it is now the home would arrive
+    immediately. Chats above the share go to the next endpoint in their order, which served
+    them before.
     """
     age = now - endpoint.joined_at
     if age >= SLOW_START_S:
--- a/chivetrack/components/routing/hints.py
+++ b/chivetrack/components/routing/hints.py
@@ -1,4 +1,4 @@
-"""Cache hints: which endpoint probably holds a chat's context."""
+"""Cache hints: the endpoints that probably hold the context of a chat."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -20,10 +20,10 @@
 
 
 class CacheHints:
-    """A bounded table of where chats were last stored, newest first.
+    """Bounded table of the endpoints that last stored the context of each chat.
 
-    Hints only reorder the endpoints that fit; a wrong one costs a cache miss. So
-    events may come late, out of order, twice or not at all.
+    Hints only change the order of the endpoints that fit, and a wrong hint costs a cache
+    miss. Cache events may therefore arrive late, out of order, twice or not at all.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         max_age_s: float = HINT_MAX_AGE_S,
         holders: int = HINT_HOLDERS,
     ) -> None:
-        """Keep at most ``capacity`` chats and ``holders`` endpoints of each."""
+        """Initialize a table of at most ``capacity`` chats, with ``holders`` endpoints each."""
         self._capacity = capacity
         self._max_age_s = max_age_s
         self._holders = holders
@@ -46,19 +46,19 @@
         return len(self._hints)
 
     def store(self, key: bytes, endpoint_id: str, incarnation: int, *, stored_at: float) -> None:
-        """Note that an endpoint held a chat's context at a time."""
+        """Record that an endpoint stored the context of a chat at ``stored_at``."""
         self._record_event_time(stored_at)
         if not self._update_incarnation(endpoint_id, incarnation):
             return
         hints = [hint for hint in self._hints.get(key, ()) if self._is_current(hint)]
-        old = next((hint for hint in hints if hint.endpoint_id == endpoint_id), None)
-        if old is not None and old.stored_at >= stored_at:
+        previous = next((hint for hint in hints if hint.endpoint_id == endpoint_id), None)
+        if previous is not None and previous.stored_at >= stored_at:
             return
-        if old is not None:
-            hints.remove(old)
+        if previous is not None:
+            hints.remove(previous)
         hints.append(_Hint(endpoint_id, incarnation, stored_at))
-        # Newest by the engines' time: a late event must not send a chat back to where
-        # it was before its last turn.
+        # Sorted by the time of the engines: a late event must not send a chat back to the
+        # endpoint that it used before its last turn.
         hints.sort(key=lambda hint: hint.stored_at, reverse=True)
         self._hints[key] = tuple(hints[: self._holders])
         self._hints.move_to_end(key)
@@ -66,18 +66,18 @@
             self._hints.popitem(last=False)
 
     def evict(self, key: bytes, endpoint_id: str, incarnation: int, *, evicted_at: float) -> None:
-        """Note that an endpoint dropped a chat's context at a time."""
+        """Record that an endpoint evicted the context of a chat at ``evicted_at``."""
         self._record_event_time(evicted_at)
         self._update_incarnation(endpoint_id, incarnation)
-        kept = tuple(
+        remaining = tuple(
             hint
             for hint in self._hints.get(key, ())
             if hint.endpoint_id != endpoint_id or hint.stored_at > evicted_at
         )
-        self._replace(key, kept)
+        self._replace(key, remaining)
 
     def restart(self, endpoint_id: str, incarnation: int) -> None:
-        """Note that an endpoint runs under a new incarnation, with an empty cache."""
+        """Record that an endpoint runs as a new incarnation, with an empty cache."""
         self._update_incarnation(endpoint_id, incarnation)
 
     def find(self, key: bytes, now: float) -> tuple[str, ...]:
@@ -86,27 +86,30 @@
         if hints is None:
             return ()
         oldest = now - self._max_age_s
-        kept = tuple(hint for hint in hints if hint.stored_at >= oldest and self._is_current(hint))
-        self._replace(key, kept)
-        return tuple(hint.endpoint_id for hint in kept)
+        remaining = tuple(
+            hint for hint in hints if hint.stored_at >= oldest and self._is_current(hint)
+        )
+        self._replace(key, remaining)
+        return tuple(hint.endpoint_id for hint in remaining)
 
     def is_warm(self, now: float) -> bool:
-        """Return whether a chat without a hint probably has no context anywhere.
+        """Return whether a chat without a hint probably has no context at any endpoint.
 
-        Not so for a router that began to listen a short while ago or hears no events.
+        This is false until the router has received events for ``HINTS_WARM_UP_S``, and
+        after ``HINTS_SILENCE_S`` without events.
         """
         if self._first_at is None or now - self._last_at > HINTS_SILENCE_S:
             return False
         return now - self._first_at >= HINTS_WARM_UP_S
 
-    def _record_event_time(self, at: float) -> None:
+    def _record_event_time(self, event_at: float) -> None:
         if self._first_at is None:
-            self._first_at = at
-        self._last_at = max(self._last_at, at)
+            self._first_at = event_at
+        self._last_at = max(self._last_at, event_at)
 
-    def _replace(self, key: bytes, kept: tuple[_Hint, ...]) -> None:
-        if kept:
-            self._hints[key] = kept
+    def _replace(self, key: bytes, remaining: tuple[_Hint, ...]) -> None:
+        if remaining:
+            self._hints[key] = remaining
         else:
             self._hints.pop(key, None)
 
--- a/chivetrack/components/routing/messages.py
+++ b/chivetrack/components/routing/messages.py
@@ -1,4 +1,4 @@
-"""Messages between routers about slots."""
+"""Messages between routers that request and grant slots."""
 
 from chivetrack.components.load.models import LoadCounts
 from chivetrack.helpers.codec import Message, message
@@ -6,10 +6,10 @@
 
 @message("routing.slot-request")
 class SlotRequest(Message, frozen=True, array_like=True):
-    """Ask an owner for a slot on the first of its endpoints that has room.
+    """Request a slot from an owner, on the first of the endpoints that is below its limit.
 
-    ``limits`` go with ``endpoint_ids``. ``counts`` are the asker's own for the endpoints
-    of this owner. Tickets of one router only rise.
+    ``limits`` are in the order of ``endpoint_ids``. ``counts`` are the sender's own counts
+    for the endpoints of this owner. The tickets of one router strictly increase.
     """
 
     ticket: int
@@ -20,7 +20,7 @@
 
 @message("routing.slot-answer")
 class SlotAnswer(Message, frozen=True, array_like=True):
-    """Grant a slot on ``endpoint_id``, or none if it is empty."""
+    """Grant a slot on ``endpoint_id``, or refuse the request if that is empty."""
 
     ticket: int
     endpoint_id: str
--- a/chivetrack/components/routing/models.py
+++ b/chivetrack/components/routing/models.py
@@ -1,4 +1,4 @@
-"""What routing is asked and what it answers."""
+"""Requests to the routing component and its results."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Demand:
-    """What a request needs of an endpoint.
+    """Requirements of a request on its endpoint.
 
-    ``affinity`` names the chat (or the dossier that several chats share): equal
-    values want the same endpoint. ``load_bound`` is the multiple of the mean load
-    per unit of capacity that no endpoint may exceed. ``excluded`` are endpoints
-    that were already tried for this request.
+    ``affinity`` identifies the chat (or the dossier that several chats share); requests of
+    equal affinity prefer the same endpoint. ``load_bound`` is the multiple of the mean load
+    per unit of capacity that no endpoint may exceed. ``excluded`` holds the endpoints that
+    were already attempted for this request.
     """
 
     affinity: str
@@ -34,7 +34,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Candidate:
-    """One endpoint that was looked at, for the explanation of a placement."""
+    """An endpoint that was considered, for the explanation of a placement.
+
+    ``age_s`` is the age of the load in ``in_flight``.
+    """
 
     endpoint_id: str
     in_flight: float
@@ -45,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Placement:
-    """The chosen endpoint, and why.
+    """The chosen endpoint and the reason for the choice.
 
-    ``endpoint`` is ``None`` when no endpoint fits; ``reason`` then says what was
-    missing and ``retry_after_s`` when to come back.
+    ``endpoint`` is ``None`` when no endpoint fits; ``reason`` then names what was missing,
+    and ``retry_after_s`` is the time after which the caller should retry.
     """
 
     endpoint: EndpointState | None
@@ -58,15 +61,15 @@
 
 
 class EndpointView(Protocol):
-    """The list of endpoints as routing reads it.
+    """The list of endpoints, as routing reads it.
 
-    ``version`` changes whenever the list does, so that routing may keep what it
-    computed from it.
+    ``version`` changes whenever the list does, so that routing can cache results computed
+    from the list.
     """
 
     @property
     def version(self) -> int:
-        """Return a number that changes with the list."""
+        """Return the version of the list."""
         ...
 
     def list_endpoints(self, service: str) -> Sequence[EndpointState]:
--- a/chivetrack/components/routing/order.py
+++ b/chivetrack/components/routing/order.py
@@ -1,11 +1,12 @@
-"""The order in which a chat prefers the endpoints of a pool.
+"""Order in which a chat prefers the endpoints of a pool.
 
 Weighted rendezvous hashing in two levels: endpoints are hashed into a fixed number of
-groups, a chat ranks the groups by their summed capacity and, within a group, its
-endpoints by theirs. Homes are as even as with plain rendezvous hashing, and a chat costs
-one hash per group and per member rather than one per endpoint of the region. With few
-endpoints nearly every group has one member and the order is that of plain rendezvous.
-The price is that a join or leave moves up to twice the least possible number of chats.
+groups; a chat ranks the groups by their summed capacity and the endpoints of a group by
+their own. Homes are distributed as evenly as with plain rendezvous hashing, and a chat
+costs one hash per group and per member of a group instead of one per endpoint of the
+region. With few endpoints nearly every group has one member, and the order is that of
+plain rendezvous hashing. The drawback is that a join or leave moves up to twice the least
+possible number of chats.
 """
 
 import heapq
@@ -43,12 +44,12 @@
 
 
 def hash_affinity(affinity: str) -> bytes:
-    """Return the key by which a chat ranks groups and endpoints."""
+    """Return the 8-byte key by which a chat ranks groups and endpoints."""
     return xxh3_64_intdigest(affinity.encode()).to_bytes(8, "little")
 
 
 def find_group(endpoint_id: str) -> int:
-    """Return the number of the group an endpoint is in."""
+    """Return the number of the group of an endpoint."""
     return xxh3_64_intdigest(endpoint_id.encode()) % GROUP_COUNT
 
 
@@ -56,7 +57,7 @@
     """Ranks a fixed set of endpoints for any chat."""
 
     def __init__(self, *, endpoints: Iterable[EndpointState]) -> None:
-        """Group the endpoints; takes about a microsecond each."""
+        """Group the endpoints, in about a microsecond per endpoint."""
         members: dict[int, list[_Member]] = {}
         for endpoint in endpoints:
             seed = xxh3_64_intdigest(endpoint.endpoint_id.encode())
@@ -68,7 +69,10 @@
         )
 
     def iterate(self, key: bytes) -> Iterator[EndpointState]:
-        """Yield all endpoints, most preferred first; the first ones are cheap."""
+        """Yield all endpoints, most preferred first.
+
+        Only the groups that are reached are ranked, so the first endpoints are cheap.
+        """
         for group in _rank(self._groups, key):
             for member in _rank(group.members, key):
                 yield member.endpoint
@@ -85,10 +89,10 @@
 
 
 def _score(key: bytes, seed: int, weight: float) -> float:
-    """Return an exponential variate of rate ``weight``; the least one wins.
+    """Return an exponential variate of rate ``weight``; the item of the least one ranks first.
 
-    The least of independent exponential variates is each one with a chance in
-    proportion to its rate, which makes homes follow the weights.
+    Each of several independent exponential variates is the least with a probability in
+    proportion to its rate, so the homes are distributed by weight.
     """
     fraction = ((xxh3_64_intdigest(key, seed) >> _DROPPED_BITS) + _HALF_STEP) * _SCALE
     return -log(fraction) / weight
--- a/chivetrack/components/routing/owners.py
+++ b/chivetrack/components/routing/owners.py
@@ -1,4 +1,4 @@
-"""Which router grants the slots of an endpoint."""
+"""Assignment of endpoints to the routers that grant their slots."""
 
 from collections.abc import Collection
 
@@ -8,20 +8,20 @@
 
 
 class OwnerMap:
-    """Owners by rendezvous hashing of the endpoints' groups over the routers."""
+    """Assigns an owner to each group of endpoints by rendezvous hashing over the routers."""
 
     def __init__(self, *, router_ids: Collection[str]) -> None:
-        """Take over the routers that membership knows of, this one included."""
+        """Initialize the map with all routers known to membership, including this one."""
         self._router_ids = sorted(router_ids)
         self._owners: dict[int, str] = {}
 
     def set_routers(self, router_ids: Collection[str]) -> None:
-        """Change the routers; only groups of routers that are gone or new move."""
+        """Replace the routers; only groups of added or removed routers change their owner."""
         self._router_ids = sorted(router_ids)
         self._owners.clear()
 
     def find_owner(self, endpoint_id: str) -> str:
-        """Return the router that owns an endpoint."""
+        """Return the id of the router that owns an endpoint."""
         group = find_group(endpoint_id)
         owner = self._owners.get(group)
         if owner is None:
--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -1,4 +1,4 @@
-"""The placer: which endpoint a request goes to, and why."""
+"""Choice of the endpoint for a request, with an explanation."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -23,7 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSample:
-    """A look at one endpoint: the load known here and how much it may carry."""
+    """Load and limit of one endpoint, as known to this router.
+
+    Both are numbers of requests.
+    """
 
     endpoint: EndpointState
     load: float
@@ -31,10 +34,10 @@
 
 
 class Placer:
-    """Places requests of one router on endpoints.
+    """Places the requests of one router on endpoints.
 
-    Routers with equal views, loads and hints place a chat alike: the choice goes down
-    the chat's own order and takes the first endpoint below its bound.
+    The first endpoint below its bound is chosen, in the order of preference of the chat.
+    Routers with equal views, loads and hints therefore make the same choice.
     """
 
     def __init__(
@@ -45,14 +48,14 @@
         random: Random,
         hints: CacheHints | None = None,
     ) -> None:
-        """Place on the endpoints of ``view`` by the loads in ``load``."""
+        """Initialize the placer for the endpoints of ``view`` and the loads in ``load``."""
         self._pools = PoolCache(view=view)
         self._load = load
         self._random = random
         self._hints = hints if hints is not None else CacheHints()
 
     def place(self, demand: Demand, *, now: float) -> Placement:
-        """Choose an endpoint; the caller then counts the request in the load book."""
+        """Choose an endpoint; the caller then counts the request in the load tracker."""
         self._load.expire(now)
         pool = self._pools.find(demand)
         tier = self._choose_tier(pool, demand)
@@ -63,9 +66,9 @@
         return self._choose(tier, pool, samples, now)
 
     def sample_endpoints(self, demand: Demand, *, now: float, count: int) -> list[LoadSample]:
-        """Return the first endpoints in the order in which they would be tried.
+        """Return samples of the first ``count`` endpoints in the order of preference.
 
-        Their limits take slow start into account. Empty when no endpoint fits.
+        Their limits take slow start into account. The list is empty if no endpoint fits.
         """
         self._load.expire(now)
         pool = self._pools.find(demand)
@@ -85,7 +88,7 @@
         return sum([estimates.get(endpoint_id, 0.0) for endpoint_id in tier.ids])
 
     def _choose_tier(self, pool: Pool, demand: Demand) -> Tier | None:
-        """Return the nearest tier with free capacity, or else the least loaded."""
+        """Return the nearest tier with free capacity, or the least loaded tier."""
         excluded = demand.excluded
         usable = [tier for tier in pool.tiers if not excluded.issuperset(tier.ids)]
         if len(usable) <= 1:
@@ -99,7 +102,7 @@
     def _iterate_samples(
         self, tier: Tier, demand: Demand, key: bytes, now: float
     ) -> Iterator[LoadSample]:
-        """Yield the endpoints in the chat's order, a hinted one first."""
+        """Yield samples in the order of preference of the chat, hinted endpoints first."""
         bound = LoadBound(
             multiple=demand.load_bound, total=self._sum_load(tier) + 1.0, capacity=tier.capacity
         )
@@ -130,26 +133,30 @@
     def _choose(
         self, tier: Tier, pool: Pool, samples: Iterator[LoadSample], now: float
     ) -> Placement:
-        seen: list[LoadSample] = []
+        examined: list[LoadSample] = []
         for sample in samples:
-            seen.append(sample)
+            examined.append(sample)
             share = get_slow_start(sample.endpoint, now)
             if sample.load + 1.0 <= max(1.0, sample.limit * share):
                 return self._build_placement(
-                    sample, seen, _explain(pool, tier, _describe_rank(seen)), now
+                    sample, examined, _explain(pool, tier, _describe_rank(examined)), now
                 )
-        below = [sample for sample in seen if sample.load + 1.0 <= sample.limit]
-        if below:
+        below_bound = [sample for sample in examined if sample.load + 1.0 <= sample.limit]
+        if below_bound:
             reason = "only endpoints in slow start are below their bound"
-            return self._build_placement(below[0], seen, _explain(pool, tier, reason), now)
-        least = min(seen, key=lambda sample: sample.load / max(sample.endpoint.capacity, 1))
-        reason = f"all {len(seen)} endpoints are at their bound, took the least loaded"
-        return self._build_placement(least, seen, _explain(pool, tier, reason), now)
+            return self._build_placement(
+                below_bound[0], examined, _explain(pool, tier, reason), now
+            )
+        least_loaded = min(
+            examined, key=lambda sample: sample.load / max(sample.endpoint.capacity, 1)
+        )
+        reason = f"all {len(examined)} endpoints are at their bound, took the least loaded"
+        return self._build_placement(least_loaded, examined, _explain(pool, tier, reason), now)
 
     def _build_placement(
-        self, chosen: LoadSample, seen: list[LoadSample], reason: str, now: float
+        self, chosen: LoadSample, examined: list[LoadSample], reason: str, now: float
     ) -> Placement:
-        shown = seen[:MAX_CANDIDATES]
+        shown = examined[:MAX_CANDIDATES]
         if chosen not in shown:
             shown[-1] = chosen
         candidates = tuple(self._build_candidate(sample, chosen, now) for sample in shown)
@@ -177,10 +184,10 @@
     return "at its bound" if sample.load + 1.0 > sample.limit else "in slow start"
 
 
-def _describe_rank(seen: list[LoadSample]) -> str:
-    if len(seen) == 1:
+def _describe_rank(examined: list[LoadSample]) -> str:
+    if len(examined) == 1:
         return "first choice"
-    return f"choice {len(seen)}, those before are at their bound or in slow start"
+    return f"choice {len(examined)}, those before are at their bound or in slow start"
 
 
 def _explain(pool: Pool, tier: Tier, reason: str) -> str:
--- a/chivetrack/components/routing/pool.py
+++ b/chivetrack/components/routing/pool.py
@@ -1,4 +1,4 @@
-"""The endpoints that fit a demand, kept until the view changes."""
+"""Pools of the endpoints that fit a demand, cached until the view changes."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
     """Endpoints of equal preference: one zone, one region, or the rest."""
 
     def __init__(self, *, name: str, endpoints: Sequence[EndpointState]) -> None:
-        """Rank the endpoints and index them by id."""
+        """Initialize the tier with an order and an index of its endpoints."""
         self.name = name
         self.endpoints = tuple(endpoints)
         self.ids = tuple(endpoint.endpoint_id for endpoint in endpoints)
@@ -28,8 +28,8 @@
 class Pool:
     """Tiers of fitting endpoints, nearest first.
 
-    ``missing`` says what did not fit when there is no tier. ``degraded`` says that no
-    endpoint is ready and the tiers hold those that are broken or held back.
+    ``missing`` describes what did not fit if there is no tier. ``degraded``: no endpoint is
+    ready, and the tiers hold the endpoints that are broken or held back.
     """
 
     tiers: tuple[Tier, ...]
@@ -49,16 +49,16 @@
 
 
 class PoolCache:
-    """Pools by what a demand asks, rebuilt when the view's version changes."""
+    """Caches pools by the requirements of a demand, for one version of the view."""
 
     def __init__(self, *, view: EndpointView) -> None:
-        """Read endpoints from a view."""
+        """Initialize an empty cache that reads endpoints from ``view``."""
         self._view = view
         self._version: int | None = None
         self._pools: dict[_PoolKey, Pool] = {}
 
     def find(self, demand: Demand) -> Pool:
-        """Return the pool for a demand; ``excluded`` is not looked at."""
+        """Return the pool for a demand; ``excluded`` is ignored."""
         if self._view.version != self._version or len(self._pools) >= MAX_POOLS:
             self._version = self._view.version
             self._pools.clear()
@@ -78,19 +78,19 @@
 
 
 def build_pool(endpoints: Sequence[EndpointState], demand: Demand) -> Pool:
-    """Sort out the endpoints that fit a demand."""
+    """Build the pool of the endpoints that fit a demand."""
     fitting = [endpoint for endpoint in endpoints if not find_misfit(endpoint, demand)]
     ready = [e for e in fitting if e.availability is Availability.READY]
     if ready:
-        return Pool(tiers=_split(ready, demand))
+        return Pool(tiers=_build_tiers(ready, demand))
     least_bad = [e for e in fitting if e.availability in _LEAST_BAD]
     if least_bad:
-        return Pool(tiers=_split(least_bad, demand), degraded=True)
+        return Pool(tiers=_build_tiers(least_bad, demand), degraded=True)
     return Pool(tiers=(), missing=_describe_missing(endpoints, fitting, demand))
 
 
 def find_misfit(endpoint: EndpointState, demand: Demand) -> str:
-    """Return what an endpoint lacks for a demand, or an empty string."""
+    """Return the name of the first requirement that an endpoint misses, or an empty string."""
     if endpoint.service != demand.service:
         return "service"
     if demand.model and demand.model not in endpoint.models:
@@ -104,16 +104,16 @@
     return ""
 
 
-def _split(endpoints: list[EndpointState], demand: Demand) -> tuple[Tier, ...]:
+def _build_tiers(endpoints: list[EndpointState], demand: Demand) -> tuple[Tier, ...]:
     rest = endpoints
     tiers = []
-    for name, wanted in (("zone", demand.zone), ("region", demand.region)):
-        if not wanted:
+    for name, preferred in (("zone", demand.zone), ("region", demand.region)):
+        if not preferred:
             continue
-        near = [endpoint for endpoint in rest if getattr(endpoint, name) == wanted]
+        near = [endpoint for endpoint in rest if getattr(endpoint, name) == preferred]
         if near:
-            tiers.append(Tier(name=f"{name} {wanted}", endpoints=near))
-            rest = [endpoint for endpoint in rest if getattr(endpoint, name) != wanted]
+            tiers.append(Tier(name=f"{name} {preferred}", endpoints=near))
+            rest = [endpoint for endpoint in rest if getattr(endpoint, name) != preferred]
     if rest:
         tiers.append(Tier(name="anywhere", endpoints=rest))
     return tuple(tiers)
@@ -126,5 +126,5 @@
         return f"no endpoint of service {demand.service!r} is known"
     if fitting:
         return f"all {len(fitting)} fitting endpoints are leaving"
-    lacks = sorted({find_misfit(endpoint, demand) for endpoint in endpoints})
-    return f"none of {len(endpoints)} endpoints has the wanted {', '.join(lacks)}"
+    misfits = sorted({find_misfit(endpoint, demand) for endpoint in endpoints})
+    return f"none of {len(endpoints)} endpoints has the wanted {', '.join(misfits)}"
--- a/chivetrack/components/routing/report_schedule.py
+++ b/chivetrack/components/routing/report_schedule.py
@@ -1,4 +1,4 @@
-"""What the owners of endpoints have yet to hear of this router's requests."""
+"""Schedule of the reports of this router's counts to the owners of endpoints."""
 
 from chivetrack.components.routing.const import (
     FINISH_REPORT_DELAY_S,
@@ -8,37 +8,40 @@
 
 
 class ReportSchedule:
-    """By owner: which endpoints it should hear of, and when."""
+    """Holds the time at which the next report to each owner is due."""
 
     def __init__(self) -> None:
-        """Start with no news."""
-        self._due: dict[str, float] = {}
+        """Initialize the schedule without due reports."""
+        self._due_at: dict[str, float] = {}
 
     def schedule_start_report(self, owner: str, now: float) -> None:
-        """Want to tell of a start."""
-        self._note(owner, now + START_REPORT_DELAY_S)
+        """Schedule the report of a started request."""
+        self._schedule(owner, now + START_REPORT_DELAY_S)
 
     def schedule_immediate_report(self, owner: str, now: float) -> None:
-        """Want to tell at once."""
-        self._note(owner, now)
+        """Schedule a report that is due immediately."""
+        self._schedule(owner, now)
 
     def schedule_finish_report(self, owner: str, now: float) -> None:
-        """Want to tell of a finish."""
-        self._note(owner, now + FINISH_REPORT_DELAY_S)
+        """Schedule the report of a finished request."""
+        self._schedule(owner, now + FINISH_REPORT_DELAY_S)
 
     def record_sent(self, owner: str, now: float, *, has_counts: bool) -> None:
-        """Strike out what was told; what is not zero is told again before long."""
-        self._due.pop(owner, None)
+        """Clear the due report after it was sent.
+
+        Counts that are not zero (``has_counts``) are due again after ``OWNER_HEARTBEAT_S``.
+        """
+        self._due_at.pop(owner, None)
         if has_counts:
-            self._due[owner] = now + OWNER_HEARTBEAT_S
+            self._due_at[owner] = now + OWNER_HEARTBEAT_S
 
     def find_next_due(self) -> float | None:
-        """Return when the next owner should hear."""
-        return min(self._due.values(), default=None)
+        """Return the time of the next report, or ``None`` if none is scheduled."""
+        return min(self._due_at.values(), default=None)
 
     def list_due(self, now: float) -> list[str]:
-        """Return the owners that should hear now."""
-        return [owner for owner, due in self._due.items() if due <= now]
+        """Return the owners to which a report is due."""
+        return [owner for owner, due_at in self._due_at.items() if due_at <= now]
 
-    def _note(self, owner: str, due: float) -> None:
-        self._due[owner] = min(due, self._due.get(owner, due))
+    def _schedule(self, owner: str, due_at: float) -> None:
+        self._due_at[owner] = min(due_at, self._due_at.get(owner, due_at))
--- a/tests/components/routing/fakes.py
+++ b/tests/components/routing/fakes.py
@@ -1,4 +1,4 @@
-"""A table of endpoints in place of the endpoints component."""
+"""Fake endpoint view and factories for the routing tests."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any
--- a/tests/components/routing/test_hints.py
+++ b/tests/components/routing/test_hints.py
@@ -1,4 +1,4 @@
-"""Cache hints from events that come late, twice, out of order or not at all."""
+"""Tests for cache hints from events that are late, duplicated, reordered or lost."""
 
 import unittest
 
@@ -9,11 +9,11 @@
 
 
 class CacheHintsTest(unittest.TestCase):
-    def test_fault_table(self) -> None:
-        """A chat was served on engine a, then spilled to b; events arrive as they like.
+    def test_faulty_event_sequences(self) -> None:
+        """A chat is served by engine a and then by b; events arrive in any order.
 
-        A hint that follows an old event sends the chat to an engine without its last
-        turn, so the newest by the engine's time wins, and a restart empties a cache.
+        A hint from an old event would send the chat to an engine without its last turn. The
+        newest event by the time of the engines must win, and a restart must clear a cache.
         """
         store_a = ("store", "a", 1, 10.0)
         store_b = ("store", "b", 1, 20.0)
@@ -27,7 +27,7 @@
             "eviction elsewhere": ([store_b, ("evict", "a", 1, 30.0)], ("b",)),
             "restart": ([store_b, ("restart", "b", 2, 0.0)], ()),
             "event from before the restart": ([("restart", "b", 2, 0.0), store_b], ()),
-            "late event from before a restart spoils no good hint": (
+            "late event from before a restart keeps a valid hint": (
                 [store_a, ("restart", "b", 2, 0.0), store_b],
                 ("a",),
             ),
@@ -52,7 +52,7 @@
                         hints.restart(endpoint_id, incarnation)
                 self.assertEqual(hints.find(KEY, 30.0), expected)
 
-    def test_hints_age_and_are_bounded(self) -> None:
+    def test_hints_expire_and_are_bounded(self) -> None:
         hints = CacheHints(capacity=3, max_age_s=60.0)
         for number in range(10):
             hints.store(bytes([number]), "a", 1, stored_at=float(number))
@@ -69,10 +69,10 @@
         hints.store(KEY, "d", 1, stored_at=4.0)
         self.assertEqual(hints.find(KEY, 5.0), ("c", "b"))
 
-    def test_warm_only_after_listening_and_while_events_come(self) -> None:
-        """A router restarts, or the event stream breaks: it knows of no chat's context.
+    def test_warm_only_after_warm_up_and_while_events_arrive(self) -> None:
+        """A router restarts or loses the event stream, and has no hints for any chat.
 
-        Treating every chat as cold would spill chats away from homes that hold them.
+        Treating every chat as cold would send chats away from the homes with their context.
         """
         hints = CacheHints()
         self.assertFalse(hints.is_warm(0.0))
--- a/tests/components/routing/test_placer.py
+++ b/tests/components/routing/test_placer.py
@@ -1,4 +1,4 @@
-"""Placement: fit, bound, order, determinism, explanation."""
+"""Tests for placement: requirements, bounds, order, determinism and explanation."""
 
 import unittest
 from collections import Counter
@@ -28,7 +28,7 @@
         placement = self.placer.place(make_demand(affinity, **changes), now=now)
         return placement.endpoint.endpoint_id if placement.endpoint else None
 
-    def test_only_what_fits_is_chosen(self) -> None:
+    def test_only_fitting_endpoints_are_chosen(self) -> None:
         fit = make_endpoint("fit", models=("m", "n"), adapters=("a",), version="2", role="decode")
         wanted = {"model": "m", "adapter": "a", "version": "2", "role": "decode"}
         misfits = {
@@ -68,11 +68,11 @@
         self.view.replace([*make_endpoints(3), leaving])
         self.assertNotEqual(self.place(), "engine-3")
 
-    def test_when_all_are_bad_the_least_bad_serves_and_the_reason_says_so(self) -> None:
-        """Every endpoint's circuit is open, say by a bad probe.
+    def test_broken_endpoint_is_chosen_when_none_is_ready(self) -> None:
+        """The circuit of every endpoint is open, for example because of a faulty probe.
 
-        Refusing everything would turn a bad probe into an outage, so a broken endpoint
-        is used; a leaving one never is, since it was promised no new work.
+        Refusing all requests would turn a faulty probe into an outage, so a broken endpoint
+        is chosen. A leaving endpoint is never chosen, since it must get no new requests.
         """
         broken = make_endpoint("broken", availability=Availability.BROKEN)
         leaving = make_endpoint("leaving", availability=Availability.LEAVING)
@@ -81,11 +81,11 @@
         self.assertEqual(placement.endpoint, broken)
         self.assertIn("no endpoint is ready", placement.reason)
 
-    def test_no_dispatch_above_the_bound_of_known_counts(self) -> None:
-        """One large workspace sends everything with one affinity.
+    def test_load_stays_within_the_bound(self) -> None:
+        """One large workspace sends all its requests with the same affinity.
 
-        Plain hashing would put all of it on one engine. Each placement must keep that
-        engine at or below 1.25 of the mean, or the mean rounded up when that is more.
+        Plain hashing would place them all on one engine. Each placement must keep that
+        engine at or below 1.25 times the mean, or the mean rounded up if that is more.
         """
         for total in range(1, 200):
             chosen = self.place("same-dossier")
@@ -103,11 +103,12 @@
         self.assertLessEqual(self.load.count_own("small"), 1.25 * 50)
         self.assertLessEqual(self.load.count_own("large"), 1.25 * 150)
 
-    def test_new_endpoint_starts_slowly_and_refused_chats_keep_their_old_home(self) -> None:
+    def test_new_endpoint_starts_slowly_and_other_chats_keep_their_home(self) -> None:
         """An engine joins with an empty cache and is the home of a sixth of all chats.
 
-        Sent there all at once they would find nothing cached and queue. While its share
-        is small, the others go where they went before.
+        If all these chats were sent there immediately, they would find an empty cache and
+        queue. While the share of the new engine is small, the other chats stay at their
+        previous home.
         """
         old = make_endpoints(5)
         self.view.replace(old)
@@ -125,10 +126,10 @@
         self.assertEqual({self.place(chat, now=31.0) for chat in moved}, {"new"})
 
     def test_cold_chats_leave_room_for_those_with_context(self) -> None:
-        """All chats of one home arrive, some with context there and some without.
+        """Chats with context at their home and chats without arrive at the same time.
 
-        A cold chat loses nothing elsewhere; one with context pays for a whole prompt.
-        So the room between the mean and the bound is kept for the latter.
+        At another endpoint a cold chat loses nothing, but a chat with context has its whole
+        prompt read again. The headroom between mean and bound is kept for the latter.
         """
         home = self.place("warm")
         for endpoint in make_endpoints(6):
@@ -142,7 +143,7 @@
         self.assertEqual(self.place("warm", now=HINTS_WARM_UP_S), home)
         self.assertNotEqual(self.place(cold, now=HINTS_WARM_UP_S), home)
 
-    def test_near_endpoints_come_first_and_spill_when_they_are_full(self) -> None:
+    def test_near_endpoints_are_preferred_until_they_are_full(self) -> None:
         near = make_endpoint("near", capacity=2)
         far = make_endpoint("far", zone="kumamoto-hall", capacity=2)
         self.view.replace([near, far])
@@ -170,10 +171,10 @@
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(data=st.data())
     def test_bound_fit_and_determinism(self, data: st.DataObject) -> None:
-        """Whatever the loads and states, the choice fits and is under the bound.
+        """For any loads and states, the chosen endpoint fits and is below its bound.
 
-        Two routers that list the endpoints in different orders, with the same counts,
-        must agree, or a chat's context is found only by the router that placed it.
+        Two routers that list the endpoints in different orders, with the same counts, must
+        make the same choice. Otherwise only the router that placed a chat finds its context.
         """
         states = st.sampled_from([Availability.READY, Availability.READY, *Availability])
         endpoints = [
--- a/tests/components/routing/test_slots.py
+++ b/tests/components/routing/test_slots.py
@@ -1,4 +1,4 @@
-"""Slots granted by owners, over a network that delays, doubles, reorders and loses."""
+"""Tests for slots granted by owners over a network with delays, duplicates and losses."""
 
 import unittest
 from collections import Counter
@@ -17,7 +17,7 @@
 
 
 class FakeNetwork:
-    """Slot placers of several routers and the messages between them."""
+    """Simulates the slot placers of several routers and the messages between them."""
 
     def __init__(self, *, routers: int, endpoints: int, seed: int, loss: float = 0.0) -> None:
         self.random = Random(seed)
@@ -114,12 +114,12 @@
 
 
 class SlotsTest(unittest.TestCase):
-    def test_owner_never_counts_fewer_than_run(self) -> None:
-        """Twelve routers place at the same time, messages are doubled and reordered.
+    def test_owner_never_counts_fewer_than_are_running(self) -> None:
+        """Twelve routers place at the same time; messages are duplicated and reordered.
 
-        If the owner forgot a slot between its grant and the asker's next counts, it
-        would grant it twice and overfill the engine. A request that all owners refused
-        is placed without a slot, and its owner knows of it as soon as a message can tell.
+        If an owner dropped a slot between its grant and the next counts of the requesting
+        router, it would grant the slot twice and overfill the engine. A request that all
+        owners refused is placed without a slot; its owner must count it after one message.
         """
         for seed in range(6):
             network = FakeNetwork(routers=12, endpoints=8, seed=seed)
@@ -130,17 +130,17 @@
                 while len(network.running) > 80:
                     network.finish_random()
                 network.advance()
-                true = Counter(endpoint_id for _, endpoint_id in network.running)
-                untold = network.count_unreported()
+                running = Counter(endpoint_id for _, endpoint_id in network.running)
+                unreported = network.count_unreported()
                 for endpoint_id in network.ids:
                     counted = network.count_by_owner(endpoint_id)
-                    self.assertGreaterEqual(counted + untold[endpoint_id], true[endpoint_id])
+                    self.assertGreaterEqual(counted + unreported[endpoint_id], running[endpoint_id])
 
-    def test_counts_settle_to_the_truth(self) -> None:
-        """Long reports run on while a router sends nothing new, and others end.
+    def test_counts_converge_to_the_running_requests(self) -> None:
+        """Long requests go on while a router places nothing new, and other requests end.
 
-        An owner that forgot the running ones would overfill the engine; one that kept
-        those that ended would turn callers away from a free engine.
+        An owner that dropped the running requests would overfill the engine; an owner that
+        kept the finished ones would refuse slots on an idle engine.
         """
         network = FakeNetwork(routers=5, endpoints=6, seed=2)
         for number in range(120):
@@ -152,15 +152,15 @@
             with self.subTest(seconds=seconds):
                 for _ in range(int(seconds / STEP_S)):
                     network.advance()
-                true = Counter(endpoint_id for _, endpoint_id in network.running)
+                running = Counter(endpoint_id for _, endpoint_id in network.running)
                 counted = {name: network.count_by_owner(name) for name in network.ids}
-                self.assertEqual(counted, {name: true[name] for name in network.ids})
+                self.assertEqual(counted, {name: running[name] for name in network.ids})
 
-    def test_shared_dossier_is_spread_by_slots_once_its_choices_are_full(self) -> None:
-        """All adjusters of a storm open the same dossier through all routers at once.
+    def test_shared_dossier_is_distributed_when_its_first_choices_are_full(self) -> None:
+        """Requests for the same dossier arrive at all routers at the same time.
 
-        Its first choices fill up. Choosing further ones by estimates would make every
-        router fill the same next endpoint at the same time.
+        The first choices of the dossier fill up. If further endpoints were chosen by
+        estimates, every router would fill the same next endpoint at the same time.
         """
         network = FakeNetwork(routers=8, endpoints=16, seed=7)
         for number in range(160):
@@ -181,49 +181,48 @@
             network.advance()
         self.assertEqual(len(network.placed), 200)
 
-    def test_unreachable_owner_is_done_without_and_not_asked_again_at_once(self) -> None:
-        """The router that owns a chat's engine is cut off and answers nothing.
+    def test_unreachable_owner_is_avoided(self) -> None:
+        """The routers that own the engines are unreachable and never answer.
 
-        The caller must wait for the timeout once, not for each request, and be placed
-        by estimates, as it would be without owners.
+        Requests must be placed by estimates, and only a few of them may wait for the timeout.
         """
         network = FakeNetwork(routers=5, endpoints=6, seed=4)
         owners = {network.slots["r0"]._owners.find_owner(name) for name in network.ids}
         network.cut = owners - {"r0"}
         slots = network.slots["r0"]
-        asked = 0
+        requested = 0
         for number in range(40):
             effects = slots.place(f"q{number}", make_demand(f"c{number}"), now=network.now)
-            asked += any(is_slot_request(effect) for effect in effects)
+            requested += any(is_slot_request(effect) for effect in effects)
             network.take("r0", effects)
             for _ in range(int(SLOT_REQUEST_TIMEOUT_S / STEP_S) + 1):
                 network.advance()
             self.assertIn(f"q{number}", network.placed)
-        self.assertLess(asked, 10)
+        self.assertLess(requested, 10)
 
-    def test_full_endpoint_is_refused_and_the_next_one_asked(self) -> None:
+    def test_slot_is_requested_from_the_next_endpoint_after_a_refusal(self) -> None:
         network = FakeNetwork(routers=5, endpoints=6, seed=5)
         for number in range(30):
             network.place(f"q{number}", "same dossier")
             for _ in range(20):
                 network.advance()
-        true = Counter(endpoint_id for _, endpoint_id in network.running)
-        self.assertGreater(len(true), 4)
-        self.assertLessEqual(max(true.values()), 7)
+        running = Counter(endpoint_id for _, endpoint_id in network.running)
+        self.assertGreater(len(running), 4)
+        self.assertLessEqual(max(running.values()), 7)
         reasons = {placed.placement.reason for placed in network.placed.values()}
         self.assertIn("slot granted, choice 2", reasons)
 
-    def test_question_that_comes_twice_reserves_once(self) -> None:
+    def test_duplicate_slot_request_reserves_once(self) -> None:
         network = FakeNetwork(routers=2, endpoints=1, seed=6)
         owner = network.slots["r0"]._owners.find_owner("engine-0")
-        asker = "r1" if owner == "r0" else "r0"
-        question = SlotRequest(
+        requester = "r1" if owner == "r0" else "r0"
+        slot_request = SlotRequest(
             ticket=7,
             endpoint_ids=["engine-0"],
             limits=[5.0],
-            counts=network.loads[asker].collect_counts(0.0, scope=[], settled=6),
+            counts=network.loads[requester].collect_counts(0.0, scope=[], settled=6),
         )
-        event = MessageReceived(source=asker, message=question)
+        event = MessageReceived(source=requester, message=slot_request)
         answers = [network.slots[owner].handle(event, now=0.0) for _ in range(3)]
         self.assertEqual(answers[0], answers[1])
         self.assertEqual(answers[0], answers[2])
