--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -15,7 +15,7 @@
 from chivetrack.components.model_placement import const
 from chivetrack.components.model_placement.desired import read_wanted
 from chivetrack.components.model_placement.memory import TermMemory
-from chivetrack.components.model_placement.models import EngineView, ItemPlan, Wanted
+from chivetrack.components.model_placement.models import DesiredItem, EngineView, ItemPlan
 from chivetrack.components.model_placement.report import write_report
 from chivetrack.components.model_placement.rollout import Rollout
 from chivetrack.components.orders.models import (
@@ -64,7 +64,7 @@
         self._memory: TermMemory | None = None
         self._goals: dict[tuple[str, int], EngineGoal] = {}
 
-    def read_desired(self) -> tuple[Wanted, ...]:
+    def read_desired(self) -> tuple[DesiredItem, ...]:
         """Return models and adapters, those that are being deleted too."""
         return read_wanted(self._table)
 
@@ -89,7 +89,7 @@
         ]
 
     def reconcile(
-        self, desired: tuple[Wanted, ...], observed: PlacementObservation, *, now: float
+        self, desired: tuple[DesiredItem, ...], observed: PlacementObservation, *, now: float
     ) -> Plan:
         """Set the goals and return the statuses and finalizers that should change."""
         if self._term != self._lease.fencing:
@@ -132,7 +132,7 @@
         )
 
     def _plan(
-        self, wanted: Wanted, assignments: "_Assignments", memory: TermMemory, now: float
+        self, wanted: DesiredItem, assignments: "_Assignments", memory: TermMemory, now: float
     ) -> ItemPlan:
         engines = assignments.list_candidates(wanted)
         memory.note_copies(wanted, engines, now=now)
@@ -154,7 +154,7 @@
 class _Assignments:
     """Collects the goals of one comparison and watches the engines' memory."""
 
-    def __init__(self, *, desired: Sequence[Wanted], engines: Sequence[EngineView]) -> None:
+    def __init__(self, *, desired: Sequence[DesiredItem], engines: Sequence[EngineView]) -> None:
         self._engines = engines
         self._managed = frozenset(
             wanted.artifact.get_name()
@@ -168,14 +168,14 @@
             engine.endpoint_id: _list_models(engine) for engine in engines
         }
 
-    def list_candidates(self, wanted: Wanted) -> list[EngineView]:
+    def list_candidates(self, wanted: DesiredItem) -> list[EngineView]:
         """Return the engines of the service; for an adapter those that serve its model."""
         listed = [engine for engine in self._engines if engine.service == wanted.service]
         if wanted.artifact.kind is ArtifactKind.MODEL:
             return listed
         return [engine for engine in listed if self._serves(engine, wanted.artifact.model)]
 
-    def has_room(self, engine: EngineView, wanted: Wanted) -> bool:
+    def has_room(self, engine: EngineView, wanted: DesiredItem) -> bool:
         """Tell whether the engine can hold one more; without known sizes, one model."""
         if wanted.artifact.kind is ArtifactKind.ADAPTER:
             return True
@@ -186,7 +186,7 @@
             return engine.state is not None and not others
         return sum(sizes) <= limit
 
-    def assign(self, wanted: Wanted, goals: dict[str, Artifact]) -> None:
+    def assign(self, wanted: DesiredItem, goals: dict[str, Artifact]) -> None:
         """Take the goals of one item."""
         for endpoint_id, artifact in goals.items():
             self._artifacts[endpoint_id].add(artifact)
@@ -229,11 +229,11 @@
     return {name for name in names if name.kind is ArtifactKind.MODEL}
 
 
-def _attach(wanted: Wanted) -> Action:
+def _attach(wanted: DesiredItem) -> Action:
     return AttachFinalizer(kind=wanted.kind, name=wanted.record.name, finalizer=const.FINALIZER)
 
 
-def _clean_up(wanted: Wanted, engines: Iterable[EngineView]) -> list[Action]:
+def _clean_up(wanted: DesiredItem, engines: Iterable[EngineView]) -> list[Action]:
     """Return the end of the clean-up once no engine holds a copy."""
     if const.FINALIZER not in wanted.record.finalizers:
         return []
--- a/chivetrack/components/model_placement/desired.py
+++ b/chivetrack/components/model_placement/desired.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from chivetrack.components.model_placement.const import ADAPTER_KIND, MODEL_KIND
-from chivetrack.components.model_placement.models import PlacementReport, Wanted
+from chivetrack.components.model_placement.models import DesiredItem, PlacementReport
 from chivetrack.components.orders.models import Artifact, ArtifactKind
 from chivetrack.components.resources.kinds import KINDS
 from chivetrack.components.resources.models import Adapter, Model
@@ -15,7 +15,7 @@
 _REPORTS = msgspec.msgpack.Decoder(PlacementReport, strict=False)
 
 
-def read_wanted(table: ResourceTable) -> tuple[Wanted, ...]:
+def read_wanted(table: ResourceTable) -> tuple[DesiredItem, ...]:
     """Return models, then adapters, by name; those that are being deleted too."""
     models = {name: (record, spec) for name, record, spec in _read_specs(table, MODEL_KIND)}
     wanted = [_make_model(record, spec) for record, spec in models.values()]
@@ -34,13 +34,13 @@
             yield record.name, record, spec
 
 
-def _make_model(record: Record, spec: Model | Adapter) -> Wanted:
+def _make_model(record: Record, spec: Model | Adapter) -> DesiredItem:
     assert isinstance(spec, Model)
     artifact = Artifact(
         kind=ArtifactKind.MODEL, name=record.name, version=spec.version, weights=spec.weights
     )
     report = _read_report(record)
-    return Wanted(
+    return DesiredItem(
         record=record,
         kind=MODEL_KIND,
         artifact=artifact,
@@ -54,7 +54,7 @@
     )
 
 
-def _make_adapter(record: Record, spec: Adapter, model: Model | Adapter | None) -> Wanted:
+def _make_adapter(record: Record, spec: Adapter, model: Model | Adapter | None) -> DesiredItem:
     artifact = Artifact(
         kind=ArtifactKind.ADAPTER,
         name=record.name,
@@ -63,7 +63,7 @@
         weights=spec.weights,
     )
     report = _read_report(record)
-    return Wanted(
+    return DesiredItem(
         record=record,
         kind=ADAPTER_KIND,
         artifact=artifact,
--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 from chivetrack.components.model_placement import const
-from chivetrack.components.model_placement.models import EngineView, Wanted
+from chivetrack.components.model_placement.models import DesiredItem, EngineView
 from chivetrack.components.orders.models import Artifact, ArtifactName, ArtifactPhase
 
 _Place = tuple[ArtifactName, str]
@@ -20,7 +20,9 @@
         self._leaving_since: dict[_Place, float] = {}
         self._serving_since: dict[Artifact, float] = {}
 
-    def note_copies(self, wanted: Wanted, engines: Iterable[EngineView], *, now: float) -> None:
+    def note_copies(
+        self, wanted: DesiredItem, engines: Iterable[EngineView], *, now: float
+    ) -> None:
         """Look where copies are, which are lost, and how long the new version serves."""
         name = wanted.artifact.get_name()
         by_id = {engine.endpoint_id: engine for engine in engines}
@@ -36,7 +38,7 @@
                 self._lost_at[place] = now
         self._note_serving(wanted, by_id.values(), now)
 
-    def count_absent(self, wanted: Wanted, holders: int, *, now: float) -> int:
+    def count_absent(self, wanted: DesiredItem, holders: int, *, now: float) -> int:
         """Return how many copies are lost and not yet to be replaced.
 
         An engine that restarts is back within seconds; replaced at once, its copies would
@@ -60,14 +62,14 @@
         since = self._serving_since.get(artifact)
         return since is not None and now >= since + const.SOAK_S
 
-    def list_leaving(self, wanted: Wanted) -> set[str]:
+    def list_leaving(self, wanted: DesiredItem) -> set[str]:
         """Return the engines from which a copy is or may be on its way out."""
         name = wanted.artifact.get_name()
         return {place[1] for place in self._leaving_since if place[0] == name}
 
     def note_goals(
         self,
-        wanted: Wanted,
+        wanted: DesiredItem,
         engines: Iterable[EngineView],
         goals: Mapping[str, Artifact],
         *,
@@ -89,7 +91,7 @@
             elif engine.state_at > self._leaving_since.get(place, now) + const.SETTLE_S:
                 self._leaving_since.pop(place, None)
 
-    def _note_serving(self, wanted: Wanted, engines: Iterable[EngineView], now: float) -> None:
+    def _note_serving(self, wanted: DesiredItem, engines: Iterable[EngineView], now: float) -> None:
         if any(_serves(engine, wanted.artifact) for engine in engines):
             self._serving_since.setdefault(wanted.artifact, now)
         else:
--- a/chivetrack/components/model_placement/models.py
+++ b/chivetrack/components/model_placement/models.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Wanted:
+class DesiredItem:
     """A model or an adapter that is to be in place.
 
     ``good`` is the version to fall back on, ``None`` before the first is in place.
@@ -104,14 +104,14 @@
     state: EngineState | None
     state_at: float
 
-    def find(self, wanted: Wanted) -> HeldArtifact | None:
+    def find(self, wanted: DesiredItem) -> HeldArtifact | None:
         """Return the copy of a model or adapter that it has, the wanted version first."""
         if self.state is None:
             return None
         owned = [held for held in self.state.artifacts if wanted.owns(held.artifact)]
         return min(owned, key=lambda held: held.artifact != wanted.artifact, default=None)
 
-    def has_ready(self, wanted: Wanted) -> bool:
+    def has_ready(self, wanted: DesiredItem) -> bool:
         """Tell whether some version serves here."""
         if self.state is None or not self.is_healthy:
             return False
@@ -120,7 +120,7 @@
             for held in self.state.artifacts
         )
 
-    def has_failed(self, wanted: Wanted) -> bool:
+    def has_failed(self, wanted: DesiredItem) -> bool:
         """Tell whether the wanted version fails here through its own fault."""
         held = None if self.state is None else self.state.find(wanted.artifact)
         if held is None:
--- a/chivetrack/components/model_placement/report.py
+++ b/chivetrack/components/model_placement/report.py
@@ -7,15 +7,15 @@
 from chivetrack.components.controllers.models import WriteStatus
 from chivetrack.components.model_placement.const import MAX_EVENTS
 from chivetrack.components.model_placement.models import (
+    DesiredItem,
     ItemPlan,
     PlacementEvent,
     PlacementPhase,
     PlacementReport,
-    Wanted,
 )
 
 
-def write_report(wanted: Wanted, plan: ItemPlan, *, wall_ms: int) -> WriteStatus | None:
+def write_report(wanted: DesiredItem, plan: ItemPlan, *, wall_ms: int) -> WriteStatus | None:
     """Return the write of the new status, or ``None`` if it stays as it is."""
     before = wanted.report or PlacementReport()
     after = _make_report(wanted, plan, before)
@@ -32,7 +32,7 @@
     )
 
 
-def _make_report(wanted: Wanted, plan: ItemPlan, before: PlacementReport) -> PlacementReport:
+def _make_report(wanted: DesiredItem, plan: ItemPlan, before: PlacementReport) -> PlacementReport:
     version = wanted.artifact.version
     counts = replace(before, ready=plan.ready, wanted=wanted.copies)
     if plan.failed_on:
--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -5,7 +5,7 @@
 from zlib import crc32
 
 from chivetrack.components.model_placement.const import MAX_CHANGES
-from chivetrack.components.model_placement.models import EngineView, ItemPlan, Wanted
+from chivetrack.components.model_placement.models import DesiredItem, EngineView, ItemPlan
 from chivetrack.components.orders.models import Artifact, ArtifactPhase
 
 
@@ -20,7 +20,7 @@
     def __init__(
         self,
         *,
-        wanted: Wanted,
+        wanted: DesiredItem,
         engines: Sequence[EngineView],
         leaving: Collection[str],
         absent: int,
