--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -13,7 +13,7 @@
     Plan,
 )
 from chivetrack.components.model_placement import const
-from chivetrack.components.model_placement.desired import read_wanted
+from chivetrack.components.model_placement.desired import read_desired_items
 from chivetrack.components.model_placement.memory import TermMemory
 from chivetrack.components.model_placement.models import DesiredItem, EngineView, ItemPlan
 from chivetrack.components.model_placement.report import write_report
@@ -66,7 +66,7 @@
 
     def read_desired(self) -> tuple[DesiredItem, ...]:
         """Return models and adapters, those that are being deleted too."""
-        return read_wanted(self._table)
+        return read_desired_items(self._table)
 
     def read_observed(self, *, now: float) -> PlacementObservation:
         """Return the engines."""
--- a/chivetrack/components/model_placement/desired.py
+++ b/chivetrack/components/model_placement/desired.py
@@ -15,7 +15,7 @@
 _REPORTS = msgspec.msgpack.Decoder(PlacementReport, strict=False)
 
 
-def read_wanted(table: ResourceTable) -> tuple[DesiredItem, ...]:
+def read_desired_items(table: ResourceTable) -> tuple[DesiredItem, ...]:
     """Return models, then adapters, by name; those that are being deleted too."""
     models = {name: (record, spec) for name, record, spec in _read_specs(table, MODEL_KIND)}
     wanted = [_make_model(record, spec) for record, spec in models.values()]
--- a/tests/components/model_placement/test_placement.py
+++ b/tests/components/model_placement/test_placement.py
@@ -6,7 +6,7 @@
 
 from chivetrack.components.model_placement import const
 from chivetrack.components.model_placement.const import ADAPTER_KIND, MODEL_KIND
-from chivetrack.components.model_placement.desired import read_wanted
+from chivetrack.components.model_placement.desired import read_desired_items
 from chivetrack.components.model_placement.models import PlacementPhase
 from chivetrack.components.model_placement.rollout import Rollout
 from chivetrack.components.orders.models import (
@@ -230,7 +230,7 @@
         for name in ("e1", "e2", "e3", "e4"):
             state = EngineState(incarnation=1, artifacts=(held,))
             views[name] = replace(views[name], state=state)
-        (wanted,) = read_wanted(self.site.simulation.store.table)
+        (wanted,) = read_desired_items(self.site.simulation.store.table)
         rollout = Rollout(
             wanted=wanted,
             engines=list(views.values()),
