--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -105,15 +105,15 @@
             self._memory = TermMemory(started_at=now)
         actions: list[Action] = []
         assignments = _Assignments(desired=desired, engines=observed.engines)
-        for wanted in desired:
-            if wanted.record.deleting_ms:
-                actions.extend(_clean_up(wanted, observed.engines))
-            elif const.FINALIZER not in wanted.record.finalizers:
+        for item in desired:
+            if item.record.deleting_ms:
+                actions.extend(_clean_up(item, observed.engines))
+            elif const.FINALIZER not in item.record.finalizers:
                 # Without it a deletion could leave copies that nobody takes away.
-                actions.append(_attach(wanted))
+                actions.append(_attach(item))
             else:
-                plan = self._plan(wanted, assignments, self._memory, now)
-                write = write_report(wanted, plan, wall_ms=observed.wall_ms)
+                plan = self._plan(item, assignments, self._memory, now)
+                write = write_report(item, plan, wall_ms=observed.wall_ms)
                 actions.extend([] if write is None else [write])
         self._goals = assignments.make_goals()
         return Plan(actions=tuple(actions), look_again_at=look_again_at)
@@ -132,22 +132,22 @@
         )
 
     def _plan(
-        self, wanted: DesiredItem, assignments: "_Assignments", memory: TermMemory, now: float
+        self, item: DesiredItem, assignments: "_Assignments", memory: TermMemory, now: float
     ) -> ItemPlan:
-        engines = assignments.list_candidates(wanted)
-        memory.note_copies(wanted, engines, now=now)
-        holders = sum(1 for e in engines if e.is_usable and e.find(wanted) is not None)
+        engines = assignments.list_candidates(item)
+        memory.note_copies(item, engines, now=now)
+        holders = sum(1 for e in engines if e.is_usable and e.find(item) is not None)
         rollout = Rollout(
-            wanted=wanted,
+            item=item,
             engines=engines,
-            leaving=memory.list_leaving(wanted),
-            absent=memory.count_absent(wanted, holders, now=now),
-            is_soaked=memory.is_soaked(wanted.artifact, now=now),
-            has_room=lambda engine: assignments.has_room(engine, wanted),
+            leaving=memory.list_leaving(item),
+            absent=memory.count_absent(item, holders, now=now),
+            is_soaked=memory.is_soaked(item.artifact, now=now),
+            has_room=lambda engine: assignments.has_room(engine, item),
         )
         plan = rollout.plan()
-        memory.note_goals(wanted, engines, plan.goals, now=now)
-        assignments.assign(wanted, plan.goals)
+        memory.note_goals(item, engines, plan.goals, now=now)
+        assignments.assign(item, plan.goals)
         return plan
 
 
@@ -157,43 +157,43 @@
     def __init__(self, *, desired: Sequence[DesiredItem], engines: Sequence[EngineView]) -> None:
         self._engines = engines
         self._managed = frozenset(
-            wanted.artifact.get_name()
-            for wanted in desired
-            if const.FINALIZER in wanted.record.finalizers
+            item.artifact.get_name()
+            for item in desired
+            if const.FINALIZER in item.record.finalizers
         )
-        self._memory = {wanted.artifact.get_name(): wanted.memory_bytes for wanted in desired}
+        self._memory = {item.artifact.get_name(): item.memory_bytes for item in desired}
         self._artifacts: dict[str, set[Artifact]] = defaultdict(set)
         self._roles: dict[str, str] = {}
         self._models: dict[str, set[ArtifactName]] = {
             engine.endpoint_id: _list_models(engine) for engine in engines
         }
 
-    def list_candidates(self, wanted: DesiredItem) -> list[EngineView]:
+    def list_candidates(self, item: DesiredItem) -> list[EngineView]:
         """Return the engines of the service; for an adapter those that serve its model."""
-        listed = [engine for engine in self._engines if engine.service == wanted.service]
-        if wanted.artifact.kind is ArtifactKind.MODEL:
+        listed = [engine for engine in self._engines if engine.service == item.service]
+        if item.artifact.kind is ArtifactKind.MODEL:
             return listed
-        return [engine for engine in listed if self._serves(engine, wanted.artifact.model)]
+        return [engine for engine in listed if self._serves(engine, item.artifact.model)]
 
-    def has_room(self, engine: EngineView, wanted: DesiredItem) -> bool:
+    def has_room(self, engine: EngineView, item: DesiredItem) -> bool:
         """Tell whether the engine can hold one more; without known sizes, one model."""
-        if wanted.artifact.kind is ArtifactKind.ADAPTER:
+        if item.artifact.kind is ArtifactKind.ADAPTER:
             return True
-        others = self._models[engine.endpoint_id] - {wanted.artifact.get_name()}
+        others = self._models[engine.endpoint_id] - {item.artifact.get_name()}
         limit = 0 if engine.state is None else engine.state.memory_bytes
-        sizes = [wanted.memory_bytes, *(self._memory.get(other, 0) for other in others)]
+        sizes = [item.memory_bytes, *(self._memory.get(other, 0) for other in others)]
         if not limit or not all(sizes):
             return engine.state is not None and not others
         return sum(sizes) <= limit
 
-    def assign(self, wanted: DesiredItem, goals: dict[str, Artifact]) -> None:
+    def assign(self, item: DesiredItem, goals: dict[str, Artifact]) -> None:
         """Take the goals of one item."""
         for endpoint_id, artifact in goals.items():
             self._artifacts[endpoint_id].add(artifact)
             if artifact.kind is ArtifactKind.MODEL:
                 self._models[endpoint_id].add(artifact.get_name())
-            if wanted.role:
-                self._roles[endpoint_id] = wanted.role
+            if item.role:
+                self._roles[endpoint_id] = item.role
 
     def make_goals(self) -> dict[tuple[str, int], EngineGoal]:
         """Return the goal of each engine, by its id and incarnation.
@@ -229,14 +229,14 @@
     return {name for name in names if name.kind is ArtifactKind.MODEL}
 
 
-def _attach(wanted: DesiredItem) -> Action:
-    return AttachFinalizer(kind=wanted.kind, name=wanted.record.name, finalizer=const.FINALIZER)
+def _attach(item: DesiredItem) -> Action:
+    return AttachFinalizer(kind=item.kind, name=item.record.name, finalizer=const.FINALIZER)
 
 
-def _clean_up(wanted: DesiredItem, engines: Iterable[EngineView]) -> list[Action]:
+def _clean_up(item: DesiredItem, engines: Iterable[EngineView]) -> list[Action]:
     """Return the end of the clean-up once no engine holds a copy."""
-    if const.FINALIZER not in wanted.record.finalizers:
+    if const.FINALIZER not in item.record.finalizers:
         return []
-    if any(engine.find(wanted) is not None for engine in engines if engine.is_usable):
+    if any(engine.find(item) is not None for engine in engines if engine.is_usable):
         return []
-    return [DetachFinalizer(kind=wanted.kind, name=wanted.record.name, finalizer=const.FINALIZER)]
+    return [DetachFinalizer(kind=item.kind, name=item.record.name, finalizer=const.FINALIZER)]
--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -20,15 +20,13 @@
         self._leaving_since: dict[_Place, float] = {}
         self._serving_since: dict[Artifact, float] = {}
 
-    def note_copies(
-        self, wanted: DesiredItem, engines: Iterable[EngineView], *, now: float
-    ) -> None:
+    def note_copies(self, item: DesiredItem, engines: Iterable[EngineView], *, now: float) -> None:
         """Look where copies are, which are lost, and how long the new version serves."""
-        name = wanted.artifact.get_name()
+        name = item.artifact.get_name()
         by_id = {engine.endpoint_id: engine for engine in engines}
         for endpoint_id, engine in by_id.items():
             if engine.is_usable and engine.state is not None:
-                if engine.find(wanted) is not None:
+                if engine.find(item) is not None:
                     self._lost_at[(name, endpoint_id)] = None
                 else:
                     self._lost_at.pop((name, endpoint_id), None)
@@ -36,15 +34,15 @@
             known = by_id.get(place[1])
             if place[0] == name and lost_at is None and (known is None or not known.is_usable):
                 self._lost_at[place] = now
-        self._note_serving(wanted, by_id.values(), now)
+        self._note_serving(item, by_id.values(), now)
 
-    def count_absent(self, wanted: DesiredItem, holders: int, *, now: float) -> int:
+    def count_absent(self, item: DesiredItem, holders: int, *, now: float) -> int:
         """Return how many copies are lost and not yet to be replaced.
 
         An engine that restarts is back within seconds; replaced at once, its copies would
         be loaded twice, and a switch that blinks would reload a whole zone.
         """
-        name = wanted.artifact.get_name()
+        name = item.artifact.get_name()
         most_seen = max(holders, self._most_seen.get(name, 0))
         self._most_seen[name] = most_seen
         absent = sum(
@@ -52,9 +50,9 @@
             for (owner, _), lost_at in self._lost_at.items()
             if owner == name and lost_at is not None and now < lost_at + const.REPAIR_DELAY_S
         )
-        if wanted.good is not None and now < self._started_at + const.REPAIR_DELAY_S:
+        if item.good is not None and now < self._started_at + const.REPAIR_DELAY_S:
             # What this holder has never seen may have been lost just before its term.
-            absent += max(0, wanted.copies - most_seen)
+            absent += max(0, item.copies - most_seen)
         return absent
 
     def is_soaked(self, artifact: Artifact, *, now: float) -> bool:
@@ -62,14 +60,14 @@
         since = self._serving_since.get(artifact)
         return since is not None and now >= since + const.SOAK_S
 
-    def list_leaving(self, wanted: DesiredItem) -> set[str]:
+    def list_leaving(self, item: DesiredItem) -> set[str]:
         """Return the engines from which a copy is or may be on its way out."""
-        name = wanted.artifact.get_name()
+        name = item.artifact.get_name()
         return {place[1] for place in self._leaving_since if place[0] == name}
 
     def note_goals(
         self,
-        wanted: DesiredItem,
+        item: DesiredItem,
         engines: Iterable[EngineView],
         goals: Mapping[str, Artifact],
         *,
@@ -80,10 +78,10 @@
         The unload may be under way while the engine's last word is still "ready":
         counted as such, a second copy would be taken beside it, below the floor.
         """
-        name = wanted.artifact.get_name()
+        name = item.artifact.get_name()
         for engine in engines:
             place = (name, engine.endpoint_id)
-            held = engine.find(wanted)
+            held = engine.find(item)
             if held is None:
                 self._leaving_since.pop(place, None)
             elif engine.is_usable and goals.get(engine.endpoint_id) != held.artifact:
@@ -91,11 +89,11 @@
             elif engine.state_at > self._leaving_since.get(place, now) + const.SETTLE_S:
                 self._leaving_since.pop(place, None)
 
-    def _note_serving(self, wanted: DesiredItem, engines: Iterable[EngineView], now: float) -> None:
-        if any(_serves(engine, wanted.artifact) for engine in engines):
-            self._serving_since.setdefault(wanted.artifact, now)
+    def _note_serving(self, item: DesiredItem, engines: Iterable[EngineView], now: float) -> None:
+        if any(_serves(engine, item.artifact) for engine in engines):
+            self._serving_since.setdefault(item.artifact, now)
         else:
-            self._serving_since.pop(wanted.artifact, None)
+            self._serving_since.pop(item.artifact, None)
 
 
 def _serves(engine: EngineView, artifact: Artifact) -> bool:
--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -20,7 +20,7 @@
     def __init__(
         self,
         *,
-        wanted: DesiredItem,
+        item: DesiredItem,
         engines: Sequence[EngineView],
         leaving: Collection[str],
         absent: int,
@@ -28,7 +28,7 @@
         has_room: Callable[[EngineView], bool],
     ) -> None:
         """Take what is known."""
-        self._wanted = wanted
+        self._wanted = item
         self._engines = {engine.endpoint_id: engine for engine in engines if engine.is_usable}
         self._leaving = leaving
         self._absent = absent
@@ -38,7 +38,7 @@
         self._ready = {
             name
             for name, engine in self._engines.items()
-            if engine.has_ready(wanted) and name not in leaving
+            if engine.has_ready(item) and name not in leaving
         }
 
     def plan(self) -> ItemPlan:
--- a/tests/components/model_placement/test_placement.py
+++ b/tests/components/model_placement/test_placement.py
@@ -230,9 +230,9 @@
         for name in ("e1", "e2", "e3", "e4"):
             state = EngineState(incarnation=1, artifacts=(held,))
             views[name] = replace(views[name], state=state)
-        (wanted,) = read_desired_items(self.site.simulation.store.table)
+        (item,) = read_desired_items(self.site.simulation.store.table)
         rollout = Rollout(
-            wanted=wanted,
+            item=item,
             engines=list(views.values()),
             leaving={"e4"},
             absent=0,
