--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -28,7 +28,7 @@
         has_room: Callable[[EngineView], bool],
     ) -> None:
         """Take what is known."""
-        self._wanted = item
+        self._item = item
         self._engines = {engine.endpoint_id: engine for engine in engines if engine.is_usable}
         self._leaving = leaving
         self._absent = absent
@@ -58,30 +58,30 @@
 
     def _keep(self) -> None:
         for name, engine in self._engines.items():
-            held = engine.find(self._wanted)
+            held = engine.find(self._item)
             if held is None or held.phase is ArtifactPhase.UNLOADING:
                 continue
             artifact = held.artifact
-            if self._wanted.is_halted and engine.has_failed(self._wanted):
-                assert self._wanted.good is not None
-                artifact = self._wanted.good
+            if self._item.is_halted and engine.has_failed(self._item):
+                assert self._item.good is not None
+                artifact = self._item.good
             self._goals[name] = artifact
 
     def _find_failure(self) -> str:
-        if not self._wanted.is_rolling or self._wanted.is_halted:
+        if not self._item.is_rolling or self._item.is_halted:
             return ""
-        failed = [n for n, engine in self._engines.items() if engine.has_failed(self._wanted)]
+        failed = [n for n, engine in self._engines.items() if engine.has_failed(self._item)]
         return min(failed, default="")
 
     def _replace_versions(self) -> None:
-        if self._wanted.is_halted or not self._has_old():
+        if self._item.is_halted or not self._has_old():
             return
-        target = self._wanted.artifact
+        target = self._item.artifact
         # The first copy goes alone: a version that can't be loaded, or fails its
         # requests, then costs one copy and not as many as the floor would allow.
-        is_proven = self._is_soaked or not self._wanted.is_rolling
-        allowed = self._wanted.copies if is_proven else 1
-        missing = min(allowed, self._wanted.copies) - self._count(target)
+        is_proven = self._is_soaked or not self._item.is_rolling
+        allowed = self._item.copies if is_proven else 1
+        missing = min(allowed, self._item.copies) - self._count(target)
         for _ in range(min(missing, MAX_CHANGES)):
             name = self._choose_for_new_version()
             if name is None:
@@ -90,18 +90,18 @@
             self._ready.discard(name)
 
     def _choose_for_new_version(self) -> str | None:
-        free = self._choose_free(self._wanted.artifact)
+        free = self._choose_free(self._item.artifact)
         if free is not None:
             return free
-        old = [name for name, held in self._goals.items() if held != self._wanted.artifact]
-        may_go = [name for name in old if self._may_lose(name, keep=self._wanted.min_ready)]
+        old = [name for name, held in self._goals.items() if held != self._item.artifact]
+        may_go = [name for name in old if self._may_lose(name, keep=self._item.min_ready)]
         return min(may_go, key=lambda name: (name not in self._leaving, name), default=None)
 
     def _fill(self) -> None:
-        use_new = not self._wanted.is_rolling or (self._is_soaked and not self._wanted.is_halted)
-        artifact = self._wanted.artifact if use_new else self._wanted.good
+        use_new = not self._item.is_rolling or (self._is_soaked and not self._item.is_halted)
+        artifact = self._item.artifact if use_new else self._item.good
         assert artifact is not None
-        missing = self._wanted.copies - len(self._goals) - self._absent
+        missing = self._item.copies - len(self._goals) - self._absent
         for _ in range(min(missing, MAX_CHANGES)):
             name = self._choose_free(artifact)
             if name is None:
@@ -109,7 +109,7 @@
             self._goals[name] = artifact
 
     def _drop_surplus(self) -> None:
-        surplus = len(self._goals) - self._wanted.copies
+        surplus = len(self._goals) - self._item.copies
         zones = Counter(self._engines[name].zone for name in self._goals)
         for _ in range(min(surplus, MAX_CHANGES)):
             has_old = self._has_old()
@@ -119,7 +119,7 @@
             name = min(
                 may_go,
                 key=lambda n: (
-                    self._goals[n] == self._wanted.artifact,
+                    self._goals[n] == self._item.artifact,
                     n not in self._leaving,
                     -zones[self._engines[n].zone],
                     n,
@@ -131,9 +131,9 @@
 
     def _is_surplus(self, name: str, *, has_old: bool) -> bool:
         # A copy of the new version that still loads is what the old ones wait for.
-        if has_old and self._goals[name] == self._wanted.artifact:
+        if has_old and self._goals[name] == self._item.artifact:
             return False
-        return self._may_lose(name, keep=self._wanted.copies)
+        return self._may_lose(name, keep=self._item.copies)
 
     def _may_lose(self, name: str, *, keep: int) -> bool:
         return name not in self._ready or len(self._ready) - 1 >= keep
@@ -153,23 +153,23 @@
         return chosen.endpoint_id
 
     def _rank(self, engine: EngineView) -> tuple[int, str]:
-        text = f"{self._wanted.artifact.name}\0{engine.endpoint_id}"
+        text = f"{self._item.artifact.name}\0{engine.endpoint_id}"
         return crc32(text.encode()), engine.endpoint_id
 
     def _has_old(self) -> bool:
-        return any(held != self._wanted.artifact for held in self._goals.values())
+        return any(held != self._item.artifact for held in self._goals.values())
 
     def _count(self, artifact: Artifact) -> int:
         return sum(1 for held in self._goals.values() if held == artifact)
 
     def _is_complete(self) -> bool:
-        target = self._wanted.artifact
+        target = self._item.artifact
         if any(held != target for held in self._goals.values()):
             return False
         serving = [name for name in self._goals if self._serves_target(name)]
-        return len(serving) >= self._wanted.copies
+        return len(serving) >= self._item.copies
 
     def _serves_target(self, name: str) -> bool:
         engine = self._engines[name]
-        held = None if engine.state is None else engine.state.find(self._wanted.artifact)
+        held = None if engine.state is None else engine.state.find(self._item.artifact)
         return held is not None and held.phase is ArtifactPhase.READY and engine.is_healthy
