--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -50,7 +50,7 @@
             for (owner, _), lost_at in self._lost_at.items()
             if owner == name and lost_at is not None and now < lost_at + const.REPAIR_DELAY_S
         )
-        if item.good is not None and now < self._started_at + const.REPAIR_DELAY_S:
+        if item.last_good is not None and now < self._started_at + const.REPAIR_DELAY_S:
             # What this holder has never seen may have been lost just before its term.
             absent += max(0, item.copies - most_seen)
         return absent
--- a/chivetrack/components/model_placement/models.py
+++ b/chivetrack/components/model_placement/models.py
@@ -61,7 +61,7 @@
     record: Record
     kind: str
     artifact: Artifact
-    good: Artifact | None
+    last_good: Artifact | None
     copies: int
     floor: float
     service: str
@@ -72,7 +72,7 @@
     @property
     def is_rolling(self) -> bool:
         """Tell whether a version is being replaced."""
-        return self.good is not None and self.good != self.artifact
+        return self.last_good is not None and self.last_good != self.artifact
 
     @property
     def is_halted(self) -> bool:
--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -63,8 +63,8 @@
                 continue
             artifact = held.artifact
             if self._item.is_halted and engine.has_failed(self._item):
-                assert self._item.good is not None
-                artifact = self._item.good
+                assert self._item.last_good is not None
+                artifact = self._item.last_good
             self._goals[name] = artifact
 
     def _find_failure(self) -> str:
@@ -99,7 +99,7 @@
 
     def _fill(self) -> None:
         use_new = not self._item.is_rolling or (self._is_soaked and not self._item.is_halted)
-        artifact = self._item.artifact if use_new else self._item.good
+        artifact = self._item.artifact if use_new else self._item.last_good
         assert artifact is not None
         missing = self._item.copies - len(self._goals) - self._absent
         for _ in range(min(missing, MAX_CHANGES)):
