--- a/chivetrack/components/model_placement/desired.py
+++ b/chivetrack/components/model_placement/desired.py
@@ -44,7 +44,7 @@
         record=record,
         kind=MODEL_KIND,
         artifact=artifact,
-        last_good=_make_good(artifact, report),
+        last_good=_make_last_good(artifact, report),
         copies=spec.copies,
         floor=spec.floor,
         service=spec.service,
@@ -67,7 +67,7 @@
         record=record,
         kind=ADAPTER_KIND,
         artifact=artifact,
-        last_good=_make_good(artifact, report),
+        last_good=_make_last_good(artifact, report),
         copies=spec.copies,
         floor=model.floor if isinstance(model, Model) else 0.0,
         service=model.service if isinstance(model, Model) else "",
@@ -75,7 +75,7 @@
     )
 
 
-def _make_good(artifact: Artifact, report: PlacementReport | None) -> Artifact | None:
+def _make_last_good(artifact: Artifact, report: PlacementReport | None) -> Artifact | None:
     if report is None or not report.good_version:
         return None
     return Artifact(
