--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -135,7 +135,7 @@
         self, item: DesiredItem, assignments: "_Assignments", memory: TermMemory, now: float
     ) -> ItemPlan:
         engines = assignments.list_candidates(item)
-        memory.note_copies(item, engines, now=now)
+        memory.record_copies(item, engines, now=now)
         holders = sum(1 for e in engines if e.is_usable and e.find(item) is not None)
         rollout = Rollout(
             item=item,
--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -20,7 +20,9 @@
         self._leaving_since: dict[_Place, float] = {}
         self._serving_since: dict[Artifact, float] = {}
 
-    def note_copies(self, item: DesiredItem, engines: Iterable[EngineView], *, now: float) -> None:
+    def record_copies(
+        self, item: DesiredItem, engines: Iterable[EngineView], *, now: float
+    ) -> None:
         """Look where copies are, which are lost, and how long the new version serves."""
         name = item.artifact.get_name()
         by_id = {engine.endpoint_id: engine for engine in engines}
