--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -146,7 +146,7 @@
             has_room=lambda engine: assignments.has_room(engine, item),
         )
         plan = rollout.plan()
-        memory.note_goals(item, engines, plan.goals, now=now)
+        memory.record_goals(item, engines, plan.goals, now=now)
         assignments.assign(item, plan.goals)
         return plan
 
--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -67,7 +67,7 @@
         name = item.artifact.get_name()
         return {place[1] for place in self._leaving_since if place[0] == name}
 
-    def note_goals(
+    def record_goals(
         self,
         item: DesiredItem,
         engines: Iterable[EngineView],
