--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -36,7 +36,7 @@
             known = by_id.get(place[1])
             if place[0] == name and lost_at is None and (known is None or not known.is_usable):
                 self._lost_at[place] = now
-        self._note_serving(item, by_id.values(), now)
+        self._record_serving(item, by_id.values(), now)
 
     def count_absent(self, item: DesiredItem, holders: int, *, now: float) -> int:
         """Return how many copies are lost and not yet to be replaced.
@@ -91,7 +91,7 @@
             elif engine.state_at > self._leaving_since.get(place, now) + const.SETTLE_S:
                 self._leaving_since.pop(place, None)
 
-    def _note_serving(self, item: DesiredItem, engines: Iterable[EngineView], now: float) -> None:
+    def _record_serving(self, item: DesiredItem, engines: Iterable[EngineView], now: float) -> None:
         if any(_serves(engine, item.artifact) for engine in engines):
             self._serving_since.setdefault(item.artifact, now)
         else:
