--- a/chivetrack/components/model_placement/const.py
+++ b/chivetrack/components/model_placement/const.py
@@ -13,7 +13,7 @@
 SILENCE_S: Final = 30.0
 """An engine that is listed and answers no question is planned without after this long."""
 
-ASKED_PER_S: Final = 50
+ENGINES_QUERIED_PER_S: Final = 50
 """How many engines are at least asked in a second; longer is waited for very many."""
 
 SOAK_S: Final = 30.0
--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -121,7 +121,7 @@
     def _knows_enough(self, engines: Sequence[EngineView], now: float) -> bool:
         # Engines that were not asked yet look empty: the next holder would load all
         # their copies a second time elsewhere.
-        silence_s = const.SILENCE_S + len(engines) / const.ASKED_PER_S
+        silence_s = const.SILENCE_S + len(engines) / const.ENGINES_QUERIED_PER_S
         if now >= self._term_at + silence_s:
             return True
         settled_at = compute_settled_at(self._lease)
