--- a/chivetrack/components/model_placement/const.py
+++ b/chivetrack/components/model_placement/const.py
@@ -43,7 +43,7 @@
 STORE_BUSY: Final = "store-busy"
 """How an engine names a load that the weight store refused: no fault of the version."""
 
-LOOK_AGAIN_S: Final = 0.5
+RECONCILE_INTERVAL_S: Final = 0.5
 ENGINES_PER_S: Final = 500
 """Above this many engines comparisons get rarer, to bound the share of the processor."""
 
--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -98,7 +98,7 @@
             self._memory = None
             self._goals = {}
         rest_s = len(observed.engines) / const.ENGINES_PER_S
-        look_again_at = now + max(const.LOOK_AGAIN_S, rest_s)
+        look_again_at = now + max(const.RECONCILE_INTERVAL_S, rest_s)
         if not self._knows_enough(observed.engines, now):
             return Plan(look_again_at=look_again_at)
         if self._memory is None:
