--- a/chivetrack/components/model_placement/const.py
+++ b/chivetrack/components/model_placement/const.py
@@ -35,7 +35,7 @@
 GRANT_S: Final = 10.0
 """How long a load that may begin counts before the engine shows it."""
 
-WAITING_S: Final = 5.0
+WAIT_EXPIRY_S: Final = 5.0
 MAX_WAITING: Final = 8192
 STORE_DELAY_S: Final = 5.0
 MAX_STORE_DELAY_S: Final = 30.0
--- a/tests/components/model_placement/test_queue.py
+++ b/tests/components/model_placement/test_queue.py
@@ -57,7 +57,7 @@
     def test_who_no_longer_asks_holds_up_nobody(self) -> None:
         self.assertTrue(self.queue.admit("a", COMMON, now=0.0))
         self.assertFalse(self.queue.admit("gone", COMMON, now=0.0))
-        later = const.WAITING_S + 1.0
+        later = const.WAIT_EXPIRY_S + 1.0
         self.assertTrue(self.queue.admit("b", COMMON, now=later))
 
     def test_refusals_close_it_for_longer_and_longer(self) -> None:
