--- a/chivetrack/components/model_placement/const.py
+++ b/chivetrack/components/model_placement/const.py
@@ -32,7 +32,7 @@
 LOADS_PER_S: Final = 0.5
 """Bounds on loads from the one weight store, for the whole fleet."""
 
-GRANT_S: Final = 10.0
+GRANT_EXPIRY_S: Final = 10.0
 """How long a load that may begin counts before the engine shows it."""
 
 WAIT_EXPIRY_S: Final = 5.0
--- a/chivetrack/components/model_placement/queue.py
+++ b/chivetrack/components/model_placement/queue.py
@@ -48,7 +48,7 @@
         # Refused once more, it would look as it does now; so a second try of an engine
         # counts as a refusal, and tries get rarer until none is refused.
         self._refused -= {endpoint_id}
-        self._granted[endpoint_id] = now + const.GRANT_S
+        self._granted[endpoint_id] = now + const.GRANT_EXPIRY_S
         return True
 
     def count_waiting(self) -> int:
--- a/tests/components/model_placement/test_queue.py
+++ b/tests/components/model_placement/test_queue.py
@@ -50,9 +50,9 @@
         for number, now in enumerate(times):
             self.assertTrue(self.queue.admit(f"e{number}", COMMON, now=now))
         now = times[-1] + TURN_S
-        self.assertLess(now, const.GRANT_S)
+        self.assertLess(now, const.GRANT_EXPIRY_S)
         self.assertFalse(self.queue.admit("x", COMMON, now=now))
-        self.assertTrue(self.queue.admit("x", COMMON, now=const.GRANT_S))
+        self.assertTrue(self.queue.admit("x", COMMON, now=const.GRANT_EXPIRY_S))
 
     def test_who_no_longer_asks_holds_up_nobody(self) -> None:
         self.assertTrue(self.queue.admit("a", COMMON, now=0.0))
