--- a/chivetrack/components/model_placement/const.py
+++ b/chivetrack/components/model_placement/const.py
@@ -19,7 +19,7 @@
 SOAK_S: Final = 30.0
 """How long the first copy of a new version must serve before others follow."""
 
-SETTLE_S: Final = 8.0
+UNLOAD_SETTLE_S: Final = 8.0
 """A state from longer after an unload was wanted than this shows its effect."""
 
 MAX_CHANGES: Final = 64
--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -88,7 +88,7 @@
                 self._leaving_since.pop(place, None)
             elif engine.is_usable and goals.get(engine.endpoint_id) != held.artifact:
                 self._leaving_since[place] = now
-            elif engine.state_at > self._leaving_since.get(place, now) + const.SETTLE_S:
+            elif engine.state_at > self._leaving_since.get(place, now) + const.UNLOAD_SETTLE_S:
                 self._leaving_since.pop(place, None)
 
     def _record_serving(self, item: DesiredItem, engines: Iterable[EngineView], now: float) -> None:
