--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -6,7 +6,7 @@
 from chivetrack.components.model_placement.models import DesiredItem, EngineView
 from chivetrack.components.orders.models import Artifact, ArtifactName, ArtifactPhase
 
-_Place = tuple[ArtifactName, str]
+_CopyKey = tuple[ArtifactName, str]
 
 
 class TermMemory:
@@ -15,9 +15,9 @@
     def __init__(self, *, started_at: float) -> None:
         """Begin a term."""
         self._started_at = started_at
-        self._lost_at: dict[_Place, float | None] = {}
+        self._lost_at: dict[_CopyKey, float | None] = {}
         self._most_seen: dict[ArtifactName, int] = {}
-        self._leaving_since: dict[_Place, float] = {}
+        self._leaving_since: dict[_CopyKey, float] = {}
         self._serving_since: dict[Artifact, float] = {}
 
     def record_copies(
