--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -99,7 +99,7 @@
             self._goals = {}
         rest_s = len(observed.engines) / const.ENGINES_PER_S
         look_again_at = now + max(const.RECONCILE_INTERVAL_S, rest_s)
-        if not self._knows_enough(observed.engines, now):
+        if not self._has_fresh_states(observed.engines, now):
             return Plan(look_again_at=look_again_at)
         if self._memory is None:
             self._memory = TermMemory(started_at=now)
@@ -118,7 +118,7 @@
         self._goals = assignments.make_goals()
         return Plan(actions=tuple(actions), look_again_at=look_again_at)
 
-    def _knows_enough(self, engines: Sequence[EngineView], now: float) -> bool:
+    def _has_fresh_states(self, engines: Sequence[EngineView], now: float) -> bool:
         # Engines that were not asked yet look empty: the next holder would load all
         # their copies a second time elsewhere.
         silence_s = const.SILENCE_S + len(engines) / const.ENGINES_QUERIED_PER_S
