--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -110,7 +110,7 @@
                 actions.extend(_clean_up(item, observed.engines))
             elif const.FINALIZER not in item.record.finalizers:
                 # Without it a deletion could leave copies that nobody takes away.
-                actions.append(_attach(item))
+                actions.append(_attach_finalizer(item))
             else:
                 plan = self._plan(item, assignments, self._memory, now)
                 write = write_report(item, plan, wall_ms=observed.wall_ms)
@@ -229,7 +229,7 @@
     return {name for name in names if name.kind is ArtifactKind.MODEL}
 
 
-def _attach(item: DesiredItem) -> Action:
+def _attach_finalizer(item: DesiredItem) -> Action:
     return AttachFinalizer(kind=item.kind, name=item.record.name, finalizer=const.FINALIZER)
 
 
