--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -107,7 +107,7 @@
         assignments = _Assignments(desired=desired, engines=observed.engines)
         for item in desired:
             if item.record.deleting_ms:
-                actions.extend(_clean_up(item, observed.engines))
+                actions.extend(_detach_finalizer_when_unloaded(item, observed.engines))
             elif const.FINALIZER not in item.record.finalizers:
                 # Without it a deletion could leave copies that nobody takes away.
                 actions.append(_attach_finalizer(item))
@@ -233,7 +233,9 @@
     return AttachFinalizer(kind=item.kind, name=item.record.name, finalizer=const.FINALIZER)
 
 
-def _clean_up(item: DesiredItem, engines: Iterable[EngineView]) -> list[Action]:
+def _detach_finalizer_when_unloaded(
+    item: DesiredItem, engines: Iterable[EngineView]
+) -> list[Action]:
     """Return the end of the clean-up once no engine holds a copy."""
     if const.FINALIZER not in item.record.finalizers:
         return []
