--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -165,7 +165,7 @@
         self._artifacts: dict[str, set[Artifact]] = defaultdict(set)
         self._roles: dict[str, str] = {}
         self._models: dict[str, set[ArtifactName]] = {
-            engine.endpoint_id: _list_models(engine) for engine in engines
+            engine.endpoint_id: _list_held_models(engine) for engine in engines
         }
 
     def list_candidates(self, item: DesiredItem) -> list[EngineView]:
@@ -222,7 +222,7 @@
         )
 
 
-def _list_models(engine: EngineView) -> set[ArtifactName]:
+def _list_held_models(engine: EngineView) -> set[ArtifactName]:
     if engine.state is None:
         return set()
     names = (held.artifact.get_name() for held in engine.state.artifacts)
