--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -43,7 +43,7 @@
 
     def plan(self) -> ItemPlan:
         """Return the goals."""
-        self._keep()
+        self._keep_copies()
         failed_on = self._find_failure()
         if not failed_on:
             self._replace_versions()
@@ -56,7 +56,7 @@
             is_complete=self._is_complete(),
         )
 
-    def _keep(self) -> None:
+    def _keep_copies(self) -> None:
         for name, engine in self._engines.items():
             held = engine.find(self._item)
             if held is None or held.phase is ArtifactPhase.UNLOADING:
