--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -47,7 +47,7 @@
         failed_on = self._find_failure()
         if not failed_on:
             self._replace_versions()
-            self._fill()
+            self._place_missing()
             self._drop_surplus()
         return ItemPlan(
             goals=self._goals,
@@ -97,7 +97,7 @@
         may_go = [name for name in old if self._may_lose(name, keep=self._item.min_ready)]
         return min(may_go, key=lambda name: (name not in self._leaving, name), default=None)
 
-    def _fill(self) -> None:
+    def _place_missing(self) -> None:
         use_new = not self._item.is_rolling or (self._is_soaked and not self._item.is_halted)
         artifact = self._item.artifact if use_new else self._item.last_good
         assert artifact is not None
