--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -83,13 +83,13 @@
         allowed = self._item.copies if is_proven else 1
         missing = min(allowed, self._item.copies) - self._count(target)
         for _ in range(min(missing, MAX_CHANGES)):
-            name = self._choose_for_new_version()
+            name = self._choose_engine_for_new_version()
             if name is None:
                 return
             self._goals[name] = target
             self._ready.discard(name)
 
-    def _choose_for_new_version(self) -> str | None:
+    def _choose_engine_for_new_version(self) -> str | None:
         free = self._choose_free(self._item.artifact)
         if free is not None:
             return free
