--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -90,7 +90,7 @@
             self._ready.discard(name)
 
     def _choose_engine_for_new_version(self) -> str | None:
-        free = self._choose_free(self._item.artifact)
+        free = self._choose_free_engine(self._item.artifact)
         if free is not None:
             return free
         old = [name for name, held in self._goals.items() if held != self._item.artifact]
@@ -103,7 +103,7 @@
         assert artifact is not None
         missing = self._item.copies - len(self._goals) - self._absent
         for _ in range(min(missing, MAX_CHANGES)):
-            name = self._choose_free(artifact)
+            name = self._choose_free_engine(artifact)
             if name is None:
                 return
             self._goals[name] = artifact
@@ -138,7 +138,7 @@
     def _may_lose(self, name: str, *, keep: int) -> bool:
         return name not in self._ready or len(self._ready) - 1 >= keep
 
-    def _choose_free(self, artifact: Artifact) -> str | None:
+    def _choose_free_engine(self, artifact: Artifact) -> str | None:
         zones = Counter(
             self._engines[name].zone for name, held in self._goals.items() if held == artifact
         )
