--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -94,8 +94,8 @@
         if free is not None:
             return free
         old = [name for name, held in self._goals.items() if held != self._item.artifact]
-        may_go = [name for name in old if self._may_lose(name, keep=self._item.min_ready)]
-        return min(may_go, key=lambda name: (name not in self._leaving, name), default=None)
+        removable = [name for name in old if self._may_lose(name, keep=self._item.min_ready)]
+        return min(removable, key=lambda name: (name not in self._leaving, name), default=None)
 
     def _place_missing(self) -> None:
         use_new = not self._item.is_rolling or (self._is_soaked and not self._item.is_halted)
@@ -113,11 +113,11 @@
         zones = Counter(self._engines[name].zone for name in self._goals)
         for _ in range(min(surplus, MAX_CHANGES)):
             has_old = self._has_old()
-            may_go = [n for n in self._goals if self._is_surplus(n, has_old=has_old)]
-            if not may_go:
+            removable = [n for n in self._goals if self._is_surplus(n, has_old=has_old)]
+            if not removable:
                 return
             name = min(
-                may_go,
+                removable,
                 key=lambda n: (
                     self._goals[n] == self._item.artifact,
                     n not in self._leaving,
