--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -94,7 +94,7 @@
         if free is not None:
             return free
         old = [name for name, held in self._goals.items() if held != self._item.artifact]
-        removable = [name for name in old if self._may_lose(name, keep=self._item.min_ready)]
+        removable = [name for name in old if self._can_remove(name, keep=self._item.min_ready)]
         return min(removable, key=lambda name: (name not in self._leaving, name), default=None)
 
     def _place_missing(self) -> None:
@@ -133,9 +133,9 @@
         # A copy of the new version that still loads is what the old ones wait for.
         if has_old and self._goals[name] == self._item.artifact:
             return False
-        return self._may_lose(name, keep=self._item.copies)
+        return self._can_remove(name, keep=self._item.copies)
 
-    def _may_lose(self, name: str, *, keep: int) -> bool:
+    def _can_remove(self, name: str, *, keep: int) -> bool:
         return name not in self._ready or len(self._ready) - 1 >= keep
 
     def _choose_free_engine(self, artifact: Artifact) -> str | None:
