--- a/chivetrack/components/model_placement/queue.py
+++ b/chivetrack/components/model_placement/queue.py
@@ -35,7 +35,7 @@
 
     def admit(self, endpoint_id: str, artifact: Artifact, *, now: float) -> bool:
         """Tell whether this load may begin; if not, it waits for its turn."""
-        if not self._enter(endpoint_id, artifact, now):
+        if not self._enqueue(endpoint_id, artifact, now):
             return False
         if now != self._filled_at:
             self._refresh(now)
@@ -55,7 +55,7 @@
         """Return how many loads wait."""
         return sum(len(line) for line in self._waiting.values())
 
-    def _enter(self, endpoint_id: str, artifact: Artifact, now: float) -> bool:
+    def _enqueue(self, endpoint_id: str, artifact: Artifact, now: float) -> bool:
         key = (artifact.kind.value, artifact.name)
         line = self._waiting.get(key)
         if line is None or endpoint_id not in line:
