--- a/chivetrack/components/model_placement/queue.py
+++ b/chivetrack/components/model_placement/queue.py
@@ -43,7 +43,7 @@
             return False
         if self._count_loads() >= const.MAX_LOADS:
             return False
-        self._leave(endpoint_id, artifact)
+        self._dequeue(endpoint_id, artifact)
         self._tokens -= 1.0
         # Refused once more, it would look as it does now; so a second try of an engine
         # counts as a refusal, and tries get rarer until none is refused.
@@ -66,7 +66,7 @@
         line[endpoint_id] = now
         return True
 
-    def _leave(self, endpoint_id: str, artifact: Artifact) -> None:
+    def _dequeue(self, endpoint_id: str, artifact: Artifact) -> None:
         key = (artifact.kind.value, artifact.name)
         del self._waiting[key][endpoint_id]
         self._turns.move_to_end(key)
