--- a/chivetrack/components/model_placement/queue.py
+++ b/chivetrack/components/model_placement/queue.py
@@ -25,7 +25,7 @@
         """Start with nothing waiting."""
         self._read_states = read_states
         self._waiting: dict[_Key, OrderedDict[str, float]] = {}
-        self._turns: OrderedDict[_Key, None] = OrderedDict()
+        self._round_robin: OrderedDict[_Key, None] = OrderedDict()
         self._granted: dict[str, float] = {}
         self._tokens = 1.0
         self._filled_at = float("-inf")
@@ -62,18 +62,18 @@
             if self.count_waiting() >= const.MAX_WAITING:
                 return False
             line = self._waiting.setdefault(key, OrderedDict())
-            self._turns.setdefault(key, None)
+            self._round_robin.setdefault(key, None)
         line[endpoint_id] = now
         return True
 
     def _dequeue(self, endpoint_id: str, artifact: Artifact) -> None:
         key = (artifact.kind.value, artifact.name)
         del self._waiting[key][endpoint_id]
-        self._turns.move_to_end(key)
+        self._round_robin.move_to_end(key)
         self._drop_empty()
 
     def _find_next(self) -> str:
-        key = next(iter(self._turns))
+        key = next(iter(self._round_robin))
         return next(iter(self._waiting[key]))
 
     def _refresh(self, now: float) -> None:
@@ -93,7 +93,7 @@
     def _drop_empty(self) -> None:
         for key in [key for key, line in self._waiting.items() if not line]:
             del self._waiting[key]
-            del self._turns[key]
+            del self._round_robin[key]
 
     def _heed_refusals(self, now: float) -> None:
         states = self._read_states()
