--- a/chivetrack/components/model_placement/queue.py
+++ b/chivetrack/components/model_placement/queue.py
@@ -88,14 +88,14 @@
         elapsed_s = min(now - self._filled_at, 1.0 / const.LOADS_PER_S)
         self._tokens = min(1.0, self._tokens + elapsed_s * const.LOADS_PER_S)
         self._filled_at = now
-        self._heed_refusals(now)
+        self._back_off(now)
 
     def _drop_empty(self) -> None:
         for key in [key for key, line in self._waiting.items() if not line]:
             del self._waiting[key]
             del self._round_robin[key]
 
-    def _heed_refusals(self, now: float) -> None:
+    def _back_off(self, now: float) -> None:
         states = self._read_states()
         refused = frozenset(name for name, state in states.items() if _is_refused(state))
         if refused - self._refused:
