--- a/chivetrack/components/model_placement/queue.py
+++ b/chivetrack/components/model_placement/queue.py
@@ -31,7 +31,7 @@
         self._filled_at = float("-inf")
         self._refused: frozenset[str] = frozenset()
         self._store_delay_s = const.STORE_DELAY_S
-        self._closed_until = float("-inf")
+        self._paused_until = float("-inf")
 
     def admit(self, endpoint_id: str, artifact: Artifact, *, now: float) -> bool:
         """Tell whether this load may begin; if not, it waits for its turn."""
@@ -39,7 +39,7 @@
             return False
         if now != self._filled_at:
             self._refresh(now)
-        if self._find_next() != endpoint_id or now < self._closed_until or self._tokens < 1.0:
+        if self._find_next() != endpoint_id or now < self._paused_until or self._tokens < 1.0:
             return False
         if self._count_loads() >= const.MAX_LOADS:
             return False
@@ -99,7 +99,7 @@
         states = self._read_states()
         refused = frozenset(name for name, state in states.items() if _is_refused(state))
         if refused - self._refused:
-            self._closed_until = now + self._store_delay_s
+            self._paused_until = now + self._store_delay_s
             self._store_delay_s = min(2 * self._store_delay_s, const.MAX_STORE_DELAY_S)
         elif not refused:
             self._store_delay_s = const.STORE_DELAY_S
