--- a/chivetrack/components/model_placement/queue.py
+++ b/chivetrack/components/model_placement/queue.py
@@ -79,7 +79,9 @@
     def _refresh(self, now: float) -> None:
         for line in self._waiting.values():
             silent = [
-                name for name, asked_at in line.items() if now > asked_at + const.WAIT_EXPIRY_S
+                name
+                for name, requested_at in line.items()
+                if now > requested_at + const.WAIT_EXPIRY_S
             ]
             for name in silent:
                 del line[name]
