--- a/tests/components/model_placement/site.py
+++ b/tests/components/model_placement/site.py
@@ -21,7 +21,7 @@
 
     limit: int = 1000
     load_s: float = 2.0
-    most: int = 0
+    max_loading: int = 0
     refused: int = 0
     taken: list[tuple[float, str]] = field(default_factory=list)
 
@@ -31,7 +31,7 @@
             self.refused += 1
             return False
         self.taken.append((time, name))
-        self.most = max(self.most, busy + 1)
+        self.max_loading = max(self.max_loading, busy + 1)
         return True
 
 
--- a/tests/components/model_placement/test_placement.py
+++ b/tests/components/model_placement/test_placement.py
@@ -346,7 +346,7 @@
         self.assertLess(loads, 20.0 * const.LOADS_PER_S + 2)
         self.run_until(lambda: len(self.site.list_ready(OLD)) == 100)
         self.assertEqual(0, self.site.store.refused)
-        self.assertLessEqual(self.site.store.most, const.MAX_LOADS)
+        self.assertLessEqual(self.site.store.max_loading, const.MAX_LOADS)
 
     def test_refusing_store(self) -> None:
         """It serves one at a time, slowly: no version is blamed, and it is asked rarely."""
