--- a/tests/components/model_placement/test_placement.py
+++ b/tests/components/model_placement/test_placement.py
@@ -41,7 +41,7 @@
             self.assertLess(self.site.simulation.time, until, "not reached in time")
             self.site.run(0.5)
 
-    def run_and_watch(self, seconds: float) -> int:
+    def run_and_count_fewest(self, seconds: float) -> int:
         """Let time pass and return the fewest ready copies seen."""
         fewest = self.site.count_ready()
         for _ in range(round(seconds / 0.1)):
@@ -80,7 +80,7 @@
         self.place(copies=4)
         self.site.set_model(copies=2)
         self.run_until(lambda: self.site.count_ready() == 2)
-        self.assertEqual(2, self.run_and_watch(30.0))
+        self.assertEqual(2, self.run_and_count_fewest(30.0))
 
     def test_memory(self) -> None:
         """Two models share an engine only if its memory is known and takes both."""
@@ -130,7 +130,7 @@
                 self.start(make_engines(engines))
                 self.place(copies=copies, floor=floor)
                 self.site.set_model(copies=copies, floor=floor, version="2")
-                self.assertGreaterEqual(self.run_and_watch(200.0), fewest)
+                self.assertGreaterEqual(self.run_and_count_fewest(200.0), fewest)
                 self.assertEqual(moved, len(self.site.list_ready(NEW)))
 
     def test_first_copy_goes_alone(self) -> None:
@@ -147,13 +147,13 @@
         for engine in self.site.engines.values():
             engine.broken.add(NEW)
         self.site.set_model(copies=4, floor=0.25, version="2")
-        self.assertEqual(3, self.run_and_watch(60.0))
+        self.assertEqual(3, self.run_and_count_fewest(60.0))
         report = self.site.read_report()
         self.assertEqual((PlacementPhase.HALTED, "1"), (report.phase, report.good_version))
         self.assertIn("version 2 failed on e", report.reason)
         self.assertEqual(4, len(self.site.list_ready(OLD)))
         self.find_holder().is_dead = True
-        self.assertEqual(4, self.run_and_watch(FAILOVER_S + 60.0))
+        self.assertEqual(4, self.run_and_count_fewest(FAILOVER_S + 60.0))
         self.site.set_model(copies=4, floor=0.25, version="3")
         self.run_until(lambda: len(self.site.list_ready(make_model("m", "3"))) == 4)
 
@@ -173,7 +173,7 @@
         unloads = self.count_orders(OrderKind.UNLOAD)
         self.run_until(lambda: self.count_orders(OrderKind.UNLOAD) > unloads)
         self.find_holder().is_dead = True
-        self.assertEqual(3, self.run_and_watch(FAILOVER_S + 250.0))
+        self.assertEqual(3, self.run_and_count_fewest(FAILOVER_S + 250.0))
         self.assertEqual(4, len(self.site.list_ready(NEW)))
 
 
