--- a/chivetrack/components/model_placement/__init__.py
+++ b/chivetrack/components/model_placement/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps models and adapters in place on engines."""
+"""Placement of models and adapters on engines."""
--- a/chivetrack/components/model_placement/const.py
+++ b/chivetrack/components/model_placement/const.py
@@ -1,4 +1,4 @@
-"""Constants of the model placement; times in seconds."""
+"""Constants of the model placement component; times in seconds."""
 
 from typing import Final
 
@@ -8,43 +8,45 @@
 FINALIZER: Final = "model-placement"
 
 REPAIR_DELAY_S: Final = 60.0
-"""A lost copy is replaced after this long: most lost engines are back before."""
+"""Delay before a lost copy is replaced; most lost engines return earlier."""
 
 SILENCE_S: Final = 30.0
-"""An engine that is listed and answers no question is planned without after this long."""
+"""Time after which a new lease holder plans without the engines that have sent no state."""
 
 ENGINES_QUERIED_PER_S: Final = 50
-"""How many engines are at least asked in a second; longer is waited for very many."""
+"""Fewest engines queried in a second; ``SILENCE_S`` is extended by the time for all engines."""
 
 SOAK_S: Final = 30.0
-"""How long the first copy of a new version must serve before others follow."""
+"""Time for which the first copy of a new version must serve before others follow."""
 
 UNLOAD_SETTLE_S: Final = 8.0
-"""A state from longer after an unload was wanted than this shows its effect."""
+"""Time after the decision to unload a copy from which the engine's state shows the effect."""
 
 MAX_CHANGES: Final = 64
-"""Copies of one item that a comparison newly places, moves or takes away.
+"""Most copies of one item that a reconciliation places, moves or removes.
 
-The queue lets far fewer load at a time; planning thousands would block the process.
+The load queue admits far fewer at a time, and planning thousands would block the process.
 """
 
 MAX_LOADS: Final = 4
 LOADS_PER_S: Final = 0.5
-"""Bounds on loads from the one weight store, for the whole fleet."""
+"""Bounds on concurrent loads and on the rate of loads from the weight store of the fleet."""
 
 GRANT_EXPIRY_S: Final = 10.0
-"""How long a load that may begin counts before the engine shows it."""
+"""Time for which an admitted load counts until the state of the engine shows it."""
 
+# A waiting load that is not requested again within this time leaves the queue.
 WAIT_EXPIRY_S: Final = 5.0
 MAX_WAITING: Final = 8192
+# Pause of the load queue after a refusal of the weight store; it doubles up to the maximum.
 STORE_DELAY_S: Final = 5.0
 MAX_STORE_DELAY_S: Final = 30.0
 
 STORE_BUSY: Final = "store-busy"
-"""How an engine names a load that the weight store refused: no fault of the version."""
+"""Error of a load that the weight store refused; it is not a fault of the version."""
 
 RECONCILE_INTERVAL_S: Final = 0.5
 ENGINES_PER_S: Final = 500
-"""Above this many engines comparisons get rarer, to bound the share of the processor."""
+"""Engines reconciled in a second; with more engines the interval grows to bound the CPU use."""
 
 MAX_EVENTS: Final = 10
--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -1,4 +1,4 @@
-"""Keeps the wanted copies of models and adapters in place."""
+"""Controller that keeps the desired copies of models and adapters in place."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Sequence
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementObservation:
-    """The engines, and the time in milliseconds since 1970."""
+    """The engines, and the time in milliseconds since the Unix epoch."""
 
     engines: tuple[EngineView, ...]
     wall_ms: int
@@ -40,10 +40,10 @@
 
 @CONTROLLERS.register(const.CONTROLLER)
 class PlacementController:
-    """Turns resources and what engines say into a goal for each engine.
+    """Computes a goal for each engine from the resources and the states of the engines.
 
-    The goals are for the order desk, which must run under the same lease; those of a
-    former term are never given out.
+    The goals are read by ``OrderDesk``, which must run under the same lease. Goals of a
+    previous term are never returned.
     """
 
     def __init__(
@@ -54,7 +54,11 @@
         list_engines: Callable[[], Sequence[EngineView]],
         to_wall_ms: Callable[[float], int],
     ) -> None:
-        """Read resources from ``table`` and engines from ``list_engines``."""
+        """Initialize the controller.
+
+        ``table`` holds the resources, ``list_engines`` returns the engines, and
+        ``to_wall_ms`` converts the local time to milliseconds since the Unix epoch.
+        """
         self._table = table
         self._lease = lease
         self._list_engines = list_engines
@@ -65,17 +69,17 @@
         self._goals: dict[tuple[str, int], EngineGoal] = {}
 
     def read_desired(self) -> tuple[DesiredItem, ...]:
-        """Return models and adapters, those that are being deleted too."""
+        """Return all models and adapters, including those that are being deleted."""
         return read_desired_items(self._table)
 
     def read_observed(self, *, now: float) -> PlacementObservation:
-        """Return the engines."""
+        """Return the engines and the wall time."""
         return PlacementObservation(
             engines=tuple(self._list_engines()), wall_ms=self._to_wall_ms(now)
         )
 
     def list_targets(self) -> list[EngineTarget]:
-        """Return all engines with their goals, for the order desk."""
+        """Return all engines with their goals, for ``OrderDesk``."""
         goals = self._goals if self._term == self._lease.fencing else {}
         return [
             EngineTarget(
@@ -91,14 +95,14 @@
     def reconcile(
         self, desired: tuple[DesiredItem, ...], observed: PlacementObservation, *, now: float
     ) -> Plan:
-        """Set the goals and return the statuses and finalizers that should change."""
+        """Set the goals; return the status and finalizer changes to be made."""
         if self._term != self._lease.fencing:
             self._term = self._lease.fencing
             self._term_at = now
             self._memory = None
             self._goals = {}
-        rest_s = len(observed.engines) / const.ENGINES_PER_S
-        look_again_at = now + max(const.RECONCILE_INTERVAL_S, rest_s)
+        scan_s = len(observed.engines) / const.ENGINES_PER_S
+        look_again_at = now + max(const.RECONCILE_INTERVAL_S, scan_s)
         if not self._has_fresh_states(observed.engines, now):
             return Plan(look_again_at=look_again_at)
         if self._memory is None:
@@ -109,7 +113,7 @@
             if item.record.deleting_ms:
                 actions.extend(_detach_finalizer_when_unloaded(item, observed.engines))
             elif const.FINALIZER not in item.record.finalizers:
-                # Without it a deletion could leave copies that nobody takes away.
+                # Without the finalizer, a deletion could leave copies that are never unloaded.
                 actions.append(_attach_finalizer(item))
             else:
                 plan = self._plan(item, assignments, self._memory, now)
@@ -119,8 +123,8 @@
         return Plan(actions=tuple(actions), look_again_at=look_again_at)
 
     def _has_fresh_states(self, engines: Sequence[EngineView], now: float) -> bool:
-        # Engines that were not asked yet look empty: the next holder would load all
-        # their copies a second time elsewhere.
+        # Engines that were not queried yet appear empty. A new lease holder would load all
+        # their copies again on other engines.
         silence_s = const.SILENCE_S + len(engines) / const.ENGINES_QUERIED_PER_S
         if now >= self._term_at + silence_s:
             return True
@@ -152,7 +156,7 @@
 
 
 class _Assignments:
-    """Collects the goals of one comparison and watches the engines' memory."""
+    """Collects the goals of one reconciliation and checks the memory of the engines."""
 
     def __init__(self, *, desired: Sequence[DesiredItem], engines: Sequence[EngineView]) -> None:
         self._engines = engines
@@ -169,25 +173,28 @@
         }
 
     def list_candidates(self, item: DesiredItem) -> list[EngineView]:
-        """Return the engines of the service; for an adapter those that serve its model."""
+        """Return the engines of the service; for an adapter, those that serve its model."""
         listed = [engine for engine in self._engines if engine.service == item.service]
         if item.artifact.kind is ArtifactKind.MODEL:
             return listed
         return [engine for engine in listed if self._serves(engine, item.artifact.model)]
 
     def has_room(self, engine: EngineView, item: DesiredItem) -> bool:
-        """Tell whether the engine can hold one more; without known sizes, one model."""
+        """Return whether the engine has memory for the item.
+
+        If a size is unknown, the engine can hold a single model.
+        """
         if item.artifact.kind is ArtifactKind.ADAPTER:
             return True
-        others = self._models[engine.endpoint_id] - {item.artifact.get_name()}
+        other_models = self._models[engine.endpoint_id] - {item.artifact.get_name()}
         limit = 0 if engine.state is None else engine.state.memory_bytes
-        sizes = [item.memory_bytes, *(self._memory.get(other, 0) for other in others)]
+        sizes = [item.memory_bytes, *(self._memory.get(other, 0) for other in other_models)]
         if not limit or not all(sizes):
-            return engine.state is not None and not others
+            return engine.state is not None and not other_models
         return sum(sizes) <= limit
 
     def assign(self, item: DesiredItem, goals: dict[str, Artifact]) -> None:
-        """Take the goals of one item."""
+        """Add the goals of one item."""
         for endpoint_id, artifact in goals.items():
             self._artifacts[endpoint_id].add(artifact)
             if artifact.kind is ArtifactKind.MODEL:
@@ -198,8 +205,8 @@
     def make_goals(self) -> dict[tuple[str, int], EngineGoal]:
         """Return the goal of each engine, by its id and incarnation.
 
-        None for an engine that has not said what it holds: planned as empty, it would
-        be told to unload all of it as soon as it answers.
+        An engine that has not reported its state gets no goal: planned as empty, it would
+        have to unload everything as soon as it answers.
         """
         return {
             (engine.endpoint_id, engine.incarnation): EngineGoal(
@@ -236,7 +243,7 @@
 def _detach_finalizer_when_unloaded(
     item: DesiredItem, engines: Iterable[EngineView]
 ) -> list[Action]:
-    """Return the end of the clean-up once no engine holds a copy."""
+    """Return the removal of the finalizer once no usable engine holds a copy."""
     if const.FINALIZER not in item.record.finalizers:
         return []
     if any(engine.find(item) is not None for engine in engines if engine.is_usable):
--- a/chivetrack/components/model_placement/desired.py
+++ b/chivetrack/components/model_placement/desired.py
@@ -1,4 +1,4 @@
-"""Reads the models and adapters that operators want."""
+"""Reads the desired models and adapters from the resource table."""
 
 from collections.abc import Iterator
 
@@ -16,15 +16,15 @@
 
 
 def read_desired_items(table: ResourceTable) -> tuple[DesiredItem, ...]:
-    """Return models, then adapters, by name; those that are being deleted too."""
+    """Return all models, then all adapters, by name; including those that are being deleted."""
     models = {name: (record, spec) for name, record, spec in _read_specs(table, MODEL_KIND)}
-    wanted = [_make_model(record, spec) for record, spec in models.values()]
+    items = [_make_model(record, spec) for record, spec in models.values()]
     for _, record, spec in _read_specs(table, ADAPTER_KIND):
         assert isinstance(spec, Adapter)
         model = models.get(spec.model)
         if model is not None or record.finalizers:
-            wanted.append(_make_adapter(record, spec, None if model is None else model[1]))
-    return tuple(wanted)
+            items.append(_make_adapter(record, spec, None if model is None else model[1]))
+    return tuple(items)
 
 
 def _read_specs(table: ResourceTable, kind: str) -> Iterator[tuple[str, Record, Model | Adapter]]:
--- a/chivetrack/components/model_placement/engines.py
+++ b/chivetrack/components/model_placement/engines.py
@@ -1,4 +1,4 @@
-"""The engines as the placement sees them: the registry's list and the desk's answers."""
+"""View of the engines, from the endpoint registry and the states they report to orders."""
 
 from collections.abc import Iterator
 
@@ -9,28 +9,28 @@
 
 
 class EngineObserver:
-    """Reads the endpoint registry and, once it is connected, the order desk."""
+    """Reads the endpoint registry and, once it is connected, the ``OrderDesk``."""
 
     def __init__(self, *, registry: EndpointRegistry) -> None:
-        """Start without a desk: no engine has said anything."""
+        """Initialize the observer; until it is connected, no engine has a known state."""
         self._registry = registry
         self._desk: OrderDesk | None = None
 
     def connect(self, desk: OrderDesk) -> None:
-        """Read what engines say from ``desk``, which in turn needs their list."""
+        """Set the source of the engine states, which in turn needs the list of engines."""
         self._desk = desk
 
     def list_engines(self) -> list[EngineView]:
-        """Return all engines that hold a lease."""
-        return [self._view(endpoint) for endpoint in self._iterate()]
+        """Return all registered engines."""
+        return [self._make_view(endpoint) for endpoint in self._iterate_engines()]
 
-    def _iterate(self) -> Iterator[EndpointState]:
+    def _iterate_engines(self) -> Iterator[EndpointState]:
         for service in self._registry.list_services():
             for endpoint in self._registry.list_endpoints(service):
                 if endpoint.kind is EndpointKind.ENGINE:
                     yield endpoint
 
-    def _view(self, endpoint: EndpointState) -> EngineView:
+    def _make_view(self, endpoint: EndpointState) -> EngineView:
         name = endpoint.endpoint_id
         return EngineView(
             endpoint_id=name,
--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -1,4 +1,4 @@
-"""What the placement remembers within a term: losses, copies on their way out, soaks."""
+"""State of the placement within a term: lost copies, unloads in progress, soak times."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,10 +10,13 @@
 
 
 class TermMemory:
-    """Starts empty with each term; that only makes the controller wait longer."""
+    """Records observations within one term of the lease.
+
+    It starts empty with each term, which only makes the controller wait longer.
+    """
 
     def __init__(self, *, started_at: float) -> None:
-        """Begin a term."""
+        """Initialize the memory at the start of a term."""
         self._started_at = started_at
         self._lost_at: dict[_CopyKey, float | None] = {}
         self._most_seen: dict[ArtifactName, int] = {}
@@ -23,7 +26,7 @@
     def record_copies(
         self, item: DesiredItem, engines: Iterable[EngineView], *, now: float
     ) -> None:
-        """Look where copies are, which are lost, and how long the new version serves."""
+        """Record where copies are, when they were lost, and since when the new version serves."""
         name = item.artifact.get_name()
         by_id = {engine.endpoint_id: engine for engine in engines}
         for endpoint_id, engine in by_id.items():
@@ -39,10 +42,11 @@
         self._record_serving(item, by_id.values(), now)
 
     def count_absent(self, item: DesiredItem, holders: int, *, now: float) -> int:
-        """Return how many copies are lost and not yet to be replaced.
+        """Return the number of copies that are lost but must not be replaced yet.
 
-        An engine that restarts is back within seconds; replaced at once, its copies would
-        be loaded twice, and a switch that blinks would reload a whole zone.
+        An engine that restarts returns within seconds. If its copies were replaced
+        immediately, they would be loaded twice, and a short failure of a network switch would
+        reload a whole zone.
         """
         name = item.artifact.get_name()
         most_seen = max(holders, self._most_seen.get(name, 0))
@@ -53,17 +57,18 @@
             if owner == name and lost_at is not None and now < lost_at + const.REPAIR_DELAY_S
         )
         if item.last_good is not None and now < self._started_at + const.REPAIR_DELAY_S:
-            # What this holder has never seen may have been lost just before its term.
+            # Copies that this lease holder has never seen may have been lost just before
+            # its term.
             absent += max(0, item.copies - most_seen)
         return absent
 
     def is_soaked(self, artifact: Artifact, *, now: float) -> bool:
-        """Tell whether a version has served somewhere for long enough."""
+        """Return whether a version has served on some engine for ``SOAK_S``."""
         since = self._serving_since.get(artifact)
         return since is not None and now >= since + const.SOAK_S
 
     def list_leaving(self, item: DesiredItem) -> set[str]:
-        """Return the engines from which a copy is or may be on its way out."""
+        """Return the engines from which a copy is being unloaded, or may be."""
         name = item.artifact.get_name()
         return {place[1] for place in self._leaving_since if place[0] == name}
 
@@ -75,10 +80,10 @@
         *,
         now: float,
     ) -> None:
-        """Remember which copies the goals take away.
+        """Record which copies the goals remove.
 
-        The unload may be under way while the engine's last word is still "ready":
-        counted as such, a second copy would be taken beside it, below the floor.
+        The unload may be in progress while the last state of the engine is still "ready". If
+        that copy counted as ready, another copy would be removed, which breaks the floor.
         """
         name = item.artifact.get_name()
         for engine in engines:
--- a/chivetrack/components/model_placement/models.py
+++ b/chivetrack/components/model_placement/models.py
@@ -1,4 +1,4 @@
-"""What the model placement reads, decides and writes."""
+"""Models of the model placement component."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class PlacementPhase(StrEnum):
-    """How far a model or an adapter is."""
+    """Phase of the placement of a model or an adapter."""
 
     PLACING = "placing"
     STEADY = "steady"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementEvent:
-    """One step: what the controller did and why; ``at_ms`` since 1970."""
+    """A change of phase or reason; ``at_ms`` is in milliseconds since the Unix epoch."""
 
     at_ms: int
     phase: PlacementPhase
@@ -36,9 +36,10 @@
 class PlacementReport:
     """The status of a model or an adapter.
 
-    ``good_version`` with its weights is the last one that was in place everywhere; it
-    is kept here since the specification names only the new one. ``halted_version`` is
-    one that failed: nothing more is moved to it.
+    ``ready`` and ``wanted`` are numbers of copies. ``good_version`` and ``good_weights`` belong
+    to the last version that was in place everywhere; they are stored here since the
+    specification holds only the new version. ``halted_version`` is a version that failed; no
+    further copies are changed to it.
     """
 
     phase: PlacementPhase = PlacementPhase.PLACING
@@ -53,9 +54,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DesiredItem:
-    """A model or an adapter that is to be in place.
+    """A model or an adapter in its desired state.
 
-    ``good`` is the version to fall back on, ``None`` before the first is in place.
+    ``last_good`` is the version to fall back on, ``None`` until the first version is in place.
+    ``floor`` is the share of the copies that must stay ready, 0 to 1.
     """
 
     record: Record
@@ -71,27 +73,32 @@
 
     @property
     def is_rolling(self) -> bool:
-        """Tell whether a version is being replaced."""
+        """Return whether a version is being replaced."""
         return self.last_good is not None and self.last_good != self.artifact
 
     @property
     def is_halted(self) -> bool:
-        """Tell whether the new version was found to fail."""
+        """Return whether the rollout of the new version was halted because it failed."""
         return self.report is not None and self.report.halted_version == self.artifact.version
 
     @property
     def min_ready(self) -> int:
-        """Return how many copies must stay ready whatever the controller does."""
+        """Return the number of copies that must stay ready during all changes."""
         return ceil(self.floor * self.copies)
 
     def owns(self, artifact: Artifact) -> bool:
-        """Tell whether an artifact is this one, in whatever version."""
+        """Return whether an artifact is a version of this item."""
         return artifact.name == self.artifact.name and artifact.kind is self.artifact.kind
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineView:
-    """An engine as the plan sees it; ``is_usable``: not leaving and not drained."""
+    """An engine as read for a plan.
+
+    ``is_usable``: it is neither leaving nor drained. ``state`` is its last reported state,
+    ``state_at`` the time of that report. ``checks_fencing``: it rejects orders with an old
+    fencing number.
+    """
 
     endpoint_id: str
     incarnation: int
@@ -104,25 +111,25 @@
     state: EngineState | None
     state_at: float
 
-    def find(self, wanted: DesiredItem) -> HeldArtifact | None:
-        """Return the copy of a model or adapter that it has, the wanted version first."""
+    def find(self, item: DesiredItem) -> HeldArtifact | None:
+        """Return the copy of an item that the engine holds, preferably in the desired version."""
         if self.state is None:
             return None
-        owned = [held for held in self.state.artifacts if wanted.owns(held.artifact)]
-        return min(owned, key=lambda held: held.artifact != wanted.artifact, default=None)
+        owned = [held for held in self.state.artifacts if item.owns(held.artifact)]
+        return min(owned, key=lambda held: held.artifact != item.artifact, default=None)
 
-    def has_ready(self, wanted: DesiredItem) -> bool:
-        """Tell whether some version serves here."""
+    def has_ready(self, item: DesiredItem) -> bool:
+        """Return whether the engine serves any version of an item."""
         if self.state is None or not self.is_healthy:
             return False
         return any(
-            wanted.owns(held.artifact) and held.phase is ArtifactPhase.READY
+            item.owns(held.artifact) and held.phase is ArtifactPhase.READY
             for held in self.state.artifacts
         )
 
-    def has_failed(self, wanted: DesiredItem) -> bool:
-        """Tell whether the wanted version fails here through its own fault."""
-        held = None if self.state is None else self.state.find(wanted.artifact)
+    def has_failed(self, item: DesiredItem) -> bool:
+        """Return whether the desired version of an item fails here through its own fault."""
+        held = None if self.state is None else self.state.find(item.artifact)
         if held is None:
             return False
         if held.phase is ArtifactPhase.FAILED:
@@ -132,7 +139,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class ItemPlan:
-    """Which engine is to hold which version of one model or adapter."""
+    """The version of one model or adapter that each engine is to hold.
+
+    ``goals`` is by endpoint id. ``ready`` is the number of ready copies. ``failed_on`` is an
+    engine on which the new version fails, or empty.
+    """
 
     goals: dict[str, Artifact] = field(default_factory=dict)
     ready: int = 0
--- a/chivetrack/components/model_placement/queue.py
+++ b/chivetrack/components/model_placement/queue.py
@@ -1,4 +1,4 @@
-"""The one queue through which all loads from the weight store go."""
+"""Queue of all loads from the weight store."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Mapping
@@ -10,19 +10,21 @@
 
 
 class LoadQueue:
-    """Admits a bounded number of loads at a time and at a bounded rate, in fair turns.
+    """Admits loads with bounded concurrency and at a bounded rate.
 
-    A hundred engines that come back at once ask at once; without the queue the store
-    would be asked for a hundred copies and refuse most of them, again and again. Turns
-    go round by artifact, so that many copies of one don't hold up the first of another,
-    and within one by arrival. Who no longer asks loses its place.
+    When a hundred engines return at the same time, they all request their loads at once.
+    Without the queue the store would get a hundred requests and refuse most of them
+    repeatedly. Artifacts take turns in round-robin order, so that many copies of one artifact
+    don't delay the first copy of another; the copies of one artifact are admitted in order of
+    arrival. A load that is no longer requested leaves the queue.
 
-    ``read_states`` returns what engines last said; loads under way are read from there,
-    so that the next holder goes on with the right number.
+    ``read_states`` returns the last states of the engines by endpoint id. Loads in progress
+    are counted from these states, so that the next lease holder continues with the right
+    number.
     """
 
     def __init__(self, *, read_states: Callable[[], Mapping[str, EngineState]]) -> None:
-        """Start with nothing waiting."""
+        """Initialize an empty queue."""
         self._read_states = read_states
         self._waiting: dict[_Key, OrderedDict[str, float]] = {}
         self._round_robin: OrderedDict[_Key, None] = OrderedDict()
@@ -34,36 +36,36 @@
         self._paused_until = float("-inf")
 
     def admit(self, endpoint_id: str, artifact: Artifact, *, now: float) -> bool:
-        """Tell whether this load may begin; if not, it waits for its turn."""
+        """Return whether a load may begin now; otherwise it waits in the queue."""
         if not self._enqueue(endpoint_id, artifact, now):
             return False
         if now != self._filled_at:
-            self._refresh(now)
+            self._update(now)
         if self._find_next() != endpoint_id or now < self._paused_until or self._tokens < 1.0:
             return False
         if self._count_loads() >= const.MAX_LOADS:
             return False
         self._dequeue(endpoint_id, artifact)
         self._tokens -= 1.0
-        # Refused once more, it would look as it does now; so a second try of an engine
-        # counts as a refusal, and tries get rarer until none is refused.
+        # The state of a refused engine does not change when its next load is refused too.
+        # Without this line a repeated refusal would not be noticed and extend the pause.
         self._refused -= {endpoint_id}
         self._granted[endpoint_id] = now + const.GRANT_EXPIRY_S
         return True
 
     def count_waiting(self) -> int:
-        """Return how many loads wait."""
-        return sum(len(line) for line in self._waiting.values())
+        """Return the number of waiting loads."""
+        return sum(len(waiting) for waiting in self._waiting.values())
 
     def _enqueue(self, endpoint_id: str, artifact: Artifact, now: float) -> bool:
         key = (artifact.kind.value, artifact.name)
-        line = self._waiting.get(key)
-        if line is None or endpoint_id not in line:
+        waiting = self._waiting.get(key)
+        if waiting is None or endpoint_id not in waiting:
             if self.count_waiting() >= const.MAX_WAITING:
                 return False
-            line = self._waiting.setdefault(key, OrderedDict())
+            waiting = self._waiting.setdefault(key, OrderedDict())
             self._round_robin.setdefault(key, None)
-        line[endpoint_id] = now
+        waiting[endpoint_id] = now
         return True
 
     def _dequeue(self, endpoint_id: str, artifact: Artifact) -> None:
@@ -76,24 +78,26 @@
         key = next(iter(self._round_robin))
         return next(iter(self._waiting[key]))
 
-    def _refresh(self, now: float) -> None:
-        for line in self._waiting.values():
-            silent = [
+    def _update(self, now: float) -> None:
+        for waiting in self._waiting.values():
+            stale = [
                 name
-                for name, requested_at in line.items()
+                for name, requested_at in waiting.items()
                 if now > requested_at + const.WAIT_EXPIRY_S
             ]
-            for name in silent:
-                del line[name]
+            for name in stale:
+                del waiting[name]
         self._drop_empty()
-        self._granted = {name: until for name, until in self._granted.items() if now < until}
+        self._granted = {
+            name: expires_at for name, expires_at in self._granted.items() if now < expires_at
+        }
         elapsed_s = min(now - self._filled_at, 1.0 / const.LOADS_PER_S)
         self._tokens = min(1.0, self._tokens + elapsed_s * const.LOADS_PER_S)
         self._filled_at = now
         self._back_off(now)
 
     def _drop_empty(self) -> None:
-        for key in [key for key, line in self._waiting.items() if not line]:
+        for key in [key for key, waiting in self._waiting.items() if not waiting]:
             del self._waiting[key]
             del self._round_robin[key]
 
--- a/chivetrack/components/model_placement/report.py
+++ b/chivetrack/components/model_placement/report.py
@@ -1,4 +1,4 @@
-"""The status of a model or an adapter, from what was planned."""
+"""Builds the status of a model or an adapter from its plan."""
 
 from dataclasses import replace
 
@@ -15,26 +15,26 @@
 )
 
 
-def write_report(wanted: DesiredItem, plan: ItemPlan, *, wall_ms: int) -> WriteStatus | None:
-    """Return the write of the new status, or ``None`` if it stays as it is."""
-    before = wanted.report or PlacementReport()
-    after = _make_report(wanted, plan, before)
-    if after == wanted.report:
+def write_report(item: DesiredItem, plan: ItemPlan, *, wall_ms: int) -> WriteStatus | None:
+    """Return the write of the new status, or ``None`` if the status is unchanged."""
+    before = item.report or PlacementReport()
+    after = _make_report(item, plan, before)
+    if after == item.report:
         return None
-    if (after.phase, after.reason) != (before.phase, before.reason) or wanted.report is None:
+    if (after.phase, after.reason) != (before.phase, before.reason) or item.report is None:
         event = PlacementEvent(at_ms=wall_ms, phase=after.phase, reason=after.reason)
         after = replace(after, events=(*before.events, event)[-MAX_EVENTS:])
     return WriteStatus(
-        kind=wanted.kind,
-        name=wanted.record.name,
+        kind=item.kind,
+        name=item.record.name,
         status=msgspec.msgpack.encode(after),
-        precondition=wanted.record.status_revision,
+        precondition=item.record.status_revision,
     )
 
 
-def _make_report(wanted: DesiredItem, plan: ItemPlan, before: PlacementReport) -> PlacementReport:
-    version = wanted.artifact.version
-    counts = replace(before, ready=plan.ready, wanted=wanted.copies)
+def _make_report(item: DesiredItem, plan: ItemPlan, before: PlacementReport) -> PlacementReport:
+    version = item.artifact.version
+    counts = replace(before, ready=plan.ready, wanted=item.copies)
     if plan.failed_on:
         return replace(
             counts,
@@ -42,7 +42,7 @@
             reason=f"version {version} failed on {plan.failed_on}; nothing more moves to it",
             halted_version=version,
         )
-    if wanted.is_halted:
+    if item.is_halted:
         return replace(counts, phase=PlacementPhase.HALTED)
     if plan.is_complete:
         return replace(
@@ -50,10 +50,10 @@
             phase=PlacementPhase.STEADY,
             reason=f"version {version} is in place",
             good_version=version,
-            good_weights=wanted.artifact.weights,
+            good_weights=item.artifact.weights,
             halted_version="",
         )
-    if wanted.is_rolling:
+    if item.is_rolling:
         reason = f"version {version} replaces {before.good_version}"
         return replace(counts, phase=PlacementPhase.ROLLING, reason=reason, halted_version="")
     reason = f"version {version} is being loaded where it is missing"
--- a/chivetrack/components/model_placement/rollout.py
+++ b/chivetrack/components/model_placement/rollout.py
@@ -1,4 +1,4 @@
-"""Where the copies of one model or adapter go, as a function of what is."""
+"""Plans the copies of one model or adapter from the current state of the engines."""
 
 from collections import Counter
 from collections.abc import Callable, Collection, Sequence
@@ -10,11 +10,12 @@
 
 
 class Rollout:
-    """Plans one item; engines that hold a copy keep it unless there is a reason.
+    """Plans one item; engines keep their copies unless a change is necessary.
 
-    ``leaving`` are engines from which a copy is being taken: they don't count as ready,
-    whatever they said last. ``absent`` copies are lost but may come back, and are not
-    replaced yet. ``is_soaked``: the first copy of a new version has served long enough.
+    ``leaving``: engines from which a copy is being unloaded; they don't count as ready,
+    whatever their last state is. ``absent``: number of lost copies that may come back and are
+    not replaced yet. ``is_soaked``: the first copy of a new version has served for ``SOAK_S``.
+    ``has_room``: returns whether an engine has memory for the item.
     """
 
     def __init__(
@@ -27,7 +28,7 @@
         is_soaked: bool,
         has_room: Callable[[EngineView], bool],
     ) -> None:
-        """Take what is known."""
+        """Initialize the plan for one item."""
         self._item = item
         self._engines = {engine.endpoint_id: engine for engine in engines if engine.is_usable}
         self._leaving = leaving
@@ -42,7 +43,7 @@
         }
 
     def plan(self) -> ItemPlan:
-        """Return the goals."""
+        """Return the plan."""
         self._keep_copies()
         failed_on = self._find_failure()
         if not failed_on:
@@ -77,8 +78,8 @@
         if self._item.is_halted or not self._has_old():
             return
         target = self._item.artifact
-        # The first copy goes alone: a version that can't be loaded, or fails its
-        # requests, then costs one copy and not as many as the floor would allow.
+        # Only one copy is changed first. A version that can't be loaded, or fails its
+        # requests, then costs one copy instead of all that the floor allows.
         is_proven = self._is_soaked or not self._item.is_rolling
         allowed = self._item.copies if is_proven else 1
         missing = min(allowed, self._item.copies) - self._count(target)
@@ -130,7 +131,7 @@
             self._ready.discard(name)
 
     def _is_surplus(self, name: str, *, has_old: bool) -> bool:
-        # A copy of the new version that still loads is what the old ones wait for.
+        # Copies of the old version wait for a copy of the new version that is still loading.
         if has_old and self._goals[name] == self._item.artifact:
             return False
         return self._can_remove(name, keep=self._item.copies)
--- a/chivetrack/components/model_placement/runner.py
+++ b/chivetrack/components/model_placement/runner.py
@@ -1,4 +1,4 @@
-"""The placement of one instance: controller, desk and queue under one lease."""
+"""Model placement of one instance: controller, orders and load queue under one lease."""
 
 from collections.abc import Callable
 from random import Random
@@ -14,10 +14,10 @@
 
 
 class PlacementRunner:
-    """Hands every event to the loop, which keeps the lease, and then to the desk.
+    """Forwards every event to the loop, which holds the lease, and then to ``OrderDesk``.
 
-    Its effects are the loop's proposals and the desk's ``SendOrder``, ``AskEngine`` and
-    ``OrderRequestEnded``.
+    Its effects are the proposals of the loop, and ``SendOrder``, ``AskEngine`` and
+    ``OrderRequestEnded`` from ``OrderDesk``.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         random: Random,
         started_at: float,
     ) -> None:
-        """Put the parts together; ``get_revision`` is the one that ``table`` is at."""
+        """Initialize all components; ``get_revision`` returns the revision of ``table``."""
         self.controller = PlacementController(
             table=table,
             lease=lease,
@@ -55,13 +55,13 @@
 
     @property
     def lease(self) -> LeaseHolder:
-        """Return the lease under which all of it acts."""
+        """Return the lease under which all components act."""
         return self.loop.lease
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take one event at time ``now``."""
+        """Handle an event at time ``now``."""
         return [*self.loop.handle(event, now=now), *self.desk.handle(event, now=now)]
 
     def release(self, *, now: float) -> list[Effect]:
-        """Give the lease back, for an orderly stop."""
+        """Release the lease, for an orderly stop."""
         return self.loop.release(now=now)
--- a/tests/components/model_placement/site.py
+++ b/tests/components/model_placement/site.py
@@ -1,4 +1,4 @@
-"""Engines, a weight store and instances that keep models in place."""
+"""Simulation of engines, a weight store and instances with placement controllers."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class WeightStore:
-    """Counts the loads under way and refuses those beyond its limit."""
+    """Fake weight store that refuses loads beyond ``limit`` at the same time."""
 
     limit: int = 1000
     load_s: float = 2.0
@@ -36,7 +36,7 @@
 
 
 class Observer:
-    """Stands in for the observer of one instance."""
+    """Fake ``EngineObserver`` of one instance."""
 
     def __init__(self, site: "Site") -> None:
         self._site = site
@@ -65,7 +65,7 @@
 
 
 class Site(EngineRoom):
-    """The engine room with placement controllers instead of given goals."""
+    """``EngineRoom`` whose goals come from placement controllers."""
 
     def __init__(self, engines: list[Engine], *, seed: int = 1) -> None:
         super().__init__(engines, seed=seed)
--- a/tests/components/model_placement/test_placement.py
+++ b/tests/components/model_placement/test_placement.py
@@ -1,4 +1,4 @@
-"""Models in place: spread, rolling change, repair, stampedes, changes of holder."""
+"""Tests for model placement: zones, rollouts, repair, load bursts and lease changes."""
 
 import unittest
 from dataclasses import replace
@@ -42,7 +42,7 @@
             self.site.run(0.5)
 
     def run_and_count_fewest(self, seconds: float) -> int:
-        """Let time pass and return the fewest ready copies seen."""
+        """Run the simulation and return the lowest number of ready copies."""
         fewest = self.site.count_ready()
         for _ in range(round(seconds / 0.1)):
             self.site.run(0.1)
@@ -59,7 +59,7 @@
 
 
 class PlaceTest(PlacementTestCase):
-    def test_copies_are_spread_over_zones(self) -> None:
+    def test_copies_are_distributed_over_zones(self) -> None:
         self.start(make_engines(9))
         self.place(copies=6)
         names = self.site.list_ready(OLD)
@@ -75,7 +75,7 @@
         zones = {self.site.engines[name].zone for name in self.site.list_ready(OLD)}
         self.assertEqual({"z0", "z1", "z2"}, zones)
 
-    def test_surplus_copies_are_taken_away(self) -> None:
+    def test_surplus_copies_are_removed(self) -> None:
         self.start(make_engines(6))
         self.place(copies=4)
         self.site.set_model(copies=2)
@@ -83,7 +83,7 @@
         self.assertEqual(2, self.run_and_count_fewest(30.0))
 
     def test_memory(self) -> None:
-        """Two models share an engine only if its memory is known and takes both."""
+        """Two models share an engine only if its memory is known and sufficient for both."""
         cases = [("unknown", 0, 1), ("too small", 15, 1), ("enough", 20, 2)]
         for title, memory, models in cases:
             with self.subTest(title):
@@ -104,7 +104,7 @@
         self.assertEqual(self.site.list_ready(OLD), self.site.list_ready(adapter))
 
     def test_deleted_model_is_unloaded(self) -> None:
-        """Also when the holder is lost in between: the finalizer keeps the resource."""
+        """The lease holder dies before the unload; the finalizer keeps the resource."""
         self.start(make_engines(4), names=("one", "two"))
         self.place(copies=3)
         self.site.simulation.delete(MODEL_KIND, "m")
@@ -117,7 +117,7 @@
 
 class RolloutTest(PlacementTestCase):
     def test_never_below_the_floor(self) -> None:
-        """With and without free engines; where the floor allows nothing, nothing moves."""
+        """With and without free engines; no copy changes if the floor does not allow it."""
         cases = [
             ("free engines", 8, 4, 1.0, 4, 4),
             ("none free, half may go", 4, 4, 0.5, 2, 4),
@@ -133,15 +133,15 @@
                 self.assertGreaterEqual(self.run_and_count_fewest(200.0), fewest)
                 self.assertEqual(moved, len(self.site.list_ready(NEW)))
 
-    def test_first_copy_goes_alone(self) -> None:
+    def test_only_one_copy_changes_first(self) -> None:
         self.start(make_engines(4))
         self.place(copies=4, floor=0.0)
         self.site.set_model(copies=4, floor=0.0, version="2")
         self.site.run(const.SOAK_S)
         self.assertEqual((3, 1), (len(self.site.list_ready(OLD)), len(self.site.list_ready(NEW))))
 
-    def test_stops_itself_and_goes_on_with_another_version(self) -> None:
-        """The new version can't be loaded: one copy is lost for a while, no more."""
+    def test_failed_rollout_halts_until_another_version_is_set(self) -> None:
+        """The new version can't be loaded; no more than one copy may be lost meanwhile."""
         self.start(make_engines(4), names=("one", "two"))
         self.place(copies=4, floor=0.25)
         for engine in self.site.engines.values():
@@ -157,7 +157,7 @@
         self.site.set_model(copies=4, floor=0.25, version="3")
         self.run_until(lambda: len(self.site.list_ready(make_model("m", "3"))) == 4)
 
-    def test_back_to_the_old_version_in_the_middle(self) -> None:
+    def test_return_to_the_old_version_during_a_rollout(self) -> None:
         self.start(make_engines(4))
         self.place(copies=4, floor=0.5)
         self.site.set_model(copies=4, floor=0.5, version="2")
@@ -165,8 +165,8 @@
         self.site.set_model(copies=4, floor=0.5, version="1")
         self.run_until(lambda: len(self.site.list_ready(OLD)) == 4)
 
-    def test_holder_killed_in_the_middle(self) -> None:
-        """The next one knows nothing of the unload that is under way, and must ask first."""
+    def test_holder_killed_during_a_rollout(self) -> None:
+        """The next holder does not know of the unload in progress and must query the engines."""
         self.start(make_engines(4), names=("one", "two"))
         self.place(copies=4, floor=0.75)
         self.site.set_model(copies=4, floor=0.75, version="2")
@@ -178,11 +178,11 @@
 
 
 class TakeoverTest(PlacementTestCase):
-    def test_goals_of_a_former_term_are_not_carried_out(self) -> None:
-        """Cut off, it missed a change of version; back, it must not undo it.
+    def test_goals_of_a_previous_term_are_not_applied(self) -> None:
+        """A lease holder is disconnected, misses a change of version and holds the lease again.
 
-        It holds the lease again while one engine does not answer yet, so it has not
-        compared anew; the goals in its memory are those of its former term.
+        One engine does not answer yet, so the holder has not reconciled again. The goals in
+        its memory are those of its previous term and would undo the change.
         """
         self.start(make_engines(3), names=("one", "two"))
         self.place(copies=3, floor=0.0)
@@ -209,8 +209,8 @@
         self.assertIsNone(goals["e0"])
         self.assertIsNotNone(goals["e1"])
 
-    def test_word_of_an_engine_that_does_not_check_is_believed_late(self) -> None:
-        """The former holder's unload may still reach it after it said that it is ready."""
+    def test_state_of_an_engine_without_fencing_counts_after_a_delay(self) -> None:
+        """An unload of the previous holder may still arrive after the engine reported ready."""
         self.start([Engine("e0", checks=False), Engine("e1")])
         self.site.set_model(copies=1)
         self.site.run(9.0)
@@ -218,8 +218,11 @@
         self.site.run(10.0)
         self.assertEqual(1, self.count_orders())
 
-    def test_copy_on_its_way_out_does_not_count(self) -> None:
-        """One unload is under way, its engine's last word is "ready": no second one."""
+    def test_copy_that_is_being_unloaded_does_not_count(self) -> None:
+        """An unload is in progress, but the last state of its engine is "ready".
+
+        No second copy may be unloaded meanwhile.
+        """
         engines = make_engines(5)
         self.start(engines)
         self.place(copies=5)
@@ -243,7 +246,7 @@
 
 
 class RepairTest(PlacementTestCase):
-    def test_flap_is_ridden_out(self) -> None:
+    def test_short_absence_causes_no_load(self) -> None:
         self.start(make_engines(6))
         self.place(copies=3)
         loads = self.count_orders()
@@ -263,7 +266,7 @@
         self.assertEqual(loads + 1, self.count_orders())
         self.assertEqual(3, self.site.count_ready())
 
-    def test_restarted_engine_is_filled_at_once(self) -> None:
+    def test_restarted_engine_gets_its_copies_at_once(self) -> None:
         self.start(make_engines(3))
         self.place(copies=3)
         self.site.engines["e0"].restart()
@@ -271,9 +274,9 @@
         self.assertEqual(3, len(self.site.list_ready(OLD)))
 
     def test_next_holder_loads_nothing_twice(self) -> None:
-        """It has asked nobody yet: all engines look empty, all copies look lost.
+        """A new lease holder has queried no engine, so all copies appear to be lost.
 
-        One engine answers late; its copy must not be loaded elsewhere meanwhile.
+        One engine answers late; its copy must not be loaded on another engine meanwhile.
         """
         self.start(make_engines(6), names=("one", "two"))
         self.place(copies=3)
@@ -289,8 +292,11 @@
         self.site.run(60.0)
         self.assertEqual(loads, self.count_orders())
 
-    def test_next_holder_in_the_middle_of_the_first_placing(self) -> None:
-        """One engine that loads for the former holder answers late: it is waited for."""
+    def test_next_holder_during_the_first_placement(self) -> None:
+        """An engine that loads a copy for the previous holder answers late.
+
+        The next holder must wait for it and not load the copy elsewhere.
+        """
         self.start(make_engines(6, load_s=60.0), names=("one", "two"))
         self.site.set_model(copies=3)
         self.run_until(lambda: self.count_orders() == 3)
@@ -305,8 +311,11 @@
         self.site.run(100.0)
         self.assertEqual(3, self.count_orders())
 
-    def test_loss_while_nobody_held_the_lease(self) -> None:
-        """The next holder has not seen when it was lost, so it counts from its own start."""
+    def test_loss_while_no_instance_held_the_lease(self) -> None:
+        """The next holder does not know when the copy was lost.
+
+        The repair delay must count from the start of its term.
+        """
         self.start(make_engines(6), names=("one", "two"))
         self.place(copies=3)
         loads = self.count_orders()
@@ -332,8 +341,8 @@
 
 
 class WeightStoreTest(PlacementTestCase):
-    def test_hundred_engines_come_back_at_once(self) -> None:
-        """A rack returns: all ask for their weights, the store serves a few at a time."""
+    def test_hundred_engines_return_at_once(self) -> None:
+        """All engines of a rack restart and request their weights; the store serves a few."""
         self.start(make_engines(100))
         for engine in self.site.engines.values():
             engine.held = {OLD: 0.0}
@@ -349,7 +358,10 @@
         self.assertLessEqual(self.site.store.max_loading, const.MAX_LOADS)
 
     def test_refusing_store(self) -> None:
-        """It serves one at a time, slowly: no version is blamed, and it is asked rarely."""
+        """The store serves one load at a time, slowly.
+
+        No rollout may halt because of it, and few requests may be refused.
+        """
         self.start(make_engines(4, load_s=10.0))
         self.site.store = WeightStore(limit=1, load_s=10.0)
         for engine in self.site.engines.values():
--- a/tests/components/model_placement/test_placement_fuzz.py
+++ b/tests/components/model_placement/test_placement_fuzz.py
@@ -1,4 +1,4 @@
-"""Version changes under faults: never below the floor, and in the end all is in place."""
+"""Stateful test of version changes under faults."""
 
 import unittest
 
@@ -19,9 +19,9 @@
 class PlacementMachine(RuleBasedStateMachine):
     """Four copies on five engines; instances freeze, die and lose messages.
 
-    No engine fails here, so every copy that is missing was taken by a controller: never
-    more than the floor allows, whoever holds the lease. Versions may be bad; then the
-    change stops. Once the faults end, the copies serve a version that works.
+    No engine fails here, so every missing copy was removed by a controller. The ready copies
+    must never fall below the floor, whichever instance holds the lease. The rollout of a
+    version that fails must halt. After the faults, all copies must serve a working version.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         self.site.simulation.add(f"i{self.started}", rate=rate)
 
     def get_live(self) -> list[Instance]:
-        return [one for one in self.site.simulation.instances if not one.is_dead]
+        return [instance for instance in self.site.simulation.instances if not instance.is_dead]
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.1)):
