--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -129,7 +129,7 @@
         """Count the request."""
         router = self.routers[request.router]
         router.load.start(engine_id, self.world.now)
-        router.pacer.note_start(self.world.now)
+        router.pacer.record_start(self.world.now)
         self._arm(router)
 
     def finish(self, request: Request, engine_id: str) -> None:
--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -28,7 +28,7 @@
     def start(self, endpoint_id: str, now: float) -> None:
         """Count a request that is about to be sent to the endpoint."""
         self._book.start(endpoint_id, now)
-        self._pacer.note_start(now)
+        self._pacer.record_start(now)
 
     def finish(self, endpoint_id: str, now: float) -> None:
         """Count a request as over."""
--- a/chivetrack/components/load/pacer.py
+++ b/chivetrack/components/load/pacer.py
@@ -25,7 +25,7 @@
         self._filled_at = 0.0
         self._wanted_at = 0.0
 
-    def note_start(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Want to send at once."""
         self._wanted_at = min(self._wanted_at, now)
 
--- a/tests/components/load/test_pacer.py
+++ b/tests/components/load/test_pacer.py
@@ -20,7 +20,7 @@
     def test_start_is_urgent_and_finish_may_wait(self) -> None:
         self.pacer.note_finish(10.5)
         self.assertAlmostEqual(self.pacer.find_due(10.5), 10.5 + FINISH_DELAY_S)
-        self.pacer.note_start(10.6)
+        self.pacer.record_start(10.6)
         self.assertLessEqual(self.pacer.find_due(10.6), 10.6)
 
     def test_without_news_a_heartbeat_goes_well_before_silence(self) -> None:
@@ -36,7 +36,7 @@
         sent = 0
         for step in range(1000):
             now = 10.0 + step * 0.01
-            self.pacer.note_start(now)
+            self.pacer.record_start(now)
             if self.pacer.find_due(now) <= now:
                 self.pacer.note_sent(now)
                 sent += 1
