--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -136,7 +136,7 @@
         """Count the request as over."""
         router = self.routers[request.router]
         router.load.finish(engine_id, self.world.now)
-        router.pacer.note_finish(self.world.now)
+        router.pacer.record_finish(self.world.now)
         self._arm(router)
 
     def _arm(self, router: FakeRouter) -> None:
--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -33,7 +33,7 @@
     def finish(self, endpoint_id: str, now: float) -> None:
         """Count a request as over."""
         self._book.finish(endpoint_id, now)
-        self._pacer.note_finish(now)
+        self._pacer.record_finish(now)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Publish when it is due."""
--- a/chivetrack/components/load/pacer.py
+++ b/chivetrack/components/load/pacer.py
@@ -29,7 +29,7 @@
         """Want to send at once."""
         self._wanted_at = min(self._wanted_at, now)
 
-    def note_finish(self, now: float) -> None:
+    def record_finish(self, now: float) -> None:
         """Want to send soon."""
         self._wanted_at = min(self._wanted_at, now + FINISH_DELAY_S)
 
--- a/tests/components/load/test_pacer.py
+++ b/tests/components/load/test_pacer.py
@@ -18,7 +18,7 @@
         self.pacer.note_sent(10.0)
 
     def test_start_is_urgent_and_finish_may_wait(self) -> None:
-        self.pacer.note_finish(10.5)
+        self.pacer.record_finish(10.5)
         self.assertAlmostEqual(self.pacer.find_due(10.5), 10.5 + FINISH_DELAY_S)
         self.pacer.record_start(10.6)
         self.assertLessEqual(self.pacer.find_due(10.6), 10.6)
