--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -154,7 +154,7 @@
         if router.armed_at != due:
             return
         router.armed_at = inf
-        router.pacer.note_sent(self.world.now)
+        router.pacer.record_sent(self.world.now)
         self._send_counts(router)
         self._arm(router)
 
--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -46,7 +46,7 @@
         return [WakeAt(at=self._next_look)]
 
     def _publish(self, now: float) -> None:
-        self._pacer.note_sent(now)
+        self._pacer.record_sent(now)
         payload = encode(self._book.collect_counts(now))
         self._gossip.publish(TOPIC_LOAD, KEY_COUNTS, payload, Urgency.LOAD, now=now)
 
--- a/chivetrack/components/load/pacer.py
+++ b/chivetrack/components/load/pacer.py
@@ -40,7 +40,7 @@
             return self._wanted_at
         return max(self._wanted_at, now + missing / self._rate)
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Spend a token; the next message is a heartbeat unless something changes."""
         self._tokens = self._count_tokens(now) - 1.0
         self._filled_at = now
--- a/tests/components/load/test_pacer.py
+++ b/tests/components/load/test_pacer.py
@@ -15,7 +15,7 @@
 class CountsPacerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.pacer = CountsPacer()
-        self.pacer.note_sent(10.0)
+        self.pacer.record_sent(10.0)
 
     def test_start_is_urgent_and_finish_may_wait(self) -> None:
         self.pacer.record_finish(10.5)
@@ -38,7 +38,7 @@
             now = 10.0 + step * 0.01
             self.pacer.record_start(now)
             if self.pacer.find_due(now) <= now:
-                self.pacer.note_sent(now)
+                self.pacer.record_sent(now)
                 sent += 1
         self.assertLessEqual(sent, SEND_BURST + SEND_RATE_PER_S * 10.0)
         self.assertGreater(sent, SEND_RATE_PER_S * 9.0)
