--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -144,7 +144,7 @@
         if not self.exchanges_counts:
             return
         now = self.world.now
-        due = max(router.pacer.find_due(now), now)
+        due = max(router.pacer.find_next_due(now), now)
         if due >= router.armed_at or due >= self.world.options.seconds:
             return
         router.armed_at = due
--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -41,7 +41,7 @@
             return []
         if now >= self._next_look:
             self._next_look = now + LOOK_EVERY_S
-            if self._pacer.find_due(now) <= now:
+            if self._pacer.find_next_due(now) <= now:
                 self._publish(now)
         return [WakeAt(at=self._next_look)]
 
--- a/chivetrack/components/load/pacer.py
+++ b/chivetrack/components/load/pacer.py
@@ -33,7 +33,7 @@
         """Want to send soon."""
         self._wanted_at = min(self._wanted_at, now + FINISH_DELAY_S)
 
-    def find_due(self, now: float) -> float:
+    def find_next_due(self, now: float) -> float:
         """Return when to send next; at or before ``now`` means at once."""
         missing = 1.0 - self._count_tokens(now)
         if missing <= 0.0:
--- a/tests/components/load/test_pacer.py
+++ b/tests/components/load/test_pacer.py
@@ -19,12 +19,12 @@
 
     def test_start_is_urgent_and_finish_may_wait(self) -> None:
         self.pacer.record_finish(10.5)
-        self.assertAlmostEqual(self.pacer.find_due(10.5), 10.5 + FINISH_DELAY_S)
+        self.assertAlmostEqual(self.pacer.find_next_due(10.5), 10.5 + FINISH_DELAY_S)
         self.pacer.record_start(10.6)
-        self.assertLessEqual(self.pacer.find_due(10.6), 10.6)
+        self.assertLessEqual(self.pacer.find_next_due(10.6), 10.6)
 
     def test_without_news_a_heartbeat_goes_well_before_silence(self) -> None:
-        self.assertAlmostEqual(self.pacer.find_due(10.1), 10.0 + HEARTBEAT_S)
+        self.assertAlmostEqual(self.pacer.find_next_due(10.1), 10.0 + HEARTBEAT_S)
         self.assertLess(2 * HEARTBEAT_S, PEER_SILENCE_S)
 
     def test_messages_are_bounded_in_a_surge(self) -> None:
@@ -37,7 +37,7 @@
         for step in range(1000):
             now = 10.0 + step * 0.01
             self.pacer.record_start(now)
-            if self.pacer.find_due(now) <= now:
+            if self.pacer.find_next_due(now) <= now:
                 self.pacer.record_sent(now)
                 sent += 1
         self.assertLessEqual(sent, SEND_BURST + SEND_RATE_PER_S * 10.0)
