--- a/chivetrack/components/load/pacer.py
+++ b/chivetrack/components/load/pacer.py
@@ -23,28 +23,28 @@
         self._burst = burst
         self._tokens = burst
         self._filled_at = 0.0
-        self._wanted_at = 0.0
+        self._due_at = 0.0
 
     def record_start(self, now: float) -> None:
         """Want to send at once."""
-        self._wanted_at = min(self._wanted_at, now)
+        self._due_at = min(self._due_at, now)
 
     def record_finish(self, now: float) -> None:
         """Want to send soon."""
-        self._wanted_at = min(self._wanted_at, now + FINISH_DELAY_S)
+        self._due_at = min(self._due_at, now + FINISH_DELAY_S)
 
     def find_next_due(self, now: float) -> float:
         """Return when to send next; at or before ``now`` means at once."""
         missing = 1.0 - self._count_tokens(now)
         if missing <= 0.0:
-            return self._wanted_at
-        return max(self._wanted_at, now + missing / self._rate)
+            return self._due_at
+        return max(self._due_at, now + missing / self._rate)
 
     def record_sent(self, now: float) -> None:
         """Spend a token; the next message is a heartbeat unless something changes."""
         self._tokens = self._count_tokens(now) - 1.0
         self._filled_at = now
-        self._wanted_at = now + HEARTBEAT_S
+        self._due_at = now + HEARTBEAT_S
 
     def _count_tokens(self, now: float) -> float:
         return min(self._burst, self._tokens + (now - self._filled_at) * self._rate)
