--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -11,7 +11,7 @@
 TOPIC_LOAD = "load"
 KEY_COUNTS = "counts"
 # The shortest time between two looks at whether counts are due.
-LOOK_EVERY_S = 0.1
+CHECK_INTERVAL_S = 0.1
 
 
 class LoadExchange:
@@ -40,7 +40,7 @@
         if not isinstance(event, TimeReached):
             return []
         if now >= self._next_look:
-            self._next_look = now + LOOK_EVERY_S
+            self._next_look = now + CHECK_INTERVAL_S
             if self._pacer.find_next_due(now) <= now:
                 self._publish(now)
         return [WakeAt(at=self._next_look)]
