--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -22,7 +22,7 @@
         self._book = book
         self._gossip = gossip
         self._pacer = CountsPacer()
-        self._next_look = float("-inf")
+        self._next_check_at = float("-inf")
         gossip.subscribe(TOPIC_LOAD, self._take_news)
 
     def start(self, endpoint_id: str, now: float) -> None:
@@ -39,11 +39,11 @@
         """Publish when it is due."""
         if not isinstance(event, TimeReached):
             return []
-        if now >= self._next_look:
-            self._next_look = now + CHECK_INTERVAL_S
+        if now >= self._next_check_at:
+            self._next_check_at = now + CHECK_INTERVAL_S
             if self._pacer.find_next_due(now) <= now:
                 self._publish(now)
-        return [WakeAt(at=self._next_look)]
+        return [WakeAt(at=self._next_check_at)]
 
     def _publish(self, now: float) -> None:
         self._pacer.record_sent(now)
