--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -19,7 +19,7 @@
 
     def __init__(self, *, book: LoadTracker, gossip: Gossip) -> None:
         """Connect a load book with gossip."""
-        self._book = book
+        self._tracker = book
         self._gossip = gossip
         self._pacer = CountsPacer()
         self._next_check_at = float("-inf")
@@ -27,12 +27,12 @@
 
     def start(self, endpoint_id: str, now: float) -> None:
         """Count a request that is about to be sent to the endpoint."""
-        self._book.start(endpoint_id, now)
+        self._tracker.start(endpoint_id, now)
         self._pacer.record_start(now)
 
     def finish(self, endpoint_id: str, now: float) -> None:
         """Count a request as over."""
-        self._book.finish(endpoint_id, now)
+        self._tracker.finish(endpoint_id, now)
         self._pacer.record_finish(now)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
@@ -47,7 +47,7 @@
 
     def _publish(self, now: float) -> None:
         self._pacer.record_sent(now)
-        payload = encode(self._book.collect_counts(now))
+        payload = encode(self._tracker.collect_counts(now))
         self._gossip.publish(TOPIC_LOAD, KEY_COUNTS, payload, Urgency.LOAD, now=now)
 
     def _take_news(self, news: News) -> None:
@@ -57,4 +57,4 @@
             counts = decode_as(LoadCounts, news.payload)
         except DecodeError:
             return
-        self._book.merge_counts(news.origin, counts, age_s=news.age_s, now=news.now)
+        self._tracker.merge_counts(news.origin, counts, age_s=news.age_s, now=news.now)
