--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -23,7 +23,7 @@
         self._gossip = gossip
         self._pacer = CountsPacer()
         self._next_check_at = float("-inf")
-        gossip.subscribe(TOPIC_LOAD, self._take_news)
+        gossip.subscribe(TOPIC_LOAD, self._handle_update)
 
     def start(self, endpoint_id: str, now: float) -> None:
         """Count a request that is about to be sent to the endpoint."""
@@ -50,7 +50,7 @@
         payload = encode(self._tracker.collect_counts(now))
         self._gossip.publish(TOPIC_LOAD, KEY_COUNTS, payload, Urgency.LOAD, now=now)
 
-    def _take_news(self, news: News) -> None:
+    def _handle_update(self, news: News) -> None:
         if news.payload is None:
             return
         try:
