--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -91,7 +91,7 @@
     ) -> MergeVerdict:
         """Take the counts of another router, which were ``age_s`` old on arrival."""
         self.expire(now)
-        verdict = self._judge(source, counts, age_s)
+        verdict = self._check_counts(source, counts, age_s)
         if verdict is not MergeVerdict.TAKEN:
             return verdict
         old = self._peers.get(source)
@@ -104,7 +104,7 @@
         self._switch_reports()
         return verdict
 
-    def _judge(self, source: str, counts: LoadCounts, age_s: float) -> MergeVerdict:
+    def _check_counts(self, source: str, counts: LoadCounts, age_s: float) -> MergeVerdict:
         if source == self._router_id:
             return MergeVerdict.OWN
         if counts.incarnation <= self._dead.get(source, -1):
