--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -101,7 +101,7 @@
         self._next_expiry = min(self._next_expiry, new.silent_at)
         self._release(self._reservations.settle(source, counts.settled))
         self._replace(old.counts if old else {}, new.counts)
-        self._switch_reports()
+        self._update_report_use()
         return verdict
 
     def _check_counts(self, source: str, counts: LoadCounts, age_s: float) -> MergeVerdict:
@@ -130,7 +130,7 @@
         self._release(self._reservations.drop_router(source))
         if self._peers.pop(source, None) is not None and old is not None:
             self._replace(old.counts, {})
-        self._switch_reports()
+        self._update_report_use()
 
     def reserve(self, source: str, endpoint_id: str, ticket: int, now: float) -> None:
         """Count a slot for another router until its counts show it."""
@@ -208,7 +208,7 @@
             self._peers[source] = peer.clear()
             self._replace(peer.counts, {})
         self._release(self._reservations.expire(now))
-        self._switch_reports()
+        self._update_report_use()
         self._expire_reports(now)
         ages = [peer.silent_at for name, peer in self._peers.items() if name not in self._silent]
         ages += [report.as_of + REPORT_MAX_AGE_S for report in self._reports.values()]
@@ -219,7 +219,7 @@
             if now - report.as_of >= REPORT_MAX_AGE_S:
                 self.forget_endpoint(endpoint_id)
 
-    def _switch_reports(self) -> None:
+    def _update_report_use(self) -> None:
         """Begin or cease to use the engines' reports, as routers fall silent or speak."""
         complete = any(peer.complete for peer in self._peers.values())
         uses_reports = not complete or bool(self._silent)
