--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -240,7 +240,7 @@
             self._foreign[endpoint_id] = self._foreign.get(endpoint_id, 0) + change
             self._update(endpoint_id)
 
-    def _believes_report(self, endpoint_id: str, report: EngineReport) -> bool:
+    def _uses_report(self, endpoint_id: str, report: EngineReport) -> bool:
         owned_since = self._owned.get(endpoint_id)
         if owned_since is None:
             return self._uses_reports
@@ -249,7 +249,7 @@
     def _update(self, endpoint_id: str) -> None:
         foreign = self._foreign.get(endpoint_id, 0)
         report = self._reports.get(endpoint_id)
-        if report is not None and self._believes_report(endpoint_id, report):
+        if report is not None and self._uses_report(endpoint_id, report):
             foreign = max(foreign, report.foreign)
         estimate = float(self._history.get(endpoint_id) + foreign)
         if estimate:
