--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -39,7 +39,7 @@
         self._reports: dict[str, EngineReport] = {}
         self._reservations = Reservations()
         self._owned: dict[str, float] = {}
-        self._foreign: dict[str, int] = {}
+        self._others_in_flight: dict[str, int] = {}
         self._estimates: dict[str, float] = {}
         self._next_expiry = float("inf")
         self._uses_reports = True
@@ -136,7 +136,7 @@
         """Count a slot for another router until its counts show it."""
         self._reservations.add(source, endpoint_id, ticket, now)
         self._next_expiry = min(self._next_expiry, self._reservations.find_next_expiry())
-        self._foreign[endpoint_id] = self._foreign.get(endpoint_id, 0) + 1
+        self._others_in_flight[endpoint_id] = self._others_in_flight.get(endpoint_id, 0) + 1
         self._update(endpoint_id)
 
     def find_reserved(self, source: str, ticket: int) -> str | None:
@@ -231,13 +231,15 @@
 
     def _release(self, endpoint_ids: list[str]) -> None:
         for endpoint_id in endpoint_ids:
-            self._foreign[endpoint_id] = self._foreign.get(endpoint_id, 0) - 1
+            self._others_in_flight[endpoint_id] = self._others_in_flight.get(endpoint_id, 0) - 1
             self._update(endpoint_id)
 
     def _replace(self, old: dict[str, int], new: dict[str, int]) -> None:
         for endpoint_id in old.keys() | new.keys():
             change = new.get(endpoint_id, 0) - old.get(endpoint_id, 0)
-            self._foreign[endpoint_id] = self._foreign.get(endpoint_id, 0) + change
+            self._others_in_flight[endpoint_id] = (
+                self._others_in_flight.get(endpoint_id, 0) + change
+            )
             self._update(endpoint_id)
 
     def _uses_report(self, endpoint_id: str, report: EngineReport) -> bool:
@@ -247,7 +249,7 @@
         return report.as_of < owned_since + SUMMARY_WARM_UP_S
 
     def _update(self, endpoint_id: str) -> None:
-        foreign = self._foreign.get(endpoint_id, 0)
+        foreign = self._others_in_flight.get(endpoint_id, 0)
         report = self._reports.get(endpoint_id)
         if report is not None and self._uses_report(endpoint_id, report):
             foreign = max(foreign, report.foreign)
@@ -256,4 +258,4 @@
             self._estimates[endpoint_id] = estimate
         else:
             self._estimates.pop(endpoint_id, None)
-            self._foreign.pop(endpoint_id, None)
+            self._others_in_flight.pop(endpoint_id, None)
