--- a/chivetrack/components/load/reports.py
+++ b/chivetrack/components/load/reports.py
@@ -9,4 +9,4 @@
 
     incarnation: int
     as_of: float
-    foreign: int
+    others_in_flight: int
--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -165,7 +165,7 @@
             return MergeVerdict.STALE
         own_then = self._history.get_at(endpoint_id, as_of)
         self._reports[endpoint_id] = EngineReport(
-            incarnation=incarnation, as_of=as_of, foreign=max(0, in_flight - own_then)
+            incarnation=incarnation, as_of=as_of, others_in_flight=max(0, in_flight - own_then)
         )
         self._next_expiry = min(self._next_expiry, as_of + REPORT_MAX_AGE_S)
         self._update(endpoint_id)
@@ -249,11 +249,11 @@
         return report.as_of < owned_since + SUMMARY_WARM_UP_S
 
     def _update(self, endpoint_id: str) -> None:
-        foreign = self._others_in_flight.get(endpoint_id, 0)
+        others_in_flight = self._others_in_flight.get(endpoint_id, 0)
         report = self._reports.get(endpoint_id)
         if report is not None and self._uses_report(endpoint_id, report):
-            foreign = max(foreign, report.foreign)
-        estimate = float(self._history.get(endpoint_id) + foreign)
+            others_in_flight = max(others_in_flight, report.others_in_flight)
+        estimate = float(self._history.get(endpoint_id) + others_in_flight)
         if estimate:
             self._estimates[endpoint_id] = estimate
         else:
