--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -100,7 +100,7 @@
         self._dead.pop(source, None)
         self._next_expiry = min(self._next_expiry, new.silent_at)
         self._release(self._reservations.settle(source, counts.settled))
-        self._replace(old.counts if old else {}, new.counts)
+        self._replace_counts(old.counts if old else {}, new.counts)
         self._update_report_use()
         return verdict
 
@@ -129,7 +129,7 @@
         self._silent.discard(source)
         self._release(self._reservations.drop_router(source))
         if self._peers.pop(source, None) is not None and old is not None:
-            self._replace(old.counts, {})
+            self._replace_counts(old.counts, {})
         self._update_report_use()
 
     def reserve(self, source: str, endpoint_id: str, ticket: int, now: float) -> None:
@@ -206,7 +206,7 @@
                 continue
             self._silent.add(source)
             self._peers[source] = peer.clear()
-            self._replace(peer.counts, {})
+            self._replace_counts(peer.counts, {})
         self._release(self._reservations.expire(now))
         self._update_report_use()
         self._expire_reports(now)
@@ -234,7 +234,7 @@
             self._others_in_flight[endpoint_id] = self._others_in_flight.get(endpoint_id, 0) - 1
             self._update(endpoint_id)
 
-    def _replace(self, old: dict[str, int], new: dict[str, int]) -> None:
+    def _replace_counts(self, old: dict[str, int], new: dict[str, int]) -> None:
         for endpoint_id in old.keys() | new.keys():
             change = new.get(endpoint_id, 0) - old.get(endpoint_id, 0)
             self._others_in_flight[endpoint_id] = (
