--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -59,7 +59,7 @@
         if self._history.get(endpoint_id) == 0:
             raise ValueError(f"no own request is in flight on {endpoint_id!r}")
         self._history.change(endpoint_id, -1, now)
-        self._update(endpoint_id)
+        self._update_estimate(endpoint_id)
 
     def count_own(self, endpoint_id: str) -> int:
         """Return this router's own requests in flight on the endpoint."""
@@ -137,7 +137,7 @@
         self._reservations.add(source, endpoint_id, ticket, now)
         self._next_expiry = min(self._next_expiry, self._reservations.find_next_expiry())
         self._others_in_flight[endpoint_id] = self._others_in_flight.get(endpoint_id, 0) + 1
-        self._update(endpoint_id)
+        self._update_estimate(endpoint_id)
 
     def find_reserved(self, source: str, ticket: int) -> str | None:
         """Return the endpoint of which a slot is reserved for a ticket."""
@@ -151,7 +151,7 @@
         """
         self._owned = {name: self._owned.get(name, now) for name in endpoint_ids}
         for endpoint_id in self._reports:
-            self._update(endpoint_id)
+            self._update_estimate(endpoint_id)
 
     def report_load(
         self, endpoint_id: str, in_flight: int, *, incarnation: int, age_s: float, now: float
@@ -168,7 +168,7 @@
             incarnation=incarnation, as_of=as_of, others_in_flight=max(0, in_flight - own_then)
         )
         self._next_expiry = min(self._next_expiry, as_of + REPORT_MAX_AGE_S)
-        self._update(endpoint_id)
+        self._update_estimate(endpoint_id)
         return MergeVerdict.TAKEN
 
     def report_total(self, endpoint_id: str, in_flight: int, *, age_s: float, now: float) -> None:
@@ -180,7 +180,7 @@
     def forget_endpoint(self, endpoint_id: str) -> None:
         """Drop what was reported of an endpoint that is gone."""
         self._reports.pop(endpoint_id, None)
-        self._update(endpoint_id)
+        self._update_estimate(endpoint_id)
 
     def get_estimate(self, endpoint_id: str, now: float) -> LoadEstimate:
         """Return the estimate for one endpoint and its age."""
@@ -227,12 +227,12 @@
             return
         self._uses_reports = uses_reports
         for endpoint_id in self._reports:
-            self._update(endpoint_id)
+            self._update_estimate(endpoint_id)
 
     def _release(self, endpoint_ids: list[str]) -> None:
         for endpoint_id in endpoint_ids:
             self._others_in_flight[endpoint_id] = self._others_in_flight.get(endpoint_id, 0) - 1
-            self._update(endpoint_id)
+            self._update_estimate(endpoint_id)
 
     def _replace_counts(self, old: dict[str, int], new: dict[str, int]) -> None:
         for endpoint_id in old.keys() | new.keys():
@@ -240,7 +240,7 @@
             self._others_in_flight[endpoint_id] = (
                 self._others_in_flight.get(endpoint_id, 0) + change
             )
-            self._update(endpoint_id)
+            self._update_estimate(endpoint_id)
 
     def _uses_report(self, endpoint_id: str, report: EngineReport) -> bool:
         owned_since = self._owned.get(endpoint_id)
@@ -248,7 +248,7 @@
             return self._uses_reports
         return report.as_of < owned_since + SUMMARY_WARM_UP_S
 
-    def _update(self, endpoint_id: str) -> None:
+    def _update_estimate(self, endpoint_id: str) -> None:
         others_in_flight = self._others_in_flight.get(endpoint_id, 0)
         report = self._reports.get(endpoint_id)
         if report is not None and self._uses_report(endpoint_id, report):
