--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -35,7 +35,7 @@
         self._history = CountHistory()
         self._peers: dict[str, PeerCounts] = {}
         self._silent: set[str] = set()
-        self._dead: dict[str, int] = {}
+        self._dead_incarnations: dict[str, int] = {}
         self._reports: dict[str, EngineReport] = {}
         self._reservations = Reservations()
         self._owned: dict[str, float] = {}
@@ -97,7 +97,7 @@
         old = self._peers.get(source)
         new = self._peers[source] = apply_message(old, counts, as_of=now - age_s)
         self._silent.discard(source)
-        self._dead.pop(source, None)
+        self._dead_incarnations.pop(source, None)
         self._next_expiry = min(self._next_expiry, new.silent_at)
         self._release(self._reservations.settle(source, counts.settled))
         self._replace_counts(old.counts if old else {}, new.counts)
@@ -107,7 +107,7 @@
     def _check_counts(self, source: str, counts: LoadCounts, age_s: float) -> MergeVerdict:
         if source == self._router_id:
             return MergeVerdict.OWN
-        if counts.incarnation <= self._dead.get(source, -1):
+        if counts.incarnation <= self._dead_incarnations.get(source, -1):
             return MergeVerdict.DEAD
         old = self._peers.get(source)
         # Gossip delivers twice and out of order: an older message would bring back
@@ -120,9 +120,9 @@
         """Forget a dead router at once; later counts of that incarnation are refused."""
         # Its connections are cut, so its requests are over; counts still under way
         # would bring them back for seconds and make its endpoints look full.
-        self._dead[source] = max(incarnation, self._dead.get(source, -1))
-        while len(self._dead) > MAX_TOMBSTONES:
-            self._dead.pop(next(iter(self._dead)))
+        self._dead_incarnations[source] = max(incarnation, self._dead_incarnations.get(source, -1))
+        while len(self._dead_incarnations) > MAX_TOMBSTONES:
+            self._dead_incarnations.pop(next(iter(self._dead_incarnations)))
         old = self._peers.get(source)
         if old is not None and old.order[0] > incarnation:
             return
