--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -34,7 +34,7 @@
         self._sequence = 0
         self._history = CountHistory()
         self._peers: dict[str, PeerCounts] = {}
-        self._silent: set[str] = set()
+        self._silent_routers: set[str] = set()
         self._dead_incarnations: dict[str, int] = {}
         self._reports: dict[str, EngineReport] = {}
         self._reservations = Reservations()
@@ -96,7 +96,7 @@
             return verdict
         old = self._peers.get(source)
         new = self._peers[source] = apply_message(old, counts, as_of=now - age_s)
-        self._silent.discard(source)
+        self._silent_routers.discard(source)
         self._dead_incarnations.pop(source, None)
         self._next_expiry = min(self._next_expiry, new.silent_at)
         self._release(self._reservations.settle(source, counts.settled))
@@ -126,7 +126,7 @@
         old = self._peers.get(source)
         if old is not None and old.order[0] > incarnation:
             return
-        self._silent.discard(source)
+        self._silent_routers.discard(source)
         self._release(self._reservations.drop_router(source))
         if self._peers.pop(source, None) is not None and old is not None:
             self._replace_counts(old.counts, {})
@@ -202,15 +202,17 @@
         if now < self._next_expiry:
             return
         for source, peer in list(self._peers.items()):
-            if now < peer.silent_at or source in self._silent:
+            if now < peer.silent_at or source in self._silent_routers:
                 continue
-            self._silent.add(source)
+            self._silent_routers.add(source)
             self._peers[source] = peer.clear()
             self._replace_counts(peer.counts, {})
         self._release(self._reservations.expire(now))
         self._update_report_use()
         self._expire_reports(now)
-        ages = [peer.silent_at for name, peer in self._peers.items() if name not in self._silent]
+        ages = [
+            peer.silent_at for name, peer in self._peers.items() if name not in self._silent_routers
+        ]
         ages += [report.as_of + REPORT_MAX_AGE_S for report in self._reports.values()]
         self._next_expiry = min([*ages, self._reservations.find_next_expiry()])
 
@@ -222,7 +224,7 @@
     def _update_report_use(self) -> None:
         """Begin or cease to use the engines' reports, as routers fall silent or speak."""
         complete = any(peer.complete for peer in self._peers.values())
-        uses_reports = not complete or bool(self._silent)
+        uses_reports = not complete or bool(self._silent_routers)
         if uses_reports == self._uses_reports:
             return
         self._uses_reports = uses_reports
