--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -99,7 +99,7 @@
         self._silent_routers.discard(source)
         self._dead_incarnations.pop(source, None)
         self._next_expiry = min(self._next_expiry, new.silent_at)
-        self._release(self._reservations.settle(source, counts.settled))
+        self._release_reservations(self._reservations.settle(source, counts.settled))
         self._replace_counts(old.counts if old else {}, new.counts)
         self._update_report_use()
         return verdict
@@ -127,7 +127,7 @@
         if old is not None and old.order[0] > incarnation:
             return
         self._silent_routers.discard(source)
-        self._release(self._reservations.drop_router(source))
+        self._release_reservations(self._reservations.drop_router(source))
         if self._peers.pop(source, None) is not None and old is not None:
             self._replace_counts(old.counts, {})
         self._update_report_use()
@@ -207,7 +207,7 @@
             self._silent_routers.add(source)
             self._peers[source] = peer.clear()
             self._replace_counts(peer.counts, {})
-        self._release(self._reservations.expire(now))
+        self._release_reservations(self._reservations.expire(now))
         self._update_report_use()
         self._expire_reports(now)
         ages = [
@@ -231,7 +231,7 @@
         for endpoint_id in self._reports:
             self._update_estimate(endpoint_id)
 
-    def _release(self, endpoint_ids: list[str]) -> None:
+    def _release_reservations(self, endpoint_ids: list[str]) -> None:
         for endpoint_id in endpoint_ids:
             self._others_in_flight[endpoint_id] = self._others_in_flight.get(endpoint_id, 0) - 1
             self._update_estimate(endpoint_id)
