--- a/chivetrack/components/load/reservations.py
+++ b/chivetrack/components/load/reservations.py
@@ -32,7 +32,7 @@
                 return reservation.endpoint_id
         return None
 
-    def settle(self, source: str, settled: int) -> list[str]:
+    def release_settled(self, source: str, settled: int) -> list[str]:
         """Drop a router's reservations up to a ticket; return their endpoints."""
         return self._drop(source, lambda each: each.ticket <= settled)
 
--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -99,7 +99,7 @@
         self._silent_routers.discard(source)
         self._dead_incarnations.pop(source, None)
         self._next_expiry = min(self._next_expiry, new.silent_at)
-        self._release_reservations(self._reservations.settle(source, counts.settled))
+        self._release_reservations(self._reservations.release_settled(source, counts.settled))
         self._replace_counts(old.counts if old else {}, new.counts)
         self._update_report_use()
         return verdict
