--- a/tests/components/load/test_book.py
+++ b/tests/components/load/test_book.py
@@ -181,7 +181,7 @@
         self.incarnations = {"r2": 1, "r3": 1}
         self.sent: list[tuple[str, float, LoadCounts]] = []
         self.newest: dict[str, tuple[float, LoadCounts]] = {}
-        self.buried = {"r2": 0, "r3": 0}
+        self.dropped = {"r2": 0, "r3": 0}
 
     @rule(step=st.floats(0.0, 1.5))
     def pass_time(self, step: float) -> None:
@@ -209,7 +209,7 @@
             return
         name, sent_at, counts = self.sent[-1 - pick % len(self.sent)]
         self.book.merge_counts(name, counts, age_s=self.now - sent_at, now=self.now)
-        if counts.incarnation <= self.buried[name] or self.now - sent_at >= PEER_SILENCE_S:
+        if counts.incarnation <= self.dropped[name] or self.now - sent_at >= PEER_SILENCE_S:
             return
         old = self.newest.get(name)
         order = (counts.incarnation, counts.sequence)
@@ -220,7 +220,7 @@
     def restart(self, name: str, noticed: bool) -> None:
         if noticed:
             self.book.drop_router(name, self.incarnations[name])
-            self.buried[name] = self.incarnations[name]
+            self.dropped[name] = self.incarnations[name]
             self.newest.pop(name, None)
         self.incarnations[name] += 1
         self.others[name] = LoadTracker(router_id=name, incarnation=self.incarnations[name])
