--- a/chivetrack/components/load/__init__.py
+++ b/chivetrack/components/load/__init__.py
@@ -1,1 +1,1 @@
-"""How many requests each endpoint has in flight, as one router knows it."""
+"""Estimates of the requests in flight at each endpoint, as known to one router."""
--- a/chivetrack/components/load/const.py
+++ b/chivetrack/components/load/const.py
@@ -3,34 +3,40 @@
 from typing import Final
 
 SEND_RATE_PER_S: Final = 3.5
-"""Messages with counts a second to each other router, at most, in the long run."""
+"""Most messages with counts to each other router, per second in the long-term mean."""
 
 SEND_BURST: Final = 4.0
-"""Messages with counts that may follow each other at once."""
+"""Most messages with counts in immediate succession."""
 
 FINISH_DELAY_S: Final = 0.2
-"""How long the news that a request is over may wait to go with other news."""
+"""Delay of the report of a finished request, so that it is sent with other changes."""
 
 HEARTBEAT_S: Final = 1.0
-"""Counts are sent this often without news, or the others would call it silence."""
+"""Interval in seconds at which unchanged counts are sent; without them the others would treat
+this router as silent.
+"""
 
 PEER_SILENCE_S: Final = 3.0
-"""Counts of a router that was silent for so long are no longer used."""
+"""Age in seconds from which the counts of a router are not used: the router is silent, which
+means that it has sent no counts since.
+"""
 
 SCOPED_SILENCE_S: Final = 6.0
-"""The same for a router that tells its counts to the owners of endpoints only."""
+"""The same for a router that sends its counts to the owners of endpoints only."""
 
 REPORT_MAX_AGE_S: Final = 10.0
-"""An engine's own load report that is older than this is no longer used."""
+"""Age in seconds from which the load report of an engine is not used."""
 
 HISTORY_S: Final = 12.0
-"""How far back a router remembers its own counts, to set them against a report."""
+"""Time in seconds for which a router keeps its own past counts, to subtract them from reports."""
 
 MAX_TOMBSTONES: Final = 1024
-"""How many dead routers are remembered, so that their late counts are refused."""
+"""Most dead routers that are kept, so that their late counts are rejected."""
 
 RESERVATION_MAX_S: Final = 2.0
-"""A granted slot of which nothing is heard for so long is free again."""
+"""Time in seconds after which a reservation expires if no counts have included it."""
 
 SUMMARY_WARM_UP_S: Final = 3.0
-"""How long a new owner of an endpoint also believes reports, which lag but are whole."""
+"""Time in seconds for which a new owner of an endpoint also uses reports, which lag but cover
+the requests of all routers.
+"""
--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -10,15 +10,15 @@
 
 TOPIC_LOAD = "load"
 KEY_COUNTS = "counts"
-# The shortest time between two looks at whether counts are due.
+# Interval in seconds between two checks whether counts are due.
 CHECK_INTERVAL_S = 0.1
 
 
 class LoadExchange:
-    """Publishes this router's counts when the pacer says so, and takes in the others'."""
+    """Publishes this router's counts when they are due, and merges those of other routers."""
 
     def __init__(self, *, book: LoadTracker, gossip: Gossip) -> None:
-        """Connect a load book with gossip."""
+        """Initialize the exchange between a load tracker and gossip."""
         self._tracker = book
         self._gossip = gossip
         self._pacer = CountsPacer()
@@ -31,12 +31,12 @@
         self._pacer.record_start(now)
 
     def finish(self, endpoint_id: str, now: float) -> None:
-        """Count a request as over."""
+        """Count a request as ended."""
         self._tracker.finish(endpoint_id, now)
         self._pacer.record_finish(now)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Publish when it is due."""
+        """Publish the counts if they are due."""
         if not isinstance(event, TimeReached):
             return []
         if now >= self._next_check_at:
@@ -50,11 +50,11 @@
         payload = encode(self._tracker.collect_counts(now))
         self._gossip.publish(TOPIC_LOAD, KEY_COUNTS, payload, Urgency.LOAD, now=now)
 
-    def _handle_update(self, news: News) -> None:
-        if news.payload is None:
+    def _handle_update(self, update: News) -> None:
+        if update.payload is None:
             return
         try:
-            counts = decode_as(LoadCounts, news.payload)
+            counts = decode_as(LoadCounts, update.payload)
         except DecodeError:
             return
-        self._tracker.merge_counts(news.origin, counts, age_s=news.age_s, now=news.now)
+        self._tracker.merge_counts(update.origin, counts, age_s=update.age_s, now=update.now)
--- a/chivetrack/components/load/history.py
+++ b/chivetrack/components/load/history.py
@@ -1,4 +1,4 @@
-"""A router's own in-flight counts, now and a few seconds back."""
+"""History of a router's own in-flight counts over the last seconds."""
 
 from collections import deque
 
@@ -6,19 +6,19 @@
 
 
 class CountHistory:
-    """Counts per endpoint with their recent changes."""
+    """Holds the counts by endpoint, with their changes of the last ``HISTORY_S`` seconds."""
 
     def __init__(self) -> None:
-        """Start with no requests in flight."""
+        """Initialize the history without requests in flight."""
         self._counts: dict[str, int] = {}
         self._changes: dict[str, deque[tuple[float, int]]] = {}
 
     def get(self, endpoint_id: str) -> int:
-        """Return the count of now."""
+        """Return the current count of an endpoint."""
         return self._counts.get(endpoint_id, 0)
 
     def copy_counts(self) -> dict[str, int]:
-        """Return the counts that are not zero."""
+        """Return a copy of the counts that are not zero."""
         return dict(self._counts)
 
     def change(self, endpoint_id: str, step: int, now: float) -> None:
@@ -34,7 +34,7 @@
             changes.popleft()
 
     def get_at(self, endpoint_id: str, time: float) -> int:
-        """Return the count at an earlier time, at most ``HISTORY_S`` back."""
+        """Return the count at an earlier time, at most ``HISTORY_S`` ago."""
         count = self.get(endpoint_id)
         for changed_at, step in reversed(self._changes.get(endpoint_id, ())):
             if changed_at <= time:
--- a/chivetrack/components/load/models.py
+++ b/chivetrack/components/load/models.py
@@ -1,4 +1,4 @@
-"""Shapes of the load component."""
+"""Models and messages of the load component."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,12 +8,12 @@
 
 @message("load.counts")
 class LoadCounts(Message, frozen=True, array_like=True):
-    """In-flight counts of one router, by endpoint id; an absent endpoint has none.
+    """In-flight counts of one router, by endpoint id; an absent endpoint has no requests.
 
-    Always complete, so that a lost message costs freshness and never correctness: for
-    all endpoints, or, where ``scope`` names some, for those that the receiver owns.
-    ``incarnation`` and ``sequence`` order the messages of one router. All slots up to
-    the ticket ``settled`` that it was granted are in the counts or were not used.
+    A message is complete for all endpoints or, if ``scope`` is set, for the listed endpoints,
+    which the receiver owns. A lost message therefore makes the counts older but never wrong.
+    ``incarnation`` and ``sequence`` order the messages of one router. ``settled`` is a ticket:
+    all granted slots up to it are included in the counts or were not used.
     """
 
     incarnation: int
@@ -25,13 +25,13 @@
 
 @message("load.summary")
 class LoadSummary(Message, frozen=True, array_like=True):
-    """Requests of all routers in flight on the endpoints that one router owns."""
+    """Requests in flight of all routers, by id of the endpoints that the sender owns."""
 
     loads: dict[str, int]
 
 
 class MergeVerdict(StrEnum):
-    """What became of counts or of a report that came in."""
+    """Result of merging received counts or a received report."""
 
     TAKEN = "taken"
     STALE = "stale"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadEstimate:
-    """Requests in flight on one endpoint and the age of the oldest count in it."""
+    """Estimated requests in flight at one endpoint, and the age of its oldest count."""
 
     in_flight: float
     age_s: float
--- a/chivetrack/components/load/pacer.py
+++ b/chivetrack/components/load/pacer.py
@@ -1,4 +1,4 @@
-"""When a router sends its counts to the others."""
+"""Pacing of the messages with counts to the other routers."""
 
 from chivetrack.components.load.const import (
     FINISH_DELAY_S,
@@ -9,16 +9,16 @@
 
 
 class CountsPacer:
-    """Sends at once after a start, a little later after a finish, and now and then.
+    """Decides when counts are sent: after changes and as a heartbeat.
 
-    A start that the others don't know of makes them send more to an endpoint that is
-    full; a finish they don't know of only sends them elsewhere. ``rate_per_s`` bounds
-    the messages to each other router, so that the bytes are bounded by construction:
-    rate times routers times size.
+    The counts are due immediately after a start and ``FINISH_DELAY_S`` after a finish: other
+    routers that don't know of a start send more requests to a full endpoint, while a finish
+    that they don't know of only makes them choose another endpoint. A token bucket bounds
+    the messages to each other router, and so the traffic, to rate times routers times size.
     """
 
     def __init__(self, *, rate_per_s: float = SEND_RATE_PER_S, burst: float = SEND_BURST) -> None:
-        """Allow ``rate_per_s`` messages a second, ``burst`` of them at once."""
+        """Initialize the pacer for ``rate_per_s`` messages per second and bursts of ``burst``."""
         self._rate = rate_per_s
         self._burst = burst
         self._tokens = burst
@@ -26,22 +26,22 @@
         self._due_at = 0.0
 
     def record_start(self, now: float) -> None:
-        """Want to send at once."""
+        """Make the counts due immediately after a start."""
         self._due_at = min(self._due_at, now)
 
     def record_finish(self, now: float) -> None:
-        """Want to send soon."""
+        """Make the counts due after a finish, with a delay."""
         self._due_at = min(self._due_at, now + FINISH_DELAY_S)
 
     def find_next_due(self, now: float) -> float:
-        """Return when to send next; at or before ``now`` means at once."""
+        """Return the time of the next message; it is due if that is not after ``now``."""
         missing = 1.0 - self._count_tokens(now)
         if missing <= 0.0:
             return self._due_at
         return max(self._due_at, now + missing / self._rate)
 
     def record_sent(self, now: float) -> None:
-        """Spend a token; the next message is a heartbeat unless something changes."""
+        """Take a token, and schedule the next message as a heartbeat."""
         self._tokens = self._count_tokens(now) - 1.0
         self._filled_at = now
         self._due_at = now + HEARTBEAT_S
--- a/chivetrack/components/load/tracker.py
+++ b/chivetrack/components/load/tracker.py
@@ -1,4 +1,4 @@
-"""The load book: own requests, counts of other routers and engines' reports."""
+"""Load tracker: own requests, counts of other routers and reports of engines."""
 
 from collections.abc import Collection, Sequence
 
@@ -16,19 +16,20 @@
 
 
 class LoadTracker:
-    """Estimates the requests in flight on each endpoint.
+    """Estimates the requests in flight at each endpoint.
 
-    Own requests are exact. For those of other routers there are two sources, which
-    are never added, since each of them covers the same requests:
+    Own requests are counted exactly. The requests of other routers have two sources, which
+    are never added up, since both cover the same requests:
 
-    - the counts that the routers exchange, used alone while all known routers are heard;
-    - the engine's report less the own requests in flight when it was taken. It also
-      covers routers that this one doesn't hear, but lags more. While a router is silent
-      the larger of both is used.
+    - the counts that the routers exchange; they are used alone while no known router is silent
+      (has sent no counts for ``PEER_SILENCE_S`` or ``SCOPED_SILENCE_S``);
+    - the engine's report less the own requests in flight at that time. It also covers routers
+      from which this one receives nothing, but lags more. While a router is silent, the larger
+      of both numbers is used.
     """
 
     def __init__(self, *, router_id: str, incarnation: int = 0) -> None:
-        """Start empty; ``incarnation`` must rise when this router restarts."""
+        """Initialize the tracker; ``incarnation`` must increase when this router restarts."""
         self._router_id = router_id
         self._incarnation = incarnation
         self._sequence = 0
@@ -46,7 +47,7 @@
 
     @property
     def estimates(self) -> dict[str, float]:
-        """Return the estimate by endpoint id, for reading only; absent means 0."""
+        """Return the estimates by endpoint id, to be read only; an absent endpoint has 0."""
         return self._estimates
 
     def start(self, endpoint_id: str, now: float) -> None:
@@ -55,14 +56,17 @@
         self._estimates[endpoint_id] = self._estimates.get(endpoint_id, 0.0) + 1.0
 
     def finish(self, endpoint_id: str, now: float) -> None:
-        """Count a request as over; a second call for one request is refused."""
+        """Count a request as ended.
+
+        Raises ``ValueError`` if no own request is in flight at the endpoint.
+        """
         if self._history.get(endpoint_id) == 0:
             raise ValueError(f"no own request is in flight on {endpoint_id!r}")
         self._history.change(endpoint_id, -1, now)
         self._update_estimate(endpoint_id)
 
     def count_own(self, endpoint_id: str) -> int:
-        """Return this router's own requests in flight on the endpoint."""
+        """Return the number of this router's own requests in flight at the endpoint."""
         return self._history.get(endpoint_id)
 
     def list_own(self) -> list[str]:
@@ -72,7 +76,7 @@
     def collect_counts(
         self, now: float, *, scope: Sequence[str] | None = None, settled: int = 0
     ) -> LoadCounts:
-        """Return this router's counts as a message, all or those of ``scope``."""
+        """Return this router's counts as a message, for all endpoints or those of ``scope``."""
         self.expire(now)
         self._sequence += 1
         counts = self._history.copy_counts()
@@ -89,7 +93,7 @@
     def merge_counts(
         self, source: str, counts: LoadCounts, *, age_s: float, now: float
     ) -> MergeVerdict:
-        """Take the counts of another router, which were ``age_s`` old on arrival."""
+        """Merge the counts of another router, which were ``age_s`` old on arrival."""
         self.expire(now)
         verdict = self._check_counts(source, counts, age_s)
         if verdict is not MergeVerdict.TAKEN:
@@ -110,16 +114,16 @@
         if counts.incarnation <= self._dead_incarnations.get(source, -1):
             return MergeVerdict.DEAD
         old = self._peers.get(source)
-        # Gossip delivers twice and out of order: an older message would bring back
-        # requests that are over. The pair of incarnation and sequence only rises.
+        # Gossip may deliver messages twice and out of order. An older message would restore
+        # finished requests. The pair of incarnation and sequence strictly increases.
         if old is not None and (counts.incarnation, counts.sequence) <= old.order:
             return MergeVerdict.STALE
         return MergeVerdict.TOO_OLD if age_s >= PEER_SILENCE_S else MergeVerdict.TAKEN
 
     def drop_router(self, source: str, incarnation: int) -> None:
-        """Forget a dead router at once; later counts of that incarnation are refused."""
-        # Its connections are cut, so its requests are over; counts still under way
-        # would bring them back for seconds and make its endpoints look full.
+        """Remove a dead router immediately; later counts of that incarnation are rejected."""
+        # The connections of a dead router are closed, so its requests have ended. Counts that
+        # are still in transit would restore them for seconds and make endpoints appear full.
         self._dead_incarnations[source] = max(incarnation, self._dead_incarnations.get(source, -1))
         while len(self._dead_incarnations) > MAX_TOMBSTONES:
             self._dead_incarnations.pop(next(iter(self._dead_incarnations)))
@@ -133,21 +137,21 @@
         self._update_report_use()
 
     def reserve(self, source: str, endpoint_id: str, ticket: int, now: float) -> None:
-        """Count a slot for another router until its counts show it."""
+        """Reserve a slot for another router until its counts include the request."""
         self._reservations.add(source, endpoint_id, ticket, now)
         self._next_expiry = min(self._next_expiry, self._reservations.find_next_expiry())
         self._others_in_flight[endpoint_id] = self._others_in_flight.get(endpoint_id, 0) + 1
         self._update_estimate(endpoint_id)
 
     def find_reserved(self, source: str, ticket: int) -> str | None:
-        """Return the endpoint of which a slot is reserved for a ticket."""
+        """Return the endpoint of the slot reserved for a ticket, or ``None``."""
         return self._reservations.find(source, ticket)
 
     def set_owned(self, endpoint_ids: Collection[str], now: float) -> None:
-        """Take over for which endpoints this router grants the slots.
+        """Replace the endpoints for which this router grants the slots.
 
-        Their counts are told by all who use them. Just after a change they are not
-        whole yet, so until ``SUMMARY_WARM_UP_S`` later reports are believed as well.
+        All routers that use these endpoints send their counts to this one. After a change the
+        counts are incomplete at first, so reports are used too for ``SUMMARY_WARM_UP_S``.
         """
         self._owned = {name: self._owned.get(name, now) for name in endpoint_ids}
         for endpoint_id in self._reports:
@@ -156,29 +160,29 @@
     def report_load(
         self, endpoint_id: str, in_flight: int, *, incarnation: int, age_s: float, now: float
     ) -> MergeVerdict:
-        """Take an engine's own report, which was taken ``age_s`` before ``now``."""
+        """Handle an engine's report of its requests in flight, ``age_s`` before ``now``."""
         if age_s >= REPORT_MAX_AGE_S:
             return MergeVerdict.TOO_OLD
         as_of = now - age_s
         old = self._reports.get(endpoint_id)
         if old is not None and (incarnation, as_of) <= (old.incarnation, old.as_of):
             return MergeVerdict.STALE
-        own_then = self._history.get_at(endpoint_id, as_of)
+        own_in_flight = self._history.get_at(endpoint_id, as_of)
         self._reports[endpoint_id] = EngineReport(
-            incarnation=incarnation, as_of=as_of, others_in_flight=max(0, in_flight - own_then)
+            incarnation=incarnation, as_of=as_of, others_in_flight=max(0, in_flight - own_in_flight)
         )
         self._next_expiry = min(self._next_expiry, as_of + REPORT_MAX_AGE_S)
         self._update_estimate(endpoint_id)
         return MergeVerdict.TAKEN
 
     def report_total(self, endpoint_id: str, in_flight: int, *, age_s: float, now: float) -> None:
-        """Take what the endpoint's owner says of it, like a report of the engine's own."""
+        """Handle a summary by the owner of an endpoint like a report of the engine."""
         old = self._reports.get(endpoint_id)
         incarnation = old.incarnation if old is not None else 0
         self.report_load(endpoint_id, in_flight, incarnation=incarnation, age_s=age_s, now=now)
 
     def forget_endpoint(self, endpoint_id: str) -> None:
-        """Drop what was reported of an endpoint that is gone."""
+        """Remove the report of an endpoint that is gone."""
         self._reports.pop(endpoint_id, None)
         self._update_estimate(endpoint_id)
 
@@ -198,7 +202,7 @@
         return now - as_of
 
     def expire(self, now: float) -> None:
-        """Stop using what is too old; cheap unless something is due."""
+        """Expire old counts, reservations and reports; cheap unless any is due."""
         if now < self._next_expiry:
             return
         for source, peer in list(self._peers.items()):
@@ -222,7 +226,7 @@
                 self.forget_endpoint(endpoint_id)
 
     def _update_report_use(self) -> None:
-        """Begin or cease to use the engines' reports, as routers fall silent or speak."""
+        """Update whether reports are used, which depends on silent routers."""
         complete = any(peer.complete for peer in self._peers.values())
         uses_reports = not complete or bool(self._silent_routers)
         if uses_reports == self._uses_reports:
--- a/tests/components/load/test_pacer.py
+++ b/tests/components/load/test_pacer.py
@@ -1,4 +1,4 @@
-"""When counts are sent."""
+"""Tests for the pacing of messages with counts."""
 
 import unittest
 
@@ -23,15 +23,15 @@
         self.pacer.record_start(10.6)
         self.assertLessEqual(self.pacer.find_next_due(10.6), 10.6)
 
-    def test_without_news_a_heartbeat_goes_well_before_silence(self) -> None:
+    def test_heartbeat_is_sent_well_before_the_silence_limit(self) -> None:
         self.assertAlmostEqual(self.pacer.find_next_due(10.1), 10.0 + HEARTBEAT_S)
         self.assertLess(2 * HEARTBEAT_S, PEER_SILENCE_S)
 
-    def test_messages_are_bounded_in_a_surge(self) -> None:
-        """A workspace surges tenfold: a thousand starts in ten seconds.
+    def test_messages_are_bounded_in_a_load_peak(self) -> None:
+        """The load of a workspace rises tenfold, to a thousand starts in ten seconds.
 
-        Each wants to be told at once. The messages must stay within the rate, or the
-        control traffic grows with the load, just when the network is busiest.
+        Each start makes the counts due immediately. The messages must stay within the rate;
+        otherwise the control traffic grows with the load, when the network is busiest.
         """
         sent = 0
         for step in range(1000):
