--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -211,7 +211,7 @@
         instance_id=identity.instance_id, replicas=options.replicas, random=random_source
     )
     placer = Placer(view=registry, load=load, random=random_source)
-    exchange = LoadExchange(book=load, gossip=gossip)
+    exchange = LoadExchange(tracker=load, gossip=gossip)
     shares = ShareBook(router_id=identity.instance_id, incarnation=identity.incarnation)
     limiter = Limiter(shares=shares, random=random_source, capacity=options.max_requests)
     admission = AdmissionControl(limiter=limiter, limits=ConfiguredLimits(view=configuration.view))
--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -17,9 +17,9 @@
 class LoadExchange:
     """Publishes this router's counts when they are due, and merges those of other routers."""
 
-    def __init__(self, *, book: LoadTracker, gossip: Gossip) -> None:
+    def __init__(self, *, tracker: LoadTracker, gossip: Gossip) -> None:
         """Initialize the exchange between a load tracker and gossip."""
-        self._tracker = book
+        self._tracker = tracker
         self._gossip = gossip
         self._pacer = CountsPacer()
         self._next_check_at = float("-inf")
