--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -13,7 +13,7 @@
     FLEET_WINDOW_S,
     OTHERS_FRESH_S,
 )
-from chivetrack.components.observation.failures import FailureBook
+from chivetrack.components.observation.failures import FailureTracker
 
 _BUCKETS = 4
 _BUCKET_S = FLEET_WINDOW_S / _BUCKETS
@@ -78,7 +78,7 @@
         self._random = random
         self._note_change = note_change
         self._endpoints: dict[str, _Endpoint] = {}
-        self._failures = FailureBook()
+        self._failures = FailureTracker()
         self._others_heard_at: float | None = None
 
     def note(self, endpoint_id: str, *, ok: bool, now: float) -> None:
--- a/chivetrack/components/observation/failures.py
+++ b/chivetrack/components/observation/failures.py
@@ -10,7 +10,7 @@
 PRIOR_TRIES = 12.0
 
 
-class FailureBook:
+class FailureTracker:
     """Tells which share of its tries an endpoint fails.
 
     It answers endpoints that fail a part of their requests while their status check is
--- a/tests/components/observation/test_failures.py
+++ b/tests/components/observation/test_failures.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from random import Random
 
-from chivetrack.components.observation.failures import FailureBook
+from chivetrack.components.observation.failures import FailureTracker
 from chivetrack.components.placement.choice import Candidate
 from chivetrack.components.placement.placement import Placement
 from chivetrack.components.traffic.models import Service
@@ -18,7 +18,7 @@
     def play(self, shares: dict[str, float], count: int, seed: int) -> Counter[str]:
         """Send requests 40 ms apart, 45 ms each; return how many failed at each endpoint."""
         random = Random(seed)
-        book = FailureBook()
+        book = FailureTracker()
         placement = Placement(zone="z0")
         failed: Counter[str] = Counter()
         for number in range(count):
@@ -52,14 +52,14 @@
 
     def test_requests_that_fail_wherever_they_run(self) -> None:
         """A seventh of all requests fails at any endpoint; none of them is worse for it."""
-        book = FailureBook()
+        book = FailureTracker()
         for name in NAMES:
             book.note(name, tries=70, failures=10, now=1.0)
         shares = [book.find_share(name, 1.0) for name in NAMES]
         self.assertLess(max(shares) - min(shares), 0.01)
 
     def test_few_outcomes_prove_little_and_are_forgotten(self) -> None:
-        book = FailureBook()
+        book = FailureTracker()
         book.note("e1", tries=100, failures=0, now=1.0)
         book.note("e0", tries=1, failures=1, now=1.0)
         self.assertLess(book.find_share("e0", 1.0), 0.2)
