--- a/chivetrack/components/observation/fading.py
+++ b/chivetrack/components/observation/fading.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class FadingMean:
+class DecayingMean:
     """A weighted mean whose samples lose half of their weight in each half-life.
 
     ``prior`` is the weight of a value of 0 that stands beside the samples and doesn't fade.
--- a/chivetrack/components/observation/failures.py
+++ b/chivetrack/components/observation/failures.py
@@ -1,6 +1,6 @@
 """Which share of its tries each endpoint fails, learned from all routers' outcomes."""
 
-from chivetrack.components.observation.fading import FadingMean
+from chivetrack.components.observation.fading import DecayingMean
 
 # Outcomes are believed for about so long, in seconds: failures of a share of requests come
 # in spells of some seconds, and an endpoint that is avoided is seldom asked.
@@ -21,13 +21,13 @@
 
     def __init__(self) -> None:
         """Start with a clean record of every endpoint."""
-        self._shares: dict[str, FadingMean] = {}
+        self._shares: dict[str, DecayingMean] = {}
 
     def note(self, endpoint_id: str, *, tries: float, failures: float, now: float) -> None:
         """Add outcomes; shares of a try are allowed."""
         share = self._shares.get(endpoint_id)
         if share is None:
-            share = FadingMean(half_life_s=HALF_LIFE_S, prior=PRIOR_TRIES, at=now)
+            share = DecayingMean(half_life_s=HALF_LIFE_S, prior=PRIOR_TRIES, at=now)
             self._shares[endpoint_id] = share
         share.add(failures, weight=tries, now=now)
 
--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -2,7 +2,7 @@
 
 import math
 
-from chivetrack.components.observation.fading import FadingMean
+from chivetrack.components.observation.fading import DecayingMean
 from chivetrack.components.observation.median import RunningMedian, RunningQuantile
 
 # Where nothing has been seen yet; what is seen replaces them within eight answers.
@@ -50,7 +50,7 @@
         self._spread = RunningQuantile(START_SPREAD, share=SPREAD_SHARE)
         self._token = RunningQuantile(START_TOKEN_MS, share=TOKEN_SHARE)
         # Of the logarithms of observed over expected times.
-        self._slowness: dict[str, FadingMean] = {}
+        self._slowness: dict[str, DecayingMean] = {}
 
     @property
     def spread(self) -> float:
@@ -123,7 +123,7 @@
         self._spread.add(ratio / self.find_slowness(endpoint_id, now))
         known = self._slowness.get(endpoint_id)
         if known is None:
-            known = FadingMean(half_life_s=SLOWNESS_HALF_LIFE_S, prior=PRIOR_SAMPLES, at=now)
+            known = DecayingMean(half_life_s=SLOWNESS_HALF_LIFE_S, prior=PRIOR_SAMPLES, at=now)
             self._slowness[endpoint_id] = known
         sample = min(MAX_SAMPLE, max(1.0 / MAX_SAMPLE, ratio))
         known.add(math.log(sample), weight=1.0, now=now)
