--- a/chivetrack/components/observation/failures.py
+++ b/chivetrack/components/observation/failures.py
@@ -1,6 +1,6 @@
 """Which share of its tries each endpoint fails, learned from all routers' outcomes."""
 
-from chivetrack.components.observation.fading import DecayingMean
+from chivetrack.components.observation.decaying import DecayingMean
 
 # Outcomes are believed for about so long, in seconds: failures of a share of requests come
 # in spells of some seconds, and an endpoint that is avoided is seldom asked.
--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -2,7 +2,7 @@
 
 import math
 
-from chivetrack.components.observation.fading import DecayingMean
+from chivetrack.components.observation.decaying import DecayingMean
 from chivetrack.components.observation.median import RunningMedian, RunningQuantile
 
 # Where nothing has been seen yet; what is seen replaces them within eight answers.
