--- a/chivetrack/components/observation/decaying.py
+++ b/chivetrack/components/observation/decaying.py
@@ -19,16 +19,16 @@
 
     def add(self, total: float, *, weight: float, now: float) -> None:
         """Add samples: their weighted sum and their weight."""
-        self._fade(now)
+        self._decay(now)
         self.total += total
         self.weight += weight
 
     def find(self, now: float) -> float:
         """Return the mean."""
-        self._fade(now)
+        self._decay(now)
         return self.total / (self.weight + self.prior)
 
-    def _fade(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         factor = 0.5 ** (max(0.0, now - self.at) / self.half_life_s)
         self.total *= factor
         self.weight *= factor
