--- a/chivetrack/components/observation/failures.py
+++ b/chivetrack/components/observation/failures.py
@@ -7,7 +7,7 @@
 HALF_LIFE_S = 3.0
 # So many tries without a failure stand beside an endpoint's own: one that is not known yet
 # is tried, and a single failure proves little.
-PRIOR_TRIES = 12.0
+PRIOR_ATTEMPTS = 12.0
 
 
 class FailureTracker:
@@ -27,7 +27,7 @@
         """Add outcomes; shares of a try are allowed."""
         share = self._shares.get(endpoint_id)
         if share is None:
-            share = DecayingMean(half_life_s=HALF_LIFE_S, prior=PRIOR_TRIES, at=now)
+            share = DecayingMean(half_life_s=HALF_LIFE_S, prior=PRIOR_ATTEMPTS, at=now)
             self._shares[endpoint_id] = share
         share.add(failures, weight=tries, now=now)
 
