--- a/chivetrack/components/observation/silence.py
+++ b/chivetrack/components/observation/silence.py
@@ -7,7 +7,7 @@
 # How many times the expected time and the usual spread of it a first byte may take before its
 # endpoint is doubted, and the least of it, in seconds.
 WAIT_LIMIT_FACTOR = 4.0
-MIN_PATIENCE_S = 0.3
+MIN_WAIT_LIMIT_S = 0.3
 
 # So many requests have to be overdue at once: one alone may be a request that takes long, and
 # where a router sends an endpoint less than one a second nothing else shows that it lives. With
@@ -25,7 +25,7 @@
     ``spread`` is the factor by which slow answers usually are over what is expected. Under
     three times the load it grows within some answers, and with it the patience.
     """
-    return max(MIN_PATIENCE_S, WAIT_LIMIT_FACTOR * spread * expected_ms / 1000)
+    return max(MIN_WAIT_LIMIT_S, WAIT_LIMIT_FACTOR * spread * expected_ms / 1000)
 
 
 def leave_out_silent(endpoint_ids: Sequence[str], silent: Collection[str]) -> list[str]:
--- a/tests/components/observation/test_silence.py
+++ b/tests/components/observation/test_silence.py
@@ -3,7 +3,7 @@
 import unittest
 
 from chivetrack.components.observation.silence import (
-    MIN_PATIENCE_S,
+    MIN_WAIT_LIMIT_S,
     SilenceTable,
     find_wait_limit,
     leave_out_silent,
@@ -64,7 +64,7 @@
         self.table.finish("e", number)
 
     def test_patience_grows_with_what_is_expected(self) -> None:
-        self.assertEqual(find_wait_limit(5.0, 2.0), MIN_PATIENCE_S)
+        self.assertEqual(find_wait_limit(5.0, 2.0), MIN_WAIT_LIMIT_S)
         self.assertGreater(find_wait_limit(400.0, 2.0), 2.0)
 
     def test_overload_is_no_silence(self) -> None:
