--- a/chivetrack/components/observation/silence.py
+++ b/chivetrack/components/observation/silence.py
@@ -28,7 +28,7 @@
     return max(MIN_WAIT_LIMIT_S, WAIT_LIMIT_FACTOR * spread * expected_ms / 1000)
 
 
-def leave_out_silent(endpoint_ids: Sequence[str], silent: Collection[str]) -> list[str]:
+def exclude_silent(endpoint_ids: Sequence[str], silent: Collection[str]) -> list[str]:
     """Return the endpoints that may be tried: those that aren't silent, or all."""
     left = [one for one in endpoint_ids if one not in silent]
     out = len(endpoint_ids) - len(left)
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -11,7 +11,7 @@
 from chivetrack.components.endpoints.breaker import Breaker, BreakerState
 from chivetrack.components.endpoints.models import OutcomeKind
 from chivetrack.components.endpoints.outcomes import HeldChange, OutcomeTable
-from chivetrack.components.observation.silence import leave_out_silent
+from chivetrack.components.observation.silence import exclude_silent
 from chivetrack.components.placement.choice import Candidate
 from chivetrack.components.retries.sending import SendEnd
 from chivetrack.helpers.events import EventLog
@@ -138,7 +138,7 @@
     def _leave_out_silent(self, candidates: list[Candidate], now: float) -> list[Candidate]:
         names = [one.record.endpoint_id for one in candidates]
         silent = {name for name in names if self._is_silent(name, now)}
-        heard = set(leave_out_silent(names, silent)) if silent else set(names)
+        heard = set(exclude_silent(names, silent)) if silent else set(names)
         return [one for one in candidates if one.record.endpoint_id in heard] or candidates
 
     def _add_record(self, candidate: Candidate, now: float) -> Candidate:
--- a/tests/components/observation/test_silence.py
+++ b/tests/components/observation/test_silence.py
@@ -5,8 +5,8 @@
 from chivetrack.components.observation.silence import (
     MIN_WAIT_LIMIT_S,
     SilenceTable,
+    exclude_silent,
     find_wait_limit,
-    leave_out_silent,
 )
 from chivetrack.components.observation.speeds import ServiceSpeeds
 
@@ -74,9 +74,9 @@
         behind in turn. Answers that come late widen the spread, and with it the patience.
         """
         names = ["e0", "e1", "e2", "e3", "e4", "e5"]
-        self.assertEqual(leave_out_silent(names, {"e1"}), ["e0", "e2", "e3", "e4", "e5"])
-        self.assertEqual(leave_out_silent(names, {"e1", "e2", "e3"}), names)
-        self.assertEqual(leave_out_silent(["e0"], {"e0"}), [])
+        self.assertEqual(exclude_silent(names, {"e1"}), ["e0", "e2", "e3", "e4", "e5"])
+        self.assertEqual(exclude_silent(names, {"e1", "e2", "e3"}), names)
+        self.assertEqual(exclude_silent(["e0"], {"e0"}), [])
         speeds = ServiceSpeeds()
         for number in range(40):
             late = 40.0 * (1 + number % 20)
