--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -24,7 +24,7 @@
 # single request says more about itself than about its endpoint.
 PRIOR_SAMPLES = 3.0
 # One sample is taken for no more than this factor.
-MAX_SAMPLE = 8.0
+MAX_SLOWNESS_SAMPLE = 8.0
 
 # Of a hundred answers about two may take longer than the service's usual spread.
 SPREAD_SHARE = 0.98
@@ -125,7 +125,7 @@
         if known is None:
             known = DecayingMean(half_life_s=SLOWNESS_HALF_LIFE_S, prior=PRIOR_SAMPLES, at=now)
             self._slowness[endpoint_id] = known
-        sample = min(MAX_SAMPLE, max(1.0 / MAX_SAMPLE, ratio))
+        sample = min(MAX_SLOWNESS_SAMPLE, max(1.0 / MAX_SLOWNESS_SAMPLE, ratio))
         known.add(math.log(sample), weight=1.0, now=now)
 
     def forget(self, endpoint_id: str) -> None:
