--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -29,7 +29,7 @@
 # Of a hundred answers about two may take longer than the service's usual spread.
 SPREAD_QUANTILE = 0.98
 # A quarter of the answers takes longer for each token that the caller expected.
-TOKEN_SHARE = 0.75
+TOKEN_TIME_QUANTILE = 0.75
 START_SPREAD = 2.0
 
 
@@ -48,7 +48,7 @@
         self._answer = RunningMedian(START_ANSWER_MS)
         self._plain = RunningMedian(START_PLAIN_MS)
         self._spread = RunningQuantile(START_SPREAD, share=SPREAD_QUANTILE)
-        self._token = RunningQuantile(START_TOKEN_MS, share=TOKEN_SHARE)
+        self._token = RunningQuantile(START_TOKEN_MS, share=TOKEN_TIME_QUANTILE)
         # Of the logarithms of observed over expected times.
         self._slowness: dict[str, DecayingMean] = {}
 
