--- a/chivetrack/components/observation/silence.py
+++ b/chivetrack/components/observation/silence.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class _Endpoint:
-    heard_at: float = float("-inf")
+    last_seen_at: float = float("-inf")
     # Start and the time from which on a first byte is overdue, by the number of the try.
     waiting: dict[int, tuple[float, float]] = field(default_factory=dict)
 
@@ -67,7 +67,7 @@
         """Note bytes of an endpoint; the try has its first byte."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
-            endpoint.heard_at = now
+            endpoint.last_seen_at = now
             endpoint.waiting.pop(number, None)
 
     def finish(self, endpoint_id: str, number: int) -> None:
@@ -82,7 +82,7 @@
         if endpoint is None:
             return False
         overdue = sum(
-            now > due_at and endpoint.heard_at <= started_at
+            now > due_at and endpoint.last_seen_at <= started_at
             for started_at, due_at in endpoint.waiting.values()
         )
         return overdue >= MIN_OVERDUE
