--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -98,7 +98,7 @@
     ) -> None:
         """Learn from a first event that came after ``took_ms``; ``tokens`` were to be read."""
         expected = self._first.value + tokens / self._rate.value
-        self._note_ratio(endpoint_id, took_ms, expected, now)
+        self._record_ratio(endpoint_id, took_ms, expected, now)
         if tokens <= SMALL_READ_TOKENS:
             self._first.add(max(0.1, took_ms - tokens / self._rate.value))
         elif tokens >= LARGE_READ_TOKENS and took_ms > self._first.value:
@@ -115,10 +115,10 @@
 
     def record_plain_answer(self, endpoint_id: str, *, took_ms: float, now: float) -> None:
         """Learn from a whole answer without a stream."""
-        self._note_ratio(endpoint_id, took_ms, self._plain.value, now)
+        self._record_ratio(endpoint_id, took_ms, self._plain.value, now)
         self._plain.add(took_ms)
 
-    def _note_ratio(self, endpoint_id: str, took_ms: float, usual_ms: float, now: float) -> None:
+    def _record_ratio(self, endpoint_id: str, took_ms: float, usual_ms: float, now: float) -> None:
         ratio = took_ms / usual_ms
         self._spread.add(ratio / self.find_slowness(endpoint_id, now))
         known = self._slowness.get(endpoint_id)
