--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -92,7 +92,7 @@
             counts.answered += 1
         else:
             counts.failed += 1
-        self._failures.note(endpoint_id, tries=1, failures=0 if ok else 1, now=now)
+        self._failures.record(endpoint_id, tries=1, failures=0 if ok else 1, now=now)
 
     def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
         """Replace what the other routers have counted."""
@@ -106,7 +106,7 @@
                 endpoint = self._endpoints.setdefault(load.endpoint_id, _Endpoint())
                 endpoint.others = _Counts(load.answered, load.failed)
                 endpoint.others_at = now
-                self._failures.note(
+                self._failures.record(
                     load.endpoint_id,
                     tries=part * (load.answered + load.failed),
                     failures=part * load.failed,
--- a/chivetrack/components/observation/failures.py
+++ b/chivetrack/components/observation/failures.py
@@ -23,7 +23,7 @@
         """Start with a clean record of every endpoint."""
         self._shares: dict[str, DecayingMean] = {}
 
-    def note(self, endpoint_id: str, *, tries: float, failures: float, now: float) -> None:
+    def record(self, endpoint_id: str, *, tries: float, failures: float, now: float) -> None:
         """Add outcomes; shares of a try are allowed."""
         share = self._shares.get(endpoint_id)
         if share is None:
--- a/tests/components/observation/test_failures.py
+++ b/tests/components/observation/test_failures.py
@@ -37,7 +37,7 @@
             name = choice.record.endpoint_id
             fails = random.random() < shares.get(name, 0.0)
             failed[name] += fails
-            book.note(name, tries=1, failures=float(fails), now=now)
+            book.record(name, tries=1, failures=float(fails), now=now)
         return failed
 
     def test_endpoint_that_loses_a_part_of_its_answers(self) -> None:
@@ -54,16 +54,16 @@
         """A seventh of all requests fails at any endpoint; none of them is worse for it."""
         book = FailureTracker()
         for name in NAMES:
-            book.note(name, tries=70, failures=10, now=1.0)
+            book.record(name, tries=70, failures=10, now=1.0)
         shares = [book.find_share(name, 1.0) for name in NAMES]
         self.assertLess(max(shares) - min(shares), 0.01)
 
     def test_few_outcomes_prove_little_and_are_forgotten(self) -> None:
         book = FailureTracker()
-        book.note("e1", tries=100, failures=0, now=1.0)
-        book.note("e0", tries=1, failures=1, now=1.0)
+        book.record("e1", tries=100, failures=0, now=1.0)
+        book.record("e0", tries=1, failures=1, now=1.0)
         self.assertLess(book.find_share("e0", 1.0), 0.2)
-        book.note("e0", tries=20, failures=20, now=1.0)
+        book.record("e0", tries=20, failures=20, now=1.0)
         self.assertGreater(book.find_share("e0", 1.0), 0.4)
         self.assertLess(book.find_share("e0", 30.0), 0.05)
         book.forget("e0")
