--- a/chivetrack/components/observation/silence.py
+++ b/chivetrack/components/observation/silence.py
@@ -19,13 +19,13 @@
 MAX_SILENT_SHARE = 0.25
 
 
-def find_wait_limit(expected_ms: float, spread: float) -> float:
+def find_wait_limit(expected_ms: float, tail_factor: float) -> float:
     """Return for how long a first byte is waited for without doubt, in seconds.
 
     ``spread`` is the factor by which slow answers usually are over what is expected. Under
     three times the load it grows within some answers, and with it the patience.
     """
-    return max(MIN_WAIT_LIMIT_S, WAIT_LIMIT_FACTOR * spread * expected_ms / 1000)
+    return max(MIN_WAIT_LIMIT_S, WAIT_LIMIT_FACTOR * tail_factor * expected_ms / 1000)
 
 
 def exclude_silent(endpoint_ids: Sequence[str], silent: Collection[str]) -> list[str]:
--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -53,7 +53,7 @@
         self._slowness: dict[str, DecayingMean] = {}
 
     @property
-    def spread(self) -> float:
+    def tail_factor(self) -> float:
         """Return by which factor the slowest of fifty answers is over what was expected."""
         return self._spread.value
 
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -93,7 +93,7 @@
         """Return the time in seconds within which most such answers are complete."""
         speeds = self.get_speeds(choice.record.service)
         if not facts.parts:
-            return choice.expected_ms * speeds.spread / 1000
+            return choice.expected_ms * speeds.tail_factor / 1000
         answer_ms = speeds.expect_answer_ms(facts.likely_output_tokens)
         return (choice.expected_ms + answer_ms) / 1000
 
@@ -122,7 +122,7 @@
         speeds = self.get_speeds(choice.record.service)
         waiting = self.loads.count_tokens(endpoint_id, now, rate=speeds.read_tokens_per_ms)
         self.loads.start(endpoint_id, choice.missing_tokens)
-        wait_limit_s = find_wait_limit(choice.expected_ms, speeds.spread)
+        wait_limit_s = find_wait_limit(choice.expected_ms, speeds.tail_factor)
         return Placed(
             endpoint_id=endpoint_id,
             service=choice.record.service,
--- a/tests/components/observation/test_silence.py
+++ b/tests/components/observation/test_silence.py
@@ -82,7 +82,7 @@
             late = 40.0 * (1 + number % 20)
             speeds.record_first_event("e0", tokens=100, took_ms=late, now=number * 0.05)
         expected_ms = speeds.expect_first_ms("e0", 100, now=2.0)
-        self.assertGreater(find_wait_limit(expected_ms, speeds.spread), 0.8)
+        self.assertGreater(find_wait_limit(expected_ms, speeds.tail_factor), 0.8)
 
 
 if __name__ == "__main__":
