--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -47,7 +47,7 @@
         self._first = RunningMedian(START_FIRST_MS)
         self._answer = RunningMedian(START_ANSWER_MS)
         self._plain = RunningMedian(START_PLAIN_MS)
-        self._spread = RunningQuantile(START_SPREAD, share=SPREAD_QUANTILE)
+        self._tail_factor = RunningQuantile(START_SPREAD, share=SPREAD_QUANTILE)
         self._token = RunningQuantile(START_TOKEN_MS, share=TOKEN_TIME_QUANTILE)
         # Of the logarithms of observed over expected times.
         self._slowness: dict[str, DecayingMean] = {}
@@ -55,7 +55,7 @@
     @property
     def tail_factor(self) -> float:
         """Return by which factor the slowest of fifty answers is over what was expected."""
-        return self._spread.value
+        return self._tail_factor.value
 
     @property
     def read_tokens_per_ms(self) -> float:
@@ -120,7 +120,7 @@
 
     def _record_ratio(self, endpoint_id: str, took_ms: float, usual_ms: float, now: float) -> None:
         ratio = took_ms / usual_ms
-        self._spread.add(ratio / self.find_slowness(endpoint_id, now))
+        self._tail_factor.add(ratio / self.find_slowness(endpoint_id, now))
         known = self._slowness.get(endpoint_id)
         if known is None:
             known = DecayingMean(half_life_s=SLOWNESS_HALF_LIFE_S, prior=PRIOR_SAMPLES, at=now)
