--- a/chivetrack/components/observation/speeds.py
+++ b/chivetrack/components/observation/speeds.py
@@ -27,7 +27,7 @@
 MAX_SLOWNESS_SAMPLE = 8.0
 
 # Of a hundred answers about two may take longer than the service's usual spread.
-SPREAD_QUANTILE = 0.98
+TAIL_QUANTILE = 0.98
 # A quarter of the answers takes longer for each token that the caller expected.
 TOKEN_TIME_QUANTILE = 0.75
 START_TAIL_FACTOR = 2.0
@@ -47,7 +47,7 @@
         self._first = RunningMedian(START_FIRST_MS)
         self._answer = RunningMedian(START_ANSWER_MS)
         self._plain = RunningMedian(START_PLAIN_MS)
-        self._tail_factor = RunningQuantile(START_TAIL_FACTOR, share=SPREAD_QUANTILE)
+        self._tail_factor = RunningQuantile(START_TAIL_FACTOR, share=TAIL_QUANTILE)
         self._token = RunningQuantile(START_TOKEN_MS, share=TOKEN_TIME_QUANTILE)
         # Of the logarithms of observed over expected times.
         self._slowness: dict[str, DecayingMean] = {}
