--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -287,11 +287,11 @@
                 placement.record_first_event(request.placed, now=now / 1000)
             is_over = request.job.ended_at is not None or request.job.gave_up
             if is_over and request.placed is not None:
-                is_whole = request.job.ended_at is not None
-                request.placed.is_whole = is_whole
+                is_complete = request.job.ended_at is not None
+                request.placed.is_complete = is_complete
                 placement.finish(request.placed, now=now / 1000)
                 request.placed = None
-                if is_whole and request.outcome is None:
+                if is_complete and request.outcome is None:
                     assert request.job.first_at is not None
                     self._end(request, request.job.first_at - request.came_at + ZONE_MS)
             if not is_over:
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -40,7 +40,7 @@
     new_parts: tuple[PromptPart, ...] = ()
     output_tokens: int = 0
     first_at: float | None = None
-    is_whole: bool = False
+    is_complete: bool = False
 
 
 class Placement:
@@ -168,7 +168,7 @@
             self.parts.withdraw(placed.endpoint_id, placed.new_parts)
         self.loads.finish(placed.endpoint_id)
         self._silence.finish(placed.endpoint_id, placed.number)
-        if not placed.is_whole:
+        if not placed.is_complete:
             return
         speeds = self.get_speeds(placed.service)
         if placed.first_at is not None:
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -346,7 +346,7 @@
     def use(self, call: Call, choice: Choice) -> Iterator[Placed]:
         """Count a request at an endpoint for as long as it is there.
 
-        The body sets ``is_whole`` of what is given once the answer is whole.
+        The body sets ``is_complete`` of what is given once the answer is whole.
         """
         now = time.monotonic()
         self.health.note_attempt(choice.record.endpoint_id, now=now)
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -256,8 +256,8 @@
             call.tries.append(Tried(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
             result = self._forwarder.send(call, choice, may_repeat=may_repeat)
             call.tries.pop()
-            placed.is_whole = result.is_answered and result.status < 500
-        if placed.is_whole:
+            placed.is_complete = result.is_answered and result.status < 500
+        if placed.is_complete:
             self._view.crashes.note_answered(call.fingerprint, now=time.monotonic())
         if result.end is None:
             self._view.health.note_outcome(
--- a/tests/components/observation/test_speeds.py
+++ b/tests/components/observation/test_speeds.py
@@ -58,7 +58,7 @@
                 took_ms = (FIRST_MS + choice.missing_tokens / self.rate) * self.slowness[name]
                 took_ms *= noise
                 self.placement.record_first_event(placed, now=self.now + took_ms / 1000)
-            placed.is_whole = True
+            placed.is_complete = True
             self.placement.finish(placed, now=self.now + took_ms / 1000)
         return got
 
