--- a/chivetrack/components/observation/__init__.py
+++ b/chivetrack/components/observation/__init__.py
@@ -1,1 +1,1 @@
-"""What this router learns of endpoints from the answers to its own requests; free of I/O."""
+"""Statistics of endpoints from the answers to this router's own requests; without I/O."""
--- a/chivetrack/components/observation/decaying.py
+++ b/chivetrack/components/observation/decaying.py
@@ -1,4 +1,4 @@
-"""A mean that forgets what is old."""
+"""Exponentially decaying mean."""
 
 from dataclasses import dataclass
 
@@ -7,8 +7,8 @@
 class DecayingMean:
     """A weighted mean whose samples lose half of their weight in each half-life.
 
-    ``prior`` is the weight of a value of 0 that stands beside the samples and doesn't fade.
-    Times are in seconds.
+    ``prior`` is the weight of an additional sample of value 0, which does not decay. ``at`` is
+    the time of the last decay. Times are in seconds.
     """
 
     half_life_s: float
@@ -24,7 +24,7 @@
         self.weight += weight
 
     def find(self, now: float) -> float:
-        """Return the mean."""
+        """Return the mean at time ``now``."""
         self._decay(now)
         return self.total / (self.weight + self.prior)
 
--- a/chivetrack/components/observation/median.py
+++ b/chivetrack/components/observation/median.py
@@ -1,28 +1,28 @@
-"""Running quantiles of positive figures whose size is not known beforehand."""
+"""Running quantiles of positive numbers of unknown magnitude."""
 
 import math
 
-# Factor by which one sample moves the median, and the most after several on one side. A
-# median that is wrong by three is right again after eight samples.
+# Factor by which one sample moves the median, and its maximum after several samples on the same
+# side. A median that is off by a factor of three is corrected after eight samples.
 FIRST_STEP = 1.05
 LAST_STEP = 1.3
 
 
 class RunningMedian:
-    """Follows the median of what it is told; a few samples far off hardly move it.
+    """Running median of the samples; a few outliers hardly move it.
 
-    A mean would follow outliers, which are the rule here: what is believed of an endpoint's
-    cache or queue is wrong for one request in five, and then by any factor.
+    A mean would follow outliers, which are frequent here: the estimate of an endpoint's cache
+    or queue is wrong for one request in five, and then by any factor.
     """
 
     def __init__(self, start: float) -> None:
-        """Begin at ``start``, in the unit of the samples."""
+        """Initialize the median with ``start``, in the unit of the samples."""
         self.value = start
         self._step = math.log(FIRST_STEP)
         self._was_above: bool | None = None
 
     def add(self, sample: float) -> None:
-        """Move towards a sample."""
+        """Move the median towards a sample."""
         is_above = sample > self.value
         if is_above is self._was_above:
             self._step = min(self._step * 1.25, math.log(LAST_STEP))
@@ -37,18 +37,18 @@
 
 
 class RunningQuantile:
-    """Follows a high quantile: a sample above moves it up at once, many below slowly down."""
+    """Running high quantile: one sample above raises it, and many below lower it slowly."""
 
     def __init__(self, start: float, *, share: float) -> None:
-        """Begin at ``start``; ``share`` of the samples are to be below."""
+        """Initialize the quantile with ``start``; ``share`` of the samples are to be below it."""
         self.value = start
-        self._least = start
+        self._minimum = start
         self._share = share
 
     def add(self, sample: float) -> None:
-        """Move towards a sample; never below the start."""
+        """Move the quantile towards a sample, but never below the start value."""
         if sample > self.value:
             self.value *= math.exp(math.log(LAST_STEP) * self._share)
         else:
             self.value *= math.exp(-math.log(LAST_STEP) * (1 - self._share))
-        self.value = max(self._least, self.value)
+        self.value = max(self._minimum, self.value)
--- a/chivetrack/components/observation/silence.py
+++ b/chivetrack/components/observation/silence.py
@@ -1,83 +1,84 @@
-"""Endpoints that have gone silent while requests wait there."""
+"""Detection of silent endpoints: first bytes are overdue and nothing has arrived since."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass, field
 from itertools import count
 
-# How many times the expected time and the usual spread of it a first byte may take before its
-# endpoint is doubted, and the least of it, in seconds.
+# Wait limit for the first byte of an answer: a multiple of the expected time and the tail factor,
+# and its minimum in seconds. After the limit the endpoint may be suspected.
 WAIT_LIMIT_FACTOR = 4.0
 MIN_WAIT_LIMIT_S = 0.3
 
-# So many requests have to be overdue at once: one alone may be a request that takes long, and
-# where a router sends an endpoint less than one a second nothing else shows that it lives. With
-# one, routers held back healthy endpoints of a plain service every few seconds of a calm day.
+# Number of requests that must be overdue at the same time. A single one may just take long, and
+# if a router sends less than one request per second, no other answer shows that the endpoint
+# works. With a limit of one, routers held back healthy endpoints of a plain service every few
+# seconds under normal load.
 MIN_OVERDUE = 2
 
-# While more than this share of a service's endpoints owe answers, the service is overloaded
-# and not its endpoints gone: left out, they would leave their load to the rest.
+# If more than this share of a service's endpoints is silent, the service is assumed to be
+# overloaded. No endpoint is excluded then, since the others would have to take its load.
 MAX_SILENT_SHARE = 0.25
 
 
 def find_wait_limit(expected_ms: float, tail_factor: float) -> float:
-    """Return for how long a first byte is waited for without doubt, in seconds.
+    """Return the time in seconds after which the first byte of an answer is overdue.
 
-    ``spread`` is the factor by which slow answers usually are over what is expected. Under
-    three times the load it grows within some answers, and with it the patience.
+    ``tail_factor`` is the factor by which slow answers exceed their expected time. Under three
+    times the load it grows within a few answers, and the wait limit grows with it.
     """
     return max(MIN_WAIT_LIMIT_S, WAIT_LIMIT_FACTOR * tail_factor * expected_ms / 1000)
 
 
 def exclude_silent(endpoint_ids: Sequence[str], silent: Collection[str]) -> list[str]:
-    """Return the endpoints that may be tried: those that aren't silent, or all."""
+    """Return the endpoints that are not silent, or all if too many are silent."""
     left = [one for one in endpoint_ids if one not in silent]
-    out = len(endpoint_ids) - len(left)
-    return left if out <= max(1, MAX_SILENT_SHARE * len(endpoint_ids)) else list(endpoint_ids)
+    excluded = len(endpoint_ids) - len(left)
+    return left if excluded <= max(1, MAX_SILENT_SHARE * len(endpoint_ids)) else list(endpoint_ids)
 
 
 @dataclass(slots=True)
 class _Endpoint:
     last_seen_at: float = float("-inf")
-    # Start and the time from which on a first byte is overdue, by the number of the try.
+    # Start time and time from which the first byte is overdue, by the number of the attempt.
     waiting: dict[int, tuple[float, float]] = field(default_factory=dict)
 
 
 class SilenceTable:
-    """Knows which endpoints owe an answer and have said nothing at all since.
+    """Detects endpoints with overdue answers that have sent no bytes at all since.
 
-    It answers an endpoint that stops without a reset: it loses power, hangs, or is cut
-    off. Nothing fails until the callers' deadlines, and until then it gets its share of the
-    traffic. What is doubted is the endpoint and not the request: while other requests of
-    this router get bytes from it, one that takes long is only long.
+    An endpoint may stop without resetting its connections: it loses power, hangs or is
+    disconnected. Requests there fail only at their callers' deadlines, and until then the
+    endpoint gets its share of the traffic. While other requests of this router receive bytes
+    from the endpoint, an overdue request just takes long and the endpoint is not silent.
     """
 
     def __init__(self) -> None:
-        """Start with nothing waiting."""
+        """Initialize the table without attempts."""
         self._endpoints: dict[str, _Endpoint] = {}
         self._numbers = count()
 
     def start(self, endpoint_id: str, *, now: float, wait_limit_s: float) -> int:
-        """Note that a request goes out; return the number of the try."""
+        """Record that a request is sent; return the number of the attempt."""
         number = next(self._numbers)
         endpoint = self._endpoints.setdefault(endpoint_id, _Endpoint())
         endpoint.waiting[number] = (now, now + wait_limit_s)
         return number
 
     def record_bytes(self, endpoint_id: str, number: int, *, now: float) -> None:
-        """Note bytes of an endpoint; the try has its first byte."""
+        """Record bytes from an endpoint, which end the wait for the first byte of the attempt."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
             endpoint.last_seen_at = now
             endpoint.waiting.pop(number, None)
 
     def finish(self, endpoint_id: str, number: int) -> None:
-        """Note that a try has ended."""
+        """Record that an attempt has ended."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
             endpoint.waiting.pop(number, None)
 
     def is_silent(self, endpoint_id: str, now: float) -> bool:
-        """Return whether first bytes are overdue and nothing was heard since their requests."""
+        """Return whether first bytes are overdue and no bytes arrived since their requests."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             return False
@@ -88,5 +89,5 @@
         return overdue >= MIN_OVERDUE
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop what is known of an endpoint: it has started again, or has gone."""
+        """Remove the attempts of an endpoint that has restarted or left."""
         self._endpoints.pop(endpoint_id, None)
--- a/tests/components/observation/test_silence.py
+++ b/tests/components/observation/test_silence.py
@@ -1,4 +1,4 @@
-"""Endpoints that stop without a word while requests wait there."""
+"""Tests for the detection of endpoints that stop sending while requests wait."""
 
 import unittest
 
@@ -16,10 +16,10 @@
         self.table = SilenceTable()
 
     def test_endpoint_loses_power(self) -> None:
-        """An endpoint stops without a reset while two callers wait three seconds for it.
+        """An endpoint stops without a reset while two callers wait for it.
 
-        Nothing fails before those callers' deadlines. Until then each further request sent
-        there would wait as long; the third one already goes elsewhere.
+        Their requests fail only at their deadlines of three seconds. Until then each further
+        request sent there would wait too; the third one must already go elsewhere.
         """
         first = self.table.start("e", now=10.0, wait_limit_s=0.3)
         self.table.start("e", now=10.1, wait_limit_s=0.3)
@@ -29,24 +29,24 @@
         self.table.finish("e", first)
         self.assertFalse(self.table.is_silent("e", 13.0))
 
-    def test_one_request_that_takes_long_proves_nothing(self) -> None:
-        """A calm day; a router sends a status service one request in two seconds.
+    def test_single_overdue_request_is_not_silence(self) -> None:
+        """Under low load, a router sends one request in two seconds to a service.
 
-        One of them takes its whole time limit. Nothing else is heard from its endpoint
-        meanwhile, which is healthy and would be held back for the whole fleet.
+        One request takes its whole time limit, and its healthy endpoint sends nothing else
+        meanwhile. It must not count as silent, or the whole fleet would hold it back.
         """
         self.table.start("e", now=10.0, wait_limit_s=0.3)
         self.assertFalse(self.table.is_silent("e", 12.0))
 
     def test_long_request_beside_answers(self) -> None:
-        """One request takes long; others of the endpoint get their bytes meanwhile."""
+        """One request takes long, but another request receives bytes from the endpoint."""
         self.table.start("e", now=10.0, wait_limit_s=0.3)
         other = self.table.start("e", now=10.1, wait_limit_s=0.3)
         self.table.record_bytes("e", other, now=10.2)
         self.assertFalse(self.table.is_silent("e", 12.0))
 
-    def test_streams_that_die_with_their_endpoint(self) -> None:
-        """A stream got bytes until the power went; requests that came later show it."""
+    def test_endpoint_loses_power_during_a_stream(self) -> None:
+        """A stream received bytes until the power failure; later requests reveal the failure."""
         stream = self.table.start("e", now=10.0, wait_limit_s=0.3)
         self.table.record_bytes("e", stream, now=10.5)
         self.table.start("e", now=10.6, wait_limit_s=0.3)
@@ -54,7 +54,7 @@
         self.assertFalse(self.table.is_silent("e", 10.8))
         self.assertTrue(self.table.is_silent("e", 11.0))
 
-    def test_endpoint_starts_again(self) -> None:
+    def test_endpoint_restarts(self) -> None:
         number = self.table.start("e", now=10.0, wait_limit_s=0.3)
         self.table.start("e", now=10.0, wait_limit_s=0.3)
         self.assertTrue(self.table.is_silent("e", 11.0))
@@ -63,15 +63,15 @@
         self.table.record_bytes("e", number, now=11.0)
         self.table.finish("e", number)
 
-    def test_patience_grows_with_what_is_expected(self) -> None:
+    def test_wait_limit_grows_with_the_expected_time(self) -> None:
         self.assertEqual(find_wait_limit(5.0, 2.0), MIN_WAIT_LIMIT_S)
         self.assertGreater(find_wait_limit(400.0, 2.0), 2.0)
 
-    def test_overload_is_no_silence(self) -> None:
-        """Four times the usual load; every engine owes answers for a second.
+    def test_overload_is_not_silence(self) -> None:
+        """At four times the usual load, the answers of every engine are overdue for a second.
 
-        Were they left out, each for a moment, the rest would get their load and fall
-        behind in turn. Answers that come late widen the spread, and with it the patience.
+        If these engines were excluded, the others would get their load and be overloaded in
+        turn. Late answers must raise the tail factor, and with it the wait limit.
         """
         names = ["e0", "e1", "e2", "e3", "e4", "e5"]
         self.assertEqual(exclude_silent(names, {"e1"}), ["e0", "e2", "e3", "e4", "e5"])
--- a/tests/components/observation/test_speeds.py
+++ b/tests/components/observation/test_speeds.py
@@ -1,4 +1,4 @@
-"""Decisions follow engines that are faster, slower, unlike each other, or change."""
+"""Tests for choices among engines that are faster, slower, different or changing."""
 
 import unittest
 from collections import Counter
@@ -18,7 +18,7 @@
 
 
 class Load:
-    """Requests one after the other at four endpoints that take what they are told to take."""
+    """Sequential requests to four simulated endpoints with a given speed each."""
 
     def __init__(self, *, service: Service, rate: float = 57.0, seed: int = 1) -> None:
         self.service = service
@@ -38,9 +38,9 @@
         parts = (PromptPart(f"s{self.random.random()}", tokens),)
         return RequestFacts(request_id="q", parts=parts, prompt_tokens=tokens)
 
-    def play(self, count: int, tokens: int = 4000) -> Counter[str]:
-        """Send requests 100 ms apart; return how many each endpoint got."""
-        got: Counter[str] = Counter()
+    def send_requests(self, count: int, tokens: int = 4000) -> Counter[str]:
+        """Send ``count`` requests, one every 100 ms; return their number by endpoint."""
+        counts: Counter[str] = Counter()
         for _ in range(count):
             self.now += 0.1
             facts = self.make_facts(self.random.choice((100, tokens)))
@@ -49,7 +49,7 @@
             )
             assert choice is not None
             name = choice.record.endpoint_id
-            got[name] += 1
+            counts[name] += 1
             placed = self.placement.start(choice, facts, now=self.now, capacity=500_000)
             noise = self.random.lognormvariate(0.0, 0.2)
             if self.service is PLAIN:
@@ -60,60 +60,60 @@
                 self.placement.record_first_event(placed, now=self.now + took_ms / 1000)
             placed.is_complete = True
             self.placement.finish(placed, now=self.now + took_ms / 1000)
-        return got
+        return counts
 
 
 class SpeedsTest(unittest.TestCase):
     def test_engines_three_times_faster_and_slower(self) -> None:
-        """The routers run before engines that nobody has measured.
+        """The routers use engines of unknown speed.
 
-        With the figures of other engines, reading would be weighed three times too dear
-        against distance, or three times too cheap, and time limits judged wrongly.
+        With the values of other engines, the cost of reading would be three times too high or
+        too low relative to distance, and estimates for time limits would be wrong.
         """
         for factor in (1 / 3, 1.0, 3.0):
             load = Load(service=ENGINE, rate=57.0 * factor)
-            load.play(150)
+            load.send_requests(150)
             learned = load.placement.get_speeds("llm").read_tokens_per_ms
             self.assertLess(abs(learned / (57.0 * factor) - 1), 0.35, factor)
 
-    def test_engines_unlike_each_other(self) -> None:
-        """One engine of four takes four times as long as the others and gets less."""
+    def test_engines_of_different_speed(self) -> None:
+        """One of four engines takes four times as long as the others and must get less."""
         load = Load(service=ENGINE)
         load.slowness["e2"] = 4.0
-        load.play(60)
-        got = load.play(200)
-        self.assertLess(got["e2"], 0.6 * min(got["e0"], got["e1"], got["e3"]))
+        load.send_requests(60)
+        counts = load.send_requests(200)
+        self.assertLess(counts["e2"], 0.6 * min(counts["e0"], counts["e1"], counts["e3"]))
 
     def test_engine_turns_slow_and_recovers(self) -> None:
-        """An engine turns slow in the middle of the day, and is itself again later.
+        """An engine turns slow during operation and recovers later.
 
-        Its requests are late as long as it gets its full share; and left alone for ever
-        afterwards, the others would carry its part.
+        While it is slow its share must fall, since its requests are late. After the recovery
+        it must get requests again, or the others would have to serve its share for ever.
         """
         load = Load(service=PLAIN)
-        before = load.play(200)
+        before = load.send_requests(200)
         load.slowness["e1"] = 6.0
-        load.play(20)
-        during = load.play(100)
+        load.send_requests(20)
+        during = load.send_requests(100)
         load.slowness["e1"] = 1.0
-        load.play(300)
-        after = load.play(200)
+        load.send_requests(300)
+        after = load.send_requests(200)
         self.assertLess(during["e1"], 0.5 * before["e1"] / 2 + 8)
         self.assertGreater(after["e1"], 20)
 
     def test_whole_service_turns_slow(self) -> None:
-        """All endpoints take three times as long; none of them is to blame."""
+        """All endpoints take three times as long; none of them may count as slow."""
         load = Load(service=PLAIN)
-        load.play(100)
+        load.send_requests(100)
         for name in load.slowness:
             load.slowness[name] = 3.0
-        load.play(60)
+        load.send_requests(60)
         speeds = load.placement.get_speeds("portal")
         self.assertLess(abs(speeds.plain_ms / 90.0 - 1), 0.4)
         for name in load.slowness:
             self.assertLess(speeds.find_slowness(name, load.now), 1.6)
 
-    def test_new_lifetime_starts_clean(self) -> None:
+    def test_new_incarnation_has_no_slowness(self) -> None:
         speeds = ServiceSpeeds()
         for _ in range(20):
             speeds.record_plain_answer("e", took_ms=900.0, now=0.0)
@@ -121,8 +121,8 @@
         speeds.forget("e")
         self.assertEqual(speeds.find_slowness("e", 0.0), 1.0)
 
-    def test_length_of_most_answers(self) -> None:
-        """Guards against answers begun shortly before an exit that cuts them."""
+    def test_time_of_most_streams(self) -> None:
+        """Guards against streams that begin shortly before an exit, which interrupts them."""
         random = Random(3)
         speeds = ServiceSpeeds()
         for _ in range(400):
@@ -131,7 +131,7 @@
         self.assertLess(abs(speeds.expect_answer_ms(400) / 4000 - 1.4), 0.4)
         self.assertEqual(speeds.expect_answer_ms(0), speeds.answer_ms)
 
-    def test_length_that_the_caller_expects_is_not_over_what_it_allows(self) -> None:
+    def test_expected_length_is_limited_by_the_allowed_length(self) -> None:
         for expected, most, likely in ((900, 300, 300), (200, 300, 200), (0, 300, 300), (0, 0, 0)):
             facts = RequestFacts(request_id="q", expected_tokens=expected, max_output_tokens=most)
             self.assertEqual(facts.likely_output_tokens, likely)
