--- a/chivetrack/components/deployment/__init__.py
+++ b/chivetrack/components/deployment/__init__.py
@@ -1,1 +1,1 @@
-"""What the processes of a deployment are told at their start."""
+"""Settings that the processes of a deployment read at their start."""
--- a/chivetrack/components/deployment/settings.py
+++ b/chivetrack/components/deployment/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one process of a deployment that runs routers and replicas apart."""
+"""Settings of one process of a deployment with separate router and replica processes."""
 
 from collections.abc import Iterator, Mapping
 from enum import StrEnum
@@ -18,14 +18,14 @@
 
 
 class ProcessRole(StrEnum):
-    """What a process is for."""
+    """Role of a process in the deployment."""
 
     ROUTER = "router"
     REPLICA = "replica"
 
 
 class ProcessSettings(StructSection, frozen=True, kw_only=True):
-    """What this process is and where it stands."""
+    """Name, role and location of this process."""
 
     name: Annotated[
         str, Meta(min_length=1, description="Name of this instance in logs and metrics.")
@@ -54,7 +54,7 @@
 
 
 class FleetSettings(StructSection, frozen=True, kw_only=True):
-    """How this process finds the replicas."""
+    """Settings of the fleet: how to find replicas, and its size and zones."""
 
     seeds: Annotated[
         tuple[Address, ...], Meta(min_length=1, description="Control addresses of some replicas.")
@@ -73,7 +73,7 @@
 
 
 class BoundSettings(StructSection, frozen=True, kw_only=True):
-    """Bounds that operators set; times in seconds."""
+    """Bounds on retries and on the time to stop; times in seconds."""
 
     retry_ratio: Annotated[float, Meta(ge=0, description="Repeats for each request.")] = 0.2
     retry_slack: Annotated[float, Meta(ge=0, description="Repeats on top, fleet-wide.")] = 20.0
@@ -82,7 +82,7 @@
 
 
 class ProcessLogSettings(StructSection, frozen=True, kw_only=True):
-    """Event lines on standard output."""
+    """Settings of the event lines on standard output."""
 
     level: Annotated[LogLevel, Meta(description="Least important level written.")] = LogLevel.INFO
 
@@ -98,22 +98,24 @@
 
 
 def load_deployment(path: Path) -> Result[DeploymentSettings, Findings]:
-    """Read a settings file; the error side holds everything that is wrong with it."""
+    """Read a settings file; the error value of the result holds all findings."""
     return read_text(path).bind(lambda text: parse_deployment(text, source=str(path)))
 
 
 def parse_deployment(text: str, *, source: str) -> Result[DeploymentSettings, Findings]:
-    """Check a settings text; ``source`` names it in the findings' places."""
+    """Parse and check a settings text; findings name ``source`` as the place of the text."""
     return parse_structs(text, source=source, model=DeploymentSettings, check=_check_roles)
 
 
-def _check_roles(valid: Mapping[str, StructSection]) -> Iterator[Problem]:
-    process = valid.get("process")
-    listeners = valid.get("listeners")
+def _check_roles(sections: Mapping[str, StructSection]) -> Iterator[Problem]:
+    process = sections.get("process")
+    listeners = sections.get("listeners")
     if not isinstance(process, ProcessSettings) or not isinstance(listeners, ProcessListeners):
         return
-    needed = ("control",) if process.role is ProcessRole.REPLICA else ("callers", "ready")
-    for name in needed:
+    required_listeners = (
+        ("control",) if process.role is ProcessRole.REPLICA else ("callers", "ready")
+    )
+    for name in required_listeners:
         if getattr(listeners, name) is None:
             text = f"is missing; role {process.role.value!r} listens there"
             yield Problem(path=("listeners", name), message=text)
--- a/chivetrack/components/placement/choice.py
+++ b/chivetrack/components/placement/choice.py
@@ -126,22 +126,28 @@
             return None
         speeds = speeds or ServiceSpeeds()
         running = {
-            one.record.endpoint_id: self._loads.count_running(one.record.endpoint_id, now)
-            for one in candidates
+            candidate.record.endpoint_id: self._loads.count_running(
+                candidate.record.endpoint_id, now
+            )
+            for candidate in candidates
         }
         within = self._keep_within_bound(candidates, running, resting, routers, now)
         engine = None if service is None else service.engine
         prompt = None
         if engine is not None and facts.parts:
-            prompt_sources = sources or [Source(record=one.record) for one in candidates]
+            prompt_sources = sources or [
+                Source(record=candidate.record) for candidate in candidates
+            ]
             prompt = self._describe_prompt(facts, candidates, prompt_sources, engine.can_fetch)
             if routers > 1:
                 within = self._keep_homes(within, prompt, facts)
         choices = [
-            self._score_engine(one, facts, running[one.record.endpoint_id], prompt, speeds, now)
-            for one in within
+            self._score_engine(
+                candidate, facts, running[candidate.record.endpoint_id], prompt, speeds, now
+            )
+            for candidate in within
         ]
-        return min(choices, key=lambda one: one.cost_ms)
+        return min(choices, key=lambda choice: choice.cost_ms)
 
     def _keep_within_bound(
         self,
@@ -157,14 +163,24 @@
         """
         total = sum(running.values())
         mean = total / len(running)
-        resting_running = sum(self._loads.count_running(one, now) for one in resting)
+        resting_running = sum(
+            self._loads.count_running(endpoint_id, now) for endpoint_id in resting
+        )
         service_mean = (total + resting_running) / (len(running) + len(resting))
         bound = find_bound(mean, routers, self._weights, service_mean=service_mean)
-        within = [one for one in candidates if running[one.record.endpoint_id] + 1 <= bound]
+        within = [
+            candidate
+            for candidate in candidates
+            if running[candidate.record.endpoint_id] + 1 <= bound
+        ]
         if within:
             return within
         least_loaded_bound = min(running.values()) + self._weights.bound_slack
-        return [one for one in candidates if running[one.record.endpoint_id] <= least_loaded_bound]
+        return [
+            candidate
+            for candidate in candidates
+            if running[candidate.record.endpoint_id] <= least_loaded_bound
+        ]
 
     def _keep_homes(
         self, within: list[Candidate], prompt: _PromptState, facts: RequestFacts
@@ -174,9 +190,10 @@
         If none of these is within the bound, all candidates within it are returned.
         """
         homes = [
-            one
-            for one in within
-            if one.record in prompt.homes or self._has_all_shared(one.record, prompt, facts)
+            candidate
+            for candidate in within
+            if candidate.record in prompt.homes
+            or self._has_all_shared(candidate.record, prompt, facts)
         ]
         return homes or within
 
@@ -193,20 +210,22 @@
         sources: Sequence[Source],
         can_fetch: bool,
     ) -> _PromptState:
-        records = [one.record for one in sources]
+        records = [source.record for source in sources]
         cached = {
-            one.endpoint_id: self._parts.count_cached(one.endpoint_id, facts.shared_parts)
-            for one in records
+            record.endpoint_id: self._parts.count_cached(record.endpoint_id, facts.shared_parts)
+            for record in records
         }
-        best_at = max(records, key=lambda one: cached[one.endpoint_id])
-        established = [one.record for one in sources if not one.is_new]
+        best_at = max(records, key=lambda record: cached[record.endpoint_id])
+        established = [source.record for source in sources if not source.is_new]
         key = (facts.shared_parts or facts.parts)[-1].part_id
         return _PromptState(
             tokens=facts.prompt_tokens,
             shared=sum(part.tokens for part in facts.shared_parts),
             best=cached[best_at.endpoint_id],
             best_at=best_at,
-            homes=_find_homes([one.record for one in candidates], key, self._weights.homes),
+            homes=_find_homes(
+                [candidate.record for candidate in candidates], key, self._weights.homes
+            ),
             old_home=_find_homes(established or records, key, 1)[0],
             can_fetch=can_fetch,
         )
@@ -288,6 +307,7 @@
         cached_elsewhere = prompt.best - cached
         if prompt.can_fetch and cached_elsewhere >= self._weights.min_fetch_tokens:
             return cached_elsewhere, prompt.best_at.address
+        # Shared tokens without a known cached copy; the old home probably has them.
         unlocated = prompt.shared - max(cached, prompt.best)
         if (
             not prompt.can_fetch
@@ -333,7 +353,7 @@
 ) -> tuple[EndpointRecord, ...]:
     """Return the first ``count`` engines in the rendezvous order of the prompt."""
     return tuple(
-        heapq.nlargest(count, records, key=lambda one: _hash_rendezvous(one.endpoint_id, key))
+        heapq.nlargest(count, records, key=lambda record: _hash_rendezvous(record.endpoint_id, key))
     )
 
 
--- a/chivetrack/components/placement/weights.py
+++ b/chivetrack/components/placement/weights.py
@@ -8,7 +8,8 @@
 # never had the prompt.
 HOMES = 3
 
-# Up to this number of routers, each router sees a sufficient share of the traffic itself.
+# Up to this number of routers, each router sees a sufficient share of the traffic itself, and
+# ``bound_few`` applies without a reduction.
 FEW_ROUTERS = 9
 
 
