--- a/chivetrack/components/deployment/settings.py
+++ b/chivetrack/components/deployment/settings.py
@@ -25,7 +25,7 @@
 
 
 class ProcessSettings(StructSection, frozen=True, kw_only=True):
-    """Name, role and location of this process."""
+    """What this process is and where it stands."""
 
     name: Annotated[
         str, Meta(min_length=1, description="Name of this instance in logs and metrics.")
@@ -54,7 +54,7 @@
 
 
 class FleetSettings(StructSection, frozen=True, kw_only=True):
-    """Settings of the fleet: how to find replicas, and its size and zones."""
+    """How this process finds the replicas."""
 
     seeds: Annotated[
         tuple[Address, ...], Meta(min_length=1, description="Control addresses of some replicas.")
@@ -73,7 +73,7 @@
 
 
 class BoundSettings(StructSection, frozen=True, kw_only=True):
-    """Bounds on retries and on the time to stop; times in seconds."""
+    """Bounds that operators set; times in seconds."""
 
     retry_ratio: Annotated[float, Meta(ge=0, description="Repeats for each request.")] = 0.2
     retry_slack: Annotated[float, Meta(ge=0, description="Repeats on top, fleet-wide.")] = 20.0
@@ -82,7 +82,7 @@
 
 
 class ProcessLogSettings(StructSection, frozen=True, kw_only=True):
-    """Settings of the event lines on standard output."""
+    """Event lines on standard output."""
 
     level: Annotated[LogLevel, Meta(description="Least important level written.")] = LogLevel.INFO
 
--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -35,10 +35,14 @@
                     self._lost_at[(name, endpoint_id)] = None
                 else:
                     self._lost_at.pop((name, endpoint_id), None)
-        for place, lost_at in self._lost_at.items():
-            known = by_id.get(place[1])
-            if place[0] == name and lost_at is None and (known is None or not known.is_usable):
-                self._lost_at[place] = now
+        for copy_key, lost_at in self._lost_at.items():
+            known_engine = by_id.get(copy_key[1])
+            if (
+                copy_key[0] == name
+                and lost_at is None
+                and (known_engine is None or not known_engine.is_usable)
+            ):
+                self._lost_at[copy_key] = now
         self._record_serving(item, by_id.values(), now)
 
     def count_absent(self, item: DesiredItem, holders: int, *, now: float) -> int:
@@ -70,7 +74,7 @@
     def list_leaving(self, item: DesiredItem) -> set[str]:
         """Return the engines from which a copy is being unloaded, or may be."""
         name = item.artifact.get_name()
-        return {place[1] for place in self._leaving_since if place[0] == name}
+        return {copy_key[1] for copy_key in self._leaving_since if copy_key[0] == name}
 
     def record_goals(
         self,
@@ -87,14 +91,14 @@
         """
         name = item.artifact.get_name()
         for engine in engines:
-            place = (name, engine.endpoint_id)
+            copy_key = (name, engine.endpoint_id)
             held = engine.find(item)
             if held is None:
-                self._leaving_since.pop(place, None)
+                self._leaving_since.pop(copy_key, None)
             elif engine.is_usable and goals.get(engine.endpoint_id) != held.artifact:
-                self._leaving_since[place] = now
-            elif engine.state_at > self._leaving_since.get(place, now) + const.UNLOAD_SETTLE_S:
-                self._leaving_since.pop(place, None)
+                self._leaving_since[copy_key] = now
+            elif engine.state_at > self._leaving_since.get(copy_key, now) + const.UNLOAD_SETTLE_S:
+                self._leaving_since.pop(copy_key, None)
 
     def _record_serving(self, item: DesiredItem, engines: Iterable[EngineView], now: float) -> None:
         if any(_serves(engine, item.artifact) for engine in engines):
--- a/chivetrack/components/model_placement/queue.py
+++ b/chivetrack/components/model_placement/queue.py
@@ -6,7 +6,7 @@
 from chivetrack.components.model_placement import const
 from chivetrack.components.orders.models import Artifact, ArtifactPhase, EngineState
 
-_Key = tuple[str, str]
+_ArtifactKey = tuple[str, str]
 
 
 class LoadQueue:
@@ -26,8 +26,8 @@
     def __init__(self, *, read_states: Callable[[], Mapping[str, EngineState]]) -> None:
         """Initialize an empty queue."""
         self._read_states = read_states
-        self._waiting: dict[_Key, OrderedDict[str, float]] = {}
-        self._round_robin: OrderedDict[_Key, None] = OrderedDict()
+        self._waiting: dict[_ArtifactKey, OrderedDict[str, float]] = {}
+        self._round_robin: OrderedDict[_ArtifactKey, None] = OrderedDict()
         self._granted: dict[str, float] = {}
         self._tokens = 1.0
         self._filled_at = float("-inf")
@@ -40,15 +40,16 @@
         if not self._enqueue(endpoint_id, artifact, now):
             return False
         if now != self._filled_at:
-            self._update(now)
+            self._expire_and_refill(now)
         if self._find_next() != endpoint_id or now < self._paused_until or self._tokens < 1.0:
             return False
         if self._count_loads() >= const.MAX_LOADS:
             return False
         self._dequeue(endpoint_id, artifact)
         self._tokens -= 1.0
-        # The state of a refused engine does not change when its next load is refused too.
-        # Without this line a repeated refusal would not be noticed and extend the pause.
+        # The state of a refused engine does not change when its next load is refused too. Without
+        # this line a repeated refusal would go unnoticed; with it, each repeated refusal extends
+        # the pause, so that attempts become rarer until none is refused.
         self._refused -= {endpoint_id}
         self._granted[endpoint_id] = now + const.GRANT_EXPIRY_S
         return True
@@ -78,7 +79,7 @@
         key = next(iter(self._round_robin))
         return next(iter(self._waiting[key]))
 
-    def _update(self, now: float) -> None:
+    def _expire_and_refill(self, now: float) -> None:
         for waiting in self._waiting.values():
             stale = [
                 name
--- a/chivetrack/components/observation/silence.py
+++ b/chivetrack/components/observation/silence.py
@@ -31,9 +31,13 @@
 
 def exclude_silent(endpoint_ids: Sequence[str], silent: Collection[str]) -> list[str]:
     """Return the endpoints that are not silent, or all if too many are silent."""
-    left = [one for one in endpoint_ids if one not in silent]
-    excluded = len(endpoint_ids) - len(left)
-    return left if excluded <= max(1, MAX_SILENT_SHARE * len(endpoint_ids)) else list(endpoint_ids)
+    remaining = [endpoint_id for endpoint_id in endpoint_ids if endpoint_id not in silent]
+    excluded = len(endpoint_ids) - len(remaining)
+    return (
+        remaining
+        if excluded <= max(1, MAX_SILENT_SHARE * len(endpoint_ids))
+        else list(endpoint_ids)
+    )
 
 
 @dataclass(slots=True)
--- a/tests/components/placement/test_choice.py
+++ b/tests/components/placement/test_choice.py
@@ -116,12 +116,12 @@
         """
         world = World()
         first = world.send(make_facts(own="o1")).record
-        rest = [one for one in world.candidates if one.record is not first]
-        sources = [Source(record=one.record) for one in world.candidates]
-        choice = world.choose(make_facts(own="o2"), FETCHING, candidates=rest, sources=sources)
+        remaining = [candidate for candidate in world.candidates if candidate.record is not first]
+        sources = [Source(record=candidate.record) for candidate in world.candidates]
+        choice = world.choose(make_facts(own="o2"), FETCHING, candidates=remaining, sources=sources)
         self.assertEqual(choice.fetch_from, first.address)
         self.assertEqual(choice.missing_tokens, 1_300)
-        plain = world.choose(make_facts(own="o2"), candidates=rest, sources=sources)
+        plain = world.choose(make_facts(own="o2"), candidates=remaining, sources=sources)
         self.assertEqual(plain.fetch_from, "")
 
     def test_new_home_fetches_from_the_previous_home(self) -> None:
@@ -132,12 +132,13 @@
         previous one.
         """
         world = World()
-        names = [one.record.endpoint_id for one in world.candidates]
+        names = [candidate.record.endpoint_id for candidate in world.candidates]
         for number in range(20):
             facts = make_facts(f"d{number}")
             home = world.choose(facts, FETCHING).record
             sources = [
-                Source(record=one.record, is_new=one.record is home) for one in world.candidates
+                Source(record=candidate.record, is_new=candidate.record is home)
+                for candidate in world.candidates
             ]
             choice = world.choose(facts, FETCHING, sources=sources)
             self.assertIn(choice.record.endpoint_id, names)
@@ -161,8 +162,8 @@
         for number in range(1500):
             loads = LoadTable()
             reports = [
-                EndpointLoad(endpoint_id=one.record.endpoint_id, running=random.randrange(8, 14))
-                for one in engines
+                EndpointLoad(endpoint_id=engine.record.endpoint_id, running=random.randrange(8, 14))
+                for engine in engines
             ]
             loads.handle_other_loads(reports, now=0.0)
             chooser = Chooser(zone=f"z{number % 3}", loads=loads, parts=PartTracker())
@@ -177,7 +178,7 @@
             )
             assert choice is not None
             places.setdefault(key, set()).add(choice.record.endpoint_id)
-        self.assertLessEqual(max(len(one) for one in places.values()), HOMES)
+        self.assertLessEqual(max(len(engine_ids) for engine_ids in places.values()), HOMES)
 
     def test_few_routers_keep_a_prompt_at_its_homes_too(self) -> None:
         """Nine routers choose among six engines by load reports that are half a second old.
@@ -206,10 +207,14 @@
         facts = make_facts()
         homes = set()
         for _ in range(HOMES):
-            left = [one for one in world.candidates if one.record.endpoint_id not in homes]
-            choice = world.choose(facts, candidates=left, routers=87)
+            remaining = [
+                candidate
+                for candidate in world.candidates
+                if candidate.record.endpoint_id not in homes
+            ]
+            choice = world.choose(facts, candidates=remaining, routers=87)
             homes.add(choice.record.endpoint_id)
-        reports = [EndpointLoad(endpoint_id=one, running=20) for one in homes]
+        reports = [EndpointLoad(endpoint_id=endpoint_id, running=20) for endpoint_id in homes]
         world.loads.handle_other_loads(reports, now=0.0)
         choice = world.choose(facts, routers=87)
         self.assertNotIn(choice.record.endpoint_id, homes)
@@ -222,14 +227,14 @@
         """
         world = World()
         left = [
-            Candidate(record=msgspec.structs.replace(one.record, slots=64))
-            for one in world.candidates[:4]
+            Candidate(record=msgspec.structs.replace(candidate.record, slots=64))
+            for candidate in world.candidates[:4]
         ]
         loads = [EndpointLoad(f"e{n}", running) for n, running in enumerate((31, 20, 20, 20))]
         world.loads.handle_other_loads(loads, now=0.0)
         facts = make_facts()
         world.parts.record_sent("e0", facts.shared_parts, now=0.0, capacity=500_000)
-        resting = [one.record.endpoint_id for one in world.candidates[4:]]
+        resting = [candidate.record.endpoint_id for candidate in world.candidates[4:]]
         within_bound = world.choose(facts, candidates=left, routers=9)
         self.assertEqual(within_bound.record.endpoint_id, "e0")
         over_bound = world.choose(facts, candidates=left, routers=9, resting=resting)
@@ -240,7 +245,7 @@
         world = World()
         loads = [EndpointLoad(f"e{n}", running) for n, running in enumerate((61, 62, 70))]
         world.loads.handle_other_loads(loads, now=0.0)
-        resting = [one.record.endpoint_id for one in world.candidates[3:]]
+        resting = [candidate.record.endpoint_id for candidate in world.candidates[3:]]
         facts = make_facts()
         world.parts.record_sent("e2", facts.shared_parts, now=0.0, capacity=500_000)
         choice = world.choose(facts, candidates=world.candidates[:3], routers=9, resting=resting)
