--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -284,14 +284,14 @@
         for request in self._jobs[name]:
             placement = request.router.placement
             if request.placed is not None and request.job.first_at is not None:
-                placement.note_first(request.placed, now=now / 1000)
+                placement.record_first_event(request.placed, now=now / 1000)
             is_over = request.job.ended_at is not None or request.job.gave_up
             if is_over and request.placed is not None:
-                is_whole = request.job.ended_at is not None
-                request.placed.is_whole = is_whole
+                is_complete = request.job.ended_at is not None
+                request.placed.is_complete = is_complete
                 placement.finish(request.placed, now=now / 1000)
                 request.placed = None
-                if is_whole and request.outcome is None:
+                if is_complete and request.outcome is None:
                     assert request.job.first_at is not None
                     self._end(request, request.job.first_at - request.came_at + ZONE_MS)
             if not is_over:
@@ -333,7 +333,7 @@
             self.result.skews.append(max(in_flight) / mean)
         told = [list(one.placement.list_own()) for one in self._routers]
         for router in self._routers:
-            self._placements.note(router.placement.list_news(now / 1000), now=now / 1000)
+            self._placements.note(router.placement.pop_placements(now / 1000), now=now / 1000)
         sums = _add_up(told)
         lag = 0.0 if self._is_oracle else NEWS_LAG_MS
         for number, router in enumerate(self._routers):
@@ -347,8 +347,8 @@
         self, router: _Router, loads: list[EndpointLoad], news: Sequence[PlacedPart], now: float
     ) -> None:
         capacity = self._deployment.engine.memory_tokens
-        router.placement.take_others(loads, now=now / 1000)
-        router.placement.take_news(news, now=now / 1000, capacity=capacity)
+        router.placement.handle_other_loads(loads, now=now / 1000)
+        router.placement.handle_placements(news, now=now / 1000, capacity=capacity)
 
 
 def _add_up(told: list[list[EndpointLoad]]) -> dict[str, tuple[int, int]]:
--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -26,9 +26,9 @@
 from benchmarks.placement.reports import subscribe_reports
 from benchmarks.placement.world import Policy, World
 from chivetrack.components.endpoints.models import EndpointKind, EndpointState
-from chivetrack.components.load.book import LoadBook
 from chivetrack.components.load.models import LoadCounts
 from chivetrack.components.load.pacer import CountsPacer
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.routing.hints import CacheHints
 from chivetrack.components.routing.models import Demand
 from chivetrack.components.routing.order import hash_affinity
@@ -89,7 +89,7 @@
         """Start with the full list of engines."""
         self.router_id = f"router-{number}"
         self.view = RouterView(engines=list(world.engines.values()))
-        self.load = LoadBook(router_id=self.router_id)
+        self.load = LoadTracker(router_id=self.router_id)
         self.pacer = CountsPacer()
         self.armed_at = inf
         self.hints = CacheHints()
@@ -129,14 +129,14 @@
         """Count the request."""
         router = self.routers[request.router]
         router.load.start(engine_id, self.world.now)
-        router.pacer.note_start(self.world.now)
+        router.pacer.record_start(self.world.now)
         self._arm(router)
 
     def finish(self, request: Request, engine_id: str) -> None:
         """Count the request as over."""
         router = self.routers[request.router]
         router.load.finish(engine_id, self.world.now)
-        router.pacer.note_finish(self.world.now)
+        router.pacer.record_finish(self.world.now)
         self._arm(router)
 
     def _arm(self, router: FakeRouter) -> None:
@@ -144,7 +144,7 @@
         if not self.exchanges_counts:
             return
         now = self.world.now
-        due = max(router.pacer.find_due(now), now)
+        due = max(router.pacer.find_next_due(now), now)
         if due >= router.armed_at or due >= self.world.options.seconds:
             return
         router.armed_at = due
@@ -154,7 +154,7 @@
         if router.armed_at != due:
             return
         router.armed_at = inf
-        router.pacer.note_sent(self.world.now)
+        router.pacer.record_sent(self.world.now)
         self._send_counts(router)
         self._arm(router)
 
--- a/chivetrack/components/deployment/settings.py
+++ b/chivetrack/components/deployment/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one process of a deployment that runs routers and replicas apart."""
+"""Settings of one process of a deployment with separate router and replica processes."""
 
 from collections.abc import Iterator, Mapping
 from enum import StrEnum
@@ -18,7 +18,7 @@
 
 
 class ProcessRole(StrEnum):
-    """What a process is for."""
+    """Role of a process in the deployment."""
 
     ROUTER = "router"
     REPLICA = "replica"
@@ -98,22 +98,24 @@
 
 
 def load_deployment(path: Path) -> Result[DeploymentSettings, Findings]:
-    """Read a settings file; the error side holds everything that is wrong with it."""
+    """Read a settings file; the error value of the result holds all findings."""
     return read_text(path).bind(lambda text: parse_deployment(text, source=str(path)))
 
 
 def parse_deployment(text: str, *, source: str) -> Result[DeploymentSettings, Findings]:
-    """Check a settings text; ``source`` names it in the findings' places."""
+    """Parse and check a settings text; findings name ``source`` as the place of the text."""
     return parse_structs(text, source=source, model=DeploymentSettings, check=_check_roles)
 
 
-def _check_roles(valid: Mapping[str, StructSection]) -> Iterator[Problem]:
-    process = valid.get("process")
-    listeners = valid.get("listeners")
+def _check_roles(sections: Mapping[str, StructSection]) -> Iterator[Problem]:
+    process = sections.get("process")
+    listeners = sections.get("listeners")
     if not isinstance(process, ProcessSettings) or not isinstance(listeners, ProcessListeners):
         return
-    needed = ("control",) if process.role is ProcessRole.REPLICA else ("callers", "ready")
-    for name in needed:
+    required_listeners = (
+        ("control",) if process.role is ProcessRole.REPLICA else ("callers", "ready")
+    )
+    for name in required_listeners:
         if getattr(listeners, name) is None:
             text = f"is missing; role {process.role.value!r} listens there"
             yield Problem(path=("listeners", name), message=text)
--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -13,7 +13,7 @@
     FLEET_WINDOW_S,
     OTHERS_FRESH_S,
 )
-from chivetrack.components.observation.failures import FailureBook
+from chivetrack.components.observation.failures import FailureTracker
 
 _BUCKETS = 4
 _BUCKET_S = FLEET_WINDOW_S / _BUCKETS
@@ -78,7 +78,7 @@
         self._random = random
         self._note_change = note_change
         self._endpoints: dict[str, _Endpoint] = {}
-        self._failures = FailureBook()
+        self._failures = FailureTracker()
         self._others_heard_at: float | None = None
 
     def note(self, endpoint_id: str, *, ok: bool, now: float) -> None:
@@ -92,7 +92,7 @@
             counts.answered += 1
         else:
             counts.failed += 1
-        self._failures.note(endpoint_id, tries=1, failures=0 if ok else 1, now=now)
+        self._failures.record(endpoint_id, tries=1, failures=0 if ok else 1, now=now)
 
     def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
         """Replace what the other routers have counted."""
@@ -106,7 +106,7 @@
                 endpoint = self._endpoints.setdefault(load.endpoint_id, _Endpoint())
                 endpoint.others = _Counts(load.answered, load.failed)
                 endpoint.others_at = now
-                self._failures.note(
+                self._failures.record(
                     load.endpoint_id,
                     tries=part * (load.answered + load.failed),
                     failures=part * load.failed,
--- a/chivetrack/components/model_placement/desired.py
+++ b/chivetrack/components/model_placement/desired.py
@@ -1,11 +1,11 @@
-"""Reads the models and adapters that operators want."""
+"""Reads the desired models and adapters from the resource table."""
 
 from collections.abc import Iterator
 
 import msgspec
 
 from chivetrack.components.model_placement.const import ADAPTER_KIND, MODEL_KIND
-from chivetrack.components.model_placement.models import PlacementReport, Wanted
+from chivetrack.components.model_placement.models import DesiredItem, PlacementReport
 from chivetrack.components.orders.models import Artifact, ArtifactKind
 from chivetrack.components.resources.kinds import KINDS
 from chivetrack.components.resources.models import Adapter, Model
@@ -15,16 +15,16 @@
 _REPORTS = msgspec.msgpack.Decoder(PlacementReport, strict=False)
 
 
-def read_wanted(table: ResourceTable) -> tuple[Wanted, ...]:
-    """Return models, then adapters, by name; those that are being deleted too."""
+def read_desired_items(table: ResourceTable) -> tuple[DesiredItem, ...]:
+    """Return all models, then all adapters, by name; including those that are being deleted."""
     models = {name: (record, spec) for name, record, spec in _read_specs(table, MODEL_KIND)}
-    wanted = [_make_model(record, spec) for record, spec in models.values()]
+    items = [_make_model(record, spec) for record, spec in models.values()]
     for _, record, spec in _read_specs(table, ADAPTER_KIND):
         assert isinstance(spec, Adapter)
         model = models.get(spec.model)
         if model is not None or record.finalizers:
-            wanted.append(_make_adapter(record, spec, None if model is None else model[1]))
-    return tuple(wanted)
+            items.append(_make_adapter(record, spec, None if model is None else model[1]))
+    return tuple(items)
 
 
 def _read_specs(table: ResourceTable, kind: str) -> Iterator[tuple[str, Record, Model | Adapter]]:
@@ -34,17 +34,17 @@
             yield record.name, record, spec
 
 
-def _make_model(record: Record, spec: Model | Adapter) -> Wanted:
+def _make_model(record: Record, spec: Model | Adapter) -> DesiredItem:
     assert isinstance(spec, Model)
     artifact = Artifact(
         kind=ArtifactKind.MODEL, name=record.name, version=spec.version, weights=spec.weights
     )
     report = _read_report(record)
-    return Wanted(
+    return DesiredItem(
         record=record,
         kind=MODEL_KIND,
         artifact=artifact,
-        good=_make_good(artifact, report),
+        last_good=_make_last_good(artifact, report),
         copies=spec.copies,
         floor=spec.floor,
         service=spec.service,
@@ -54,7 +54,7 @@
     )
 
 
-def _make_adapter(record: Record, spec: Adapter, model: Model | Adapter | None) -> Wanted:
+def _make_adapter(record: Record, spec: Adapter, model: Model | Adapter | None) -> DesiredItem:
     artifact = Artifact(
         kind=ArtifactKind.ADAPTER,
         name=record.name,
@@ -63,11 +63,11 @@
         weights=spec.weights,
     )
     report = _read_report(record)
-    return Wanted(
+    return DesiredItem(
         record=record,
         kind=ADAPTER_KIND,
         artifact=artifact,
-        good=_make_good(artifact, report),
+        last_good=_make_last_good(artifact, report),
         copies=spec.copies,
         floor=model.floor if isinstance(model, Model) else 0.0,
         service=model.service if isinstance(model, Model) else "",
@@ -75,7 +75,7 @@
     )
 
 
-def _make_good(artifact: Artifact, report: PlacementReport | None) -> Artifact | None:
+def _make_last_good(artifact: Artifact, report: PlacementReport | None) -> Artifact | None:
     if report is None or not report.good_version:
         return None
     return Artifact(
--- a/chivetrack/components/model_placement/memory.py
+++ b/chivetrack/components/model_placement/memory.py
@@ -1,48 +1,58 @@
-"""What the placement remembers within a term: losses, copies on their way out, soaks."""
+"""State of the placement within a term: lost copies, unloads in progress, soak times."""
 
 from collections.abc import Iterable, Mapping
 
 from chivetrack.components.model_placement import const
-from chivetrack.components.model_placement.models import EngineView, Wanted
+from chivetrack.components.model_placement.models import DesiredItem, EngineView
 from chivetrack.components.orders.models import Artifact, ArtifactName, ArtifactPhase
 
-_Place = tuple[ArtifactName, str]
+_CopyKey = tuple[ArtifactName, str]
 
 
 class TermMemory:
-    """Starts empty with each term; that only makes the controller wait longer."""
+    """Records observations within one term of the lease.
+
+    It starts empty with each term, which only makes the controller wait longer.
+    """
 
     def __init__(self, *, started_at: float) -> None:
-        """Begin a term."""
+        """Initialize the memory at the start of a term."""
         self._started_at = started_at
-        self._lost_at: dict[_Place, float | None] = {}
+        self._lost_at: dict[_CopyKey, float | None] = {}
         self._most_seen: dict[ArtifactName, int] = {}
-        self._leaving_since: dict[_Place, float] = {}
+        self._leaving_since: dict[_CopyKey, float] = {}
         self._serving_since: dict[Artifact, float] = {}
 
-    def note_copies(self, wanted: Wanted, engines: Iterable[EngineView], *, now: float) -> None:
-        """Look where copies are, which are lost, and how long the new version serves."""
-        name = wanted.artifact.get_name()
+    def record_copies(
+        self, item: DesiredItem, engines: Iterable[EngineView], *, now: float
+    ) -> None:
+        """Record where copies are, when they were lost, and since when the new version serves."""
+        name = item.artifact.get_name()
         by_id = {engine.endpoint_id: engine for engine in engines}
         for endpoint_id, engine in by_id.items():
             if engine.is_usable and engine.state is not None:
-                if engine.find(wanted) is not None:
+                if engine.find(item) is not None:
                     self._lost_at[(name, endpoint_id)] = None
                 else:
                     self._lost_at.pop((name, endpoint_id), None)
-        for place, lost_at in self._lost_at.items():
-            known = by_id.get(place[1])
-            if place[0] == name and lost_at is None and (known is None or not known.is_usable):
-                self._lost_at[place] = now
-        self._note_serving(wanted, by_id.values(), now)
-
-    def count_absent(self, wanted: Wanted, holders: int, *, now: float) -> int:
-        """Return how many copies are lost and not yet to be replaced.
-
-        An engine that restarts is back within seconds; replaced at once, its copies would
-        be loaded twice, and a switch that blinks would reload a whole zone.
+        for copy_key, lost_at in self._lost_at.items():
+            known_engine = by_id.get(copy_key[1])
+            if (
+                copy_key[0] == name
+                and lost_at is None
+                and (known_engine is None or not known_engine.is_usable)
+            ):
+                self._lost_at[copy_key] = now
+        self._record_serving(item, by_id.values(), now)
+
+    def count_absent(self, item: DesiredItem, holders: int, *, now: float) -> int:
+        """Return the number of copies that are lost but must not be replaced yet.
+
+        An engine that restarts returns within seconds. If its copies were replaced
+        immediately, they would be loaded twice, and a short failure of a network switch would
+        reload a whole zone.
         """
-        name = wanted.artifact.get_name()
+        name = item.artifact.get_name()
         most_seen = max(holders, self._most_seen.get(name, 0))
         self._most_seen[name] = most_seen
         absent = sum(
@@ -50,50 +60,51 @@
             for (owner, _), lost_at in self._lost_at.items()
             if owner == name and lost_at is not None and now < lost_at + const.REPAIR_DELAY_S
         )
-        if wanted.good is not None and now < self._started_at + const.REPAIR_DELAY_S:
-            # What this holder has never seen may have been lost just before its term.
-            absent += max(0, wanted.copies - most_seen)
+        if item.last_good is not None and now < self._started_at + const.REPAIR_DELAY_S:
+            # Copies that this lease holder has never seen may have been lost just before
+            # its term.
+            absent += max(0, item.copies - most_seen)
         return absent
 
     def is_soaked(self, artifact: Artifact, *, now: float) -> bool:
-        """Tell whether a version has served somewhere for long enough."""
+        """Return whether a version has served on some engine for ``SOAK_S``."""
         since = self._serving_since.get(artifact)
         return since is not None and now >= since + const.SOAK_S
 
-    def list_leaving(self, wanted: Wanted) -> set[str]:
-        """Return the engines from which a copy is or may be on its way out."""
-        name = wanted.artifact.get_name()
-        return {place[1] for place in self._leaving_since if place[0] == name}
+    def list_leaving(self, item: DesiredItem) -> set[str]:
+        """Return the engines from which a copy is being unloaded, or may be."""
+        name = item.artifact.get_name()
+        return {copy_key[1] for copy_key in self._leaving_since if copy_key[0] == name}
 
-    def note_goals(
+    def record_goals(
         self,
-        wanted: Wanted,
+        item: DesiredItem,
         engines: Iterable[EngineView],
         goals: Mapping[str, Artifact],
         *,
         now: float,
     ) -> None:
-        """Remember which copies the goals take away.
+        """Record which copies the goals remove.
 
-        The unload may be under way while the engine's last word is still "ready":
-        counted as such, a second copy would be taken beside it, below the floor.
+        The unload may be in progress while the last state of the engine is still "ready". If
+        that copy counted as ready, another copy would be removed, which breaks the floor.
         """
-        name = wanted.artifact.get_name()
+        name = item.artifact.get_name()
         for engine in engines:
-            place = (name, engine.endpoint_id)
-            held = engine.find(wanted)
+            copy_key = (name, engine.endpoint_id)
+            held = engine.find(item)
             if held is None:
-                self._leaving_since.pop(place, None)
+                self._leaving_since.pop(copy_key, None)
             elif engine.is_usable and goals.get(engine.endpoint_id) != held.artifact:
-                self._leaving_since[place] = now
-            elif engine.state_at > self._leaving_since.get(place, now) + const.SETTLE_S:
-                self._leaving_since.pop(place, None)
+                self._leaving_since[copy_key] = now
+            elif engine.state_at > self._leaving_since.get(copy_key, now) + const.UNLOAD_SETTLE_S:
+                self._leaving_since.pop(copy_key, None)
 
-    def _note_serving(self, wanted: Wanted, engines: Iterable[EngineView], now: float) -> None:
-        if any(_serves(engine, wanted.artifact) for engine in engines):
-            self._serving_since.setdefault(wanted.artifact, now)
+    def _record_serving(self, item: DesiredItem, engines: Iterable[EngineView], now: float) -> None:
+        if any(_serves(engine, item.artifact) for engine in engines):
+            self._serving_since.setdefault(item.artifact, now)
         else:
-            self._serving_since.pop(wanted.artifact, None)
+            self._serving_since.pop(item.artifact, None)
 
 
 def _serves(engine: EngineView, artifact: Artifact) -> bool:
--- a/chivetrack/components/observation/fading.py
+++ b/chivetrack/components/observation/decaying.py
@@ -1,14 +1,14 @@
-"""A mean that forgets what is old."""
+"""Exponentially decaying mean."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, kw_only=True)
-class FadingMean:
+class DecayingMean:
     """A weighted mean whose samples lose half of their weight in each half-life.
 
-    ``prior`` is the weight of a value of 0 that stands beside the samples and doesn't fade.
-    Times are in seconds.
+    ``prior`` is the weight of an additional sample of value 0, which does not decay. ``at`` is
+    the time of the last decay. Times are in seconds.
     """
 
     half_life_s: float
@@ -19,16 +19,16 @@
 
     def add(self, total: float, *, weight: float, now: float) -> None:
         """Add samples: their weighted sum and their weight."""
-        self._fade(now)
+        self._decay(now)
         self.total += total
         self.weight += weight
 
     def find(self, now: float) -> float:
-        """Return the mean."""
-        self._fade(now)
+        """Return the mean at time ``now``."""
+        self._decay(now)
         return self.total / (self.weight + self.prior)
 
-    def _fade(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         factor = 0.5 ** (max(0.0, now - self.at) / self.half_life_s)
         self.total *= factor
         self.weight *= factor
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -1,18 +1,18 @@
-"""Where requests go, and what is learned from how they end; free of I/O."""
+"""Placement of requests on endpoints, and the statistics of their answers; without I/O."""
 
 from collections.abc import Collection, Iterable, Iterator, Sequence
 from dataclasses import dataclass
 
 from chivetrack.components.distribution.const import MANY_ROUTERS
 from chivetrack.components.distribution.messages import EndpointLoad, PlacedPart
-from chivetrack.components.observation.silence import SilenceTable, find_patience
+from chivetrack.components.observation.silence import SilenceTable, find_wait_limit
 from chivetrack.components.observation.speeds import ServiceSpeeds
 from chivetrack.components.placement.choice import Candidate, Choice, Chooser, Source
 from chivetrack.components.placement.loads import LoadTable
 from chivetrack.components.placement.parts import (
-    MIN_EXPECTED_TOKENS,
-    MIN_TOLD_TOKENS,
-    PartBook,
+    MIN_REPORTED_HOME_TOKENS,
+    MIN_REPORTED_TOKENS,
+    PartTracker,
 )
 from chivetrack.components.placement.weights import DEFAULT_WEIGHTS, PlacementWeights
 from chivetrack.components.traffic.models import Service
@@ -21,7 +21,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class Placed:
-    """A try that is under way at an endpoint; times are of the steady clock in seconds."""
+    """An attempt in progress at an endpoint.
+
+    Times are monotonic, in seconds. ``missing_tokens``: prompt tokens that the engine has to
+    read for this request. ``ahead_tokens``: prompt tokens that it has to read before those.
+    ``number``: the number of the attempt in ``SilenceTable``. ``new_parts``: shared parts
+    that were first recorded at the endpoint with this attempt.
+    """
 
     endpoint_id: str
     service: str
@@ -29,27 +35,27 @@
     ahead_tokens: float
     has_prompt: bool
     started_at: float
-    patience_s: float
+    wait_limit_s: float
     number: int = 0
     new_parts: tuple[PromptPart, ...] = ()
     output_tokens: int = 0
     first_at: float | None = None
-    is_whole: bool = False
+    is_complete: bool = False
 
 
 class Placement:
-    """Chooses endpoints, counts what is in use there and learns from what comes back."""
+    """Chooses endpoints, counts their load and learns their speed from the answers."""
 
     def __init__(self, *, zone: str, weights: PlacementWeights = DEFAULT_WEIGHTS) -> None:
-        """Start with nothing in use and nothing learned."""
+        """Initialize the placement for a router in ``zone``, without load or statistics."""
         self.loads = LoadTable()
-        self.parts = PartBook()
+        self.parts = PartTracker()
         self._speeds: dict[str, ServiceSpeeds] = {}
         self._silence = SilenceTable()
         self._chooser = Chooser(zone=zone, loads=self.loads, parts=self.parts, weights=weights)
 
     def get_speeds(self, service: str) -> ServiceSpeeds:
-        """Return what has been learned of a service's endpoints."""
+        """Return the speed statistics of a service's endpoints."""
         speeds = self._speeds.get(service)
         if speeds is None:
             speeds = self._speeds[service] = ServiceSpeeds()
@@ -66,7 +72,10 @@
         routers: int = 1,
         resting: Collection[str] = (),
     ) -> Choice | None:
-        """Return the best endpoint, ``None`` without candidates; see ``Chooser``."""
+        """Return the endpoint of the lowest cost, or ``None`` without candidates.
+
+        See ``Chooser.choose`` for the parameters.
+        """
         if not candidates:
             return None
         return self._chooser.choose(
@@ -80,34 +89,40 @@
             resting=resting,
         )
 
-    def expect_whole_s(self, choice: Choice, facts: RequestFacts) -> float:
-        """Return within which time (s) most answers like this one are whole."""
+    def expect_complete_s(self, choice: Choice, facts: RequestFacts) -> float:
+        """Return the time in seconds within which most such answers are complete."""
         speeds = self.get_speeds(choice.record.service)
         if not facts.parts:
-            return choice.expected_ms * speeds.spread / 1000
+            return choice.expected_ms * speeds.tail_factor / 1000
         answer_ms = speeds.expect_answer_ms(facts.likely_output_tokens)
         return (choice.expected_ms + answer_ms) / 1000
 
     def start(
         self, choice: Choice, facts: RequestFacts, *, now: float, capacity: int, routers: int = 1
     ) -> Placed:
-        """Count a request at the endpoint that was chosen; ``capacity`` of a cache in tokens."""
+        """Count a request at the chosen endpoint.
+
+        ``capacity`` is the cache size of an engine in tokens; ``routers`` is the number of
+        routers in the fleet.
+        """
         endpoint_id = choice.record.endpoint_id
         new_parts: tuple[PromptPart, ...] = ()
         if facts.parts:
             is_expected = choice.is_home and routers > MANY_ROUTERS
-            new_parts = self.parts.note(
+            new_parts = self.parts.record_sent(
                 endpoint_id,
                 facts.shared_parts,
                 now=now,
                 capacity=capacity,
-                min_told=MIN_EXPECTED_TOKENS if is_expected else MIN_TOLD_TOKENS,
+                min_reported_tokens=(
+                    MIN_REPORTED_HOME_TOKENS if is_expected else MIN_REPORTED_TOKENS
+                ),
             )
-            self.parts.note_own(endpoint_id, facts.parts[-1], now=now, capacity=capacity)
+            self.parts.record_unshared(endpoint_id, facts.parts[-1], now=now, capacity=capacity)
         speeds = self.get_speeds(choice.record.service)
         waiting = self.loads.count_tokens(endpoint_id, now, rate=speeds.read_tokens_per_ms)
         self.loads.start(endpoint_id, choice.missing_tokens)
-        patience_s = find_patience(choice.expected_ms, speeds.spread)
+        wait_limit_s = find_wait_limit(choice.expected_ms, speeds.tail_factor)
         return Placed(
             endpoint_id=endpoint_id,
             service=choice.record.service,
@@ -116,27 +131,27 @@
             has_prompt=bool(facts.parts),
             new_parts=new_parts,
             started_at=now,
-            patience_s=patience_s,
-            number=self._silence.start(endpoint_id, now=now, patience_s=patience_s),
+            wait_limit_s=wait_limit_s,
+            number=self._silence.start(endpoint_id, now=now, wait_limit_s=wait_limit_s),
             output_tokens=facts.likely_output_tokens,
         )
 
-    def hear(self, placed: Placed, *, now: float) -> None:
-        """Note bytes of an endpoint."""
-        self._silence.hear(placed.endpoint_id, placed.number, now=now)
+    def record_bytes(self, placed: Placed, *, now: float) -> None:
+        """Record that bytes of an answer have arrived from its endpoint."""
+        self._silence.record_bytes(placed.endpoint_id, placed.number, now=now)
 
     def is_silent(self, endpoint_id: str, now: float) -> bool:
-        """Return whether an endpoint owes an answer and has said nothing since."""
+        """Return whether answers of an endpoint are overdue and it has sent no bytes since."""
         return self._silence.is_silent(endpoint_id, now)
 
-    def note_first(self, placed: Placed, *, now: float) -> None:
-        """Take a prompt as read: its first event has come."""
+    def record_first_event(self, placed: Placed, *, now: float) -> None:
+        """Record the first event of an answer, which shows that the prompt has been read."""
         if placed.first_at is not None:
             return
         placed.first_at = now
-        self.loads.begin(placed.endpoint_id, placed.missing_tokens)
+        self.loads.finish_reading(placed.endpoint_id, placed.missing_tokens)
         if placed.has_prompt:
-            self.get_speeds(placed.service).note_first(
+            self.get_speeds(placed.service).record_first_event(
                 placed.endpoint_id,
                 tokens=placed.missing_tokens + placed.ahead_tokens,
                 took_ms=(now - placed.started_at) * 1000,
@@ -144,42 +159,51 @@
             )
 
     def finish(self, placed: Placed, *, now: float) -> None:
-        """Count a request as ended; only whole answers tell of an endpoint's speed."""
+        """Count a request as ended.
+
+        Only complete answers update the speed statistics.
+        """
         if placed.first_at is None:
-            self.loads.begin(placed.endpoint_id, placed.missing_tokens)
+            self.loads.finish_reading(placed.endpoint_id, placed.missing_tokens)
             self.parts.withdraw(placed.endpoint_id, placed.new_parts)
         self.loads.finish(placed.endpoint_id)
         self._silence.finish(placed.endpoint_id, placed.number)
-        if not placed.is_whole:
+        if not placed.is_complete:
             return
         speeds = self.get_speeds(placed.service)
         if placed.first_at is not None:
             took_ms = (now - placed.first_at) * 1000
-            speeds.note_answer(took_ms, tokens=placed.output_tokens)
+            speeds.record_stream(took_ms, tokens=placed.output_tokens)
         elif not placed.has_prompt:
             took_ms = (now - placed.started_at) * 1000
-            speeds.note_plain(placed.endpoint_id, took_ms=took_ms, now=now)
+            speeds.record_plain_answer(placed.endpoint_id, took_ms=took_ms, now=now)
+
+    # Reports between routers
 
-    # What routers tell each other
+    def handle_other_loads(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
+        """Handle the loads that the other routers have reported."""
+        self.loads.handle_other_loads(loads, now=now)
 
-    def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
-        """Take what the other routers have in use."""
-        self.loads.take_others(loads, now=now)
+    def handle_placements(self, placed: Iterable[PlacedPart], *, now: float, capacity: int) -> None:
+        """Handle the placements that the other routers have reported.
 
-    def take_news(self, placed: Iterable[PlacedPart], *, now: float, capacity: int) -> None:
-        """Take what the other routers have sent where; ``capacity`` of a cache in tokens."""
-        self.parts.take_news(placed, now=now, capacity=capacity)
+        ``capacity`` is the cache size of an engine in tokens.
+        """
+        self.parts.handle_placements(placed, now=now, capacity=capacity)
 
     def list_own(self) -> Iterator[EndpointLoad]:
-        """Yield what this router uses."""
+        """Yield the load of this router, by endpoint."""
         return self.loads.list_own()
 
-    def list_news(self, now: float) -> Iterator[PlacedPart]:
-        """Yield the placements that the other routers have not been told."""
-        return self.parts.list_news(now)
+    def pop_placements(self, now: float) -> Iterator[PlacedPart]:
+        """Yield placements to be reported to the other routers, and clear them."""
+        return self.parts.pop_placements(now)
 
     def forget(self, endpoint_id: str, *, emptied_at: float | None = None) -> None:
-        """Begin anew with an endpoint; ``emptied_at`` is when it was seen to have restarted."""
+        """Reset the statistics of an endpoint that has restarted or left.
+
+        ``emptied_at`` is the time at which a restart was noticed.
+        """
         self.parts.forget(endpoint_id, emptied_at=emptied_at)
         self._silence.forget(endpoint_id)
         for speeds in self._speeds.values():
--- a/chivetrack/components/routing/placer.py
+++ b/chivetrack/components/routing/placer.py
@@ -1,4 +1,4 @@
-"""The placer: which endpoint a request goes to, and why."""
+"""Choice of the endpoint for a request, with an explanation."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from random import Random
 
 from chivetrack.components.endpoints.models import EndpointState
-from chivetrack.components.load.book import LoadBook
+from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.routing.bounds import LoadBound, get_slow_start
 from chivetrack.components.routing.const import (
     COLD_HEADROOM,
@@ -22,8 +22,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """A look at one endpoint: the load known here and how much it may carry."""
+class LoadSample:
+    """Load and limit of one endpoint, as known to this router.
+
+    Both are numbers of requests.
+    """
 
     endpoint: EndpointState
     load: float
@@ -31,49 +34,49 @@
 
 
 class Placer:
-    """Places requests of one router on endpoints.
+    """Places the requests of one router on endpoints.
 
-    Routers with equal views, loads and hints place a chat alike: the choice goes down
-    the chat's own order and takes the first endpoint below its bound.
+    The first endpoint below its bound is chosen, in the order of preference of the chat.
+    Routers with equal views, loads and hints therefore make the same choice.
     """
 
     def __init__(
         self,
         *,
         view: EndpointView,
-        load: LoadBook,
+        load: LoadTracker,
         random: Random,
         hints: CacheHints | None = None,
     ) -> None:
-        """Place on the endpoints of ``view`` by the loads in ``load``."""
+        """Initialize the placer for the endpoints of ``view`` and the loads in ``load``."""
         self._pools = PoolCache(view=view)
         self._load = load
         self._random = random
         self._hints = hints if hints is not None else CacheHints()
 
     def place(self, demand: Demand, *, now: float) -> Placement:
-        """Choose an endpoint; the caller then counts the request in the load book."""
+        """Choose an endpoint; the caller then counts the request in the load tracker."""
         self._load.expire(now)
         pool = self._pools.find(demand)
         tier = self._choose_tier(pool, demand)
         if tier is None:
-            return _refuse(pool, demand)
+            return _build_refusal(pool, demand)
         key = self._make_key(demand)
-        looks = self._look(tier, demand, key, now)
-        return self._choose(tier, pool, looks, now)
+        samples = self._iterate_samples(tier, demand, key, now)
+        return self._choose(tier, pool, samples, now)
 
-    def preview(self, demand: Demand, *, now: float, count: int) -> list[Look]:
-        """Return the first endpoints in the order in which they would be tried.
+    def sample_endpoints(self, demand: Demand, *, now: float, count: int) -> list[LoadSample]:
+        """Return samples of the first ``count`` endpoints in the order of preference.
 
-        Their limits take slow start into account. Empty when no endpoint fits.
+        Their limits take slow start into account. The list is empty if no endpoint fits.
         """
         self._load.expire(now)
         pool = self._pools.find(demand)
         tier = self._choose_tier(pool, demand)
         if tier is None:
             return []
-        looks = islice(self._look(tier, demand, self._make_key(demand), now), count)
-        return [_lower_limit(look, now) for look in looks]
+        samples = islice(self._iterate_samples(tier, demand, self._make_key(demand), now), count)
+        return [_lower_limit(sample, now) for sample in samples]
 
     def _make_key(self, demand: Demand) -> bytes:
         if demand.affinity:
@@ -85,7 +88,7 @@
         return sum([estimates.get(endpoint_id, 0.0) for endpoint_id in tier.ids])
 
     def _choose_tier(self, pool: Pool, demand: Demand) -> Tier | None:
-        """Return the nearest tier with free capacity, or else the least loaded."""
+        """Return the nearest tier with free capacity, or the least loaded tier."""
         excluded = demand.excluded
         usable = [tier for tier in pool.tiers if not excluded.issuperset(tier.ids)]
         if len(usable) <= 1:
@@ -96,23 +99,25 @@
                 return tier
         return usable[shares.index(min(shares))]
 
-    def _look(self, tier: Tier, demand: Demand, key: bytes, now: float) -> Iterator[Look]:
-        """Yield the endpoints in the chat's order, a hinted one first."""
+    def _iterate_samples(
+        self, tier: Tier, demand: Demand, key: bytes, now: float
+    ) -> Iterator[LoadSample]:
+        """Yield samples in the order of preference of the chat, hinted endpoints first."""
         bound = LoadBound(
             multiple=demand.load_bound, total=self._sum_load(tier) + 1.0, capacity=tier.capacity
         )
         hinted = self._find_hinted(tier, demand, key, now)
         for endpoint in hinted:
-            yield self._look_at(endpoint, bound, 1.0)
+            yield self._sample(endpoint, bound, 1.0)
         headroom = COLD_HEADROOM if self._is_cold(demand, now) else 1.0
         for endpoint in tier.order.iterate(key):
             if endpoint in hinted or endpoint.endpoint_id in demand.excluded:
                 continue
-            yield self._look_at(endpoint, bound, headroom)
+            yield self._sample(endpoint, bound, headroom)
 
-    def _look_at(self, endpoint: EndpointState, bound: LoadBound, headroom: float) -> Look:
+    def _sample(self, endpoint: EndpointState, bound: LoadBound, headroom: float) -> LoadSample:
         load = self._load.estimates.get(endpoint.endpoint_id, 0.0)
-        return Look(endpoint, load, bound.get_limit(endpoint, headroom=headroom))
+        return LoadSample(endpoint, load, bound.get_limit(endpoint, headroom=headroom))
 
     def _is_cold(self, demand: Demand, now: float) -> bool:
         return not demand.affinity or self._hints.is_warm(now)
@@ -125,54 +130,64 @@
         names = [name for name in self._hints.find(key, now) if name not in demand.excluded]
         return [tier.by_id[name] for name in names if name in tier.by_id]
 
-    def _choose(self, tier: Tier, pool: Pool, looks: Iterator[Look], now: float) -> Placement:
-        seen: list[Look] = []
-        for look in looks:
-            seen.append(look)
-            share = get_slow_start(look.endpoint, now)
-            if look.load + 1.0 <= max(1.0, look.limit * share):
-                return self._answer(look, seen, _explain(pool, tier, _describe_rank(seen)), now)
-        below = [look for look in seen if look.load + 1.0 <= look.limit]
-        if below:
+    def _choose(
+        self, tier: Tier, pool: Pool, samples: Iterator[LoadSample], now: float
+    ) -> Placement:
+        examined: list[LoadSample] = []
+        for sample in samples:
+            examined.append(sample)
+            share = get_slow_start(sample.endpoint, now)
+            if sample.load + 1.0 <= max(1.0, sample.limit * share):
+                return self._build_placement(
+                    sample, examined, _explain(pool, tier, _describe_rank(examined)), now
+                )
+        below_bound = [sample for sample in examined if sample.load + 1.0 <= sample.limit]
+        if below_bound:
             reason = "only endpoints in slow start are below their bound"
-            return self._answer(below[0], seen, _explain(pool, tier, reason), now)
-        least = min(seen, key=lambda look: look.load / max(look.endpoint.capacity, 1))
-        reason = f"all {len(seen)} endpoints are at their bound, took the least loaded"
-        return self._answer(least, seen, _explain(pool, tier, reason), now)
+            return self._build_placement(
+                below_bound[0], examined, _explain(pool, tier, reason), now
+            )
+        least_loaded = min(
+            examined, key=lambda sample: sample.load / max(sample.endpoint.capacity, 1)
+        )
+        reason = f"all {len(examined)} endpoints are at their bound, took the least loaded"
+        return self._build_placement(least_loaded, examined, _explain(pool, tier, reason), now)
 
-    def _answer(self, chosen: Look, seen: list[Look], reason: str, now: float) -> Placement:
-        shown = seen[:MAX_CANDIDATES]
+    def _build_placement(
+        self, chosen: LoadSample, examined: list[LoadSample], reason: str, now: float
+    ) -> Placement:
+        shown = examined[:MAX_CANDIDATES]
         if chosen not in shown:
             shown[-1] = chosen
-        candidates = tuple(self._describe(look, chosen, now) for look in shown)
+        candidates = tuple(self._build_candidate(sample, chosen, now) for sample in shown)
         return Placement(endpoint=chosen.endpoint, reason=reason, candidates=candidates)
 
-    def _describe(self, look: Look, chosen: Look, now: float) -> Candidate:
-        endpoint_id = look.endpoint.endpoint_id
+    def _build_candidate(self, sample: LoadSample, chosen: LoadSample, now: float) -> Candidate:
+        endpoint_id = sample.endpoint.endpoint_id
         return Candidate(
             endpoint_id=endpoint_id,
-            in_flight=look.load,
-            limit=look.limit,
+            in_flight=sample.load,
+            limit=sample.limit,
             age_s=self._load.get_age(endpoint_id, now),
-            verdict=_judge(look, chosen),
+            verdict=_describe_verdict(sample, chosen),
         )
 
 
-def _lower_limit(look: Look, now: float) -> Look:
-    share = get_slow_start(look.endpoint, now)
-    return Look(look.endpoint, look.load, max(1.0, look.limit * share))
+def _lower_limit(sample: LoadSample, now: float) -> LoadSample:
+    share = get_slow_start(sample.endpoint, now)
+    return LoadSample(sample.endpoint, sample.load, max(1.0, sample.limit * share))
 
 
-def _judge(look: Look, chosen: Look) -> str:
-    if look is chosen:
+def _describe_verdict(sample: LoadSample, chosen: LoadSample) -> str:
+    if sample is chosen:
         return "chosen"
-    return "at its bound" if look.load + 1.0 > look.limit else "in slow start"
+    return "at its bound" if sample.load + 1.0 > sample.limit else "in slow start"
 
 
-def _describe_rank(seen: list[Look]) -> str:
-    if len(seen) == 1:
+def _describe_rank(examined: list[LoadSample]) -> str:
+    if len(examined) == 1:
         return "first choice"
-    return f"choice {len(seen)}, those before are at their bound or in slow start"
+    return f"choice {len(examined)}, those before are at their bound or in slow start"
 
 
 def _explain(pool: Pool, tier: Tier, reason: str) -> str:
@@ -181,6 +196,6 @@
     return f"{reason} ({tier.name})"
 
 
-def _refuse(pool: Pool, demand: Demand) -> Placement:
+def _build_refusal(pool: Pool, demand: Demand) -> Placement:
     reason = pool.missing or f"all fitting endpoints were tried ({len(demand.excluded)})"
     return Placement(endpoint=None, reason=reason, retry_after_s=RETRY_WHEN_NONE_FITS_S)
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -124,12 +124,12 @@
                 self.take_silent_endpoints(view.silent)
             if view.loads is not None:
                 self._take_loads(view.loads, now)
-            self.placement.take_news(view.placed, now=now, capacity=self._memory_tokens)
+            self.placement.handle_placements(view.placed, now=now, capacity=self._memory_tokens)
         self._note_ready()
 
     def _take_loads(self, loads: Sequence[EndpointLoad], now: float) -> None:
         self.health.take_others(loads, now=now)
-        self.placement.take_others(loads, now=now)
+        self.placement.handle_other_loads(loads, now=now)
 
     def take_loads(self, payload: bytes) -> None:
         """Take the packed loads of all routers; what this one told of itself is taken off."""
@@ -261,7 +261,7 @@
         self._told_loads = {one.endpoint_id: one for one in loads}
         return OwnNews(
             loads=loads,
-            placed=tuple(self.placement.list_news(now)),
+            placed=tuple(self.placement.pop_placements(now)),
             crash_reports=self.crashes.list_current(now=now),
             quarantine_revision=self.quarantine_revision,
             is_stopping=self.is_stopping,
@@ -346,7 +346,7 @@
     def use(self, call: Call, choice: Choice) -> Iterator[Placed]:
         """Count a request at an endpoint for as long as it is there.
 
-        The body sets ``is_whole`` of what is given once the answer is whole.
+        The body sets ``is_complete`` of what is given once the answer is whole.
         """
         now = time.monotonic()
         self.health.note_attempt(choice.record.endpoint_id, now=now)
@@ -367,12 +367,12 @@
     def hear(self, call: Call) -> None:
         """Note that the endpoint which has a request sent bytes."""
         if call.placed is not None:
-            self.placement.hear(call.placed, now=time.monotonic())
+            self.placement.record_bytes(call.placed, now=time.monotonic())
 
     def note_first_event(self, call: Call) -> None:
         """Take a prompt as read."""
         if call.placed is not None:
-            self.placement.note_first(call.placed, now=time.monotonic())
+            self.placement.record_first_event(call.placed, now=time.monotonic())
 
     def note_overdue(self, call: Call) -> bool:
         """Note that no byte has come in time; return whether the endpoint is silent for all."""
--- a/tests/components/model_placement/site.py
+++ b/tests/components/model_placement/site.py
@@ -1,4 +1,4 @@
-"""Engines, a weight store and instances that keep models in place."""
+"""Simulation of engines, a weight store and instances with placement controllers."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -17,11 +17,11 @@
 
 @dataclass(slots=True)
 class WeightStore:
-    """Counts the loads under way and refuses those beyond its limit."""
+    """Fake weight store that refuses loads beyond ``limit`` at the same time."""
 
     limit: int = 1000
     load_s: float = 2.0
-    most: int = 0
+    max_loading: int = 0
     refused: int = 0
     taken: list[tuple[float, str]] = field(default_factory=list)
 
@@ -31,19 +31,19 @@
             self.refused += 1
             return False
         self.taken.append((time, name))
-        self.most = max(self.most, busy + 1)
+        self.max_loading = max(self.max_loading, busy + 1)
         return True
 
 
 class Observer:
-    """Stands in for the observer of one instance."""
+    """Fake ``EngineObserver`` of one instance."""
 
     def __init__(self, site: "Site") -> None:
         self._site = site
-        self._desk: Any = None
+        self._coordinator: Any = None
 
-    def connect(self, desk: OrderDesk) -> None:
-        self._desk = desk
+    def connect(self, coordinator: OrderDesk) -> None:
+        self._coordinator = coordinator
 
     def list_engines(self) -> list[EngineView]:
         listed = [engine for engine in self._site.engines.values() if engine.is_listed]
@@ -59,13 +59,13 @@
             checks_fencing=engine.checks,
             is_usable=not engine.is_leaving,
             is_healthy=not engine.is_leaving,
-            state=self._desk.get_state(engine.name),
-            state_at=self._desk.get_state_at(engine.name),
+            state=self._coordinator.get_state(engine.name),
+            state_at=self._coordinator.get_state_at(engine.name),
         )
 
 
 class Site(EngineRoom):
-    """The engine room with placement controllers instead of given goals."""
+    """``EngineRoom`` whose goals come from placement controllers."""
 
     def __init__(self, engines: list[Engine], *, seed: int = 1) -> None:
         super().__init__(engines, seed=seed)
