--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-FOLLOW_EVERY_S: Final = 0.4
+FOLLOW_INTERVAL_S: Final = 0.4
 FOLLOW_MAX_S: Final = 1.2
 FOLLOW_PER_ROUTER_S: Final = 0.014
 """How often a router asks each replica; a lost push is made good after this much. From 30
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -9,7 +9,7 @@
 
 from chivetrack.components.distribution.const import (
     FETCH_AGAIN_S,
-    FOLLOW_EVERY_S,
+    FOLLOW_INTERVAL_S,
 )
 from chivetrack.components.distribution.messages import (
     DocumentSent,
@@ -52,7 +52,7 @@
         fixture.put(1, old)
         self.fetch(fixture, 0.0)
         fixture.put(2, new)
-        sent = self.fetch(fixture, FOLLOW_EVERY_S)
+        sent = self.fetch(fixture, FOLLOW_INTERVAL_S)
         self.assertEqual((sent.version, sent.base_version), (2, 1))
         self.assertLess(len(sent.payload), 300)
         self.assertEqual(fixture.taken, [1, 2])
@@ -78,7 +78,7 @@
         fixture.subscriber.take_document(DocumentSent(version=2, payload=spoiled, base_version=1))
         self.assertEqual((fixture.taken, fixture.unreadable), ([1], [2]))
         fixture.put(2, make_body(600, quota=2))
-        sent = self.fetch(fixture, FOLLOW_EVERY_S)
+        sent = self.fetch(fixture, FOLLOW_INTERVAL_S)
         self.assertEqual(sent.base_version, 0)
         self.assertEqual(fixture.bodies[2], make_body(600, quota=2))
 
@@ -183,7 +183,7 @@
         fixture.put(1, old)
         self.fetch(fixture, 0.0)
         fixture.put(2, new)
-        sent = self.fetch(fixture, FOLLOW_EVERY_S)
+        sent = self.fetch(fixture, FOLLOW_INTERVAL_S)
         asked = fixture.subscriber.answer_fetch
         self.assertEqual(
             asked("r2", FetchDocument(held_version=1)), [SendMessage(target="r2", message=sent)]
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -7,7 +7,7 @@
 from chivetrack.components.announcements.models import EndpointState
 from chivetrack.components.announcements.table import FORGET_AFTER_S, EndpointTable
 from chivetrack.components.distribution.const import (
-    FOLLOW_EVERY_S,
+    FOLLOW_INTERVAL_S,
     IN_FLIGHT_S,
 )
 from chivetrack.components.distribution.messages import (
@@ -67,7 +67,7 @@
         (lost,) = fixture.publisher.publish(now=0.1)
         assert isinstance(lost.message, View)
         self.assertEqual(len(lost.message.records), 1)
-        fixture.exchange_until(0.1 + IN_FLIGHT_S + FOLLOW_EVERY_S)
+        fixture.exchange_until(0.1 + IN_FLIGHT_S + FOLLOW_INTERVAL_S)
         record = fixture.own.find("e1")
         assert record is not None
         self.assertIs(record.state, EndpointState.DRAINING)
@@ -87,7 +87,7 @@
         assert isinstance(second.message, View)
         fixture.subscriber.take_view("p1", second.message, now=0.2)
         self.assertIsNone(fixture.own.find("e1"))
-        fixture.exchange_until(0.2 + IN_FLIGHT_S + FOLLOW_EVERY_S)
+        fixture.exchange_until(0.2 + IN_FLIGHT_S + FOLLOW_INTERVAL_S)
         self.assertIsNotNone(fixture.own.find("e1"))
 
     def test_what_routers_were_sent_is_counted(self) -> None:
@@ -123,7 +123,7 @@
         fixture.table = EndpointTable()
         fixture.table.merge(make_record(1, endpoint_id="new"), now=0.2)
         fixture.publisher = fixture.make_publisher("run2")
-        fixture.exchange(FOLLOW_EVERY_S)
+        fixture.exchange(FOLLOW_INTERVAL_S)
         self.assertIsNotNone(fixture.own.find("new"))
 
     def test_lagging_replica_takes_no_router_back(self) -> None:
