--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -16,9 +16,9 @@
     FETCH_AGAIN_MAX_S,
     FETCH_AGAIN_S,
     FOLLOW_INTERVAL_S,
-    FOLLOW_MAX_S,
     FOLLOW_PER_ROUTER_S,
     MANY_ROUTERS,
+    MAX_FOLLOW_INTERVAL_S,
     PROBE_SILENT_S,
     REPLICA_FORGET_S,
     START_REPLICAS,
@@ -175,7 +175,9 @@
         return effects
 
     def _find_interval(self) -> float:
-        return min(FOLLOW_MAX_S, max(FOLLOW_INTERVAL_S, self._routers * FOLLOW_PER_ROUTER_S))
+        return min(
+            MAX_FOLLOW_INTERVAL_S, max(FOLLOW_INTERVAL_S, self._routers * FOLLOW_PER_ROUTER_S)
+        )
 
     def _list_order(self) -> list[str]:
         """Return the replicas in an order of this router's own; it spreads routers evenly."""
