--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -4,7 +4,7 @@
 
 FOLLOW_INTERVAL_S: Final = 0.4
 MAX_FOLLOW_INTERVAL_S: Final = 1.2
-FOLLOW_PER_ROUTER_S: Final = 0.014
+FOLLOW_INTERVAL_PER_ROUTER_S: Final = 0.014
 """How often a router asks each replica; a lost push is made good after this much. From 30
 routers on the interval grows with their number, so that a replica with half a core gets
 about 70 questions a second; half of the 2.5 s within which a drain has to reach a large
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -15,8 +15,8 @@
     CLOSE_SILENT_S,
     FETCH_AGAIN_MAX_S,
     FETCH_AGAIN_S,
+    FOLLOW_INTERVAL_PER_ROUTER_S,
     FOLLOW_INTERVAL_S,
-    FOLLOW_PER_ROUTER_S,
     MANY_ROUTERS,
     MAX_FOLLOW_INTERVAL_S,
     PROBE_SILENT_S,
@@ -176,7 +176,8 @@
 
     def _find_interval(self) -> float:
         return min(
-            MAX_FOLLOW_INTERVAL_S, max(FOLLOW_INTERVAL_S, self._routers * FOLLOW_PER_ROUTER_S)
+            MAX_FOLLOW_INTERVAL_S,
+            max(FOLLOW_INTERVAL_S, self._routers * FOLLOW_INTERVAL_PER_ROUTER_S),
         )
 
     def _list_order(self) -> list[str]:
