--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -10,7 +10,7 @@
 about 70 questions a second; half of the 2.5 s within which a drain has to reach a large
 fleet is the limit."""
 
-MANY_ROUTERS: Final = 24
+LARGE_FLEET_ROUTERS: Final = 24
 """From so many on, what all routers and replicas tell each other weighs on links of
 3 Mbit/s, and what one router sees itself is a sliver."""
 
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -12,7 +12,7 @@
     ELECTION_FIRST_S,
     IN_FLIGHT_S,
     INLINE_RECORDS,
-    MANY_ROUTERS,
+    LARGE_FLEET_ROUTERS,
     MAX_INLINE_RECORDS,
     PLACED_AHEAD_S,
     PLACED_BYTES,
@@ -218,7 +218,7 @@
             del self._routers[one]
             self._documents.forget(one)
             self._endpoints.forget(one)
-        is_large = len(self._routers) > MANY_ROUTERS
+        is_large = len(self._routers) > LARGE_FLEET_ROUTERS
         targets = {
             one: router for one, router in self._routers.items() if router.is_close or not is_large
         }
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -17,7 +17,7 @@
     FETCH_AGAIN_S,
     FOLLOW_INTERVAL_PER_ROUTER_S,
     FOLLOW_INTERVAL_S,
-    MANY_ROUTERS,
+    LARGE_FLEET_ROUTERS,
     MAX_FOLLOW_INTERVAL_S,
     PROBE_SILENT_S,
     REPLICA_FORGET_S,
@@ -241,7 +241,7 @@
         if now - self._started_at < START_S:
             order = order[:START_REPLICAS]
         others = [name for name in order if name != self._close]
-        if self._routers <= MANY_ROUTERS:
+        if self._routers <= LARGE_FLEET_ROUTERS:
             return others
         # With the close one, a majority of all that are known, the silent ones among them.
         needed = len(self._replicas) // 2
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Iterable, Iterator, Sequence
 from dataclasses import dataclass
 
-from chivetrack.components.distribution.const import MANY_ROUTERS
+from chivetrack.components.distribution.const import LARGE_FLEET_ROUTERS
 from chivetrack.components.distribution.messages import EndpointLoad, PlacedPart
 from chivetrack.components.observation.silence import SilenceTable, find_patience
 from chivetrack.components.observation.speeds import ServiceSpeeds
@@ -95,7 +95,7 @@
         endpoint_id = choice.record.endpoint_id
         new_parts: tuple[PromptPart, ...] = ()
         if facts.parts:
-            is_expected = choice.is_home and routers > MANY_ROUTERS
+            is_expected = choice.is_home and routers > LARGE_FLEET_ROUTERS
             new_parts = self.parts.note(
                 endpoint_id,
                 facts.shared_parts,
