--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -14,7 +14,7 @@
 """From so many on, what all routers and replicas tell each other weighs on links of
 3 Mbit/s, and what one router sees itself is a sliver."""
 
-CLOSE_EVERY_S: Final = 0.3
+LOAD_REPORT_INTERVAL_S: Final = 0.3
 """How often a router tells one replica of its load, and replicas tell each other. Counts
 are three such steps old when they reach another router."""
 
--- a/chivetrack/components/distribution/load_feed.py
+++ b/chivetrack/components/distribution/load_feed.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass, field
 
 from chivetrack.components.distribution.const import (
-    CLOSE_EVERY_S,
     INLINE_LOADS,
     LOAD_BYTES_PER_S,
+    LOAD_REPORT_INTERVAL_S,
     LOADS_MAX_S,
 )
 from chivetrack.components.distribution.fanout import Fanout
@@ -44,12 +44,12 @@
             return
         loads = sum_loads()
         self.is_shared = len(loads) * len(routers) > INLINE_LOADS
-        self._next_at = now + CLOSE_EVERY_S
+        self._next_at = now + LOAD_REPORT_INTERVAL_S
         if not self.is_shared:
             self._sent_at.clear()
             return
         payload = pack_loads(loads)
-        interval_s = min(LOADS_MAX_S, max(CLOSE_EVERY_S, len(payload) / LOAD_BYTES_PER_S))
+        interval_s = min(LOADS_MAX_S, max(LOAD_REPORT_INTERVAL_S, len(payload) / LOAD_BYTES_PER_S))
         self._next_at = now + interval_s
         yield from self._send(routers, payload, now)
 
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -11,13 +11,13 @@
 from chivetrack.components.announcements.packing import unpack_records
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.const import (
-    CLOSE_EVERY_S,
     CLOSE_SILENT_S,
     FETCH_AGAIN_MAX_S,
     FETCH_AGAIN_S,
     FOLLOW_INTERVAL_PER_ROUTER_S,
     FOLLOW_INTERVAL_S,
     LARGE_FLEET_ROUTERS,
+    LOAD_REPORT_INTERVAL_S,
     MAX_FOLLOW_INTERVAL_S,
     PROBE_SILENT_S,
     REPLICA_FORGET_S,
@@ -166,7 +166,7 @@
         effects: list[Effect] = []
         self._started_at = min(self._started_at, now)
         if now >= self._next_close:
-            self._next_close = now + CLOSE_EVERY_S
+            self._next_close = now + LOAD_REPORT_INTERVAL_S
             effects += self._follow_close(now)
         if now >= self._next_follow:
             self._next_follow = now + self._find_interval()
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -13,7 +13,7 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.deployment.settings import DeploymentSettings
 from chivetrack.components.distribution.const import (
-    CLOSE_EVERY_S,
+    LOAD_REPORT_INTERVAL_S,
     ROUND_EVERY_S,
     SPREAD_EVERY_S,
 )
@@ -283,7 +283,7 @@
         """Tell the other replicas what the routers close to this one use."""
         own = str(self._settings.listeners.peer)
         while True:
-            gevent.sleep(CLOSE_EVERY_S)
+            gevent.sleep(LOAD_REPORT_INTERVAL_S)
             exchange = self._publisher.make_exchange(now=time.monotonic())
             for target in self.host.list_instances():
                 if target != own:
