--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -18,7 +18,7 @@
 """How often a router tells one replica of its load, and replicas tell each other. Counts
 are three such steps old when they reach another router."""
 
-CLOSE_SILENT_S: Final = 1.0
+ASSIGNED_REPLICA_TIMEOUT_S: Final = 1.0
 """After this long without an answer a router tells another replica instead."""
 
 ELECTION_FIRST_S: Final = 1.0
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -11,7 +11,7 @@
 from chivetrack.components.announcements.packing import unpack_records
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.const import (
-    CLOSE_SILENT_S,
+    ASSIGNED_REPLICA_TIMEOUT_S,
     FETCH_AGAIN_MAX_S,
     FETCH_AGAIN_S,
     FOLLOW_INTERVAL_PER_ROUTER_S,
@@ -189,7 +189,7 @@
         """Return the first replica that answers; while none does, each in turn."""
         order = self._list_order()
         for name in order:
-            if now - self._replicas[name].heard_at <= CLOSE_SILENT_S:
+            if now - self._replicas[name].heard_at <= ASSIGNED_REPLICA_TIMEOUT_S:
                 return name
         self._turn += 1
         return order[self._turn % len(order)]
