--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -21,7 +21,7 @@
 ASSIGNED_REPLICA_TIMEOUT_S: Final = 1.0
 """After this long without an answer a router tells another replica instead."""
 
-ELECTION_FIRST_S: Final = 1.0
+ELECTION_GRACE_S: Final = 1.0
 """After its start a replica that knows no leader answers no router for so long; a leader is
 elected in a third of it where nothing else is in the way."""
 
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -9,7 +9,7 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.const import (
     BULK_BYTES_PER_S,
-    ELECTION_FIRST_S,
+    ELECTION_GRACE_S,
     IN_FLIGHT_S,
     INLINE_RECORDS,
     LARGE_FLEET_ROUTERS,
@@ -123,7 +123,7 @@
         replicas elect a leader. Votes that waited behind the answers came after the next
         election had begun, several times in a row, and no configuration was sure meanwhile.
         """
-        if not knows_leader and now - self.started_at < ELECTION_FIRST_S:
+        if not knows_leader and now - self.started_at < ELECTION_GRACE_S:
             return []
         is_known = follow.run == self.run
         router = self._routers.get(follow.router)
