--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -25,7 +25,7 @@
 """After its start a replica that knows no leader answers no router for so long; a leader is
 elected in a third of it where nothing else is in the way."""
 
-WATCH_SILENT_S: Final = 1.5
+REPLICA_SILENT_S: Final = 1.5
 """After this long without an answer another replica counts towards the majority that a router
 follows. With the next question that is within the 2.5 s that a drain may take."""
 
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -21,9 +21,9 @@
     MAX_FOLLOW_INTERVAL_S,
     PROBE_SILENT_S,
     REPLICA_FORGET_S,
+    REPLICA_SILENT_S,
     START_REPLICAS,
     START_S,
-    WATCH_SILENT_S,
 )
 from chivetrack.components.distribution.messages import (
     DocumentSent,
@@ -89,7 +89,7 @@
 
     def is_silent(self, now: float) -> bool:
         """Return whether it has left questions unanswered for long."""
-        return now - self.unanswered_since > WATCH_SILENT_S
+        return now - self.unanswered_since > REPLICA_SILENT_S
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
