--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -29,7 +29,7 @@
 """After this long without an answer another replica counts towards the majority that a router
 follows. With the next question that is within the 2.5 s that a drain may take."""
 
-PROBE_SILENT_S: Final = 3.0
+PROBE_INTERVAL_S: Final = 3.0
 """How often a router of a large fleet asks a silent replica again."""
 
 IN_FLIGHT_S: Final = 0.8
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -19,7 +19,7 @@
     LARGE_FLEET_ROUTERS,
     LOAD_REPORT_INTERVAL_S,
     MAX_FOLLOW_INTERVAL_S,
-    PROBE_SILENT_S,
+    PROBE_INTERVAL_S,
     REPLICA_FORGET_S,
     REPLICA_SILENT_S,
     START_REPLICAS,
@@ -255,7 +255,7 @@
         """Return a silent replica to ask, now and then, so that a returned one is found."""
         if not silent or now < self._next_probe:
             return []
-        self._next_probe = now + PROBE_SILENT_S
+        self._next_probe = now + PROBE_INTERVAL_S
         self._probes += 1
         return [silent[self._probes % len(silent)]]
 
