--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -32,7 +32,7 @@
 PROBE_INTERVAL_S: Final = 3.0
 """How often a router of a large fleet asks a silent replica again."""
 
-IN_FLIGHT_S: Final = 0.8
+RESEND_AFTER_S: Final = 0.8
 """What was sent to a router so lately is taken as on its way, although the router does not
 confirm it yet. On a full link each question would otherwise have the same news sent once
 more. A push that was lost is sent again after this much and a question, within 2 s."""
--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -10,7 +10,7 @@
 from chivetrack.components.distribution.const import (
     HEADS_KEPT_S,
     HEARD_LATELY_S,
-    IN_FLIGHT_S,
+    RESEND_AFTER_S,
     ROUND_EVERY_S,
     ROUTER_SILENT_S,
     SILENT_BYTES,
@@ -40,7 +40,7 @@
     def note_sent(self, change: int, *, arrives_at: float) -> None:
         """Note that the changes up to ``change`` are under way."""
         if self.sent <= self.confirmed:
-            self.resend_at = arrives_at + IN_FLIGHT_S
+            self.resend_at = arrives_at + RESEND_AFTER_S
         self.sent = change
 
     def confirm(self, change: int, *, now: float) -> None:
@@ -56,7 +56,7 @@
             self.sent = self.confirmed = change
         elif change > self.confirmed:
             self.confirmed = change
-            self.resend_at = max(self.resend_at, now + IN_FLIGHT_S)
+            self.resend_at = max(self.resend_at, now + RESEND_AFTER_S)
         elif now > self.resend_at:
             self.sent = self.confirmed = change
             self.was_lost = True
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -10,7 +10,6 @@
 from chivetrack.components.distribution.const import (
     BULK_BYTES_PER_S,
     ELECTION_GRACE_S,
-    IN_FLIGHT_S,
     INLINE_RECORDS,
     LARGE_FLEET_ROUTERS,
     MAX_INLINE_RECORDS,
@@ -19,6 +18,7 @@
     PLACED_IN_ROUND,
     PUSH_BYTES,
     RECORD_BYTES,
+    RESEND_AFTER_S,
     ROUTER_GONE_S,
     ROUTER_SILENT_S,
 )
@@ -61,7 +61,7 @@
 
     def confirm(self, placed_change: int, now: float) -> None:
         """Take what the router says that it has; what is on its way may be more."""
-        if placed_change >= self.placed_change or now - self.placed_at > IN_FLIGHT_S:
+        if placed_change >= self.placed_change or now - self.placed_at > RESEND_AFTER_S:
             self.placed_change = placed_change
 
 
--- a/chivetrack/components/distribution/relays.py
+++ b/chivetrack/components/distribution/relays.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from chivetrack.components.distribution.const import IN_FLIGHT_S, RELAY_BYTES, RELAY_MARGIN_S
+from chivetrack.components.distribution.const import RELAY_BYTES, RELAY_MARGIN_S, RESEND_AFTER_S
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
         What is on its way to it may still come.
         """
         holder = self._holders.get(router)
-        if holder is not None and holder.since + IN_FLIGHT_S <= now:
+        if holder is not None and holder.since + RESEND_AFTER_S <= now:
             del self._holders[router]
 
     def choose(self, asker: str, version: int, *, size: int, now: float) -> Relay | None:
--- a/tests/components/distribution/test_endpoint_feed.py
+++ b/tests/components/distribution/test_endpoint_feed.py
@@ -6,7 +6,7 @@
 from chivetrack.components.announcements.packing import pack_records
 from chivetrack.components.distribution.const import (
     BULK_BYTES_PER_S,
-    IN_FLIGHT_S,
+    RESEND_AFTER_S,
     ROUND_AHEAD_S,
 )
 from chivetrack.components.distribution.endpoint_feed import EndpointProgress
@@ -108,7 +108,7 @@
             progress.note_sent(step, arrives_at=now)
             progress.confirm(0, now=now + 0.1)
             if progress.sent == 0:
-                self.assertLessEqual(now, 2 * IN_FLIGHT_S)
+                self.assertLessEqual(now, 2 * RESEND_AFTER_S)
                 return
         self.fail("the lost changes are never sent again")
 
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -8,7 +8,7 @@
 from chivetrack.components.announcements.table import FORGET_AFTER_S, EndpointTable
 from chivetrack.components.distribution.const import (
     FOLLOW_INTERVAL_S,
-    IN_FLIGHT_S,
+    RESEND_AFTER_S,
 )
 from chivetrack.components.distribution.messages import (
     DocumentSent,
@@ -67,7 +67,7 @@
         (lost,) = fixture.publisher.publish(now=0.1)
         assert isinstance(lost.message, View)
         self.assertEqual(len(lost.message.records), 1)
-        fixture.exchange_until(0.1 + IN_FLIGHT_S + FOLLOW_INTERVAL_S)
+        fixture.exchange_until(0.1 + RESEND_AFTER_S + FOLLOW_INTERVAL_S)
         record = fixture.own.find("e1")
         assert record is not None
         self.assertIs(record.state, EndpointState.DRAINING)
@@ -87,7 +87,7 @@
         assert isinstance(second.message, View)
         fixture.subscriber.take_view("p1", second.message, now=0.2)
         self.assertIsNone(fixture.own.find("e1"))
-        fixture.exchange_until(0.2 + IN_FLIGHT_S + FOLLOW_INTERVAL_S)
+        fixture.exchange_until(0.2 + RESEND_AFTER_S + FOLLOW_INTERVAL_S)
         self.assertIsNotNone(fixture.own.find("e1"))
 
     def test_what_routers_were_sent_is_counted(self) -> None:
