--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -11,7 +11,7 @@
 from benchmarks.fleet.engine import Engine, Job, Totals
 from benchmarks.fleet.policies import Policy
 from chivetrack.components.announcements.models import EndpointRecord, EndpointState
-from chivetrack.components.distribution.const import PLACED_IN_ROUND
+from chivetrack.components.distribution.const import PLACEMENTS_PER_ROUND
 from chivetrack.components.distribution.messages import EndpointLoad, PlacedPart
 from chivetrack.components.distribution.placements import Placements
 from chivetrack.components.placement.choice import Candidate, Choice, Source
@@ -90,7 +90,7 @@
         )
         self._placements = Placements()
         close = max(1, deployment.routers // REPLICAS)
-        self._news_limit = max(1, PLACED_IN_ROUND // close)
+        self._news_limit = max(1, PLACEMENTS_PER_ROUND // close)
         self._service = Service(name="llm", engine=profile)
         self._is_oracle = policy.is_oracle
         self._routers = [
--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -37,7 +37,7 @@
 confirm it yet. On a full link each question would otherwise have the same news sent once
 more. A push that was lost is sent again after this much and a question, within 2 s."""
 
-PLACED_IN_ROUND: Final = 4000
+PLACEMENTS_PER_ROUND: Final = 4000
 """Placements that a replica sends in 0.3 s to all routers close to it together, 14 bytes
 each in a compressed frame: half of a link of 3 Mbit/s. What a router still lacks follows
 with the next round; where rounds fall behind, routers have prompts read again that they
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -15,7 +15,7 @@
     MAX_INLINE_RECORDS,
     PLACED_AHEAD_S,
     PLACED_BYTES,
-    PLACED_IN_ROUND,
+    PLACEMENTS_PER_ROUND,
     PUSH_BYTES,
     RECORD_BYTES,
     RESEND_AFTER_S,
@@ -361,7 +361,7 @@
         is_behind = router.version < self.history.version
         if is_behind or self._pacer.find_delay(now=now) > PLACED_AHEAD_S:
             return (), router.placed_change
-        limit = max(1, PLACED_IN_ROUND // close)
+        limit = max(1, PLACEMENTS_PER_ROUND // close)
         placed, change = self.placements.list_after(router.placed_change, now=now, limit=limit)
         self._placed_sent += len(placed)
         self._pacer.reserve(len(placed) * PLACED_BYTES, now=now)
