--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -46,7 +46,7 @@
 ROUTER_SILENT_S: Final = 2.0
 """After this long without a request a router's load is not counted any more."""
 
-ROUTER_GONE_S: Final = 6.0
+ROUTER_EXPIRY_S: Final = 6.0
 """After this long a router is sent nothing any more."""
 
 FETCH_AGAIN_S: Final = 0.3
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -19,7 +19,7 @@
     PUSH_BYTES,
     RECORD_BYTES,
     RESEND_AFTER_S,
-    ROUTER_GONE_S,
+    ROUTER_EXPIRY_S,
     ROUTER_SILENT_S,
 )
 from chivetrack.components.distribution.document_feed import DocumentFeed, PacedDocument
@@ -212,7 +212,7 @@
         question: pushed by each replica to each router, changes would fill the links.
         """
         gone = [
-            one for one, router in self._routers.items() if now - router.heard_at > ROUTER_GONE_S
+            one for one, router in self._routers.items() if now - router.heard_at > ROUTER_EXPIRY_S
         ]
         for one in gone:
             del self._routers[one]
