--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -13,7 +13,7 @@
 from chivetrack.components.distribution.const import (
     ASSIGNED_REPLICA_TIMEOUT_S,
     FETCH_AGAIN_MAX_S,
-    FETCH_AGAIN_S,
+    FETCH_RETRY_S,
     FOLLOW_INTERVAL_PER_ROUTER_S,
     FOLLOW_INTERVAL_S,
     LARGE_FLEET_ROUTERS,
@@ -149,7 +149,7 @@
         self._probes = 0
         self._routers = 1
         self._next_fetch = float("-inf")
-        self._fetch_wait = FETCH_AGAIN_S
+        self._fetch_wait = FETCH_RETRY_S
         self._body = b""
         self._last: DocumentSent | None = None
         self._started_at = float("inf")
@@ -343,7 +343,7 @@
             return
         read = self._read(sent)
         self._next_fetch = float("-inf")
-        self._fetch_wait = FETCH_AGAIN_S
+        self._fetch_wait = FETCH_RETRY_S
         if read.is_error():
             # Without the body the next question is for the whole document.
             self._body = b""
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from chivetrack.components.distribution.const import (
-    FETCH_AGAIN_S,
+    FETCH_RETRY_S,
     FOLLOW_INTERVAL_S,
 )
 from chivetrack.components.distribution.messages import (
@@ -33,7 +33,7 @@
         view = fixture.publisher.publish(now=0.1)[0].message
         assert isinstance(view, View)
         self.assertEqual(fixture.subscriber.take_view("p2", view, now=0.1), [])
-        again = fixture.subscriber.take_view("p2", view, now=FETCH_AGAIN_S + 0.01)
+        again = fixture.subscriber.take_view("p2", view, now=FETCH_RETRY_S + 0.01)
         self.assertEqual(len(again), 1)
         (sent,) = fixture.publisher.take_fetch("r1", FetchDocument(held_version=0), now=0.0)
         self.assertEqual(sent.message, DocumentSent(version=2, payload=zlib.compress(b"{}")))
