--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -50,7 +50,7 @@
 """After this long a router is sent nothing any more."""
 
 FETCH_RETRY_S: Final = 0.3
-FETCH_AGAIN_MAX_S: Final = 1.2
+MAX_FETCH_RETRY_S: Final = 1.2
 """A document that has not come by then is asked for again, also from another replica, and
 each time after twice as long: 17 routers that start at a replica get 15 kB each, 0.7 s on
 3 Mbit/s, and asked for it three times over."""
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -12,12 +12,12 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.const import (
     ASSIGNED_REPLICA_TIMEOUT_S,
-    FETCH_AGAIN_MAX_S,
     FETCH_RETRY_S,
     FOLLOW_INTERVAL_PER_ROUTER_S,
     FOLLOW_INTERVAL_S,
     LARGE_FLEET_ROUTERS,
     LOAD_REPORT_INTERVAL_S,
+    MAX_FETCH_RETRY_S,
     MAX_FOLLOW_INTERVAL_S,
     PROBE_INTERVAL_S,
     REPLICA_FORGET_S,
@@ -328,7 +328,7 @@
         if version <= self.version or now < self._next_fetch:
             return []
         self._next_fetch = now + self._fetch_wait
-        self._fetch_wait = min(FETCH_AGAIN_MAX_S, 2 * self._fetch_wait)
+        self._fetch_wait = min(MAX_FETCH_RETRY_S, 2 * self._fetch_wait)
         return [SendMessage(target=source, message=self._make_fetch())]
 
     def _make_fetch(self) -> FetchDocument:
