--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -22,8 +22,8 @@
     PROBE_INTERVAL_S,
     REPLICA_FORGET_S,
     REPLICA_SILENT_S,
-    START_REPLICAS,
     START_S,
+    STARTUP_REPLICAS,
 )
 from chivetrack.components.distribution.messages import (
     DocumentSent,
@@ -239,7 +239,7 @@
         """Return the replicas to ask beside the close one."""
         order = self._list_order()
         if now - self._started_at < START_S:
-            order = order[:START_REPLICAS]
+            order = order[:STARTUP_REPLICAS]
         others = [name for name in order if name != self._close]
         if self._routers <= LARGE_FLEET_ROUTERS:
             return others
