--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -56,7 +56,7 @@
 3 Mbit/s, and asked for it three times over."""
 
 STARTUP_REPLICAS: Final = 2
-START_S: Final = 1.2
+STARTUP_S: Final = 1.2
 """A router that has just started asks this many replicas, for so long at most. After all
 instances lost power, each connection costs a replica with half a core some 10 ms at the
 moment at which it has to elect a leader."""
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -22,8 +22,8 @@
     PROBE_INTERVAL_S,
     REPLICA_FORGET_S,
     REPLICA_SILENT_S,
-    START_S,
     STARTUP_REPLICAS,
+    STARTUP_S,
 )
 from chivetrack.components.distribution.messages import (
     DocumentSent,
@@ -238,7 +238,7 @@
     def _list_watched(self, now: float) -> list[str]:
         """Return the replicas to ask beside the close one."""
         order = self._list_order()
-        if now - self._started_at < START_S:
+        if now - self._started_at < STARTUP_S:
             order = order[:STARTUP_REPLICAS]
         others = [name for name in order if name != self._close]
         if self._routers <= LARGE_FLEET_ROUTERS:
