--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -61,7 +61,7 @@
 instances lost power, each connection costs a replica with half a core some 10 ms at the
 moment at which it has to elect a leader."""
 
-REPLICA_FORGET_S: Final = 30.0
+REPLICA_EXPIRY_S: Final = 30.0
 """A replica that no other names any more is asked for this much longer."""
 
 BULK_BYTES_PER_S: Final = 300_000.0
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -20,7 +20,7 @@
     MAX_FETCH_RETRY_S,
     MAX_FOLLOW_INTERVAL_S,
     PROBE_INTERVAL_S,
-    REPLICA_FORGET_S,
+    REPLICA_EXPIRY_S,
     REPLICA_SILENT_S,
     STARTUP_REPLICAS,
     STARTUP_S,
@@ -263,7 +263,7 @@
         for seed in self._seeds:
             self._name(seed, now)
         for name, replica in list(self._replicas.items()):
-            if now - replica.named_at > REPLICA_FORGET_S:
+            if now - replica.named_at > REPLICA_EXPIRY_S:
                 del self._replicas[name]
 
     def _make_follow(self, replica: _Replica) -> Follow:
