--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -69,7 +69,7 @@
 link of 3 Mbit/s, so that heartbeats and the log find room beside them. 17 routers get 24 kB
 each, 1,600 routes, within 1.4 s of the 2.5 s in which a change has to be in force."""
 
-DOCUMENT_AGAIN_S: Final = 0.5
+DOCUMENT_RESEND_S: Final = 0.5
 """A router that asks again so soon after its document has left is not sent it twice."""
 
 RELAY_AFTER_S: Final = 0.25
--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -4,7 +4,7 @@
 
 from chivetrack.components.distribution.const import (
     BULK_BYTES_PER_S,
-    DOCUMENT_AGAIN_S,
+    DOCUMENT_RESEND_S,
     RELAY_AFTER_S,
 )
 from chivetrack.components.distribution.messages import (
@@ -67,7 +67,7 @@
             return ()
         paced = None if is_again else self._refer(source, update, now)
         paced = paced or self._send_update(source, update, now)
-        self._due[source] = _DueDocument(update.version, now + paced.delay_s + DOCUMENT_AGAIN_S)
+        self._due[source] = _DueDocument(update.version, now + paced.delay_s + DOCUMENT_RESEND_S)
         return (paced,)
 
     def _refer(self, source: str, update: DocumentUpdate, now: float) -> PacedDocument | None:
