--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -72,7 +72,7 @@
 DOCUMENT_RESEND_S: Final = 0.5
 """A router that asks again so soon after its document has left is not sent it twice."""
 
-RELAY_AFTER_S: Final = 0.25
+MAX_DIRECT_DELAY_S: Final = 0.25
 """A router that would wait longer for its turn at a replica is sent to one that has the
 document: a tenth of the time that a change may take."""
 
--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -5,7 +5,7 @@
 from chivetrack.components.distribution.const import (
     BULK_BYTES_PER_S,
     DOCUMENT_RESEND_S,
-    RELAY_AFTER_S,
+    MAX_DIRECT_DELAY_S,
 )
 from chivetrack.components.distribution.messages import (
     DocumentSent,
@@ -72,7 +72,7 @@
 
     def _refer(self, source: str, update: DocumentUpdate, now: float) -> PacedDocument | None:
         """Name a router that hands the document on; one that asks again is not referred."""
-        if self.pacer.find_delay(now=now) <= RELAY_AFTER_S:
+        if self.pacer.find_delay(now=now) <= MAX_DIRECT_DELAY_S:
             return None
         size = len(update.payload)
         relay = self._relays.choose(source, update.version, size=size, now=now)
