--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -76,7 +76,7 @@
 """A router that would wait longer for its turn at a replica is sent to one that has the
 document: a tenth of the time that a change may take."""
 
-RELAY_BYTES: Final = 300_000.0
+MAX_RELAY_BYTES: Final = 300_000.0
 """What one router hands out of one version, twelve copies of 24 kB: a quarter of a second on
 a link of 10 Mbit/s, which its callers share."""
 
--- a/chivetrack/components/distribution/fanout.py
+++ b/chivetrack/components/distribution/fanout.py
@@ -7,7 +7,7 @@
     BULK_BYTES_PER_S,
     DIRECT_BYTES,
     MAX_FORWARDS,
-    RELAY_BYTES,
+    MAX_RELAY_BYTES,
     ROUND_AHEAD_S,
 )
 from chivetrack.components.distribution.pacing import Pacer
@@ -57,6 +57,6 @@
 def _split(routers: Sequence[str], size: int) -> list[list[str]]:
     if len(routers) * size <= DIRECT_BYTES:
         return [[one] for one in routers]
-    forwards = max(1, min(MAX_FORWARDS, int(RELAY_BYTES // max(1, size))))
+    forwards = max(1, min(MAX_FORWARDS, int(MAX_RELAY_BYTES // max(1, size))))
     parts = -(-len(routers) // (forwards + 1))
     return [[routers[part], *routers[parts + part :: parts]] for part in range(parts)]
--- a/chivetrack/components/distribution/relays.py
+++ b/chivetrack/components/distribution/relays.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from chivetrack.components.distribution.const import RELAY_BYTES, RELAY_MARGIN_S, RESEND_AFTER_S
+from chivetrack.components.distribution.const import MAX_RELAY_BYTES, RELAY_MARGIN_S, RESEND_AFTER_S
 
 
 @dataclass(slots=True)
@@ -10,7 +10,7 @@
     """A router that has a document from ``since`` on, and how much more it may hand out."""
 
     since: float
-    bytes_left: float = RELAY_BYTES
+    bytes_left: float = MAX_RELAY_BYTES
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
