--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -96,7 +96,7 @@
 RECORD_BYTES: Final = 100
 """What one push and each record in it take on the link, for pacing."""
 
-ROUND_EVERY_S: Final = 0.25
+ROUND_INTERVAL_S: Final = 0.25
 """Changes within so long go out in one round; a tenth of the time that a drain may take."""
 
 ROUND_AHEAD_S: Final = 0.25
--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -11,7 +11,7 @@
     HEADS_KEPT_S,
     HEARD_LATELY_S,
     RESEND_AFTER_S,
-    ROUND_EVERY_S,
+    ROUND_INTERVAL_S,
     ROUTER_SILENT_S,
     SILENT_BYTES,
     SMALL_TABLE_RECORDS,
@@ -179,7 +179,7 @@
             messages += self._send_group(group, routers, now)
         messages += self._send_silent(now)
         if messages:
-            self._next_round_at = now + ROUND_EVERY_S
+            self._next_round_at = now + ROUND_INTERVAL_S
         return messages
 
     def _list_groups(self, now: float) -> Iterator[tuple[_Group, list[str]]]:
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -14,7 +14,7 @@
 from chivetrack.components.deployment.settings import DeploymentSettings
 from chivetrack.components.distribution.const import (
     LOAD_REPORT_INTERVAL_S,
-    ROUND_EVERY_S,
+    ROUND_INTERVAL_S,
     SPREAD_EVERY_S,
 )
 from chivetrack.components.distribution.messages import Exchange, FetchDocument, Follow
@@ -292,7 +292,7 @@
     def _send_endpoints(self) -> None:
         """Send routers in rounds what has changed at many endpoints."""
         while True:
-            gevent.sleep(ROUND_EVERY_S / 2)
+            gevent.sleep(ROUND_INTERVAL_S / 2)
             send_all(self.transport.answer, self._publisher.send_round(now=time.monotonic()))
 
     def _spread(self) -> None:
