--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -99,7 +99,7 @@
 ROUND_INTERVAL_S: Final = 0.25
 """Changes within so long go out in one round; a tenth of the time that a drain may take."""
 
-ROUND_AHEAD_S: Final = 0.25
+MAX_SEND_AHEAD_S: Final = 0.25
 """So much of its pace a replica hands to the kernel at once. What lies in the socket buffers
 of hundreds of connections can't be overtaken by the log."""
 
@@ -149,6 +149,6 @@
 PLACED_BYTES: Final = 14
 """What one placement takes in a compressed frame, for pacing."""
 
-PLACED_AHEAD_S: Final = ROUND_AHEAD_S / 2
+PLACED_AHEAD_S: Final = MAX_SEND_AHEAD_S / 2
 """Placements go out only while less of the pace than this is used up ahead: endpoints come
 first."""
--- a/chivetrack/components/distribution/fanout.py
+++ b/chivetrack/components/distribution/fanout.py
@@ -8,7 +8,7 @@
     DIRECT_BYTES,
     MAX_FORWARDS,
     MAX_RELAY_BYTES,
-    ROUND_AHEAD_S,
+    MAX_SEND_AHEAD_S,
 )
 from chivetrack.components.distribution.pacing import Pacer
 
@@ -34,7 +34,7 @@
 
     def has_room(self, *, now: float) -> bool:
         """Return whether more may be handed to the kernel now."""
-        return self.pacer.find_delay(now=now) <= ROUND_AHEAD_S
+        return self.pacer.find_delay(now=now) <= MAX_SEND_AHEAD_S
 
     def plan(
         self, routers: Sequence[str], size: int, *, now: float, is_direct: bool = False
--- a/tests/components/distribution/test_endpoint_feed.py
+++ b/tests/components/distribution/test_endpoint_feed.py
@@ -6,8 +6,8 @@
 from chivetrack.components.announcements.packing import pack_records
 from chivetrack.components.distribution.const import (
     BULK_BYTES_PER_S,
+    MAX_SEND_AHEAD_S,
     RESEND_AFTER_S,
-    ROUND_AHEAD_S,
 )
 from chivetrack.components.distribution.endpoint_feed import EndpointProgress
 from chivetrack.components.distribution.messages import EndpointUpdate, Follow, View
@@ -215,7 +215,7 @@
                 assert isinstance(one.message, EndpointUpdate)
                 sent += len(one.message.payload)
         largest = len(pack_records(fixture.table.list_records()))
-        self.assertLessEqual(sent, BULK_BYTES_PER_S * (1.0 + ROUND_AHEAD_S) + largest)
+        self.assertLessEqual(sent, BULK_BYTES_PER_S * (1.0 + MAX_SEND_AHEAD_S) + largest)
 
 
 if __name__ == "__main__":
--- a/tests/components/distribution/test_placements.py
+++ b/tests/components/distribution/test_placements.py
@@ -6,7 +6,7 @@
 
 from chivetrack.components.announcements.packing import pack_records
 from chivetrack.components.distribution import publisher as publisher_module
-from chivetrack.components.distribution.const import BULK_BYTES_PER_S, ROUND_AHEAD_S
+from chivetrack.components.distribution.const import BULK_BYTES_PER_S, MAX_SEND_AHEAD_S
 from chivetrack.components.distribution.messages import (
     EndpointLoad,
     EndpointUpdate,
@@ -161,7 +161,7 @@
                 assert isinstance(one.message, EndpointUpdate)
                 sent_bytes += len(one.message.payload)
         largest = len(pack_records(fixture.table.list_records()))
-        self.assertLessEqual(sent_bytes, BULK_BYTES_PER_S * (now + ROUND_AHEAD_S) + largest)
+        self.assertLessEqual(sent_bytes, BULK_BYTES_PER_S * (now + MAX_SEND_AHEAD_S) + largest)
 
     def test_loads_are_those_of_the_other_routers(self) -> None:
         """Three routers are close to one replica, a fourth one to another.
