--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -103,7 +103,7 @@
 """So much of its pace a replica hands to the kernel at once. What lies in the socket buffers
 of hundreds of connections can't be overtaken by the log."""
 
-SNAPSHOT_KEPT_S: Final = 1.0
+SNAPSHOT_MAX_AGE_S: Final = 1.0
 """Routers that start within so long get the same packed table, and what is newer after it."""
 
 SMALL_TABLE_RECORDS: Final = 300
--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -15,7 +15,7 @@
     ROUTER_SILENT_S,
     SILENT_BYTES,
     SMALL_TABLE_RECORDS,
-    SNAPSHOT_KEPT_S,
+    SNAPSHOT_MAX_AGE_S,
 )
 from chivetrack.components.distribution.fanout import Fanout, Leg
 from chivetrack.components.distribution.messages import EndpointUpdate, SilentUpdate
@@ -293,7 +293,7 @@
     def _is_fresh(self, group: _Group, packed: _Packed, now: float) -> bool:
         if packed.change == self.table.change:
             return True
-        return group.is_whole_table and now - packed.made_at <= SNAPSHOT_KEPT_S
+        return group.is_whole_table and now - packed.made_at <= SNAPSHOT_MAX_AGE_S
 
     def _drop_old(self, now: float) -> None:
         self._packed = {
