--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -109,7 +109,7 @@
 SMALL_TABLE_RECORDS: Final = 300
 """Up to so many endpoints are sent by every replica that a router follows, some 4 kB."""
 
-DIRECT_BYTES: Final = 30_000.0
+MAX_DIRECT_BYTES: Final = 30_000.0
 """Up to so many bytes for a whole round, every router gets it from the replica itself."""
 
 MAX_FORWARDS: Final = 16
--- a/chivetrack/components/distribution/fanout.py
+++ b/chivetrack/components/distribution/fanout.py
@@ -5,7 +5,7 @@
 
 from chivetrack.components.distribution.const import (
     BULK_BYTES_PER_S,
-    DIRECT_BYTES,
+    MAX_DIRECT_BYTES,
     MAX_FORWARDS,
     MAX_RELAY_BYTES,
     MAX_SEND_AHEAD_S,
@@ -55,7 +55,7 @@
 
 
 def _split(routers: Sequence[str], size: int) -> list[list[str]]:
-    if len(routers) * size <= DIRECT_BYTES:
+    if len(routers) * size <= MAX_DIRECT_BYTES:
         return [[one] for one in routers]
     forwards = max(1, min(MAX_FORWARDS, int(MAX_RELAY_BYTES // max(1, size))))
     parts = -(-len(routers) // (forwards + 1))
