--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -115,7 +115,7 @@
 MAX_FORWARDS: Final = 16
 """Routers that one router hands an update on to."""
 
-SPREAD_EVERY_S: Final = 0.1
+BROADCAST_INTERVAL_S: Final = 0.1
 """Changed endpoints that announce themselves to one replica within so long reach the others
 together."""
 
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -13,9 +13,9 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.deployment.settings import DeploymentSettings
 from chivetrack.components.distribution.const import (
+    BROADCAST_INTERVAL_S,
     LOAD_REPORT_INTERVAL_S,
     ROUND_INTERVAL_S,
-    SPREAD_EVERY_S,
 )
 from chivetrack.components.distribution.messages import Exchange, FetchDocument, Follow
 from chivetrack.components.distribution.publisher import Publisher
@@ -298,7 +298,7 @@
     def _spread(self) -> None:
         """Tell the other replicas what endpoints say here."""
         while True:
-            gevent.sleep(SPREAD_EVERY_S)
+            gevent.sleep(BROADCAST_INTERVAL_S)
             self._desk.spread()
 
     @contextmanager
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -6,7 +6,7 @@
 
 from chivetrack.components.announcements.models import EndpointRecord, EndpointState
 from chivetrack.components.announcements.table import RESTORED_FOR_S, EndpointTable
-from chivetrack.components.distribution.const import SPREAD_EVERY_S
+from chivetrack.components.distribution.const import BROADCAST_INTERVAL_S
 from chivetrack.components.distribution.messages import SpreadHeartbeats, SpreadRecords
 from chivetrack.components.distribution.spreading import Spreading
 from chivetrack.components.peers.const import FRAME_OVERHEAD_BYTES
@@ -51,9 +51,9 @@
         side = Side()
         fleet = make_fleet(600)
         sent = 0
-        steps_per_heartbeat = round(HEARTBEAT_S / SPREAD_EVERY_S)
+        steps_per_heartbeat = round(HEARTBEAT_S / BROADCAST_INTERVAL_S)
         for step in range(10 * steps_per_heartbeat):
-            now = step * SPREAD_EVERY_S
+            now = step * BROADCAST_INTERVAL_S
             for record in fleet[step % steps_per_heartbeat :: steps_per_heartbeat]:
                 sequence = record.sequence + 1 + step // steps_per_heartbeat
                 side.announce(msgspec.structs.replace(record, sequence=sequence), now)
