--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -119,7 +119,7 @@
 """Changed endpoints that announce themselves to one replica within so long reach the others
 together."""
 
-HEARTBEATS_EVERY_S: Final = 0.4
+HEARTBEAT_BROADCAST_INTERVAL_S: Final = 0.4
 """Likewise those that say nothing new: a third of the time between two heartbeats, a tenth of
 the silence after which an endpoint is doubted."""
 
--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -4,7 +4,7 @@
 
 from chivetrack.components.announcements.models import EndpointRecord
 from chivetrack.components.announcements.table import EndpointTable
-from chivetrack.components.distribution.const import HEARTBEATS_EVERY_S
+from chivetrack.components.distribution.const import HEARTBEAT_BROADCAST_INTERVAL_S
 from chivetrack.components.distribution.messages import (
     AskRecords,
     SpreadHeartbeats,
@@ -40,7 +40,7 @@
         if self._changed:
             messages.append(SpreadRecords(number=0, records=tuple(self._changed.values())))
             self._changed.clear()
-        if self._heard and now - self._heartbeats_at >= HEARTBEATS_EVERY_S:
+        if self._heard and now - self._heartbeats_at >= HEARTBEAT_BROADCAST_INTERVAL_S:
             self._heartbeats_at = now
             messages.append(self._take_heartbeats())
         return messages
