--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -123,7 +123,7 @@
 """Likewise those that say nothing new: a third of the time between two heartbeats, a tenth of
 the silence after which an endpoint is doubted."""
 
-SILENT_EVERY_S: Final = 0.2
+SILENT_CHECK_INTERVAL_S: Final = 0.2
 """How often a replica looks for silent endpoints; one is silent after 5 s."""
 
 SILENT_BYTES: Final = 12
--- a/chivetrack/components/distribution/silent.py
+++ b/chivetrack/components/distribution/silent.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from chivetrack.components.announcements.table import EndpointTable
-from chivetrack.components.distribution.const import SILENT_EVERY_S
+from chivetrack.components.distribution.const import SILENT_CHECK_INTERVAL_S
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
 
     def refresh(self, table: EndpointTable, *, now: float) -> None:
         """Look for silent endpoints again if the last look is some time ago."""
-        if now - self._refreshed_at < SILENT_EVERY_S:
+        if now - self._refreshed_at < SILENT_CHECK_INTERVAL_S:
             return
         self._refreshed_at = now
         endpoint_ids = tuple(sorted(table.list_silent(now)))
