--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -126,7 +126,7 @@
 SILENT_CHECK_INTERVAL_S: Final = 0.2
 """How often a replica looks for silent endpoints; one is silent after 5 s."""
 
-SILENT_BYTES: Final = 12
+SILENT_ID_BYTES: Final = 12
 """What the id of one silent endpoint takes on the link, for pacing."""
 
 INLINE_LOADS: Final = 4000
--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -13,7 +13,7 @@
     RESEND_AFTER_S,
     ROUND_INTERVAL_S,
     ROUTER_SILENT_S,
-    SILENT_BYTES,
+    SILENT_ID_BYTES,
     SMALL_TABLE_RECORDS,
     SNAPSHOT_MAX_AGE_S,
 )
@@ -265,7 +265,7 @@
             [one for one in self._lacks_silent if self._is_alive(one, now)], now=now
         )
         self._lacks_silent = dict.fromkeys(routers)
-        size = len(self.silent.endpoint_ids) * SILENT_BYTES
+        size = len(self.silent.endpoint_ids) * SILENT_ID_BYTES
         for leg in self.fanout.plan(routers, size, now=now):
             for router in (leg.first, *leg.others):
                 del self._lacks_silent[router]
