--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -137,7 +137,7 @@
 """What a router gets of packed loads, half of the 19 kB that it may take for control. The more
 endpoints are in use, the older are the counts of others."""
 
-LOADS_MAX_S: Final = 1.5
+MAX_LOAD_INTERVAL_S: Final = 1.5
 """Packed loads come this often at least; routers believe what they were told for 2 s."""
 
 HEARD_LATELY_S: Final = 0.5
--- a/chivetrack/components/distribution/load_feed.py
+++ b/chivetrack/components/distribution/load_feed.py
@@ -7,7 +7,7 @@
     INLINE_LOADS,
     LOAD_BYTES_PER_S,
     LOAD_REPORT_INTERVAL_S,
-    LOADS_MAX_S,
+    MAX_LOAD_INTERVAL_S,
 )
 from chivetrack.components.distribution.fanout import Fanout
 from chivetrack.components.distribution.load_packing import pack_loads
@@ -49,7 +49,9 @@
             self._sent_at.clear()
             return
         payload = pack_loads(loads)
-        interval_s = min(LOADS_MAX_S, max(LOAD_REPORT_INTERVAL_S, len(payload) / LOAD_BYTES_PER_S))
+        interval_s = min(
+            MAX_LOAD_INTERVAL_S, max(LOAD_REPORT_INTERVAL_S, len(payload) / LOAD_BYTES_PER_S)
+        )
         self._next_at = now + interval_s
         yield from self._send(routers, payload, now)
 
