--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -140,7 +140,7 @@
 MAX_LOAD_INTERVAL_S: Final = 1.5
 """Packed loads come this often at least; routers believe what they were told for 2 s."""
 
-HEARD_LATELY_S: Final = 0.5
+RECENTLY_SEEN_S: Final = 0.5
 """A router that was heard within so long is most likely still there to hand something on."""
 
 HEADS_KEPT_S: Final = 5.0
--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -9,7 +9,7 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.const import (
     HEADS_KEPT_S,
-    HEARD_LATELY_S,
+    RECENTLY_SEEN_S,
     RESEND_AFTER_S,
     ROUND_INTERVAL_S,
     ROUTER_SILENT_S,
@@ -218,7 +218,7 @@
 
     def _may_be_gone_soon(self, router: str, now: float) -> bool:
         progress = self._progress[router]
-        return progress.is_stopping or now - progress.heard_at > HEARD_LATELY_S
+        return progress.is_stopping or now - progress.heard_at > RECENTLY_SEEN_S
 
     def _send_group(
         self, group: _Group, routers: Iterable[str], now: float
