--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -143,7 +143,7 @@
 RECENTLY_SEEN_S: Final = 0.5
 """A router that was heard within so long is most likely still there to hand something on."""
 
-HEADS_KEPT_S: Final = 5.0
+RELAY_ORDER_S: Final = 5.0
 """For so long the same routers hand updates on."""
 
 PLACED_BYTES: Final = 14
--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -8,8 +8,8 @@
 from chivetrack.components.announcements.packing import pack_records
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.const import (
-    HEADS_KEPT_S,
     RECENTLY_SEEN_S,
+    RELAY_ORDER_S,
     RESEND_AFTER_S,
     ROUND_INTERVAL_S,
     ROUTER_SILENT_S,
@@ -212,7 +212,7 @@
         does not stay for ever, since a router may not reach the one that it depends on.
         """
         names = sorted(routers)
-        turn = int(now / HEADS_KEPT_S) % max(1, len(names))
+        turn = int(now / RELAY_ORDER_S) % max(1, len(names))
         turned = names[turn:] + names[:turn]
         return sorted(turned, key=lambda one: self._may_be_gone_soon(one, now))
 
