--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -146,7 +146,7 @@
 RELAY_ORDER_S: Final = 5.0
 """For so long the same routers hand updates on."""
 
-PLACED_BYTES: Final = 14
+PLACEMENT_BYTES: Final = 14
 """What one placement takes in a compressed frame, for pacing."""
 
 PLACED_AHEAD_S: Final = MAX_SEND_AHEAD_S / 2
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -14,7 +14,7 @@
     LARGE_FLEET_ROUTERS,
     MAX_INLINE_RECORDS,
     PLACED_AHEAD_S,
-    PLACED_BYTES,
+    PLACEMENT_BYTES,
     PLACEMENTS_PER_ROUND,
     PUSH_BYTES,
     RECORD_BYTES,
@@ -364,7 +364,7 @@
         limit = max(1, PLACEMENTS_PER_ROUND // close)
         placed, change = self.placements.list_after(router.placed_change, now=now, limit=limit)
         self._placed_sent += len(placed)
-        self._pacer.reserve(len(placed) * PLACED_BYTES, now=now)
+        self._pacer.reserve(len(placed) * PLACEMENT_BYTES, now=now)
         return placed, change
 
     def _list_close(self, now: float) -> dict[str, _Router]:
