--- a/chivetrack/components/distribution/const.py
+++ b/chivetrack/components/distribution/const.py
@@ -149,6 +149,6 @@
 PLACEMENT_BYTES: Final = 14
 """What one placement takes in a compressed frame, for pacing."""
 
-PLACED_AHEAD_S: Final = MAX_SEND_AHEAD_S / 2
+MAX_PLACEMENTS_AHEAD_S: Final = MAX_SEND_AHEAD_S / 2
 """Placements go out only while less of the pace than this is used up ahead: endpoints come
 first."""
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -13,7 +13,7 @@
     INLINE_RECORDS,
     LARGE_FLEET_ROUTERS,
     MAX_INLINE_RECORDS,
-    PLACED_AHEAD_S,
+    MAX_PLACEMENTS_AHEAD_S,
     PLACEMENT_BYTES,
     PLACEMENTS_PER_ROUND,
     PUSH_BYTES,
@@ -359,7 +359,7 @@
         late, and callers were refused meanwhile. So placements wait for room on the link.
         """
         is_behind = router.version < self.history.version
-        if is_behind or self._pacer.find_delay(now=now) > PLACED_AHEAD_S:
+        if is_behind or self._pacer.find_delay(now=now) > MAX_PLACEMENTS_AHEAD_S:
             return (), router.placed_change
         limit = max(1, PLACEMENTS_PER_ROUND // close)
         placed, change = self.placements.list_after(router.placed_change, now=now, limit=limit)
