--- a/chivetrack/components/distribution/placements.py
+++ b/chivetrack/components/distribution/placements.py
@@ -11,7 +11,7 @@
 # Few different ages compress well: tenths of a second.
 AGE_DIGITS = 1
 # Engines keep parts for minutes, yet what was not used for so long is rarely asked for.
-REMEMBER_S = 60.0
+PLACEMENT_EXPIRY_S = 60.0
 
 _Key = tuple[str, str]
 
@@ -52,7 +52,7 @@
         for item in reversed(self._placed.items()):
             if item[1].change <= change:
                 break
-            if now - item[1].at <= REMEMBER_S:
+            if now - item[1].at <= PLACEMENT_EXPIRY_S:
                 newer.append(item)
         newer.reverse()
         end = newer[limit - 1][1].change if len(newer) > limit else self.change
