--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class OwnNews:
+class RouterReport:
     """What this router tells the others through the replicas."""
 
     loads: tuple[EndpointLoad, ...]
@@ -124,7 +124,7 @@
         take_document: Callable[[int, bytes], None],
         note_unreadable: Callable[[int, str], None],
         note_bad_update: Callable[[str, str], None],
-        get_news: Callable[[], OwnNews],
+        get_news: Callable[[], RouterReport],
     ) -> None:
         """Take the own addresses, those of the first replicas and the ways out.
 
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -11,7 +11,7 @@
 from chivetrack.components.deployment.settings import BoundSettings
 from chivetrack.components.distribution.load_packing import subtract_load, unpack_loads
 from chivetrack.components.distribution.messages import EndpointLoad, View
-from chivetrack.components.distribution.subscriber import OwnNews
+from chivetrack.components.distribution.subscriber import RouterReport
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.placement.choice import Candidate, Choice, Source
 from chivetrack.components.placement.placement import Placed, Placement
@@ -254,12 +254,12 @@
             self._events.write("endpoint_leaving", endpoint=record.endpoint_id, born=record.born)
             self._forget_endpoint(record.endpoint_id)
 
-    def get_news(self) -> OwnNews:
+    def get_news(self) -> RouterReport:
         """Return what the other routers should know of this one."""
         now = time.monotonic()
         loads = self.health.add_outcomes(self.placement.list_own(), now=now)
         self._told_loads = {one.endpoint_id: one for one in loads}
-        return OwnNews(
+        return RouterReport(
             loads=loads,
             placed=tuple(self.placement.list_news(now)),
             crash_reports=self.crashes.list_current(now=now),
--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -15,7 +15,7 @@
     View,
 )
 from chivetrack.components.distribution.publisher import Publisher
-from chivetrack.components.distribution.subscriber import OwnNews, Subscriber
+from chivetrack.components.distribution.subscriber import RouterReport, Subscriber
 from chivetrack.components.peers.const import FRAME_OVERHEAD_BYTES
 from chivetrack.components.peers.frames import encode_frame
 from chivetrack.core import Effect, SendMessage
@@ -98,7 +98,7 @@
             take_document=lambda version, body: None,
             note_unreadable=lambda version, detail: None,
             note_bad_update=lambda replica, detail: None,
-            get_news=lambda: OwnNews(loads=(), placed=()),
+            get_news=lambda: RouterReport(loads=(), placed=()),
         )
         self.known[name] = Router(subscriber, table, Link(ROUTER_BYTES_PER_S))
 
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -16,7 +16,7 @@
     Follow,
     View,
 )
-from chivetrack.components.distribution.subscriber import OwnNews
+from chivetrack.components.distribution.subscriber import RouterReport
 from chivetrack.components.evacuation.models import Evacuations, ZoneState
 from tests.components.announcements.test_packing import make_fleet
 from tests.components.announcements.test_table import make_record
@@ -107,7 +107,7 @@
         """Guards against callers sent from one stopping router to another that stops too."""
         fixture = Fixture()
         fixture.exchange(0.0)
-        fixture.news = OwnNews(loads=(), placed=(), is_stopping=True)
+        fixture.news = RouterReport(loads=(), placed=(), is_stopping=True)
         other = Exchange(routers=3, loads=(), placed=(), stopping=2)
         fixture.publisher.take_exchange("p2", other, now=1.0)
         (answer,) = fixture.publisher.take_follow(fixture.follow(1.0), now=1.0)
--- a/tests/components/distribution/test_watching.py
+++ b/tests/components/distribution/test_watching.py
@@ -7,7 +7,7 @@
     Follow,
     View,
 )
-from chivetrack.components.distribution.subscriber import OwnNews, Subscriber
+from chivetrack.components.distribution.subscriber import RouterReport, Subscriber
 from chivetrack.core import SendMessage
 from tests.components.distribution.world import Fixture, Watch
 
@@ -29,7 +29,7 @@
                 take_document=lambda version, body: None,
                 note_unreadable=lambda version, detail: None,
                 note_bad_update=lambda replica, detail: None,
-                get_news=lambda: OwnNews(loads=(), placed=()),
+                get_news=lambda: RouterReport(loads=(), placed=()),
             )
             first = {e.target for e in subscriber.wake(now=0.0) if isinstance(e, SendMessage)}
             later = {e.target for e in subscriber.wake(now=2.0) if isinstance(e, SendMessage)}
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -13,7 +13,7 @@
     View,
 )
 from chivetrack.components.distribution.publisher import Publisher
-from chivetrack.components.distribution.subscriber import OwnNews, Subscriber
+from chivetrack.components.distribution.subscriber import RouterReport, Subscriber
 from chivetrack.components.document.store import StoredDocument
 from chivetrack.core import SendMessage
 
@@ -35,7 +35,7 @@
         self.taken: list[int] = []
         self.unreadable: list[int] = []
         self.bodies: dict[int, bytes] = {}
-        self.news = OwnNews(loads=(), placed=())
+        self.news = RouterReport(loads=(), placed=())
         self.publisher = self.make_publisher(run)
         self.own = EndpointTable() if own is None else own
         self.subscriber = Subscriber(
@@ -108,7 +108,7 @@
             take_document=lambda version, body: None,
             note_unreadable=lambda version, detail: None,
             note_bad_update=lambda replica, detail: None,
-            get_news=lambda: OwnNews(loads=(), placed=()),
+            get_news=lambda: RouterReport(loads=(), placed=()),
         )
         self.run(0.0, 3.0)
 
