--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -17,7 +17,7 @@
     SMALL_TABLE_RECORDS,
     SNAPSHOT_MAX_AGE_S,
 )
-from chivetrack.components.distribution.fanout import Fanout, Leg
+from chivetrack.components.distribution.fanout import Delivery, Fanout
 from chivetrack.components.distribution.messages import EndpointUpdate, SilentUpdate
 from chivetrack.components.distribution.silent import SilentList
 from chivetrack.core import SendMessage
@@ -252,7 +252,7 @@
             counts.changes += 1
             counts.change_bytes += size
 
-    def _plan(self, routers: Iterable[str], size: int, now: float) -> Iterator[Leg]:
+    def _plan(self, routers: Iterable[str], size: int, now: float) -> Iterator[Delivery]:
         """Yield the ways to routers; one that has missed an update gets it from here."""
         ordered = self.order(routers, now=now)
         lost = [one for one in ordered if self._progress[one].was_lost]
--- a/chivetrack/components/distribution/fanout.py
+++ b/chivetrack/components/distribution/fanout.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Leg:
+class Delivery:
     """One message of the replica: to ``first``, which hands it on to ``others``."""
 
     first: str
@@ -38,7 +38,7 @@
 
     def plan(
         self, routers: Sequence[str], size: int, *, now: float, is_direct: bool = False
-    ) -> Iterator[Leg]:
+    ) -> Iterator[Delivery]:
         """Yield to whom ``size`` bytes go now; routers without room wait for the next round.
 
         The first of ``routers`` hand the message on: put those first that are surely alive.
@@ -51,7 +51,7 @@
             whole = size + _OVERHEAD_BYTES + _ADDRESS_BYTES * len(others)
             sent_at = now + self.pacer.reserve(whole, now=now) + whole / self.pacer.bytes_per_s
             arrives_at = sent_at + len(others) * whole / BULK_BYTES_PER_S
-            yield Leg(first=first, others=tuple(others), arrives_at=arrives_at)
+            yield Delivery(first=first, others=tuple(others), arrives_at=arrives_at)
 
 
 def _split(routers: Sequence[str], size: int) -> list[list[str]]:
