--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Spreading:
+class EndpointBroadcaster:
     """Collects statements of endpoints for the other replicas; free of I/O.
 
     Passed on one by one and whole, heartbeats of 3,000 endpoints take more than a link of
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -19,7 +19,7 @@
     SpreadHeartbeats,
     SpreadRecords,
 )
-from chivetrack.components.distribution.spreading import Spreading
+from chivetrack.components.distribution.spreading import EndpointBroadcaster
 from chivetrack.components.document.store import StoredDocument
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.quarantine.models import Quarantine
@@ -73,7 +73,7 @@
         self._send = send
         self._push = push
         self._events = events
-        self._spreading = Spreading(table=table)
+        self._spreading = EndpointBroadcaster(table=table)
         self._numbers = itertools.count(1)
         self._spreads: dict[int, _Spread] = {}
 
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -8,7 +8,7 @@
 from chivetrack.components.announcements.table import RESTORED_FOR_S, EndpointTable
 from chivetrack.components.distribution.const import BROADCAST_INTERVAL_S
 from chivetrack.components.distribution.messages import SpreadHeartbeats, SpreadRecords
-from chivetrack.components.distribution.spreading import Spreading
+from chivetrack.components.distribution.spreading import EndpointBroadcaster
 from chivetrack.components.peers.const import FRAME_OVERHEAD_BYTES
 from chivetrack.components.peers.frames import encode_frame
 from chivetrack.helpers.codec import pack
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.table = EndpointTable()
-        self.spreading = Spreading(table=self.table)
+        self.spreading = EndpointBroadcaster(table=self.table)
 
     def announce(self, record: EndpointRecord, now: float) -> None:
         if self.table.merge(record, now=now):
