--- a/chivetrack/components/distribution/messages.py
+++ b/chivetrack/components/distribution/messages.py
@@ -178,7 +178,7 @@
 
 
 @message("distribution.spread")
-class SpreadRecords(Message, frozen=True, array_like=True):
+class BroadcastRecords(Message, frozen=True, array_like=True):
     """Statements of endpoints that one replica passes on to the others."""
 
     number: int
@@ -187,7 +187,7 @@
 
 @message("distribution.spread_answer")
 class RecordsTaken(Message, frozen=True, array_like=True):
-    """The statements of a ``SpreadRecords`` are known here."""
+    """The statements of a ``BroadcastRecords`` are known here."""
 
     number: int
 
--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -7,8 +7,8 @@
 from chivetrack.components.distribution.const import HEARTBEAT_BROADCAST_INTERVAL_S
 from chivetrack.components.distribution.messages import (
     AskRecords,
+    BroadcastRecords,
     SpreadHeartbeats,
-    SpreadRecords,
 )
 
 
@@ -34,11 +34,11 @@
         """Pass on that an endpoint was heard and said nothing new."""
         self._heard[endpoint_id] = None
 
-    def make_messages(self, *, now: float) -> list[SpreadRecords | SpreadHeartbeats]:
+    def make_messages(self, *, now: float) -> list[BroadcastRecords | SpreadHeartbeats]:
         """Return what each of the other replicas is to be sent now."""
-        messages: list[SpreadRecords | SpreadHeartbeats] = []
+        messages: list[BroadcastRecords | SpreadHeartbeats] = []
         if self._changed:
-            messages.append(SpreadRecords(number=0, records=tuple(self._changed.values())))
+            messages.append(BroadcastRecords(number=0, records=tuple(self._changed.values())))
             self._changed.clear()
         if self._heard and now - self._heartbeats_at >= HEARTBEAT_BROADCAST_INTERVAL_S:
             self._heartbeats_at = now
@@ -65,8 +65,8 @@
         ]
         return AskRecords(endpoint_ids=tuple(lacked)) if lacked else None
 
-    def answer(self, ask: AskRecords) -> SpreadRecords | None:
+    def answer(self, ask: AskRecords) -> BroadcastRecords | None:
         """Return the records that another replica lacks, ``None`` if none is known here."""
         known = [self.table.find(one) for one in ask.endpoint_ids]
         records = tuple(one for one in known if one is not None)
-        return SpreadRecords(number=0, records=records) if records else None
+        return BroadcastRecords(number=0, records=records) if records else None
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -15,9 +15,9 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.messages import (
     AskRecords,
+    BroadcastRecords,
     RecordsTaken,
     SpreadHeartbeats,
-    SpreadRecords,
 )
 from chivetrack.components.distribution.spreading import EndpointBroadcaster
 from chivetrack.components.document.store import StoredDocument
@@ -171,7 +171,7 @@
         spread = _Spread((len(others) + 1) // 2)
         self._spreads[number] = spread
         for target in others:
-            self._send(target, SpreadRecords(number=number, records=(record,)))
+            self._send(target, BroadcastRecords(number=number, records=(record,)))
         is_known = spread.needed == 0 or spread.done.wait(SPREAD_WAIT_S)
         del self._spreads[number]
         if is_known:
@@ -196,7 +196,7 @@
         if isinstance(message, AskRecords):
             self._send_if_any(source, self._broadcaster.answer(message))
             return True
-        if not isinstance(message, SpreadRecords):
+        if not isinstance(message, BroadcastRecords):
             return False
         self._take_records(source, message)
         return True
@@ -205,7 +205,7 @@
         if message is not None:
             self._send(target, message)
 
-    def _take_records(self, source: str, message: SpreadRecords) -> None:
+    def _take_records(self, source: str, message: BroadcastRecords) -> None:
         now = time.monotonic()
         changes = [self._table.merge(record, now=now) for record in message.records]
         changes += [self._table.refute_lost(record) for record in message.records]
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -7,7 +7,7 @@
 from chivetrack.components.announcements.models import EndpointRecord, EndpointState
 from chivetrack.components.announcements.table import RESTORED_FOR_S, EndpointTable
 from chivetrack.components.distribution.const import BROADCAST_INTERVAL_S
-from chivetrack.components.distribution.messages import SpreadHeartbeats, SpreadRecords
+from chivetrack.components.distribution.messages import BroadcastRecords, SpreadHeartbeats
 from chivetrack.components.distribution.spreading import EndpointBroadcaster
 from chivetrack.components.peers.const import FRAME_OVERHEAD_BYTES
 from chivetrack.components.peers.frames import encode_frame
@@ -34,8 +34,10 @@
         else:
             self.spreading.note_heartbeat(record.endpoint_id)
 
-    def take(self, message: SpreadRecords | SpreadHeartbeats, source: "Side", now: float) -> None:
-        if isinstance(message, SpreadRecords):
+    def take(
+        self, message: BroadcastRecords | SpreadHeartbeats, source: "Side", now: float
+    ) -> None:
+        if isinstance(message, BroadcastRecords):
             for record in message.records:
                 self.table.merge(record, now=now)
             return
