--- a/chivetrack/components/distribution/messages.py
+++ b/chivetrack/components/distribution/messages.py
@@ -186,7 +186,7 @@
 
 
 @message("distribution.spread_answer")
-class RecordsTaken(Message, frozen=True, array_like=True):
+class RecordsAck(Message, frozen=True, array_like=True):
     """The statements of a ``BroadcastRecords`` are known here."""
 
     number: int
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -16,7 +16,7 @@
 from chivetrack.components.distribution.messages import (
     AskRecords,
     BroadcastRecords,
-    RecordsTaken,
+    RecordsAck,
     SpreadHeartbeats,
 )
 from chivetrack.components.distribution.spreading import EndpointBroadcaster
@@ -183,7 +183,7 @@
         """Take a message of another replica; return whether it was for the desk."""
         if self._documents.take(source, message):
             return True
-        if isinstance(message, RecordsTaken):
+        if isinstance(message, RecordsAck):
             spread = self._spreads.get(message.number)
             if spread is not None:
                 spread.take(source)
@@ -212,7 +212,7 @@
         if any(changes):
             self._push()
         if message.number:
-            self._send(source, RecordsTaken(number=message.number))
+            self._send(source, RecordsAck(number=message.number))
 
 
 def _make_unknown_zone(zone: str, zones: Collection[str]) -> Fault:
