--- a/chivetrack/components/distribution/messages.py
+++ b/chivetrack/components/distribution/messages.py
@@ -193,7 +193,7 @@
 
 
 @message("distribution.heard")
-class SpreadHeartbeats(Message, frozen=True, array_like=True):
+class BroadcastHeartbeats(Message, frozen=True, array_like=True):
     """Heartbeats without news that a replica got, one in each place of the three sequences.
 
     ``checksums`` are those of the records, so that a replica that lacks one asks for it.
--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -7,8 +7,8 @@
 from chivetrack.components.distribution.const import HEARTBEAT_BROADCAST_INTERVAL_S
 from chivetrack.components.distribution.messages import (
     AskRecords,
+    BroadcastHeartbeats,
     BroadcastRecords,
-    SpreadHeartbeats,
 )
 
 
@@ -34,9 +34,9 @@
         """Pass on that an endpoint was heard and said nothing new."""
         self._heard[endpoint_id] = None
 
-    def make_messages(self, *, now: float) -> list[BroadcastRecords | SpreadHeartbeats]:
+    def make_messages(self, *, now: float) -> list[BroadcastRecords | BroadcastHeartbeats]:
         """Return what each of the other replicas is to be sent now."""
-        messages: list[BroadcastRecords | SpreadHeartbeats] = []
+        messages: list[BroadcastRecords | BroadcastHeartbeats] = []
         if self._changed:
             messages.append(BroadcastRecords(number=0, records=tuple(self._changed.values())))
             self._changed.clear()
@@ -45,17 +45,17 @@
             messages.append(self._take_heartbeats())
         return messages
 
-    def _take_heartbeats(self) -> SpreadHeartbeats:
+    def _take_heartbeats(self) -> BroadcastHeartbeats:
         # Neighbours that are alike compress best.
         known = [record for one in sorted(self._heard) if (record := self.table.find(one))]
         self._heard.clear()
-        return SpreadHeartbeats(
+        return BroadcastHeartbeats(
             endpoint_ids=tuple(one.endpoint_id for one in known),
             sequences=tuple(one.sequence for one in known),
             checksums=tuple(self.table.find_checksum(one.endpoint_id) for one in known),
         )
 
-    def take_heartbeats(self, heard: SpreadHeartbeats, *, now: float) -> AskRecords | None:
+    def take_heartbeats(self, heard: BroadcastHeartbeats, *, now: float) -> AskRecords | None:
         """Take heartbeats that another replica got; return a question for records lacked here."""
         rows = zip(heard.endpoint_ids, heard.sequences, heard.checksums, strict=False)
         lacked = [
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -15,9 +15,9 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.messages import (
     AskRecords,
+    BroadcastHeartbeats,
     BroadcastRecords,
     RecordsAck,
-    SpreadHeartbeats,
 )
 from chivetrack.components.distribution.spreading import EndpointBroadcaster
 from chivetrack.components.document.store import StoredDocument
@@ -188,7 +188,7 @@
             if spread is not None:
                 spread.take(source)
             return True
-        if isinstance(message, SpreadHeartbeats):
+        if isinstance(message, BroadcastHeartbeats):
             self._send_if_any(
                 source, self._broadcaster.take_heartbeats(message, now=time.monotonic())
             )
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -7,7 +7,7 @@
 from chivetrack.components.announcements.models import EndpointRecord, EndpointState
 from chivetrack.components.announcements.table import RESTORED_FOR_S, EndpointTable
 from chivetrack.components.distribution.const import BROADCAST_INTERVAL_S
-from chivetrack.components.distribution.messages import BroadcastRecords, SpreadHeartbeats
+from chivetrack.components.distribution.messages import BroadcastHeartbeats, BroadcastRecords
 from chivetrack.components.distribution.spreading import EndpointBroadcaster
 from chivetrack.components.peers.const import FRAME_OVERHEAD_BYTES
 from chivetrack.components.peers.frames import encode_frame
@@ -35,7 +35,7 @@
             self.spreading.note_heartbeat(record.endpoint_id)
 
     def take(
-        self, message: BroadcastRecords | SpreadHeartbeats, source: "Side", now: float
+        self, message: BroadcastRecords | BroadcastHeartbeats, source: "Side", now: float
     ) -> None:
         if isinstance(message, BroadcastRecords):
             for record in message.records:
@@ -95,7 +95,7 @@
         """Guards against requests to an endpoint that left, after a heartbeat held up by a cut."""
         here, there = Side(), Side()
         here.announce(make_record(1), 0.0)
-        late = SpreadHeartbeats(
+        late = BroadcastHeartbeats(
             endpoint_ids=("e1",), sequences=(9,), checksums=(here.table.find_checksum("e1"),)
         )
         there.table.merge(make_record(1), now=0.0)
@@ -112,7 +112,7 @@
         there.table.restore([make_record(1)], now=0.0)
         here.announce(make_record(2), 1.2)
         for message in here.spreading.make_messages(now=1.2):
-            if isinstance(message, SpreadHeartbeats):
+            if isinstance(message, BroadcastHeartbeats):
                 there.take(message, here, 1.2)
         self.assertFalse(there.table.drop_unheard(RESTORED_FOR_S + 0.1))
 
