--- a/chivetrack/components/distribution/messages.py
+++ b/chivetrack/components/distribution/messages.py
@@ -205,7 +205,7 @@
 
 
 @message("distribution.ask_records")
-class AskRecords(Message, frozen=True, array_like=True):
+class RecordsRequest(Message, frozen=True, array_like=True):
     """Ask another replica for the whole records of some endpoints."""
 
     endpoint_ids: tuple[str, ...]
--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -6,9 +6,9 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.const import HEARTBEAT_BROADCAST_INTERVAL_S
 from chivetrack.components.distribution.messages import (
-    AskRecords,
     BroadcastHeartbeats,
     BroadcastRecords,
+    RecordsRequest,
 )
 
 
@@ -55,7 +55,7 @@
             checksums=tuple(self.table.find_checksum(one.endpoint_id) for one in known),
         )
 
-    def take_heartbeats(self, heard: BroadcastHeartbeats, *, now: float) -> AskRecords | None:
+    def take_heartbeats(self, heard: BroadcastHeartbeats, *, now: float) -> RecordsRequest | None:
         """Take heartbeats that another replica got; return a question for records lacked here."""
         rows = zip(heard.endpoint_ids, heard.sequences, heard.checksums, strict=False)
         lacked = [
@@ -63,9 +63,9 @@
             for endpoint_id, sequence, checksum in rows
             if not self.table.hear(endpoint_id, sequence, checksum, now=now)
         ]
-        return AskRecords(endpoint_ids=tuple(lacked)) if lacked else None
+        return RecordsRequest(endpoint_ids=tuple(lacked)) if lacked else None
 
-    def answer(self, ask: AskRecords) -> BroadcastRecords | None:
+    def answer(self, ask: RecordsRequest) -> BroadcastRecords | None:
         """Return the records that another replica lacks, ``None`` if none is known here."""
         known = [self.table.find(one) for one in ask.endpoint_ids]
         records = tuple(one for one in known if one is not None)
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -14,10 +14,10 @@
 )
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.messages import (
-    AskRecords,
     BroadcastHeartbeats,
     BroadcastRecords,
     RecordsAck,
+    RecordsRequest,
 )
 from chivetrack.components.distribution.spreading import EndpointBroadcaster
 from chivetrack.components.document.store import StoredDocument
@@ -193,7 +193,7 @@
                 source, self._broadcaster.take_heartbeats(message, now=time.monotonic())
             )
             return True
-        if isinstance(message, AskRecords):
+        if isinstance(message, RecordsRequest):
             self._send_if_any(source, self._broadcaster.answer(message))
             return True
         if not isinstance(message, BroadcastRecords):
