--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -13,7 +13,7 @@
     FetchElsewhere,
 )
 from chivetrack.components.distribution.pacing import Pacer
-from chivetrack.components.distribution.relays import Relays
+from chivetrack.components.distribution.relays import RelaySelector
 from chivetrack.components.document.history import DocumentHistory, DocumentUpdate
 
 
@@ -41,7 +41,7 @@
     history: DocumentHistory
     pacer: Pacer
     _due: dict[str, _DueDocument] = field(default_factory=dict)
-    _relays: Relays = field(default_factory=Relays)
+    _relays: RelaySelector = field(default_factory=RelaySelector)
 
     def note_version(self, router: str, version: int, *, is_stopping: bool, now: float) -> None:
         """Note which version a router has, 0 if none, and whether it can hand it on."""
--- a/chivetrack/components/distribution/relays.py
+++ b/chivetrack/components/distribution/relays.py
@@ -21,7 +21,7 @@
     delay_s: float
 
 
-class Relays:
+class RelaySelector:
     """Chooses the router that hands a document on; free of I/O.
 
     It answers a document of which 195 routers ask five replicas for 24 kB each in one
