--- a/chivetrack/components/distribution/messages.py
+++ b/chivetrack/components/distribution/messages.py
@@ -36,7 +36,7 @@
 
     ``run`` and ``change`` say up to which change of which process of the replica the
     endpoints are known, ``placed_change`` the placements. ``is_close``: this replica is
-    the one that hears of the router's load and tells it that of the others. ``reads_at``
+    the one that hears of the router's load and tells it that of the others. ``document_address``
     is where the router hands out its document, ``host:port``. ``crash_reports`` are the
     router's recent crash reports, ``quarantine_revision`` is the revision of the quarantine
     that it has in force. ``is_partial``: up to ``change`` only departures are known.
@@ -52,7 +52,7 @@
     placed: tuple[PlacedPart, ...] = ()
     is_close: bool = False
     placed_change: int = 0
-    reads_at: str = ""
+    document_address: str = ""
     crash_reports: tuple[CrashReport, ...] = ()
     quarantine_revision: int = 0
     is_partial: bool = False
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -54,7 +54,7 @@
     placed_at: float = float("-inf")
     loads: tuple[EndpointLoad, ...] = ()
     version: int = 0
-    reads_at: str = ""
+    document_address: str = ""
     quarantine_revision: int = 0
     silent_revision: int = 0
     is_stopping: bool = False
@@ -144,7 +144,7 @@
         router.quarantine_revision = follow.quarantine_revision
         router.silent_revision = follow.silent_revision if is_known else 0
         self.evidence.note(follow.crash_reports, now=now)
-        router.reads_at = follow.reads_at
+        router.document_address = follow.document_address
         if follow.is_close:
             self._documents.note_version(
                 follow.router, follow.version, is_stopping=follow.is_stopping, now=now
@@ -200,9 +200,9 @@
     def list_readers(self, version: int, *, now: float) -> list[str]:
         """Return where close routers hand out a document of this version or a newer one."""
         return [
-            one.reads_at
+            one.document_address
             for one in self._list_close(now).values()
-            if one.reads_at and one.version >= version and not one.is_stopping
+            if one.document_address and one.version >= version and not one.is_stopping
         ]
 
     def publish(self, *, now: float) -> list[SendMessage]:
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -118,7 +118,7 @@
         self,
         *,
         router: str,
-        reads_at: str,
+        document_address: str,
         seeds: Sequence[str],
         table: EndpointTable,
         take_document: Callable[[int, bytes], None],
@@ -133,7 +133,7 @@
         ``note_bad_update`` the replica and what was wrong with packed endpoints.
         """
         self._router = router
-        self._reads_at = reads_at
+        self._reads_at = document_address
         self._seeds = tuple(seeds)
         self._table = table
         self._take_document = take_document
@@ -214,7 +214,7 @@
             placed=news.placed,
             is_close=True,
             placed_change=replica.placed_change,
-            reads_at=self._reads_at,
+            document_address=self._reads_at,
             crash_reports=news.crash_reports,
             quarantine_revision=news.quarantine_revision,
             is_partial=replica.is_partial,
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -95,7 +95,7 @@
         self._metrics.add_gauges(*self._list_gauges())
         self.subscriber = Subscriber(
             router=str(settings.listeners.peer),
-            reads_at=str(settings.listeners.ready),
+            document_address=str(settings.listeners.ready),
             seeds=list_seed_peers(settings),
             table=self.view.directory.table,
             take_document=self.view.take_document,
--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -92,7 +92,7 @@
         table = EndpointTable()
         subscriber = Subscriber(
             router=name,
-            reads_at="",
+            document_address="",
             seeds=[REPLICA],
             table=table,
             take_document=lambda version, body: None,
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -212,14 +212,14 @@
                     change=0,
                     version=version,
                     is_close=is_close,
-                    reads_at=f"{name}:80",
+                    document_address=f"{name}:80",
                 ),
                 now=0.0,
             )
         self.assertEqual(publisher.list_readers(5, now=0.5), ["a:80"])
         self.assertEqual(publisher.list_readers(5, now=60.0), [])
         stopping = make_close("a", version=5, is_stopping=True)
-        publisher.take_follow(msgspec.structs.replace(stopping, reads_at="a:80"), now=1.0)
+        publisher.take_follow(msgspec.structs.replace(stopping, document_address="a:80"), now=1.0)
         self.assertEqual(publisher.list_readers(5, now=1.0), [])
 
 
--- a/tests/components/distribution/test_watching.py
+++ b/tests/components/distribution/test_watching.py
@@ -23,7 +23,7 @@
         for number in range(9):
             subscriber = Subscriber(
                 router=f"r{number}",
-                reads_at="",
+                document_address="",
                 seeds=["p1", "p2", "p3"],
                 table=EndpointTable(),
                 take_document=lambda version, body: None,
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -40,7 +40,7 @@
         self.own = EndpointTable() if own is None else own
         self.subscriber = Subscriber(
             router="r1",
-            reads_at="r1:80",
+            document_address="r1:80",
             seeds=["p1"],
             table=self.own,
             take_document=self.take_document,
@@ -102,7 +102,7 @@
         self.frozen: set[str] = set()
         self.subscriber = Subscriber(
             router=router,
-            reads_at="",
+            document_address="",
             seeds=self.replicas[:3],
             table=EndpointTable(),
             take_document=lambda version, body: None,
