--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -77,7 +77,7 @@
     answering = make(replica, lambda source, _: answering.send(source, view))
     asking.start()
     answering.start()
-    follow = Follow(router=router, run="f00d", change=0, version=7, is_close=True)
+    follow = Follow(router=router, run="f00d", change=0, version=7, is_assigned=True)
     began = 0.0
     for number in range(ROUNDS + 20):
         if number == 20:
--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -149,13 +149,13 @@
         self._waiting.pop(router, None)
         self._lacks_silent.pop(router, None)
 
-    def enqueue(self, router: str, *, is_close: bool) -> None:
+    def enqueue(self, router: str, *, is_assigned: bool) -> None:
         """Have a router sent what it lacks with the next rounds."""
         progress = self.get_progress(router)
         if progress.sent == 0:
             limit = SMALL_TABLE_RECORDS + 1
             is_large = self.table.count_changes(0, limit=limit) == limit
-            progress.is_partial = is_large and not is_close
+            progress.is_partial = is_large and not is_assigned
         self._waiting[router] = None
 
     def enqueue_silent(self, router: str) -> None:
--- a/chivetrack/components/distribution/messages.py
+++ b/chivetrack/components/distribution/messages.py
@@ -35,7 +35,7 @@
     """A router tells a replica what it has, and is sent what it lacks.
 
     ``run`` and ``change`` say up to which change of which process of the replica the
-    endpoints are known, ``placed_change`` the placements. ``is_close``: this replica is
+    endpoints are known, ``placed_change`` the placements. ``is_assigned``: this replica is
     the one that hears of the router's load and tells it that of the others. ``document_address``
     is where the router hands out its document, ``host:port``. ``crash_reports`` are the
     router's recent crash reports, ``quarantine_revision`` is the revision of the quarantine
@@ -50,7 +50,7 @@
     version: int
     loads: tuple[EndpointLoad, ...] = ()
     placed: tuple[PlacedPart, ...] = ()
-    is_close: bool = False
+    is_assigned: bool = False
     placed_change: int = 0
     document_address: str = ""
     crash_reports: tuple[CrashReport, ...] = ()
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -49,7 +49,7 @@
     """What is known of a router that follows."""
 
     heard_at: float
-    is_close: bool
+    is_assigned: bool
     placed_change: int = 0
     placed_at: float = float("-inf")
     loads: tuple[EndpointLoad, ...] = ()
@@ -128,16 +128,16 @@
         is_known = follow.run == self.run
         router = self._routers.get(follow.router)
         if router is None:
-            router = self._routers[follow.router] = _Router(heard_at=now, is_close=False)
+            router = self._routers[follow.router] = _Router(heard_at=now, is_assigned=False)
         router.heard_at = now
         router.confirm(follow.placed_change if is_known else 0, now)
         self._endpoints.confirm(
             follow.router,
             follow.change if is_known else None,
-            needs_whole=is_known and follow.is_close and follow.is_partial,
+            needs_whole=is_known and follow.is_assigned and follow.is_partial,
             now=now,
         )
-        router.is_close = follow.is_close
+        router.is_assigned = follow.is_assigned
         router.is_stopping = follow.is_stopping
         router.loads = follow.loads
         router.version = follow.version
@@ -145,12 +145,12 @@
         router.silent_revision = follow.silent_revision if is_known else 0
         self.evidence.note(follow.crash_reports, now=now)
         router.document_address = follow.document_address
-        if follow.is_close:
+        if follow.is_assigned:
             self._documents.note_version(
                 follow.router, follow.version, is_stopping=follow.is_stopping, now=now
             )
             self._endpoints.get_progress(follow.router).is_stopping = follow.is_stopping
-        if not follow.is_close:
+        if not follow.is_assigned:
             return [self._make_view(follow.router, router, now)]
         self.placements.note(follow.placed, now=now)
         self._news += follow.placed
@@ -220,7 +220,9 @@
             self._endpoints.forget(one)
         is_large = len(self._routers) > LARGE_FLEET_ROUTERS
         targets = {
-            one: router for one, router in self._routers.items() if router.is_close or not is_large
+            one: router
+            for one, router in self._routers.items()
+            if router.is_assigned or not is_large
         }
         orders = (self.history.version, self.evacuations.revision, self.quarantine.revision)
         has_orders = orders != self._published_orders
@@ -229,7 +231,7 @@
         if is_light or has_orders:
             return [self._make_view(one, router, now) for one, router in targets.items()]
         for one, router in targets.items():
-            self._endpoints.enqueue(one, is_close=router.is_close)
+            self._endpoints.enqueue(one, is_assigned=router.is_assigned)
         return []
 
     def send_round(self, *, now: float) -> list[SendMessage]:
@@ -266,7 +268,7 @@
         count = self.table.count_changes(base, limit=MAX_INLINE_RECORDS + 1)
         is_pending = not self._fits_inline(count, now)
         if is_pending:
-            self._endpoints.enqueue(name, is_close=router.is_close)
+            self._endpoints.enqueue(name, is_assigned=router.is_assigned)
         elif count:
             progress.is_partial = progress.is_partial and base > 0
             progress.note_sent(self.table.change, arrives_at=now)
@@ -371,7 +373,7 @@
         return {
             name: router
             for name, router in self._routers.items()
-            if router.is_close and now - router.heard_at <= ROUTER_SILENT_S
+            if router.is_assigned and now - router.heard_at <= ROUTER_SILENT_S
         }
 
     def _list_peers(self, now: float) -> list[_Peer]:
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -212,7 +212,7 @@
             version=self.version,
             loads=news.loads,
             placed=news.placed,
-            is_close=True,
+            is_assigned=True,
             placed_change=replica.placed_change,
             document_address=self._reads_at,
             crash_reports=news.crash_reports,
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -204,14 +204,14 @@
     def test_routers_that_hand_out_a_version(self) -> None:
         """Only who is close, was heard lately and has the version is named."""
         publisher = Fixture().publisher
-        for name, version, is_close in (("a", 5, True), ("b", 4, True), ("c", 5, False)):
+        for name, version, is_assigned in (("a", 5, True), ("b", 4, True), ("c", 5, False)):
             publisher.take_follow(
                 Follow(
                     router=name,
                     run="",
                     change=0,
                     version=version,
-                    is_close=is_close,
+                    is_assigned=is_assigned,
                     document_address=f"{name}:80",
                 ),
                 now=0.0,
--- a/tests/components/distribution/test_endpoint_feed.py
+++ b/tests/components/distribution/test_endpoint_feed.py
@@ -147,7 +147,7 @@
         fixture.subscriber.take_endpoints(update, now=0.1)
         now = 1.0
         close = fixture.follow(now)
-        self.assertTrue(close.is_close and close.is_partial)
+        self.assertTrue(close.is_assigned and close.is_partial)
         update = self.take_update(fixture, close, now)
         self.assertFalse(update.is_partial)
         fixture.subscriber.take_endpoints(update, now=now)
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -148,7 +148,9 @@
         """
         fixture = Fixture()
         for number in range(87):
-            ask = Follow(router=f"r{number}", run="", change=0, version=0, is_close=number % 5 == 0)
+            ask = Follow(
+                router=f"r{number}", run="", change=0, version=0, is_assigned=number % 5 == 0
+            )
             fixture.publisher.take_follow(ask, now=0.0)
         fixture.table.merge(make_record(1, endpoint_id="new"), now=0.1)
         pushed = {one.target for one in fixture.publisher.publish(now=0.1)}
@@ -204,8 +206,10 @@
         for replica in range(5):
             fixture = Fixture()
             for number in range(200):
-                is_close = number % 5 == replica
-                ask = Follow(router=f"r{number}", run="", change=0, version=0, is_close=is_close)
+                is_assigned = number % 5 == replica
+                ask = Follow(
+                    router=f"r{number}", run="", change=0, version=0, is_assigned=is_assigned
+                )
                 fixture.publisher.take_follow(ask, now=0.0)
             fixture.publisher.evacuations = Evacuations(zones=zones)
             for sent in fixture.publisher.publish(now=0.1):
--- a/tests/components/distribution/test_placements.py
+++ b/tests/components/distribution/test_placements.py
@@ -128,7 +128,7 @@
                     change=0,
                     version=0,
                     placed=placed,
-                    is_close=True,
+                    is_assigned=True,
                     placed_change=changes[number],
                 )
                 (answer,) = publisher.take_follow(follow, now=now)
--- a/tests/components/distribution/test_watching.py
+++ b/tests/components/distribution/test_watching.py
@@ -82,7 +82,7 @@
         for step in range(1, 12):
             for effect in fixture.subscriber.wake(now=step * 0.3):
                 follow = effect.message if isinstance(effect, SendMessage) else None
-                if isinstance(follow, Follow) and follow.is_close:
+                if isinstance(follow, Follow) and follow.is_assigned:
                     targets.append(effect.target)
         self.assertEqual(targets[:3], ["p1"] * 3)
         self.assertIn("p2", targets[3:])
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -158,7 +158,7 @@
         version=version,
         loads=loads,
         placed=placed,
-        is_close=True,
+        is_assigned=True,
         placed_change=placed_change,
         is_stopping=is_stopping,
     )
