--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -157,7 +157,7 @@
         self._quarantine_revision = 0
 
     @property
-    def close_replica(self) -> str:
+    def assigned_replica(self) -> str:
         """Return the replica that is told of this router's load, empty before the first."""
         return self._close
 
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -107,7 +107,7 @@
         self.transport = make_transport(settings, events=events, take=self._take_message)
         self._permits = PermitDesk(
             view=self.view,
-            find_replica=lambda: self.subscriber.close_replica,
+            find_replica=lambda: self.subscriber.assigned_replica,
             send=self.transport.send,
             events=events,
         )
@@ -240,12 +240,12 @@
         send_all(self.transport.send, effects)
 
     def _take_silent(self, _source: str, update: SilentUpdate) -> None:
-        if update.replica == self.subscriber.close_replica:
+        if update.replica == self.subscriber.assigned_replica:
             self.view.take_silent_endpoints(update.endpoint_ids)
         send_all(self.transport.send, self.subscriber.take_silent(update))
 
     def _take_loads(self, _source: str, update: LoadUpdate) -> None:
-        if update.replica == self.subscriber.close_replica:
+        if update.replica == self.subscriber.assigned_replica:
             self.view.take_loads(update.payload)
         send_all(self.transport.send, self.subscriber.hand_on(update))
 
@@ -259,11 +259,11 @@
         send_all(self.transport.answer, self.subscriber.answer_fetch(source, fetch))
 
     def _follow(self, now: float) -> None:
-        before = self.subscriber.close_replica
+        before = self.subscriber.assigned_replica
         effects = self.subscriber.wake(now=now)
-        if self.subscriber.close_replica != before:
+        if self.subscriber.assigned_replica != before:
             self._events.write(
-                "replica_followed", replica=self.subscriber.close_replica, before=before
+                "replica_followed", replica=self.subscriber.assigned_replica, before=before
             )
         send_all(self.transport.send, effects)
         for effect in effects:
