--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -114,7 +114,7 @@
         )
         self._loads = LoadFeed(replica=self.replica, fanout=self._fanout)
 
-    def take_follow(
+    def handle_follow(
         self, follow: Follow, *, now: float, knows_leader: bool = True
     ) -> list[SendMessage]:
         """Answer a router with what it lacks; just after a start only once there is a leader.
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -200,7 +200,7 @@
 
     def _take_message(self, source: str, message: Message) -> None:
         if isinstance(message, Follow):
-            effects = self._publisher.take_follow(
+            effects = self._publisher.handle_follow(
                 message, now=time.monotonic(), knows_leader=self.host.knows_leader
             )
             send_all(self.transport.answer, effects)
--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -165,7 +165,7 @@
     def _take(self, target: str, message: Message) -> None:
         if target == REPLICA:
             assert isinstance(message, Follow)
-            self._send(self.link, list(self.publisher.take_follow(message, now=self.now)))
+            self._send(self.link, list(self.publisher.handle_follow(message, now=self.now)))
             return
         router = self.known[target]
         if router.is_down:
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -160,9 +160,9 @@
         fixture = Fixture()
         fixture.put(1, make_body(1600, quota=1))
         publisher = fixture.publisher
-        publisher.take_follow(make_close("r0", version=1), now=0.0)
+        publisher.handle_follow(make_close("r0", version=1), now=0.0)
         word = make_close("r0", version=version, is_stopping=is_stopping)
-        publisher.take_follow(word, now=5.0)
+        publisher.handle_follow(word, now=5.0)
         ask = FetchDocument(held_version=0)
         for number in range(1, 12):
             (paced,) = publisher.take_fetch(f"r{number}", ask, now=5.0)
@@ -205,7 +205,7 @@
         """Only who is close, was heard lately and has the version is named."""
         publisher = Fixture().publisher
         for name, version, is_assigned in (("a", 5, True), ("b", 4, True), ("c", 5, False)):
-            publisher.take_follow(
+            publisher.handle_follow(
                 Follow(
                     router=name,
                     run="",
@@ -219,7 +219,7 @@
         self.assertEqual(publisher.list_readers(5, now=0.5), ["a:80"])
         self.assertEqual(publisher.list_readers(5, now=60.0), [])
         stopping = make_close("a", version=5, is_stopping=True)
-        publisher.take_follow(msgspec.structs.replace(stopping, document_address="a:80"), now=1.0)
+        publisher.handle_follow(msgspec.structs.replace(stopping, document_address="a:80"), now=1.0)
         self.assertEqual(publisher.list_readers(5, now=1.0), [])
 
 
--- a/tests/components/distribution/test_endpoint_feed.py
+++ b/tests/components/distribution/test_endpoint_feed.py
@@ -122,7 +122,7 @@
         return fixture
 
     def take_update(self, fixture: Fixture, follow: Follow, now: float) -> EndpointUpdate:
-        fixture.publisher.take_follow(follow, now=now)
+        fixture.publisher.handle_follow(follow, now=now)
         updates = [one.message for one in fixture.publisher.send_round(now=now)]
         (update,) = updates
         assert isinstance(update, EndpointUpdate)
@@ -174,7 +174,7 @@
         fixture = Fixture()
         for record in make_fleet(64):
             fixture.table.merge(record, now=0.0)
-        (answer,) = fixture.publisher.take_follow(make_close("r1"), now=0.0)
+        (answer,) = fixture.publisher.handle_follow(make_close("r1"), now=0.0)
         assert isinstance(answer.message, View)
         self.assertEqual(len(answer.message.records), 64)
         self.assertFalse(answer.message.is_pending)
@@ -184,7 +184,7 @@
         fixture = self.make_fixture()
         for number in range(60):
             follow = make_close(f"r{number}", is_stopping=number < 30)
-            fixture.publisher.take_follow(follow, now=0.0)
+            fixture.publisher.handle_follow(follow, now=0.0)
         heads = []
         for step in range(8):
             for one in fixture.publisher.send_round(now=step * 0.125):
@@ -198,8 +198,8 @@
         fixture = self.make_fixture()
         for number in range(200):
             follow = Follow(router=f"o{number}", run="", change=0, version=0)
-            fixture.publisher.take_follow(follow, now=0.0)
-        fixture.publisher.take_follow(make_close("r1"), now=0.0)
+            fixture.publisher.handle_follow(follow, now=0.0)
+        fixture.publisher.handle_follow(make_close("r1"), now=0.0)
         first, *_ = (one.message for one in fixture.publisher.send_round(now=0.0))
         assert isinstance(first, EndpointUpdate)
         self.assertFalse(first.is_partial)
@@ -209,7 +209,7 @@
         fixture = self.make_fixture()
         sent = 0
         for number in range(60):
-            fixture.publisher.take_follow(make_close(f"r{number}"), now=0.0)
+            fixture.publisher.handle_follow(make_close(f"r{number}"), now=0.0)
         for step in range(8):
             for one in fixture.publisher.send_round(now=step * 0.125):
                 assert isinstance(one.message, EndpointUpdate)
--- a/tests/components/distribution/test_load_feed.py
+++ b/tests/components/distribution/test_load_feed.py
@@ -41,7 +41,7 @@
             publisher.take_exchange("p2", exchange, now=now)
             messages: list[SendMessage] = []
             for number in range(step % 2, ROUTERS, 2):
-                messages += publisher.take_follow(make_close(f"r{number}"), now=now)
+                messages += publisher.handle_follow(make_close(f"r{number}"), now=now)
             messages += publisher.send_round(now=now)
             for one in messages:
                 sent += len(encode_frame([pack(one.message)])) + FRAME_OVERHEAD_BYTES
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -95,7 +95,7 @@
         fixture = Fixture()
         for record in make_fleet(400):
             fixture.table.merge(record, now=0.0)
-        fixture.publisher.take_follow(make_close("r1"), now=0.0)
+        fixture.publisher.handle_follow(make_close("r1"), now=0.0)
         self.assertEqual(fixture.publisher.take_counts()["waiting"], 1)
         fixture.publisher.send_round(now=0.0)
         counts = fixture.publisher.take_counts()
@@ -110,7 +110,7 @@
         fixture.news = RouterReport(loads=(), placed=(), is_stopping=True)
         other = Exchange(routers=3, loads=(), placed=(), stopping=2)
         fixture.publisher.take_exchange("p2", other, now=1.0)
-        (answer,) = fixture.publisher.take_follow(fixture.follow(1.0), now=1.0)
+        (answer,) = fixture.publisher.handle_follow(fixture.follow(1.0), now=1.0)
         assert isinstance(answer.message, View)
         self.assertEqual((answer.message.routers, answer.message.stopping), (4, 3))
         self.assertEqual(fixture.publisher.make_exchange(now=1.0).stopping, 1)
@@ -151,11 +151,11 @@
             ask = Follow(
                 router=f"r{number}", run="", change=0, version=0, is_assigned=number % 5 == 0
             )
-            fixture.publisher.take_follow(ask, now=0.0)
+            fixture.publisher.handle_follow(ask, now=0.0)
         fixture.table.merge(make_record(1, endpoint_id="new"), now=0.1)
         pushed = {one.target for one in fixture.publisher.publish(now=0.1)}
         self.assertEqual(pushed, {f"r{number}" for number in range(0, 87, 5)})
-        (answer,) = fixture.publisher.take_follow(
+        (answer,) = fixture.publisher.handle_follow(
             Follow(router="r1", run="run1", change=0, version=0), now=1.0
         )
         assert isinstance(answer.message, View)
@@ -177,7 +177,7 @@
             (10.9, False, 0),
             (11.1, False, 1),
         ):
-            given = publisher.take_follow(follow, now=now, knows_leader=knows_leader)
+            given = publisher.handle_follow(follow, now=now, knows_leader=knows_leader)
             self.assertEqual(len(given), answers, now)
 
 
@@ -190,7 +190,7 @@
         fixture.publisher.evacuations = Evacuations(zones=zones)
         for sent in (
             *fixture.publisher.publish(now=0.1),
-            *fixture.publisher.take_follow(fixture.follow(0.4), now=0.4),
+            *fixture.publisher.handle_follow(fixture.follow(0.4), now=0.4),
         ):
             assert isinstance(sent.message, View)
             self.assertEqual(sent.message.evacuations.list_evacuated(), ("z1",))
@@ -210,7 +210,7 @@
                 ask = Follow(
                     router=f"r{number}", run="", change=0, version=0, is_assigned=is_assigned
                 )
-                fixture.publisher.take_follow(ask, now=0.0)
+                fixture.publisher.handle_follow(ask, now=0.0)
             fixture.publisher.evacuations = Evacuations(zones=zones)
             for sent in fixture.publisher.publish(now=0.1):
                 assert isinstance(sent.message, View)
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -76,13 +76,13 @@
         for step in range(1, int(end / 0.1) + 1):
             for effect in self.subscriber.wake(now=step * 0.1):
                 if isinstance(effect, SendMessage) and isinstance(effect.message, Follow):
-                    (answer,) = self.publisher.take_follow(effect.message, now=step * 0.1)
+                    (answer,) = self.publisher.handle_follow(effect.message, now=step * 0.1)
                     assert isinstance(answer.message, View)
                     self.subscriber.take_view(effect.target, answer.message, now=step * 0.1)
 
     def exchange(self, now: float) -> list[SendMessage]:
         """Carry one question and its answer; return what the router sends on."""
-        (answer,) = self.publisher.take_follow(self.follow(now), now=now)
+        (answer,) = self.publisher.handle_follow(self.follow(now), now=now)
         assert isinstance(answer.message, View)
         effects = self.subscriber.take_view("p1", answer.message, now=now)
         return [one for one in effects if isinstance(one, SendMessage)]
