--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -156,7 +156,7 @@
         self._news += follow.placed
         return [self._make_close_view(follow.router, router, now)]
 
-    def take_exchange(self, source: str, exchange: Exchange, *, now: float) -> None:
+    def handle_exchange(self, source: str, exchange: Exchange, *, now: float) -> None:
         """Take what another replica has heard from the routers close to it."""
         self._peers[source] = _Peer(heard_at=now, exchange=exchange)
         self.evidence.note(exchange.crash_reports, now=now)
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -211,7 +211,7 @@
         elif isinstance(message, AskPermit):
             self._answer_permit(source, message)
         elif isinstance(message, Exchange):
-            self._publisher.take_exchange(source, message, now=time.monotonic())
+            self._publisher.handle_exchange(source, message, now=time.monotonic())
             if message.crash_reports:
                 self._order_due_quarantines()
         elif self.host.takes(message):
--- a/tests/components/distribution/test_load_feed.py
+++ b/tests/components/distribution/test_load_feed.py
@@ -38,7 +38,7 @@
         for step in range(80):
             now = step * 0.125
             exchange = Exchange(routers=236, loads=make_loads(loads), placed=())
-            publisher.take_exchange("p2", exchange, now=now)
+            publisher.handle_exchange("p2", exchange, now=now)
             messages: list[SendMessage] = []
             for number in range(step % 2, ROUTERS, 2):
                 messages += publisher.handle_follow(make_close(f"r{number}"), now=now)
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -109,7 +109,7 @@
         fixture.exchange(0.0)
         fixture.news = RouterReport(loads=(), placed=(), is_stopping=True)
         other = Exchange(routers=3, loads=(), placed=(), stopping=2)
-        fixture.publisher.take_exchange("p2", other, now=1.0)
+        fixture.publisher.handle_exchange("p2", other, now=1.0)
         (answer,) = fixture.publisher.handle_follow(fixture.follow(1.0), now=1.0)
         assert isinstance(answer.message, View)
         self.assertEqual((answer.message.routers, answer.message.stopping), (4, 3))
--- a/tests/components/distribution/test_placements.py
+++ b/tests/components/distribution/test_placements.py
@@ -172,7 +172,7 @@
         for router, running in (("r1", 3), ("r2", 4), ("r3", 5)):
             fixture.publisher.handle_follow(make_close(router, running), now=0.0)
         other.publisher.handle_follow(make_close("r4", 6), now=0.0)
-        fixture.publisher.take_exchange("p2", other.publisher.make_exchange(now=0.1), now=0.1)
+        fixture.publisher.handle_exchange("p2", other.publisher.make_exchange(now=0.1), now=0.1)
         (answer,) = fixture.publisher.handle_follow(make_close("r2", 4), now=0.2)
         view = answer.message
         assert isinstance(view, View)
@@ -186,7 +186,7 @@
         fixture, other = Fixture("run1"), Fixture("run2")
         placed = (PlacedPart(part="d:10000", endpoint_id="e1", age_s=0.0),)
         fixture.publisher.handle_follow(make_close("r1", placed=placed), now=0.0)
-        other.publisher.take_exchange("p1", fixture.publisher.make_exchange(now=0.1), now=0.1)
+        other.publisher.handle_exchange("p1", fixture.publisher.make_exchange(now=0.1), now=0.1)
         (answer,) = other.publisher.handle_follow(make_close("r4"), now=0.2)
         assert isinstance(answer.message, View)
         self.assertEqual([one.part for one in answer.message.placed], ["d:10000"])
