--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -114,7 +114,7 @@
     _next_round_at: float = float("-inf")
     _counts: FeedCounts = field(default_factory=FeedCounts)
 
-    def take_counts(self) -> FeedCounts:
+    def pop_counts(self) -> FeedCounts:
         """Return what was sent since the last call."""
         counts, self._counts = self._counts, FeedCounts()
         return counts
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -176,12 +176,12 @@
             stopping=_count_stopping(close),
         )
 
-    def take_counts(self) -> dict[str, int]:
+    def pop_counts(self) -> dict[str, int]:
         """Return what routers were sent since the last call, and how many wait."""
         placed, self._placed_sent = self._placed_sent, 0
         records, self._records_inline = self._records_inline, 0
         return {
-            **asdict(self._endpoints.take_counts()),
+            **asdict(self._endpoints.pop_counts()),
             "waiting": self._endpoints.count_waiting(),
             "inline_records": records,
             "placed": placed,
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -267,7 +267,7 @@
             if number % TRAFFIC_EVERY == 0:
                 traffic.write()
                 self.host.write_contacts()
-                self._events.write("distribution_sent", **self._publisher.take_counts())
+                self._events.write("distribution_sent", **self._publisher.pop_counts())
             now = time.monotonic()
             for record in self._table.forget_old(now):
                 self._events.write("endpoint_forgotten", **record.describe())
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -96,12 +96,12 @@
         for record in make_fleet(400):
             fixture.table.merge(record, now=0.0)
         fixture.publisher.handle_follow(make_close("r1"), now=0.0)
-        self.assertEqual(fixture.publisher.take_counts()["waiting"], 1)
+        self.assertEqual(fixture.publisher.pop_counts()["waiting"], 1)
         fixture.publisher.send_round(now=0.0)
-        counts = fixture.publisher.take_counts()
+        counts = fixture.publisher.pop_counts()
         self.assertEqual((counts["tables"], counts["waiting"], counts["resent"]), (1, 0, 0))
         self.assertGreater(counts["table_bytes"], 1000)
-        self.assertEqual(fixture.publisher.take_counts()["tables"], 0)
+        self.assertEqual(fixture.publisher.pop_counts()["tables"], 0)
 
     def test_routers_are_told_how_many_of_them_stop(self) -> None:
         """Guards against callers sent from one stopping router to another that stops too."""
