--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -54,7 +54,7 @@
         """Drop a router that has gone."""
         self._due.pop(router, None)
 
-    def take_fetch(
+    def handle_fetch(
         self, source: str, fetch: FetchDocument, *, now: float
     ) -> tuple[PacedDocument, ...]:
         """Send the newest document to a router that lacks it, when it is its turn."""
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -187,11 +187,11 @@
             "placed": placed,
         }
 
-    def take_fetch(
+    def handle_fetch(
         self, source: str, fetch: FetchDocument, *, now: float
     ) -> tuple[PacedDocument, ...]:
         """Send the newest document to a router that lacks it, when it is its turn."""
-        return self._documents.take_fetch(source, fetch, now=now)
+        return self._documents.handle_fetch(source, fetch, now=now)
 
     def find_share(self, *, now: float) -> float:
         """Return what part of the fleet's routers is close to this replica."""
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -226,7 +226,7 @@
         self.transport.answer(source, PermitAnswer(number=asked.number, wait_s=wait_s))
 
     def _send_documents(self, source: str, fetch: FetchDocument) -> None:
-        for one in self._publisher.take_fetch(source, fetch, now=time.monotonic()):
+        for one in self._publisher.handle_fetch(source, fetch, now=time.monotonic()):
             gevent.spawn_later(one.delay_s, self.transport.answer, one.target, one.message)
 
     def run(self) -> int:
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -35,10 +35,10 @@
         self.assertEqual(fixture.subscriber.take_view("p2", view, now=0.1), [])
         again = fixture.subscriber.take_view("p2", view, now=FETCH_RETRY_S + 0.01)
         self.assertEqual(len(again), 1)
-        (sent,) = fixture.publisher.take_fetch("r1", FetchDocument(held_version=0), now=0.0)
+        (sent,) = fixture.publisher.handle_fetch("r1", FetchDocument(held_version=0), now=0.0)
         self.assertEqual(sent.message, DocumentSent(version=2, payload=zlib.compress(b"{}")))
         newest = FetchDocument(held_version=2)
-        self.assertEqual(fixture.publisher.take_fetch("r1", newest, now=0.0), ())
+        self.assertEqual(fixture.publisher.handle_fetch("r1", newest, now=0.0), ())
 
     def test_change_of_one_object_travels_as_a_patch(self) -> None:
         """Operators change a quota each second; the document has 600 routes.
@@ -61,7 +61,7 @@
     def fetch(self, fixture: Fixture, now: float) -> DocumentSent:
         (ask,) = fixture.exchange(now)
         assert isinstance(ask.message, FetchDocument)
-        (answer,) = fixture.publisher.take_fetch("r1", ask.message, now=now)
+        (answer,) = fixture.publisher.handle_fetch("r1", ask.message, now=now)
         assert isinstance(answer.message, DocumentSent)
         fixture.subscriber.take_document(answer.message)
         return answer.message
@@ -105,14 +105,14 @@
         sent = []
         for now in (0.0, 0.2, 0.4):
             for number in range(17):
-                sent += fixture.publisher.take_fetch(f"r{number}", ask, now=now)
+                sent += fixture.publisher.handle_fetch(f"r{number}", ask, now=now)
         self.assertEqual(len(sent), 17)
         for start in sent:
             together = [one for one in sent if 0 <= one.delay_s - start.delay_s < 0.3]
             size = sum(count_bytes(one) for one in together)
             self.assertLess(size, 0.3 * 375_000)
         self.assertLess(sent[-1].delay_s, 1.5)
-        again = fixture.publisher.take_fetch("r0", ask, now=3.0)
+        again = fixture.publisher.handle_fetch("r0", ask, now=3.0)
         self.assertEqual(len(again), 1)
 
     def test_routers_hand_a_large_document_on(self) -> None:
@@ -130,7 +130,7 @@
         has_at: dict[str, float] = {}
         handed_out: Counter[str] = Counter()
         for number in range(39):
-            (paced,) = publisher.take_fetch(f"r{number}", ask, now=0.0)
+            (paced,) = publisher.handle_fetch(f"r{number}", ask, now=0.0)
             if isinstance(paced.message, DocumentSent):
                 has_at[paced.target] = paced.delay_s + 24_000 / 300_000
                 continue
@@ -149,10 +149,10 @@
         ask = FetchDocument(held_version=0)
         referred = ""
         for number in range(8):
-            (paced,) = publisher.take_fetch(f"r{number}", ask, now=0.0)
+            (paced,) = publisher.handle_fetch(f"r{number}", ask, now=0.0)
             if isinstance(paced.message, FetchElsewhere):
                 referred = paced.target
-        (again,) = publisher.take_fetch(referred, ask, now=1.2)
+        (again,) = publisher.handle_fetch(referred, ask, now=1.2)
         self.assertIsInstance(again.message, DocumentSent)
 
     def refer(self, *, is_stopping: bool, version: int) -> str:
@@ -165,7 +165,7 @@
         publisher.handle_follow(word, now=5.0)
         ask = FetchDocument(held_version=0)
         for number in range(1, 12):
-            (paced,) = publisher.take_fetch(f"r{number}", ask, now=5.0)
+            (paced,) = publisher.handle_fetch(f"r{number}", ask, now=5.0)
             if isinstance(paced.message, FetchElsewhere):
                 return paced.message.holder
         return ""
