--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -312,7 +312,7 @@
         replica.note_changes(update.base, update.change, is_partial=update.is_partial)
         return self.hand_on(update)
 
-    def take_silent(self, update: SilentUpdate) -> list[Effect]:
+    def handle_silent(self, update: SilentUpdate) -> list[Effect]:
         """Note which list of silent endpoints is held from a replica and hand it on."""
         replica = self._replicas.get(update.replica)
         if replica is not None and replica.run == update.run:
--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -173,7 +173,7 @@
         if isinstance(message, View):
             effects = router.subscriber.take_view(REPLICA, message, now=self.now)
         elif isinstance(message, SilentUpdate):
-            effects = router.subscriber.take_silent(message)
+            effects = router.subscriber.handle_silent(message)
         else:
             assert isinstance(message, EndpointUpdate)
             effects = router.subscriber.take_endpoints(message, now=self.now)
