--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -354,7 +354,7 @@
         self._last = sent
         self._take_document(sent.version, read.ok)
 
-    def take_referral(self, referral: FetchElsewhere) -> list[Effect]:
+    def handle_redirect(self, referral: FetchElsewhere) -> list[Effect]:
         """Ask another router for a document that a replica has no time to send."""
         if referral.version <= self.version:
             return []
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -253,7 +253,7 @@
         self._events.write(
             "configuration_asked_elsewhere", version=referral.version, holder=referral.holder
         )
-        send_all(self.transport.send, self.subscriber.take_referral(referral))
+        send_all(self.transport.send, self.subscriber.handle_redirect(referral))
 
     def _answer_fetch(self, source: str, fetch: FetchDocument) -> None:
         send_all(self.transport.answer, self.subscriber.answer_fetch(source, fetch))
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -194,11 +194,11 @@
         self.assertEqual(effect.message.base_version, 0)
         self.assertEqual(zlib.decompress(effect.message.payload), new)
         referral = FetchElsewhere(version=2, holder="r2")
-        self.assertEqual(fixture.subscriber.take_referral(referral), [])
+        self.assertEqual(fixture.subscriber.handle_redirect(referral), [])
         newer = FetchElsewhere(version=3, holder="r2")
         ask = FetchDocument(held_version=2)
         self.assertEqual(
-            fixture.subscriber.take_referral(newer), [SendMessage(target="r2", message=ask)]
+            fixture.subscriber.handle_redirect(newer), [SendMessage(target="r2", message=ask)]
         )
 
     def test_routers_that_hand_out_a_version(self) -> None:
