--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -360,7 +360,7 @@
             return []
         return [SendMessage(target=referral.holder, message=self._make_fetch())]
 
-    def answer_fetch(self, source: str, fetch: FetchDocument) -> list[Effect]:
+    def handle_fetch_from_router(self, source: str, fetch: FetchDocument) -> list[Effect]:
         """Hand the document on to another router that holds an older one."""
         if self._last is None or fetch.held_version >= self.version:
             return []
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -256,7 +256,7 @@
         send_all(self.transport.send, self.subscriber.handle_redirect(referral))
 
     def _answer_fetch(self, source: str, fetch: FetchDocument) -> None:
-        send_all(self.transport.answer, self.subscriber.answer_fetch(source, fetch))
+        send_all(self.transport.answer, self.subscriber.handle_fetch_from_router(source, fetch))
 
     def _follow(self, now: float) -> None:
         before = self.subscriber.assigned_replica
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -184,7 +184,7 @@
         self.fetch(fixture, 0.0)
         fixture.put(2, new)
         sent = self.fetch(fixture, FOLLOW_INTERVAL_S)
-        asked = fixture.subscriber.answer_fetch
+        asked = fixture.subscriber.handle_fetch_from_router
         self.assertEqual(
             asked("r2", FetchDocument(held_version=1)), [SendMessage(target="r2", message=sent)]
         )
