--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -310,16 +310,16 @@
         replica = self._name(update.replica, now)
         replica.note_run(update.run)
         replica.note_changes(update.base, update.change, is_partial=update.is_partial)
-        return self.hand_on(update)
+        return self.forward_update(update)
 
     def handle_silent(self, update: SilentUpdate) -> list[Effect]:
         """Note which list of silent endpoints is held from a replica and hand it on."""
         replica = self._replicas.get(update.replica)
         if replica is not None and replica.run == update.run:
             replica.silent_revision = update.revision
-        return self.hand_on(update)
+        return self.forward_update(update)
 
-    def hand_on(self, update: EndpointUpdate | SilentUpdate | LoadUpdate) -> list[Effect]:
+    def forward_update(self, update: EndpointUpdate | SilentUpdate | LoadUpdate) -> list[Effect]:
         """Send an update on to the routers that it names."""
         passed_on = msgspec.structs.replace(update, forward_to=())
         return [SendMessage(target=one, message=passed_on) for one in update.forward_to]
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -247,7 +247,7 @@
     def _take_loads(self, _source: str, update: LoadUpdate) -> None:
         if update.replica == self.subscriber.assigned_replica:
             self.view.take_loads(update.payload)
-        send_all(self.transport.send, self.subscriber.hand_on(update))
+        send_all(self.transport.send, self.subscriber.forward_update(update))
 
     def _take_referral(self, _source: str, referral: FetchElsewhere) -> None:
         self._events.write(
