--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -43,7 +43,7 @@
     _due: dict[str, _DueDocument] = field(default_factory=dict)
     _relays: RelaySelector = field(default_factory=RelaySelector)
 
-    def note_version(self, router: str, version: int, *, is_stopping: bool, now: float) -> None:
+    def record_version(self, router: str, version: int, *, is_stopping: bool, now: float) -> None:
         """Note which version a router has, 0 if none, and whether it can hand it on."""
         if is_stopping or version < self.history.version:
             self._relays.drop_holder(router, now=now)
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -146,7 +146,7 @@
         self.evidence.note(follow.crash_reports, now=now)
         router.document_address = follow.document_address
         if follow.is_assigned:
-            self._documents.note_version(
+            self._documents.record_version(
                 follow.router, follow.version, is_stopping=follow.is_stopping, now=now
             )
             self._endpoints.get_progress(follow.router).is_stopping = follow.is_stopping
