--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -48,7 +48,7 @@
         if is_stopping or version < self.history.version:
             self._relays.drop_holder(router, now=now)
         else:
-            self._relays.note_holder(router, version, since=now)
+            self._relays.record_holder(router, version, since=now)
 
     def forget(self, router: str) -> None:
         """Drop a router that has gone."""
@@ -85,7 +85,7 @@
         size = len(update.payload)
         delay_s = self.pacer.reserve(size, now=now)
         since = now + delay_s + size / BULK_BYTES_PER_S
-        self._relays.note_holder(source, update.version, since=since)
+        self._relays.record_holder(source, update.version, since=since)
         sent = DocumentSent(
             version=update.version, payload=update.payload, base_version=update.base_version
         )
--- a/chivetrack/components/distribution/relays.py
+++ b/chivetrack/components/distribution/relays.py
@@ -36,7 +36,7 @@
         self._version = 0
         self._holders: dict[str, _Holder] = {}
 
-    def note_holder(self, router: str, version: int, *, since: float) -> None:
+    def record_holder(self, router: str, version: int, *, since: float) -> None:
         """Note that a router has a version, or will have it at ``since``."""
         if version > self._version:
             self._version = version
