--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -122,14 +122,14 @@
         seeds: Sequence[str],
         table: EndpointTable,
         take_document: Callable[[int, bytes], None],
-        note_unreadable: Callable[[int, str], None],
+        on_unreadable: Callable[[int, str], None],
         note_bad_update: Callable[[str, str], None],
         get_news: Callable[[], RouterReport],
     ) -> None:
         """Take the own addresses, those of the first replicas and the ways out.
 
         ``take_document`` gets the version and the document as the operator sent it,
-        ``note_unreadable`` the version and what was wrong with what a replica sent, and
+        ``on_unreadable`` the version and what was wrong with what a replica sent, and
         ``note_bad_update`` the replica and what was wrong with packed endpoints.
         """
         self._router = router
@@ -137,7 +137,7 @@
         self._seeds = tuple(seeds)
         self._table = table
         self._take_document = take_document
-        self._note_unreadable = note_unreadable
+        self._note_unreadable = on_unreadable
         self._note_bad_update = note_bad_update
         self._get_news = get_news
         self._replicas: dict[str, _Replica] = {}
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -99,7 +99,7 @@
             seeds=list_seed_peers(settings),
             table=self.view.directory.table,
             take_document=self.view.take_document,
-            note_unreadable=self._note_unreadable,
+            on_unreadable=self._note_unreadable,
             note_bad_update=self._note_bad_update,
             get_news=self.view.get_news,
         )
--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -96,7 +96,7 @@
             seeds=[REPLICA],
             table=table,
             take_document=lambda version, body: None,
-            note_unreadable=lambda version, detail: None,
+            on_unreadable=lambda version, detail: None,
             note_bad_update=lambda replica, detail: None,
             get_news=lambda: RouterReport(loads=(), placed=()),
         )
--- a/tests/components/distribution/test_watching.py
+++ b/tests/components/distribution/test_watching.py
@@ -27,7 +27,7 @@
                 seeds=["p1", "p2", "p3"],
                 table=EndpointTable(),
                 take_document=lambda version, body: None,
-                note_unreadable=lambda version, detail: None,
+                on_unreadable=lambda version, detail: None,
                 note_bad_update=lambda replica, detail: None,
                 get_news=lambda: RouterReport(loads=(), placed=()),
             )
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -44,7 +44,7 @@
             seeds=["p1"],
             table=self.own,
             take_document=self.take_document,
-            note_unreadable=lambda version, detail: self.unreadable.append(version),
+            on_unreadable=lambda version, detail: self.unreadable.append(version),
             note_bad_update=lambda replica, detail: None,
             get_news=lambda: self.news,
         )
@@ -106,7 +106,7 @@
             seeds=self.replicas[:3],
             table=EndpointTable(),
             take_document=lambda version, body: None,
-            note_unreadable=lambda version, detail: None,
+            on_unreadable=lambda version, detail: None,
             note_bad_update=lambda replica, detail: None,
             get_news=lambda: RouterReport(loads=(), placed=()),
         )
