--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -123,14 +123,14 @@
         table: EndpointTable,
         take_document: Callable[[int, bytes], None],
         on_unreadable: Callable[[int, str], None],
-        note_bad_update: Callable[[str, str], None],
+        on_bad_update: Callable[[str, str], None],
         get_news: Callable[[], RouterReport],
     ) -> None:
         """Take the own addresses, those of the first replicas and the ways out.
 
         ``take_document`` gets the version and the document as the operator sent it,
         ``on_unreadable`` the version and what was wrong with what a replica sent, and
-        ``note_bad_update`` the replica and what was wrong with packed endpoints.
+        ``on_bad_update`` the replica and what was wrong with packed endpoints.
         """
         self._router = router
         self._reads_at = document_address
@@ -138,7 +138,7 @@
         self._table = table
         self._take_document = take_document
         self._note_unreadable = on_unreadable
-        self._note_bad_update = note_bad_update
+        self._note_bad_update = on_bad_update
         self._get_news = get_news
         self._replicas: dict[str, _Replica] = {}
         self._next_follow = float("-inf")
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -100,7 +100,7 @@
             table=self.view.directory.table,
             take_document=self.view.take_document,
             on_unreadable=self._note_unreadable,
-            note_bad_update=self._note_bad_update,
+            on_bad_update=self._note_bad_update,
             get_news=self.view.get_news,
         )
         self._takers = dict(self._list_takers())
--- a/tests/components/distribution/test_watching.py
+++ b/tests/components/distribution/test_watching.py
@@ -28,7 +28,7 @@
                 table=EndpointTable(),
                 take_document=lambda version, body: None,
                 on_unreadable=lambda version, detail: None,
-                note_bad_update=lambda replica, detail: None,
+                on_bad_update=lambda replica, detail: None,
                 get_news=lambda: RouterReport(loads=(), placed=()),
             )
             first = {e.target for e in subscriber.wake(now=0.0) if isinstance(e, SendMessage)}
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -45,7 +45,7 @@
             table=self.own,
             take_document=self.take_document,
             on_unreadable=lambda version, detail: self.unreadable.append(version),
-            note_bad_update=lambda replica, detail: None,
+            on_bad_update=lambda replica, detail: None,
             get_news=lambda: self.news,
         )
 
@@ -107,7 +107,7 @@
             table=EndpointTable(),
             take_document=lambda version, body: None,
             on_unreadable=lambda version, detail: None,
-            note_bad_update=lambda replica, detail: None,
+            on_bad_update=lambda replica, detail: None,
             get_news=lambda: RouterReport(loads=(), placed=()),
         )
         self.run(0.0, 3.0)
