--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -137,7 +137,7 @@
         self._seeds = tuple(seeds)
         self._table = table
         self._take_document = take_document
-        self._note_unreadable = on_unreadable
+        self._on_unreadable = on_unreadable
         self._note_bad_update = on_bad_update
         self._get_news = get_news
         self._replicas: dict[str, _Replica] = {}
@@ -347,7 +347,7 @@
         if read.is_error():
             # Without the body the next question is for the whole document.
             self._body = b""
-            self._note_unreadable(sent.version, str(read.error))
+            self._on_unreadable(sent.version, str(read.error))
             return
         self.version = sent.version
         self._body = read.ok
