--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -138,7 +138,7 @@
         self._table = table
         self._take_document = take_document
         self._on_unreadable = on_unreadable
-        self._note_bad_update = on_bad_update
+        self._on_bad_update = on_bad_update
         self._get_news = get_news
         self._replicas: dict[str, _Replica] = {}
         self._next_follow = float("-inf")
@@ -303,7 +303,7 @@
         """Merge what a replica has packed and hand it on as it wishes."""
         read = unpack_records(update.payload)
         if read.is_error():
-            self._note_bad_update(update.replica, read.error)
+            self._on_bad_update(update.replica, read.error)
             return []
         for record in read.ok:
             self._table.merge(record, now=now)
