--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -47,7 +47,7 @@
 class _Replica:
     """What a replica has told so far."""
 
-    named_at: float
+    last_named_at: float
     heard_at: float = float("-inf")
     unanswered_since: float = float("inf")
     run: str = ""
@@ -263,7 +263,7 @@
         for seed in self._seeds:
             self._name(seed, now)
         for name, replica in list(self._replicas.items()):
-            if now - replica.named_at > REPLICA_EXPIRY_S:
+            if now - replica.last_named_at > REPLICA_EXPIRY_S:
                 del self._replicas[name]
 
     def _make_follow(self, replica: _Replica) -> Follow:
@@ -279,8 +279,8 @@
     def _name(self, name: str, now: float) -> _Replica:
         replica = self._replicas.get(name)
         if replica is None:
-            replica = self._replicas[name] = _Replica(named_at=now)
-        replica.named_at = now
+            replica = self._replicas[name] = _Replica(last_named_at=now)
+        replica.last_named_at = now
         return replica
 
     def take_view(self, source: str, view: View, *, now: float) -> list[Effect]:
