--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -42,10 +42,10 @@
             self._changed.clear()
         if self._heard and now - self._heartbeats_at >= HEARTBEAT_BROADCAST_INTERVAL_S:
             self._heartbeats_at = now
-            messages.append(self._take_heartbeats())
+            messages.append(self._pop_heartbeats())
         return messages
 
-    def _take_heartbeats(self) -> BroadcastHeartbeats:
+    def _pop_heartbeats(self) -> BroadcastHeartbeats:
         # Neighbours that are alike compress best.
         known = [record for one in sorted(self._heard) if (record := self.table.find(one))]
         self._heard.clear()
