--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -55,7 +55,7 @@
             checksums=tuple(self.table.find_checksum(one.endpoint_id) for one in known),
         )
 
-    def take_heartbeats(self, heard: BroadcastHeartbeats, *, now: float) -> RecordsRequest | None:
+    def handle_heartbeats(self, heard: BroadcastHeartbeats, *, now: float) -> RecordsRequest | None:
         """Take heartbeats that another replica got; return a question for records lacked here."""
         rows = zip(heard.endpoint_ids, heard.sequences, heard.checksums, strict=False)
         lacked = [
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -190,7 +190,7 @@
             return True
         if isinstance(message, BroadcastHeartbeats):
             self._send_if_any(
-                source, self._broadcaster.take_heartbeats(message, now=time.monotonic())
+                source, self._broadcaster.handle_heartbeats(message, now=time.monotonic())
             )
             return True
         if isinstance(message, RecordsRequest):
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -41,7 +41,7 @@
             for record in message.records:
                 self.table.merge(record, now=now)
             return
-        ask = self.spreading.take_heartbeats(message, now=now)
+        ask = self.spreading.handle_heartbeats(message, now=now)
         answer = None if ask is None else source.spreading.answer(ask)
         if answer is not None:
             self.take(answer, source, now)
