--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -30,7 +30,7 @@
         """Pass on a record with the next round."""
         self._changed[record.endpoint_id] = record
 
-    def note_heartbeat(self, endpoint_id: str) -> None:
+    def record_heartbeat(self, endpoint_id: str) -> None:
         """Pass on that an endpoint was heard and said nothing new."""
         self._heard[endpoint_id] = None
 
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -118,7 +118,7 @@
         if is_change:
             self._broadcaster.note_change(record)
         elif known is record:
-            self._broadcaster.note_heartbeat(record.endpoint_id)
+            self._broadcaster.record_heartbeat(record.endpoint_id)
         return Ok(None)
 
     def leave(self, endpoint_id: str, born: int | None) -> Result[None, Fault]:
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -32,7 +32,7 @@
         if self.table.merge(record, now=now):
             self.spreading.note_change(record)
         else:
-            self.spreading.note_heartbeat(record.endpoint_id)
+            self.spreading.record_heartbeat(record.endpoint_id)
 
     def take(
         self, message: BroadcastRecords | BroadcastHeartbeats, source: "Side", now: float
