--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -63,7 +63,7 @@
             self.is_partial = False
             self.silent_revision = 0
 
-    def note_changes(self, base: int, change: int, *, is_partial: bool = False) -> None:
+    def record_changes(self, base: int, change: int, *, is_partial: bool = False) -> None:
         """Note what came after change ``base``; after one that was lost it has to come again."""
         if base > self.change or base == change:
             return
@@ -294,7 +294,7 @@
             self._routers = view.routers
             replica.placed_change = view.placed_change
             replica.silent_revision = view.silent_revision
-        replica.note_changes(view.base, view.change)
+        replica.record_changes(view.base, view.change)
         for name in view.replicas:
             self._name(name, now)
         return self._fetch(source, view.version, now)
@@ -309,7 +309,7 @@
             self._table.merge(record, now=now)
         replica = self._name(update.replica, now)
         replica.note_run(update.run)
-        replica.note_changes(update.base, update.change, is_partial=update.is_partial)
+        replica.record_changes(update.base, update.change, is_partial=update.is_partial)
         return self.forward_update(update)
 
     def handle_silent(self, update: SilentUpdate) -> list[Effect]:
