--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -56,7 +56,7 @@
     placed_change: int = 0
     silent_revision: int = 0
 
-    def note_run(self, run: str) -> None:
+    def record_run(self, run: str) -> None:
         """Note which process of the replica speaks; each one numbers its changes anew."""
         if run != self.run:
             self.run, self.change, self.placed_change = run, 0, 0
@@ -289,7 +289,7 @@
         replica.note_heard(now)
         for record in view.records:
             self._table.merge(record, now=now)
-        replica.note_run(view.run)
+        replica.record_run(view.run)
         if view.has_loads:
             self._routers = view.routers
             replica.placed_change = view.placed_change
@@ -308,7 +308,7 @@
         for record in read.ok:
             self._table.merge(record, now=now)
         replica = self._name(update.replica, now)
-        replica.note_run(update.run)
+        replica.record_run(update.run)
         replica.record_changes(update.base, update.change, is_partial=update.is_partial)
         return self.forward_update(update)
 
