--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -78,7 +78,7 @@
         self.is_partial = self.is_partial or is_partial
         self.change = max(self.change, change)
 
-    def note_asked(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Note a question to it."""
         self.unanswered_since = min(self.unanswered_since, now)
 
@@ -203,7 +203,7 @@
             # The list held now is that of the replica before.
             replica.silent_revision = 0
         self._close = name
-        replica.note_asked(now)
+        replica.record_request(now)
         self._quarantine_revision = news.quarantine_revision
         follow = Follow(
             router=self._router,
@@ -231,7 +231,7 @@
         effects: list[Effect] = []
         for name in self._list_watched(now):
             replica = self._replicas[name]
-            replica.note_asked(now)
+            replica.record_request(now)
             effects.append(SendMessage(target=name, message=self._make_follow(replica)))
         return effects
 
