--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -82,7 +82,7 @@
         """Note a question to it."""
         self.unanswered_since = min(self.unanswered_since, now)
 
-    def note_heard(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Note its word."""
         self.heard_at = now
         self.unanswered_since = float("inf")
@@ -286,7 +286,7 @@
     def take_view(self, source: str, view: View, *, now: float) -> list[Effect]:
         """Merge what a replica tells; ask for its document if it is newer."""
         replica = self._name(source, now)
-        replica.note_heard(now)
+        replica.record_answer(now)
         for record in view.records:
             self._table.merge(record, now=now)
         replica.record_run(view.run)
