--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -35,7 +35,7 @@
     resend_at: float = float("-inf")
     was_lost: bool = False
     is_stopping: bool = False
-    heard_at: float = float("-inf")
+    last_seen_at: float = float("-inf")
 
     def note_sent(self, change: int, *, arrives_at: float) -> None:
         """Note that the changes up to ``change`` are under way."""
@@ -49,7 +49,7 @@
         Without any progress for some time, what is on its way counts as lost, also while
         newer changes keep going out.
         """
-        self.heard_at = now
+        self.last_seen_at = now
         if change > self.confirmed:
             self.was_lost = False
         if change >= self.sent:
@@ -203,7 +203,7 @@
             yield group, groups[group]
 
     def _is_alive(self, router: str, now: float) -> bool:
-        return now - self._progress[router].heard_at <= ROUTER_SILENT_S
+        return now - self._progress[router].last_seen_at <= ROUTER_SILENT_S
 
     def order(self, routers: Iterable[str], *, now: float) -> list[str]:
         """Return routers with those first that are surely alive and stay; the first hand on.
@@ -218,7 +218,7 @@
 
     def _may_be_gone_soon(self, router: str, now: float) -> bool:
         progress = self._progress[router]
-        return progress.is_stopping or now - progress.heard_at > RECENTLY_SEEN_S
+        return progress.is_stopping or now - progress.last_seen_at > RECENTLY_SEEN_S
 
     def _send_group(
         self, group: _Group, routers: Iterable[str], now: float
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -48,7 +48,7 @@
 class _Router:
     """What is known of a router that follows."""
 
-    heard_at: float
+    last_seen_at: float
     is_assigned: bool
     placed_change: int = 0
     placed_at: float = float("-inf")
@@ -69,7 +69,7 @@
 class _Peer:
     """The last word of another replica about the routers close to it."""
 
-    heard_at: float
+    last_seen_at: float
     exchange: Exchange
 
 
@@ -128,8 +128,8 @@
         is_known = follow.run == self.run
         router = self._routers.get(follow.router)
         if router is None:
-            router = self._routers[follow.router] = _Router(heard_at=now, is_assigned=False)
-        router.heard_at = now
+            router = self._routers[follow.router] = _Router(last_seen_at=now, is_assigned=False)
+        router.last_seen_at = now
         router.confirm(follow.placed_change if is_known else 0, now)
         self._endpoints.confirm(
             follow.router,
@@ -158,7 +158,7 @@
 
     def handle_exchange(self, source: str, exchange: Exchange, *, now: float) -> None:
         """Take what another replica has heard from the routers close to it."""
-        self._peers[source] = _Peer(heard_at=now, exchange=exchange)
+        self._peers[source] = _Peer(last_seen_at=now, exchange=exchange)
         self.evidence.note(exchange.crash_reports, now=now)
         self.placements.note(exchange.placed, now=now)
 
@@ -212,7 +212,9 @@
         question: pushed by each replica to each router, changes would fill the links.
         """
         gone = [
-            one for one, router in self._routers.items() if now - router.heard_at > ROUTER_EXPIRY_S
+            one
+            for one, router in self._routers.items()
+            if now - router.last_seen_at > ROUTER_EXPIRY_S
         ]
         for one in gone:
             del self._routers[one]
@@ -373,11 +375,11 @@
         return {
             name: router
             for name, router in self._routers.items()
-            if router.is_assigned and now - router.heard_at <= ROUTER_SILENT_S
+            if router.is_assigned and now - router.last_seen_at <= ROUTER_SILENT_S
         }
 
     def _list_peers(self, now: float) -> list[_Peer]:
-        return [one for one in self._peers.values() if now - one.heard_at <= ROUTER_SILENT_S]
+        return [one for one in self._peers.values() if now - one.last_seen_at <= ROUTER_SILENT_S]
 
 
 def _count_stopping(routers: Mapping[str, _Router]) -> int:
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -48,7 +48,7 @@
     """What a replica has told so far."""
 
     last_named_at: float
-    heard_at: float = float("-inf")
+    last_seen_at: float = float("-inf")
     unanswered_since: float = float("inf")
     run: str = ""
     change: int = 0
@@ -84,7 +84,7 @@
 
     def record_answer(self, now: float) -> None:
         """Note its word."""
-        self.heard_at = now
+        self.last_seen_at = now
         self.unanswered_since = float("inf")
 
     def is_silent(self, now: float) -> bool:
@@ -189,7 +189,7 @@
         """Return the first replica that answers; while none does, each in turn."""
         order = self._list_order()
         for name in order:
-            if now - self._replicas[name].heard_at <= ASSIGNED_REPLICA_TIMEOUT_S:
+            if now - self._replicas[name].last_seen_at <= ASSIGNED_REPLICA_TIMEOUT_S:
                 return name
         self._turn += 1
         return order[self._turn % len(order)]
