--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -37,7 +37,7 @@
     is_stopping: bool = False
     last_seen_at: float = float("-inf")
 
-    def note_sent(self, change: int, *, arrives_at: float) -> None:
+    def record_sent(self, change: int, *, arrives_at: float) -> None:
         """Note that the changes up to ``change`` are under way."""
         if self.sent <= self.confirmed:
             self.resend_at = arrives_at + RESEND_AFTER_S
@@ -229,7 +229,7 @@
         for leg in self._plan(routers, len(packed.payload), now):
             self._count(group, len(packed.payload), self._progress[leg.first].was_lost)
             for router in (leg.first, *leg.others):
-                self._progress[router].note_sent(packed.change, arrives_at=leg.arrives_at)
+                self._progress[router].record_sent(packed.change, arrives_at=leg.arrives_at)
                 del self._waiting[router]
             update = EndpointUpdate(
                 replica=self.replica,
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -273,7 +273,7 @@
             self._endpoints.enqueue(name, is_assigned=router.is_assigned)
         elif count:
             progress.is_partial = progress.is_partial and base > 0
-            progress.note_sent(self.table.change, arrives_at=now)
+            progress.record_sent(self.table.change, arrives_at=now)
         records = () if is_pending else tuple(self.table.list_changes(base))
         self._records_inline += len(records)
         view = View(
--- a/tests/components/distribution/test_endpoint_feed.py
+++ b/tests/components/distribution/test_endpoint_feed.py
@@ -105,7 +105,7 @@
         progress = EndpointProgress()
         for step in range(1, 20):
             now = 0.25 * step
-            progress.note_sent(step, arrives_at=now)
+            progress.record_sent(step, arrives_at=now)
             progress.confirm(0, now=now + 0.1)
             if progress.sent == 0:
                 self.assertLessEqual(now, 2 * RESEND_AFTER_S)
