--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -143,7 +143,7 @@
         self._replicas: dict[str, _Replica] = {}
         self._next_follow = float("-inf")
         self._next_close = float("-inf")
-        self._close = ""
+        self._assigned = ""
         self._turn = -1
         self._next_probe = float("-inf")
         self._probes = 0
@@ -159,7 +159,7 @@
     @property
     def assigned_replica(self) -> str:
         """Return the replica that is told of this router's load, empty before the first."""
-        return self._close
+        return self._assigned
 
     def wake(self, *, now: float) -> list[Effect]:
         """Ask the replicas when it is time to."""
@@ -199,10 +199,10 @@
         name = self._choose_close(now)
         news = self._get_news()
         replica = self._replicas[name]
-        if name != self._close:
+        if name != self._assigned:
             # The list held now is that of the replica before.
             replica.silent_revision = 0
-        self._close = name
+        self._assigned = name
         replica.record_request(now)
         self._quarantine_revision = news.quarantine_revision
         follow = Follow(
@@ -240,7 +240,7 @@
         order = self._list_order()
         if now - self._started_at < STARTUP_S:
             order = order[:STARTUP_REPLICAS]
-        others = [name for name in order if name != self._close]
+        others = [name for name in order if name != self._assigned]
         if self._routers <= LARGE_FLEET_ROUTERS:
             return others
         # With the close one, a majority of all that are known, the silent ones among them.
