--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -144,7 +144,7 @@
         self._next_follow = float("-inf")
         self._next_close = float("-inf")
         self._assigned = ""
-        self._turn = -1
+        self._next_fallback = -1
         self._next_probe = float("-inf")
         self._probes = 0
         self._routers = 1
@@ -191,8 +191,8 @@
         for name in order:
             if now - self._replicas[name].last_seen_at <= ASSIGNED_REPLICA_TIMEOUT_S:
                 return name
-        self._turn += 1
-        return order[self._turn % len(order)]
+        self._next_fallback += 1
+        return order[self._next_fallback % len(order)]
 
     def _follow_close(self, now: float) -> list[Effect]:
         self._refresh_names(now)
