--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -185,7 +185,7 @@
         names = sorted(self._replicas)
         return Random(self._router).sample(names, len(names))
 
-    def _choose_close(self, now: float) -> str:
+    def _choose_assigned(self, now: float) -> str:
         """Return the first replica that answers; while none does, each in turn."""
         order = self._list_order()
         for name in order:
@@ -196,7 +196,7 @@
 
     def _follow_close(self, now: float) -> list[Effect]:
         self._refresh_names(now)
-        name = self._choose_close(now)
+        name = self._choose_assigned(now)
         news = self._get_news()
         replica = self._replicas[name]
         if name != self._assigned:
