--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -167,7 +167,7 @@
         self._started_at = min(self._started_at, now)
         if now >= self._next_close:
             self._next_close = now + LOAD_REPORT_INTERVAL_S
-            effects += self._follow_close(now)
+            effects += self._report_to_assigned(now)
         if now >= self._next_follow:
             self._next_follow = now + self._find_interval()
             effects += self._follow_others(now)
@@ -194,7 +194,7 @@
         self._next_fallback += 1
         return order[self._next_fallback % len(order)]
 
-    def _follow_close(self, now: float) -> list[Effect]:
+    def _report_to_assigned(self, now: float) -> list[Effect]:
         self._refresh_names(now)
         name = self._choose_assigned(now)
         news = self._get_news()
@@ -225,7 +225,7 @@
 
     def report_now(self, *, now: float) -> list[Effect]:
         """Send this router's news to the close replica without waiting for the next interval."""
-        return self._follow_close(now)
+        return self._report_to_assigned(now)
 
     def _follow_others(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
