--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -170,7 +170,7 @@
             effects += self._report_to_assigned(now)
         if now >= self._next_follow:
             self._next_follow = now + self._find_interval()
-            effects += self._follow_others(now)
+            effects += self._poll_others(now)
         effects.append(WakeAt(at=min(self._next_follow, self._next_close)))
         return effects
 
@@ -227,7 +227,7 @@
         """Send this router's news to the close replica without waiting for the next interval."""
         return self._report_to_assigned(now)
 
-    def _follow_others(self, now: float) -> list[Effect]:
+    def _poll_others(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for name in self._list_watched(now):
             replica = self._replicas[name]
