--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -229,13 +229,13 @@
 
     def _poll_others(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        for name in self._list_watched(now):
+        for name in self._list_polled(now):
             replica = self._replicas[name]
             replica.record_request(now)
             effects.append(SendMessage(target=name, message=self._make_follow(replica)))
         return effects
 
-    def _list_watched(self, now: float) -> list[str]:
+    def _list_polled(self, now: float) -> list[str]:
         """Return the replicas to ask beside the close one."""
         order = self._list_order()
         if now - self._started_at < STARTUP_S:
