--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -195,7 +195,7 @@
         return order[self._next_fallback % len(order)]
 
     def _report_to_assigned(self, now: float) -> list[Effect]:
-        self._refresh_names(now)
+        self._refresh_replicas(now)
         name = self._choose_assigned(now)
         news = self._get_news()
         replica = self._replicas[name]
@@ -259,7 +259,7 @@
         self._probes += 1
         return [silent[self._probes % len(silent)]]
 
-    def _refresh_names(self, now: float) -> None:
+    def _refresh_replicas(self, now: float) -> None:
         for seed in self._seeds:
             self._name(seed, now)
         for name, replica in list(self._replicas.items()):
