--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -261,7 +261,7 @@
 
     def _refresh_replicas(self, now: float) -> None:
         for seed in self._seeds:
-            self._name(seed, now)
+            self._record_named(seed, now)
         for name, replica in list(self._replicas.items()):
             if now - replica.last_named_at > REPLICA_EXPIRY_S:
                 del self._replicas[name]
@@ -276,7 +276,7 @@
             is_partial=replica.is_partial,
         )
 
-    def _name(self, name: str, now: float) -> _Replica:
+    def _record_named(self, name: str, now: float) -> _Replica:
         replica = self._replicas.get(name)
         if replica is None:
             replica = self._replicas[name] = _Replica(last_named_at=now)
@@ -285,7 +285,7 @@
 
     def take_view(self, source: str, view: View, *, now: float) -> list[Effect]:
         """Merge what a replica tells; ask for its document if it is newer."""
-        replica = self._name(source, now)
+        replica = self._record_named(source, now)
         replica.record_answer(now)
         for record in view.records:
             self._table.merge(record, now=now)
@@ -296,7 +296,7 @@
             replica.silent_revision = view.silent_revision
         replica.record_changes(view.base, view.change)
         for name in view.replicas:
-            self._name(name, now)
+            self._record_named(name, now)
         return self._fetch(source, view.version, now)
 
     def take_endpoints(self, update: EndpointUpdate, *, now: float) -> list[Effect]:
@@ -307,7 +307,7 @@
             return []
         for record in read.ok:
             self._table.merge(record, now=now)
-        replica = self._name(update.replica, now)
+        replica = self._record_named(update.replica, now)
         replica.record_run(update.run)
         replica.record_changes(update.base, update.change, is_partial=update.is_partial)
         return self.forward_update(update)
