--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -142,7 +142,7 @@
         self._get_news = get_news
         self._replicas: dict[str, _Replica] = {}
         self._next_follow = float("-inf")
-        self._next_close = float("-inf")
+        self._next_report = float("-inf")
         self._assigned = ""
         self._next_fallback = -1
         self._next_probe = float("-inf")
@@ -165,13 +165,13 @@
         """Ask the replicas when it is time to."""
         effects: list[Effect] = []
         self._started_at = min(self._started_at, now)
-        if now >= self._next_close:
-            self._next_close = now + LOAD_REPORT_INTERVAL_S
+        if now >= self._next_report:
+            self._next_report = now + LOAD_REPORT_INTERVAL_S
             effects += self._report_to_assigned(now)
         if now >= self._next_follow:
             self._next_follow = now + self._find_interval()
             effects += self._poll_others(now)
-        effects.append(WakeAt(at=min(self._next_follow, self._next_close)))
+        effects.append(WakeAt(at=min(self._next_follow, self._next_report)))
         return effects
 
     def _find_interval(self) -> float:
