--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -146,7 +146,7 @@
         self._assigned = ""
         self._next_fallback = -1
         self._next_probe = float("-inf")
-        self._probes = 0
+        self._probe_count = 0
         self._routers = 1
         self._next_fetch = float("-inf")
         self._fetch_wait = FETCH_RETRY_S
@@ -256,8 +256,8 @@
         if not silent or now < self._next_probe:
             return []
         self._next_probe = now + PROBE_INTERVAL_S
-        self._probes += 1
-        return [silent[self._probes % len(silent)]]
+        self._probe_count += 1
+        return [silent[self._probe_count % len(silent)]]
 
     def _refresh_replicas(self, now: float) -> None:
         for seed in self._seeds:
