--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -147,7 +147,7 @@
         self._next_fallback = -1
         self._next_probe = float("-inf")
         self._probe_count = 0
-        self._routers = 1
+        self._router_count = 1
         self._next_fetch = float("-inf")
         self._fetch_wait = FETCH_RETRY_S
         self._body = b""
@@ -177,7 +177,7 @@
     def _find_interval(self) -> float:
         return min(
             MAX_FOLLOW_INTERVAL_S,
-            max(FOLLOW_INTERVAL_S, self._routers * FOLLOW_INTERVAL_PER_ROUTER_S),
+            max(FOLLOW_INTERVAL_S, self._router_count * FOLLOW_INTERVAL_PER_ROUTER_S),
         )
 
     def _list_order(self) -> list[str]:
@@ -241,7 +241,7 @@
         if now - self._started_at < STARTUP_S:
             order = order[:STARTUP_REPLICAS]
         others = [name for name in order if name != self._assigned]
-        if self._routers <= LARGE_FLEET_ROUTERS:
+        if self._router_count <= LARGE_FLEET_ROUTERS:
             return others
         # With the close one, a majority of all that are known, the silent ones among them.
         needed = len(self._replicas) // 2
@@ -291,7 +291,7 @@
             self._table.merge(record, now=now)
         replica.record_run(view.run)
         if view.has_loads:
-            self._routers = view.routers
+            self._router_count = view.routers
             replica.placed_change = view.placed_change
             replica.silent_revision = view.silent_revision
         replica.record_changes(view.base, view.change)
