--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -151,7 +151,7 @@
         self._next_fetch = float("-inf")
         self._fetch_wait = FETCH_RETRY_S
         self._body = b""
-        self._last: DocumentSent | None = None
+        self._last_received: DocumentSent | None = None
         self._started_at = float("inf")
         self.version = 0
         self._quarantine_revision = 0
@@ -351,7 +351,7 @@
             return
         self.version = sent.version
         self._body = read.ok
-        self._last = sent
+        self._last_received = sent
         self._take_document(sent.version, read.ok)
 
     def handle_redirect(self, referral: FetchElsewhere) -> list[Effect]:
@@ -362,12 +362,14 @@
 
     def handle_fetch_from_router(self, source: str, fetch: FetchDocument) -> list[Effect]:
         """Hand the document on to another router that holds an older one."""
-        if self._last is None or fetch.held_version >= self.version:
+        if self._last_received is None or fetch.held_version >= self.version:
             return []
-        if self._last.base_version not in (0, fetch.held_version):
+        if self._last_received.base_version not in (0, fetch.held_version):
             # The patch that came here does not fit there.
-            self._last = DocumentSent(version=self.version, payload=pack_document(self._body))
-        return [SendMessage(target=source, message=self._last)]
+            self._last_received = DocumentSent(
+                version=self.version, payload=pack_document(self._body)
+            )
+        return [SendMessage(target=source, message=self._last_received)]
 
     def find_body(self, min_version: int) -> bytes | None:
         """Return the document held, as the operator sent it, if it is new enough."""
