--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -149,7 +149,7 @@
         self._probe_count = 0
         self._router_count = 1
         self._next_fetch = float("-inf")
-        self._fetch_wait = FETCH_RETRY_S
+        self._fetch_backoff_s = FETCH_RETRY_S
         self._body = b""
         self._last_received: DocumentSent | None = None
         self._started_at = float("inf")
@@ -327,8 +327,8 @@
     def _fetch(self, source: str, version: int, now: float) -> list[Effect]:
         if version <= self.version or now < self._next_fetch:
             return []
-        self._next_fetch = now + self._fetch_wait
-        self._fetch_wait = min(MAX_FETCH_RETRY_S, 2 * self._fetch_wait)
+        self._next_fetch = now + self._fetch_backoff_s
+        self._fetch_backoff_s = min(MAX_FETCH_RETRY_S, 2 * self._fetch_backoff_s)
         return [SendMessage(target=source, message=self._make_fetch())]
 
     def _make_fetch(self) -> FetchDocument:
@@ -343,7 +343,7 @@
             return
         read = self._read(sent)
         self._next_fetch = float("-inf")
-        self._fetch_wait = FETCH_RETRY_S
+        self._fetch_backoff_s = FETCH_RETRY_S
         if read.is_error():
             # Without the body the next question is for the whole document.
             self._body = b""
