--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -94,7 +94,7 @@
     evidence: CrashEvidence = field(default_factory=CrashEvidence)
     _routers: dict[str, _Router] = field(default_factory=dict)
     _peers: dict[str, _Peer] = field(default_factory=dict)
-    _news: list[PlacedPart] = field(default_factory=list)
+    _new_placements: list[PlacedPart] = field(default_factory=list)
     _pacer: Pacer = field(default_factory=lambda: Pacer(bytes_per_s=BULK_BYTES_PER_S))
     _fleet_share: FleetShare = field(default_factory=FleetShare)
     _fanout: Fanout = field(init=False)
@@ -153,7 +153,7 @@
         if not follow.is_assigned:
             return [self._make_view(follow.router, router, now)]
         self.placements.note(follow.placed, now=now)
-        self._news += follow.placed
+        self._new_placements += follow.placed
         return [self._make_close_view(follow.router, router, now)]
 
     def handle_exchange(self, source: str, exchange: Exchange, *, now: float) -> None:
@@ -164,7 +164,7 @@
 
     def make_exchange(self, *, now: float) -> Exchange:
         """Return what the other replicas should know, and begin to gather anew."""
-        news, self._news = self._news, []
+        news, self._new_placements = self._new_placements, []
         close = self._list_close(now)
         others = sum(one.exchange.routers for one in self._list_peers(now))
         self._fleet_share.note(len(close) + others, now=now)
