--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -154,7 +154,7 @@
             return [self._make_view(follow.router, router, now)]
         self.placements.note(follow.placed, now=now)
         self._new_placements += follow.placed
-        return [self._make_close_view(follow.router, router, now)]
+        return [self._make_assigned_view(follow.router, router, now)]
 
     def handle_exchange(self, source: str, exchange: Exchange, *, now: float) -> None:
         """Take what another replica has heard from the routers close to it."""
@@ -317,7 +317,7 @@
             return None
         return self.quarantine
 
-    def _make_close_view(self, name: str, router: _Router, now: float) -> SendMessage:
+    def _make_assigned_view(self, name: str, router: _Router, now: float) -> SendMessage:
         close = self._list_close(now)
         peers = [one.exchange for one in self._list_peers(now)]
         sent = self._make_view(name, router, now)
