--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -165,7 +165,7 @@
     def make_exchange(self, *, now: float) -> Exchange:
         """Return what the other replicas should know, and begin to gather anew."""
         news, self._new_placements = self._new_placements, []
-        close = self._list_close(now)
+        close = self._list_assigned(now)
         others = sum(one.exchange.routers for one in self._list_peers(now))
         self._fleet_share.note(len(close) + others, now=now)
         return Exchange(
@@ -195,13 +195,13 @@
 
     def find_share(self, *, now: float) -> float:
         """Return what part of the fleet's routers is close to this replica."""
-        return self._fleet_share.find(len(self._list_close(now)), now=now)
+        return self._fleet_share.find(len(self._list_assigned(now)), now=now)
 
     def list_readers(self, version: int, *, now: float) -> list[str]:
         """Return where close routers hand out a document of this version or a newer one."""
         return [
             one.document_address
-            for one in self._list_close(now).values()
+            for one in self._list_assigned(now).values()
             if one.document_address and one.version >= version and not one.is_stopping
         ]
 
@@ -239,7 +239,7 @@
     def send_round(self, *, now: float) -> list[SendMessage]:
         """Return the packed endpoints and loads that are due; call this several times a second."""
         messages = self._endpoints.send_round(now=now)
-        close = self._list_close(now)
+        close = self._list_assigned(now)
         routers = self._endpoints.order(close, now=now)
         messages += self._loads.send_due(routers, lambda: self._sum_all_loads(close, now), now=now)
         return messages
@@ -318,7 +318,7 @@
         return self.quarantine
 
     def _make_assigned_view(self, name: str, router: _Router, now: float) -> SendMessage:
-        close = self._list_close(now)
+        close = self._list_assigned(now)
         peers = [one.exchange for one in self._list_peers(now)]
         sent = self._make_view(name, router, now)
         assert isinstance(sent.message, View)
@@ -371,7 +371,7 @@
         self._pacer.reserve(len(placed) * PLACEMENT_BYTES, now=now)
         return placed, change
 
-    def _list_close(self, now: float) -> dict[str, _Router]:
+    def _list_assigned(self, now: float) -> dict[str, _Router]:
         return {
             name: router
             for name, router in self._routers.items()
