--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -229,7 +229,7 @@
         orders = (self.history.version, self.evacuations.revision, self.quarantine.revision)
         has_orders = orders != self._published_orders
         self._published_orders = orders
-        is_light = self._is_light(targets, now)
+        is_light = self._fits_push(targets, now)
         if is_light or has_orders:
             return [self._make_view(one, router, now) for one, router in targets.items()]
         for one, router in targets.items():
@@ -250,7 +250,7 @@
         own = [router.loads for name, router in close.items() if name != without]
         return _sum_loads([*own, *(one.exchange.loads for one in self._list_peers(now))])
 
-    def _is_light(self, targets: Mapping[str, _Router], now: float) -> bool:
+    def _fits_push(self, targets: Mapping[str, _Router], now: float) -> bool:
         """Return whether the newest changes are few and the link has room for their push."""
         counts = [
             self.table.count_changes(
