--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -101,7 +101,7 @@
     _documents: DocumentFeed = field(init=False)
     _endpoints: EndpointFeed = field(init=False)
     _loads: LoadFeed = field(init=False)
-    _published_orders: tuple[int, int, int] = (0, 0, 0)
+    _published_revisions: tuple[int, int, int] = (0, 0, 0)
     _placed_sent: int = 0
     _records_inline: int = 0
 
@@ -227,8 +227,8 @@
             if router.is_assigned or not is_large
         }
         orders = (self.history.version, self.evacuations.revision, self.quarantine.revision)
-        has_orders = orders != self._published_orders
-        self._published_orders = orders
+        has_orders = orders != self._published_revisions
+        self._published_revisions = orders
         is_light = self._fits_push(targets, now)
         if is_light or has_orders:
             return [self._make_view(one, router, now) for one, router in targets.items()]
