--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -390,11 +390,11 @@
     sums: dict[str, EndpointLoad] = {}
     for load in itertools.chain.from_iterable(loads):
         known = sums.get(load.endpoint_id)
-        sums[load.endpoint_id] = load if known is None else _add(known, load)
+        sums[load.endpoint_id] = load if known is None else _add_loads(known, load)
     return tuple(sums.values())
 
 
-def _add(one: EndpointLoad, other: EndpointLoad) -> EndpointLoad:
+def _add_loads(one: EndpointLoad, other: EndpointLoad) -> EndpointLoad:
     return EndpointLoad(
         endpoint_id=one.endpoint_id,
         running=one.running + other.running,
