--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -51,7 +51,7 @@
     last_seen_at: float
     is_assigned: bool
     placed_change: int = 0
-    placed_at: float = float("-inf")
+    placements_sent_at: float = float("-inf")
     loads: tuple[EndpointLoad, ...] = ()
     version: int = 0
     document_address: str = ""
@@ -61,7 +61,7 @@
 
     def confirm(self, placed_change: int, now: float) -> None:
         """Take what the router says that it has; what is on its way may be more."""
-        if placed_change >= self.placed_change or now - self.placed_at > RESEND_AFTER_S:
+        if placed_change >= self.placed_change or now - self.placements_sent_at > RESEND_AFTER_S:
             self.placed_change = placed_change
 
 
@@ -328,7 +328,7 @@
             placed, router.placed_change = self._list_placed(router, len(close), now)
             silent, silent_revision = self._find_newer_silent(name, router, now)
         if placed:
-            router.placed_at = now
+            router.placements_sent_at = now
         is_shared = self._loads.is_shared
         loads = None if is_shared else self._sum_all_loads(close, now, without=name)
         view = msgspec.structs.replace(
