--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -197,7 +197,7 @@
         """Return what part of the fleet's routers is close to this replica."""
         return self._fleet_share.find(len(self._list_assigned(now)), now=now)
 
-    def list_readers(self, version: int, *, now: float) -> list[str]:
+    def list_document_addresses(self, version: int, *, now: float) -> list[str]:
         """Return where close routers hand out a document of this version or a newer one."""
         return [
             one.document_address
