--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -193,7 +193,7 @@
         """Send the newest document to a router that lacks it, when it is its turn."""
         return self._documents.handle_fetch(source, fetch, now=now)
 
-    def find_share(self, *, now: float) -> float:
+    def get_fleet_share(self, *, now: float) -> float:
         """Return what part of the fleet's routers is close to this replica."""
         return self._fleet_share.find(len(self._list_assigned(now)), now=now)
 
