--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Packed:
+class _PackedRecords:
     change: int
     payload: bytes
     made_at: float
@@ -110,7 +110,7 @@
     _progress: dict[str, EndpointProgress] = field(default_factory=dict)
     _waiting: dict[str, None] = field(default_factory=dict)
     _lacks_silent: dict[str, None] = field(default_factory=dict)
-    _packed: dict[_Group, _Packed] = field(default_factory=dict)
+    _packed: dict[_Group, _PackedRecords] = field(default_factory=dict)
     _next_round_at: float = float("-inf")
     _counts: FeedCounts = field(default_factory=FeedCounts)
 
@@ -278,7 +278,7 @@
             )
             yield SendMessage(target=leg.first, message=update)
 
-    def _pack(self, group: _Group, now: float) -> _Packed:
+    def _pack(self, group: _Group, now: float) -> _PackedRecords:
         known = self._packed.get(group)
         if known is not None and self._is_fresh(group, known, now):
             return known
@@ -286,11 +286,13 @@
         records = self.table.list_changes(group.base)
         if group.is_partial:
             records = [one for one in records if one.state in _DEPARTURES]
-        packed = _Packed(change=self.table.change, payload=pack_records(records), made_at=now)
+        packed = _PackedRecords(
+            change=self.table.change, payload=pack_records(records), made_at=now
+        )
         self._packed[group] = packed
         return packed
 
-    def _is_fresh(self, group: _Group, packed: _Packed, now: float) -> bool:
+    def _is_fresh(self, group: _Group, packed: _PackedRecords, now: float) -> bool:
         if packed.change == self.table.change:
             return True
         return group.is_whole_table and now - packed.made_at <= SNAPSHOT_MAX_AGE_S
