--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -33,7 +33,7 @@
     sent: int = 0
     is_partial: bool = False
     resend_at: float = float("-inf")
-    was_lost: bool = False
+    has_lost_update: bool = False
     is_stopping: bool = False
     last_seen_at: float = float("-inf")
 
@@ -51,7 +51,7 @@
         """
         self.last_seen_at = now
         if change > self.confirmed:
-            self.was_lost = False
+            self.has_lost_update = False
         if change >= self.sent:
             self.sent = self.confirmed = change
         elif change > self.confirmed:
@@ -59,7 +59,7 @@
             self.resend_at = max(self.resend_at, now + RESEND_AFTER_S)
         elif now > self.resend_at:
             self.sent = self.confirmed = change
-            self.was_lost = True
+            self.has_lost_update = True
 
 
 @dataclass(slots=True, kw_only=True)
@@ -227,7 +227,7 @@
             return
         packed = self._pack(group, now)
         for leg in self._plan(routers, len(packed.payload), now):
-            self._count(group, len(packed.payload), self._progress[leg.first].was_lost)
+            self._count(group, len(packed.payload), self._progress[leg.first].has_lost_update)
             for router in (leg.first, *leg.others):
                 self._progress[router].record_sent(packed.change, arrives_at=leg.arrives_at)
                 del self._waiting[router]
@@ -242,9 +242,9 @@
             )
             yield SendMessage(target=leg.first, message=update)
 
-    def _count(self, group: _Group, size: int, was_lost: bool) -> None:
+    def _count(self, group: _Group, size: int, has_lost_update: bool) -> None:
         counts = self._counts
-        counts.resent += was_lost
+        counts.resent += has_lost_update
         if group.is_whole_table:
             counts.tables += 1
             counts.table_bytes += size
@@ -255,8 +255,8 @@
     def _plan(self, routers: Iterable[str], size: int, now: float) -> Iterator[Delivery]:
         """Yield the ways to routers; one that has missed an update gets it from here."""
         ordered = self.order(routers, now=now)
-        lost = [one for one in ordered if self._progress[one].was_lost]
-        others = [one for one in ordered if not self._progress[one].was_lost]
+        lost = [one for one in ordered if self._progress[one].has_lost_update]
+        others = [one for one in ordered if not self._progress[one].has_lost_update]
         yield from self.fanout.plan(lost, size, now=now, is_direct=True)
         yield from self.fanout.plan(others, size, now=now)
 
