--- a/chivetrack/components/distribution/load_feed.py
+++ b/chivetrack/components/distribution/load_feed.py
@@ -25,7 +25,7 @@
 
     replica: str
     fanout: Fanout
-    is_shared: bool = False
+    is_broadcast: bool = False
     _next_at: float = float("-inf")
     _sent_at: dict[str, float] = field(default_factory=dict)
 
@@ -43,9 +43,9 @@
         if now < self._next_at:
             return
         loads = sum_loads()
-        self.is_shared = len(loads) * len(routers) > INLINE_LOADS
+        self.is_broadcast = len(loads) * len(routers) > INLINE_LOADS
         self._next_at = now + LOAD_REPORT_INTERVAL_S
-        if not self.is_shared:
+        if not self.is_broadcast:
             self._sent_at.clear()
             return
         payload = pack_loads(loads)
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -329,8 +329,8 @@
             silent, silent_revision = self._find_newer_silent(name, router, now)
         if placed:
             router.placements_sent_at = now
-        is_shared = self._loads.is_shared
-        loads = None if is_shared else self._sum_all_loads(close, now, without=name)
+        is_broadcast = self._loads.is_broadcast
+        loads = None if is_broadcast else self._sum_all_loads(close, now, without=name)
         view = msgspec.structs.replace(
             sent.message,
             silent=silent,
