--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -32,7 +32,7 @@
     confirmed: int = 0
     sent: int = 0
     is_partial: bool = False
-    resend_at: float = float("-inf")
+    lost_at: float = float("-inf")
     has_lost_update: bool = False
     is_stopping: bool = False
     last_seen_at: float = float("-inf")
@@ -40,7 +40,7 @@
     def record_sent(self, change: int, *, arrives_at: float) -> None:
         """Note that the changes up to ``change`` are under way."""
         if self.sent <= self.confirmed:
-            self.resend_at = arrives_at + RESEND_AFTER_S
+            self.lost_at = arrives_at + RESEND_AFTER_S
         self.sent = change
 
     def confirm(self, change: int, *, now: float) -> None:
@@ -56,8 +56,8 @@
             self.sent = self.confirmed = change
         elif change > self.confirmed:
             self.confirmed = change
-            self.resend_at = max(self.resend_at, now + RESEND_AFTER_S)
-        elif now > self.resend_at:
+            self.lost_at = max(self.lost_at, now + RESEND_AFTER_S)
+        elif now > self.lost_at:
             self.sent = self.confirmed = change
             self.has_lost_update = True
 
