--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -282,7 +282,7 @@
         known = self._packed.get(group)
         if known is not None and self._is_fresh(group, known, now):
             return known
-        self._drop_old(now)
+        self._prune_packed(now)
         records = self.table.list_changes(group.base)
         if group.is_partial:
             records = [one for one in records if one.state in _DEPARTURES]
@@ -297,7 +297,7 @@
             return True
         return group.is_whole_table and now - packed.made_at <= SNAPSHOT_MAX_AGE_S
 
-    def _drop_old(self, now: float) -> None:
+    def _prune_packed(self, now: float) -> None:
         self._packed = {
             group: packed
             for group, packed in self._packed.items()
