--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -214,9 +214,9 @@
         names = sorted(routers)
         turn = int(now / RELAY_ORDER_S) % max(1, len(names))
         turned = names[turn:] + names[:turn]
-        return sorted(turned, key=lambda one: self._may_be_gone_soon(one, now))
+        return sorted(turned, key=lambda one: self._is_unreliable(one, now))
 
-    def _may_be_gone_soon(self, router: str, now: float) -> bool:
+    def _is_unreliable(self, router: str, now: float) -> bool:
         progress = self._progress[router]
         return progress.is_stopping or now - progress.last_seen_at > RECENTLY_SEEN_S
 
