--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -109,7 +109,7 @@
     silent: SilentList = field(default_factory=SilentList)
     _progress: dict[str, EndpointProgress] = field(default_factory=dict)
     _waiting: dict[str, None] = field(default_factory=dict)
-    _lacks_silent: dict[str, None] = field(default_factory=dict)
+    _waiting_for_silent: dict[str, None] = field(default_factory=dict)
     _packed: dict[_Group, _PackedRecords] = field(default_factory=dict)
     _next_round_at: float = float("-inf")
     _counts: FeedCounts = field(default_factory=FeedCounts)
@@ -147,7 +147,7 @@
         """Drop a router that has gone."""
         self._progress.pop(router, None)
         self._waiting.pop(router, None)
-        self._lacks_silent.pop(router, None)
+        self._waiting_for_silent.pop(router, None)
 
     def enqueue(self, router: str, *, is_assigned: bool) -> None:
         """Have a router sent what it lacks with the next rounds."""
@@ -160,7 +160,7 @@
 
     def enqueue_silent(self, router: str) -> None:
         """Have a router sent the list of silent endpoints with the next rounds."""
-        self._lacks_silent[router] = None
+        self._waiting_for_silent[router] = None
 
     def send_round(self, *, now: float) -> list[SendMessage]:
         """Return what is due, as far as the link has room.
@@ -262,13 +262,13 @@
 
     def _send_silent(self, now: float) -> Iterator[SendMessage]:
         routers = self.order(
-            [one for one in self._lacks_silent if self._is_alive(one, now)], now=now
+            [one for one in self._waiting_for_silent if self._is_alive(one, now)], now=now
         )
-        self._lacks_silent = dict.fromkeys(routers)
+        self._waiting_for_silent = dict.fromkeys(routers)
         size = len(self.silent.endpoint_ids) * SILENT_ID_BYTES
         for leg in self.fanout.plan(routers, size, now=now):
             for router in (leg.first, *leg.others):
-                del self._lacks_silent[router]
+                del self._waiting_for_silent[router]
             update = SilentUpdate(
                 replica=self.replica,
                 run=self.run,
