--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -226,7 +226,7 @@
         if not self.fanout.has_room(now=now):
             return
         packed = self._pack(group, now)
-        for leg in self._plan(routers, len(packed.payload), now):
+        for leg in self._plan_deliveries(routers, len(packed.payload), now):
             self._count(group, len(packed.payload), self._progress[leg.first].has_lost_update)
             for router in (leg.first, *leg.others):
                 self._progress[router].record_sent(packed.change, arrives_at=leg.arrives_at)
@@ -252,7 +252,7 @@
             counts.changes += 1
             counts.change_bytes += size
 
-    def _plan(self, routers: Iterable[str], size: int, now: float) -> Iterator[Delivery]:
+    def _plan_deliveries(self, routers: Iterable[str], size: int, now: float) -> Iterator[Delivery]:
         """Yield the ways to routers; one that has missed an update gets it from here."""
         ordered = self.order(routers, now=now)
         lost = [one for one in ordered if self._progress[one].has_lost_update]
