--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -205,7 +205,7 @@
     def _is_alive(self, router: str, now: float) -> bool:
         return now - self._progress[router].last_seen_at <= ROUTER_SILENT_S
 
-    def order(self, routers: Iterable[str], *, now: float) -> list[str]:
+    def prefer_reliable(self, routers: Iterable[str], *, now: float) -> list[str]:
         """Return routers with those first that are surely alive and stay; the first hand on.
 
         The order stays for some seconds: with others each time, all would connect to all. It
@@ -254,14 +254,14 @@
 
     def _plan_deliveries(self, routers: Iterable[str], size: int, now: float) -> Iterator[Delivery]:
         """Yield the ways to routers; one that has missed an update gets it from here."""
-        ordered = self.order(routers, now=now)
+        ordered = self.prefer_reliable(routers, now=now)
         lost = [one for one in ordered if self._progress[one].has_lost_update]
         others = [one for one in ordered if not self._progress[one].has_lost_update]
         yield from self.fanout.plan(lost, size, now=now, is_direct=True)
         yield from self.fanout.plan(others, size, now=now)
 
     def _send_silent(self, now: float) -> Iterator[SendMessage]:
-        routers = self.order(
+        routers = self.prefer_reliable(
             [one for one in self._waiting_for_silent if self._is_alive(one, now)], now=now
         )
         self._waiting_for_silent = dict.fromkeys(routers)
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -240,7 +240,7 @@
         """Return the packed endpoints and loads that are due; call this several times a second."""
         messages = self._endpoints.send_round(now=now)
         close = self._list_assigned(now)
-        routers = self._endpoints.order(close, now=now)
+        routers = self._endpoints.prefer_reliable(close, now=now)
         messages += self._loads.send_due(routers, lambda: self._sum_all_loads(close, now), now=now)
         return messages
 
