--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -50,7 +50,7 @@
         else:
             self._relays.record_holder(router, version, since=now)
 
-    def forget(self, router: str) -> None:
+    def remove_router(self, router: str) -> None:
         """Drop a router that has gone."""
         self._due.pop(router, None)
 
--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -143,7 +143,7 @@
             progress = self._progress[router] = EndpointProgress()
         progress.confirm(0 if needs_whole else change or 0, now=now)
 
-    def forget(self, router: str) -> None:
+    def remove_router(self, router: str) -> None:
         """Drop a router that has gone."""
         self._progress.pop(router, None)
         self._waiting.pop(router, None)
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -218,8 +218,8 @@
         ]
         for one in gone:
             del self._routers[one]
-            self._documents.forget(one)
-            self._endpoints.forget(one)
+            self._documents.remove_router(one)
+            self._endpoints.remove_router(one)
         is_large = len(self._routers) > LARGE_FLEET_ROUTERS
         targets = {
             one: router
