--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _DueDocument:
+class _ScheduledDocument:
     """Which version a router is being sent, and until when asking again brings nothing."""
 
     version: int
@@ -40,7 +40,7 @@
 
     history: DocumentHistory
     pacer: Pacer
-    _due: dict[str, _DueDocument] = field(default_factory=dict)
+    _due: dict[str, _ScheduledDocument] = field(default_factory=dict)
     _relays: RelaySelector = field(default_factory=RelaySelector)
 
     def record_version(self, router: str, version: int, *, is_stopping: bool, now: float) -> None:
@@ -67,7 +67,9 @@
             return ()
         paced = None if is_again else self._refer(source, update, now)
         paced = paced or self._send_update(source, update, now)
-        self._due[source] = _DueDocument(update.version, now + paced.delay_s + DOCUMENT_RESEND_S)
+        self._due[source] = _ScheduledDocument(
+            update.version, now + paced.delay_s + DOCUMENT_RESEND_S
+        )
         return (paced,)
 
     def _refer(self, source: str, update: DocumentUpdate, now: float) -> PacedDocument | None:
