--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -40,7 +40,7 @@
 
     history: DocumentHistory
     pacer: Pacer
-    _due: dict[str, _ScheduledDocument] = field(default_factory=dict)
+    _scheduled: dict[str, _ScheduledDocument] = field(default_factory=dict)
     _relays: RelaySelector = field(default_factory=RelaySelector)
 
     def record_version(self, router: str, version: int, *, is_stopping: bool, now: float) -> None:
@@ -52,7 +52,7 @@
 
     def remove_router(self, router: str) -> None:
         """Drop a router that has gone."""
-        self._due.pop(router, None)
+        self._scheduled.pop(router, None)
 
     def handle_fetch(
         self, source: str, fetch: FetchDocument, *, now: float
@@ -61,13 +61,13 @@
         update = self.history.make_update(fetch.held_version)
         if update is None:
             return ()
-        due = self._due.get(source)
+        due = self._scheduled.get(source)
         is_again = due is not None and due.version == update.version
         if due is not None and is_again and now < due.again_at:
             return ()
         paced = None if is_again else self._refer(source, update, now)
         paced = paced or self._send_update(source, update, now)
-        self._due[source] = _ScheduledDocument(
+        self._scheduled[source] = _ScheduledDocument(
             update.version, now + paced.delay_s + DOCUMENT_RESEND_S
         )
         return (paced,)
