--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -31,7 +31,7 @@
     """Which version a router is being sent, and until when asking again brings nothing."""
 
     version: int
-    again_at: float
+    resend_at: float
 
 
 @dataclass(slots=True, kw_only=True)
@@ -63,7 +63,7 @@
             return ()
         due = self._scheduled.get(source)
         is_again = due is not None and due.version == update.version
-        if due is not None and is_again and now < due.again_at:
+        if due is not None and is_again and now < due.resend_at:
             return ()
         paced = None if is_again else self._refer(source, update, now)
         paced = paced or self._send_update(source, update, now)
