--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -65,14 +65,14 @@
         is_again = due is not None and due.version == update.version
         if due is not None and is_again and now < due.resend_at:
             return ()
-        paced = None if is_again else self._refer(source, update, now)
+        paced = None if is_again else self._redirect(source, update, now)
         paced = paced or self._send_update(source, update, now)
         self._scheduled[source] = _ScheduledDocument(
             update.version, now + paced.delay_s + DOCUMENT_RESEND_S
         )
         return (paced,)
 
-    def _refer(self, source: str, update: DocumentUpdate, now: float) -> PacedDocument | None:
+    def _redirect(self, source: str, update: DocumentUpdate, now: float) -> PacedDocument | None:
         """Name a router that hands the document on; one that asks again is not referred."""
         if self.pacer.find_delay(now=now) <= MAX_DIRECT_DELAY_S:
             return None
