--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -21,7 +21,12 @@
 from chivetrack.components.document.patch import make_patch
 from chivetrack.components.document.store import StoredDocument
 from chivetrack.core import SendMessage
-from tests.components.distribution.world import Fixture, count_bytes, make_body, make_close
+from tests.components.distribution.world import (
+    Fixture,
+    count_bytes,
+    make_assigned_follow,
+    make_body,
+)
 
 
 class DocumentTest(unittest.TestCase):
@@ -160,8 +165,8 @@
         fixture = Fixture()
         fixture.put(1, make_body(1600, quota=1))
         publisher = fixture.publisher
-        publisher.handle_follow(make_close("r0", version=1), now=0.0)
-        word = make_close("r0", version=version, is_stopping=is_stopping)
+        publisher.handle_follow(make_assigned_follow("r0", version=1), now=0.0)
+        word = make_assigned_follow("r0", version=version, is_stopping=is_stopping)
         publisher.handle_follow(word, now=5.0)
         ask = FetchDocument(held_version=0)
         for number in range(1, 12):
@@ -218,7 +223,7 @@
             )
         self.assertEqual(publisher.list_document_addresses(5, now=0.5), ["a:80"])
         self.assertEqual(publisher.list_document_addresses(5, now=60.0), [])
-        stopping = make_close("a", version=5, is_stopping=True)
+        stopping = make_assigned_follow("a", version=5, is_stopping=True)
         publisher.handle_follow(msgspec.structs.replace(stopping, document_address="a:80"), now=1.0)
         self.assertEqual(publisher.list_document_addresses(5, now=1.0), [])
 
--- a/tests/components/distribution/test_endpoint_feed.py
+++ b/tests/components/distribution/test_endpoint_feed.py
@@ -15,7 +15,7 @@
 from tests.components.announcements.test_packing import make_fleet
 from tests.components.announcements.test_table import make_record
 from tests.components.distribution.links import Fleet
-from tests.components.distribution.world import Fixture, make_close
+from tests.components.distribution.world import Fixture, make_assigned_follow
 
 ENDPOINTS = 3000
 # Close to one of five replicas in a fleet of 295 and of 380 routers.
@@ -158,7 +158,7 @@
         """Guards against endpoints that a router never hears of after it got both."""
         fixture = self.make_fixture()
         follow = Follow(router="r1", run="", change=0, version=0)
-        table = self.take_update(fixture, make_close("r2"), 0.0)
+        table = self.take_update(fixture, make_assigned_follow("r2"), 0.0)
         fixture.table.merge(make_record(1, endpoint_id="new"), now=0.3)
         departures = self.take_update(fixture, follow, 0.3)
         for order in ((departures, table), (table, departures)):
@@ -174,7 +174,7 @@
         fixture = Fixture()
         for record in make_fleet(64):
             fixture.table.merge(record, now=0.0)
-        (answer,) = fixture.publisher.handle_follow(make_close("r1"), now=0.0)
+        (answer,) = fixture.publisher.handle_follow(make_assigned_follow("r1"), now=0.0)
         assert isinstance(answer.message, View)
         self.assertEqual(len(answer.message.records), 64)
         self.assertFalse(answer.message.is_pending)
@@ -183,7 +183,7 @@
         """Guards against endpoints that end with the router which should hand them on."""
         fixture = self.make_fixture()
         for number in range(60):
-            follow = make_close(f"r{number}", is_stopping=number < 30)
+            follow = make_assigned_follow(f"r{number}", is_stopping=number < 30)
             fixture.publisher.handle_follow(follow, now=0.0)
         heads = []
         for step in range(8):
@@ -199,7 +199,7 @@
         for number in range(200):
             follow = Follow(router=f"o{number}", run="", change=0, version=0)
             fixture.publisher.handle_follow(follow, now=0.0)
-        fixture.publisher.handle_follow(make_close("r1"), now=0.0)
+        fixture.publisher.handle_follow(make_assigned_follow("r1"), now=0.0)
         first, *_ = (one.message for one in fixture.publisher.send_round(now=0.0))
         assert isinstance(first, EndpointUpdate)
         self.assertFalse(first.is_partial)
@@ -209,7 +209,7 @@
         fixture = self.make_fixture()
         sent = 0
         for number in range(60):
-            fixture.publisher.handle_follow(make_close(f"r{number}"), now=0.0)
+            fixture.publisher.handle_follow(make_assigned_follow(f"r{number}"), now=0.0)
         for step in range(8):
             for one in fixture.publisher.send_round(now=step * 0.125):
                 assert isinstance(one.message, EndpointUpdate)
--- a/tests/components/distribution/test_load_feed.py
+++ b/tests/components/distribution/test_load_feed.py
@@ -13,7 +13,7 @@
 from chivetrack.core import SendMessage
 from chivetrack.helpers.codec import pack
 from tests.components.announcements.test_packing import make_fleet
-from tests.components.distribution.world import Fixture, make_close
+from tests.components.distribution.world import Fixture, make_assigned_follow
 
 ROUTERS = 59
 LINK_BYTES_PER_S = 525_000
@@ -41,7 +41,7 @@
             publisher.handle_exchange("p2", exchange, now=now)
             messages: list[SendMessage] = []
             for number in range(step % 2, ROUTERS, 2):
-                messages += publisher.handle_follow(make_close(f"r{number}"), now=now)
+                messages += publisher.handle_follow(make_assigned_follow(f"r{number}"), now=now)
             messages += publisher.send_round(now=now)
             for one in messages:
                 sent += len(encode_frame([pack(one.message)])) + FRAME_OVERHEAD_BYTES
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -20,7 +20,7 @@
 from chivetrack.components.evacuation.models import Evacuations, ZoneState
 from tests.components.announcements.test_packing import make_fleet
 from tests.components.announcements.test_table import make_record
-from tests.components.distribution.world import Fixture, make_close
+from tests.components.distribution.world import Fixture, make_assigned_follow
 
 HEARTBEAT_S = 1.2
 
@@ -95,7 +95,7 @@
         fixture = Fixture()
         for record in make_fleet(400):
             fixture.table.merge(record, now=0.0)
-        fixture.publisher.handle_follow(make_close("r1"), now=0.0)
+        fixture.publisher.handle_follow(make_assigned_follow("r1"), now=0.0)
         self.assertEqual(fixture.publisher.pop_counts()["waiting"], 1)
         fixture.publisher.send_round(now=0.0)
         counts = fixture.publisher.pop_counts()
@@ -170,7 +170,7 @@
         """
         publisher = Fixture().publisher
         publisher.started_at = 10.0
-        follow = make_close("r1")
+        follow = make_assigned_follow("r1")
         for now, knows_leader, answers in (
             (10.1, False, 0),
             (10.3, True, 1),
--- a/tests/components/distribution/test_placements.py
+++ b/tests/components/distribution/test_placements.py
@@ -17,23 +17,23 @@
 from chivetrack.components.peers.frames import encode_frame
 from chivetrack.helpers.codec import pack
 from tests.components.announcements.test_packing import make_fleet
-from tests.components.distribution.world import Fixture, make_close
+from tests.components.distribution.world import Fixture, make_assigned_follow
 
 
 class PlacementTest(unittest.TestCase):
     def test_router_that_starts_is_told_what_was_sent_where(self) -> None:
         fixture = Fixture()
         placed = (PlacedPart(part="d:10000", endpoint_id="e1", age_s=1.0),)
-        fixture.publisher.handle_follow(make_close("r2", placed=placed), now=0.0)
-        (answer,) = fixture.publisher.handle_follow(make_close("r3"), now=20.0)
+        fixture.publisher.handle_follow(make_assigned_follow("r2", placed=placed), now=0.0)
+        (answer,) = fixture.publisher.handle_follow(make_assigned_follow("r3"), now=20.0)
         view = answer.message
         assert isinstance(view, View)
         self.assertEqual(view.placed, (PlacedPart(part="d:10000", endpoint_id="e1", age_s=21.0),))
-        again = make_close("r3", run=view.run, placed_change=view.placed_change)
+        again = make_assigned_follow("r3", run=view.run, placed_change=view.placed_change)
         (answer,) = fixture.publisher.handle_follow(again, now=20.3)
         assert isinstance(answer.message, View)
         self.assertEqual(answer.message.placed, ())
-        (answer,) = fixture.publisher.handle_follow(make_close("r4"), now=90.0)
+        (answer,) = fixture.publisher.handle_follow(make_assigned_follow("r4"), now=90.0)
         assert isinstance(answer.message, View)
         self.assertEqual(answer.message.placed, ())
 
@@ -43,10 +43,10 @@
         for record in make_fleet(400):
             fixture.table.merge(record, now=0.0)
         placed = (PlacedPart(part="d:10000", endpoint_id="e1", age_s=1.0),)
-        fixture.publisher.handle_follow(make_close("r2", placed=placed), now=0.0)
+        fixture.publisher.handle_follow(make_assigned_follow("r2", placed=placed), now=0.0)
         told = []
         for change in (0, 0, fixture.table.change):
-            follow = make_close("r1", run="run1", change=change)
+            follow = make_assigned_follow("r1", run="run1", change=change)
             (answer,) = fixture.publisher.handle_follow(follow, now=0.3)
             fixture.publisher.send_round(now=0.3)
             assert isinstance(answer.message, View)
@@ -62,10 +62,10 @@
         fixture = Fixture()
         fixture.put(7)
         placed = (PlacedPart(part="d:10000", endpoint_id="e1", age_s=1.0),)
-        fixture.publisher.handle_follow(make_close("r2", placed=placed), now=0.0)
+        fixture.publisher.handle_follow(make_assigned_follow("r2", placed=placed), now=0.0)
         told = []
         for version in (0, 6, 7):
-            follow = make_close("r1", run="run1", version=version)
+            follow = make_assigned_follow("r1", run="run1", version=version)
             (answer,) = fixture.publisher.handle_follow(follow, now=0.3)
             assert isinstance(answer.message, View)
             told.append(len(answer.message.placed))
@@ -82,15 +82,15 @@
         placed = tuple(
             PlacedPart(part=f"d{n}:5000", endpoint_id="e1", age_s=0.0) for n in range(900)
         )
-        fixture.publisher.handle_follow(make_close("r2", placed=placed), now=0.0)
+        fixture.publisher.handle_follow(make_assigned_follow("r2", placed=placed), now=0.0)
         sent: list[int] = []
         for step in range(4):
-            (answer,) = fixture.publisher.handle_follow(make_close("r1"), now=step * 0.2)
+            (answer,) = fixture.publisher.handle_follow(make_assigned_follow("r1"), now=step * 0.2)
             assert isinstance(answer.message, View)
             sent.append(len(answer.message.placed))
         limit = 1200 // 2
         self.assertEqual(sent, [limit, 900 - limit, 0, 0])
-        (answer,) = fixture.publisher.handle_follow(make_close("r1"), now=2.0)
+        (answer,) = fixture.publisher.handle_follow(make_assigned_follow("r1"), now=2.0)
         assert isinstance(answer.message, View)
         self.assertEqual(len(answer.message.placed), limit)
 
@@ -152,7 +152,9 @@
         for step in range(12):
             now = step * 0.15
             for number in range(step % 2, 59, 2):
-                follow = make_close(f"r{number}", run="run1", placed_change=changes[number])
+                follow = make_assigned_follow(
+                    f"r{number}", run="run1", placed_change=changes[number]
+                )
                 (answer,) = fixture.publisher.handle_follow(follow, now=now)
                 assert isinstance(answer.message, View)
                 changes[number] = answer.message.placed_change
@@ -170,24 +172,24 @@
         """
         fixture, other = Fixture("run1"), Fixture("run2")
         for router, running in (("r1", 3), ("r2", 4), ("r3", 5)):
-            fixture.publisher.handle_follow(make_close(router, running), now=0.0)
-        other.publisher.handle_follow(make_close("r4", 6), now=0.0)
+            fixture.publisher.handle_follow(make_assigned_follow(router, running), now=0.0)
+        other.publisher.handle_follow(make_assigned_follow("r4", 6), now=0.0)
         fixture.publisher.handle_exchange("p2", other.publisher.make_exchange(now=0.1), now=0.1)
-        (answer,) = fixture.publisher.handle_follow(make_close("r2", 4), now=0.2)
+        (answer,) = fixture.publisher.handle_follow(make_assigned_follow("r2", 4), now=0.2)
         view = answer.message
         assert isinstance(view, View)
         self.assertEqual(view.loads, (EndpointLoad(endpoint_id="e1", running=14, tokens=30),))
         self.assertEqual(view.routers, 4)
-        (answer,) = fixture.publisher.handle_follow(make_close("r2", 4), now=9.0)
+        (answer,) = fixture.publisher.handle_follow(make_assigned_follow("r2", 4), now=9.0)
         assert isinstance(answer.message, View)
         self.assertEqual((answer.message.loads, answer.message.routers), ((), 1))
 
     def test_placements_reach_routers_of_other_replicas_once(self) -> None:
         fixture, other = Fixture("run1"), Fixture("run2")
         placed = (PlacedPart(part="d:10000", endpoint_id="e1", age_s=0.0),)
-        fixture.publisher.handle_follow(make_close("r1", placed=placed), now=0.0)
+        fixture.publisher.handle_follow(make_assigned_follow("r1", placed=placed), now=0.0)
         other.publisher.handle_exchange("p1", fixture.publisher.make_exchange(now=0.1), now=0.1)
-        (answer,) = other.publisher.handle_follow(make_close("r4"), now=0.2)
+        (answer,) = other.publisher.handle_follow(make_assigned_follow("r4"), now=0.2)
         assert isinstance(answer.message, View)
         self.assertEqual([one.part for one in answer.message.placed], ["d:10000"])
         self.assertEqual(other.publisher.make_exchange(now=0.3).placed, ())
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -138,7 +138,7 @@
         )
 
 
-def make_close(
+def make_assigned_follow(
     router: str,
     running: int = 0,
     *,
