--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -23,7 +23,7 @@
 
     table: EndpointTable
     _changed: dict[str, EndpointRecord] = field(default_factory=dict)
-    _heard: dict[str, None] = field(default_factory=dict)
+    _heartbeats: dict[str, None] = field(default_factory=dict)
     _heartbeats_at: float = float("-inf")
 
     def note_change(self, record: EndpointRecord) -> None:
@@ -32,7 +32,7 @@
 
     def record_heartbeat(self, endpoint_id: str) -> None:
         """Pass on that an endpoint was heard and said nothing new."""
-        self._heard[endpoint_id] = None
+        self._heartbeats[endpoint_id] = None
 
     def make_messages(self, *, now: float) -> list[BroadcastRecords | BroadcastHeartbeats]:
         """Return what each of the other replicas is to be sent now."""
@@ -40,15 +40,15 @@
         if self._changed:
             messages.append(BroadcastRecords(number=0, records=tuple(self._changed.values())))
             self._changed.clear()
-        if self._heard and now - self._heartbeats_at >= HEARTBEAT_BROADCAST_INTERVAL_S:
+        if self._heartbeats and now - self._heartbeats_at >= HEARTBEAT_BROADCAST_INTERVAL_S:
             self._heartbeats_at = now
             messages.append(self._pop_heartbeats())
         return messages
 
     def _pop_heartbeats(self) -> BroadcastHeartbeats:
         # Neighbours that are alike compress best.
-        known = [record for one in sorted(self._heard) if (record := self.table.find(one))]
-        self._heard.clear()
+        known = [record for one in sorted(self._heartbeats) if (record := self.table.find(one))]
+        self._heartbeats.clear()
         return BroadcastHeartbeats(
             endpoint_ids=tuple(one.endpoint_id for one in known),
             sequences=tuple(one.sequence for one in known),
