--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -26,7 +26,7 @@
     _heartbeats: dict[str, None] = field(default_factory=dict)
     _heartbeats_at: float = float("-inf")
 
-    def note_change(self, record: EndpointRecord) -> None:
+    def record_change(self, record: EndpointRecord) -> None:
         """Pass on a record with the next round."""
         self._changed[record.endpoint_id] = record
 
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -30,7 +30,7 @@
 
     def announce(self, record: EndpointRecord, now: float) -> None:
         if self.table.merge(record, now=now):
-            self.spreading.note_change(record)
+            self.spreading.record_change(record)
         else:
             self.spreading.record_heartbeat(record.endpoint_id)
 
