--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -283,7 +283,7 @@
         replica.last_named_at = now
         return replica
 
-    def take_view(self, source: str, view: View, *, now: float) -> list[Effect]:
+    def handle_view(self, source: str, view: View, *, now: float) -> list[Effect]:
         """Merge what a replica tells; ask for its document if it is newer."""
         replica = self._record_named(source, now)
         replica.record_answer(now)
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -221,7 +221,7 @@
         yield FetchDocument, self._answer_fetch
 
     def _take_view(self, source: str, view: View) -> None:
-        effects = self.subscriber.take_view(source, view, now=time.monotonic())
+        effects = self.subscriber.handle_view(source, view, now=time.monotonic())
         self.view.take_view(view)
         send_all(self.transport.send, effects)
 
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -37,8 +37,8 @@
         self.assertEqual(fetch.message, FetchDocument(held_version=0))
         view = fixture.publisher.publish(now=0.1)[0].message
         assert isinstance(view, View)
-        self.assertEqual(fixture.subscriber.take_view("p2", view, now=0.1), [])
-        again = fixture.subscriber.take_view("p2", view, now=FETCH_RETRY_S + 0.01)
+        self.assertEqual(fixture.subscriber.handle_view("p2", view, now=0.1), [])
+        again = fixture.subscriber.handle_view("p2", view, now=FETCH_RETRY_S + 0.01)
         self.assertEqual(len(again), 1)
         (sent,) = fixture.publisher.handle_fetch("r1", FetchDocument(held_version=0), now=0.0)
         self.assertEqual(sent.message, DocumentSent(version=2, payload=zlib.compress(b"{}")))
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -85,7 +85,7 @@
         fixture.table.merge(make_record(1, endpoint_id="e2"), now=0.2)
         (second,) = fixture.publisher.publish(now=0.2)
         assert isinstance(second.message, View)
-        fixture.subscriber.take_view("p1", second.message, now=0.2)
+        fixture.subscriber.handle_view("p1", second.message, now=0.2)
         self.assertIsNone(fixture.own.find("e1"))
         fixture.exchange_until(0.2 + RESEND_AFTER_S + FOLLOW_INTERVAL_S)
         self.assertIsNotNone(fixture.own.find("e1"))
--- a/tests/components/distribution/test_watching.py
+++ b/tests/components/distribution/test_watching.py
@@ -105,11 +105,11 @@
             has_loads=True,
             routers=87,
         )
-        fixture.subscriber.take_view("p1", view, now=0.0)
+        fixture.subscriber.handle_view("p1", view, now=0.0)
         questions = 0
         for step in range(1000):
             now = 2.0 + step * 0.01
-            fixture.subscriber.take_view("p1", view, now=now)
+            fixture.subscriber.handle_view("p1", view, now=now)
             effects = fixture.subscriber.wake(now=now)
             questions += sum(1 for one in effects if isinstance(one, SendMessage))
         self.assertLess(questions * 87 / 5 / 10.0, 125)
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -78,13 +78,13 @@
                 if isinstance(effect, SendMessage) and isinstance(effect.message, Follow):
                     (answer,) = self.publisher.handle_follow(effect.message, now=step * 0.1)
                     assert isinstance(answer.message, View)
-                    self.subscriber.take_view(effect.target, answer.message, now=step * 0.1)
+                    self.subscriber.handle_view(effect.target, answer.message, now=step * 0.1)
 
     def exchange(self, now: float) -> list[SendMessage]:
         """Carry one question and its answer; return what the router sends on."""
         (answer,) = self.publisher.handle_follow(self.follow(now), now=now)
         assert isinstance(answer.message, View)
-        effects = self.subscriber.take_view("p1", answer.message, now=now)
+        effects = self.subscriber.handle_view("p1", answer.message, now=now)
         return [one for one in effects if isinstance(one, SendMessage)]
 
 
@@ -121,7 +121,7 @@
                 if isinstance(effect, SendMessage):
                     asked.append((now, effect.target))
                     if effect.target not in self.frozen:
-                        self.subscriber.take_view(effect.target, self.make_view(), now=now)
+                        self.subscriber.handle_view(effect.target, self.make_view(), now=now)
         return asked
 
     def make_view(self) -> View:
