--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -299,7 +299,7 @@
             self._record_named(name, now)
         return self._fetch(source, view.version, now)
 
-    def take_endpoints(self, update: EndpointUpdate, *, now: float) -> list[Effect]:
+    def handle_endpoints(self, update: EndpointUpdate, *, now: float) -> list[Effect]:
         """Merge what a replica has packed and hand it on as it wishes."""
         read = unpack_records(update.payload)
         if read.is_error():
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -226,7 +226,7 @@
         send_all(self.transport.send, effects)
 
     def _take_endpoints(self, _source: str, update: EndpointUpdate) -> None:
-        effects = self.subscriber.take_endpoints(update, now=time.monotonic())
+        effects = self.subscriber.handle_endpoints(update, now=time.monotonic())
         self.view.take_endpoints(is_partial=update.is_partial)
         self._events.write(
             "endpoints_taken",
--- a/tests/components/distribution/test_endpoint_feed.py
+++ b/tests/components/distribution/test_endpoint_feed.py
@@ -135,7 +135,7 @@
         update = self.take_update(fixture, follow, 0.0)
         self.assertTrue(update.is_partial)
         self.assertLess(len(update.payload), 500)
-        fixture.subscriber.take_endpoints(update, now=0.1)
+        fixture.subscriber.handle_endpoints(update, now=0.1)
         (left,) = fixture.own.list_records()
         self.assertIs(left.state, EndpointState.LEFT)
 
@@ -144,13 +144,13 @@
         fixture = self.make_fixture()
         follow = Follow(router="r1", run="", change=0, version=0)
         update = self.take_update(fixture, follow, 0.0)
-        fixture.subscriber.take_endpoints(update, now=0.1)
+        fixture.subscriber.handle_endpoints(update, now=0.1)
         now = 1.0
         close = fixture.follow(now)
         self.assertTrue(close.is_assigned and close.is_partial)
         update = self.take_update(fixture, close, now)
         self.assertFalse(update.is_partial)
-        fixture.subscriber.take_endpoints(update, now=now)
+        fixture.subscriber.handle_endpoints(update, now=now)
         self.assertEqual(len(list(fixture.own.list_records())), ENDPOINTS)
         self.assertFalse(fixture.follow(2.0).is_partial)
 
@@ -164,7 +164,7 @@
         for order in ((departures, table), (table, departures)):
             router = Fixture()
             for update in order:
-                router.subscriber.take_endpoints(update, now=0.4)
+                router.subscriber.handle_endpoints(update, now=0.4)
             known = router.follow(0.5)
             self.assertFalse(known.is_partial)
             self.assertEqual(known.change, table.change)
