--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -334,7 +334,7 @@
     def _make_fetch(self) -> FetchDocument:
         return FetchDocument(held_version=self.version if self._body else 0)
 
-    def take_document(self, sent: DocumentSent) -> None:
+    def handle_document(self, sent: DocumentSent) -> None:
         """Put a newer document in force; an older one is dropped."""
         if sent.version <= self.version:
             return
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -216,7 +216,7 @@
         yield SilentUpdate, self._take_silent
         yield LoadUpdate, self._take_loads
         yield PermitAnswer, lambda source, answer: self._permits.take(answer)
-        yield DocumentSent, lambda source, sent: self.subscriber.take_document(sent)
+        yield DocumentSent, lambda source, sent: self.subscriber.handle_document(sent)
         yield FetchElsewhere, self._take_referral
         yield FetchDocument, self._answer_fetch
 
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -80,7 +80,7 @@
         fixture.put(1, make_body(600, quota=1))
         self.fetch(fixture, 0.0)
         spoiled = make_patch(make_body(601, quota=7), make_body(600, quota=9))
-        fixture.subscriber.take_document(DocumentSent(version=2, payload=spoiled, base_version=1))
+        fixture.subscriber.handle_document(DocumentSent(version=2, payload=spoiled, base_version=1))
         self.assertEqual((fixture.taken, fixture.unreadable), ([1], [2]))
         fixture.put(2, make_body(600, quota=2))
         sent = self.fetch(fixture, FOLLOW_INTERVAL_S)
@@ -92,7 +92,7 @@
         fixture.put(3, make_body(10, quota=3))
         self.fetch(fixture, 0.0)
         patch = make_patch(make_body(10, quota=2), make_body(10, quota=4))
-        fixture.subscriber.take_document(DocumentSent(version=4, payload=patch, base_version=2))
+        fixture.subscriber.handle_document(DocumentSent(version=4, payload=patch, base_version=2))
         self.assertEqual((fixture.taken, fixture.unreadable), ([3], []))
 
     def test_documents_leave_room_for_heartbeats(self) -> None:
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -135,7 +135,7 @@
         fixture = Fixture()
         for version in (5, 3):
             sent = DocumentSent(version=version, payload=zlib.compress(b"{}"))
-            fixture.subscriber.take_document(sent)
+            fixture.subscriber.handle_document(sent)
         self.assertEqual(fixture.taken, [5])
         fixture.put(3)
         self.assertEqual(fixture.exchange(0.0), [])
