--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -223,7 +223,7 @@
         )
         return [SendMessage(target=name, message=follow)]
 
-    def report_now(self, *, now: float) -> list[Effect]:
+    def report_load(self, *, now: float) -> list[Effect]:
         """Send this router's news to the close replica without waiting for the next interval."""
         return self._report_to_assigned(now)
 
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -189,7 +189,7 @@
         self._metrics.count_crash()
         now = time.monotonic()
         self.view.crashes.note_crash(reports, now=now)
-        send_all(self.transport.send, self.subscriber.report_now(now=now))
+        send_all(self.transport.send, self.subscriber.report_load(now=now))
 
     def _take_limits(self, document: Document) -> None:
         limits = document.limits
@@ -299,7 +299,7 @@
         ends_at = began + self._settings.bounds.stop_within_s - STOP_MARGIN_S
         window = StopWindow(accepts_until=min(began + STOP_ACCEPT_S, ends_at), exits_at=ends_at)
         self.desk.begin_stop(window, now=began)
-        send_all(self.transport.send, self.subscriber.report_now(now=began))
+        send_all(self.transport.send, self.subscriber.report_load(now=began))
         self._events.write("stopping", open=self.desk.open_count)
         for at in (began + STOP_IDLE_AFTER_S, window.accepts_until):
             gevent.sleep(max(0.0, min(at, ends_at) - time.monotonic()))
