--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -13,13 +13,13 @@
     EndpointState,
 )
 from chivetrack.components.announcements.table import EndpointTable
+from chivetrack.components.distribution.broadcast import EndpointBroadcaster
 from chivetrack.components.distribution.messages import (
     BroadcastHeartbeats,
     BroadcastRecords,
     RecordsAck,
     RecordsRequest,
 )
-from chivetrack.components.distribution.spreading import EndpointBroadcaster
 from chivetrack.components.document.store import StoredDocument
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.quarantine.models import Quarantine
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -6,9 +6,9 @@
 
 from chivetrack.components.announcements.models import EndpointRecord, EndpointState
 from chivetrack.components.announcements.table import RESTORED_FOR_S, EndpointTable
+from chivetrack.components.distribution.broadcast import EndpointBroadcaster
 from chivetrack.components.distribution.const import BROADCAST_INTERVAL_S
 from chivetrack.components.distribution.messages import BroadcastHeartbeats, BroadcastRecords
-from chivetrack.components.distribution.spreading import EndpointBroadcaster
 from chivetrack.components.peers.const import FRAME_OVERHEAD_BYTES
 from chivetrack.components.peers.frames import encode_frame
 from chivetrack.helpers.codec import pack
