--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -46,7 +46,7 @@
     def record_version(self, router: str, version: int, *, is_stopping: bool, now: float) -> None:
         """Note which version a router has, 0 if none, and whether it can hand it on."""
         if is_stopping or version < self.history.version:
-            self._relays.drop_holder(router, now=now)
+            self._relays.remove_holder(router, now=now)
         else:
             self._relays.record_holder(router, version, since=now)
 
--- a/chivetrack/components/distribution/relays.py
+++ b/chivetrack/components/distribution/relays.py
@@ -44,7 +44,7 @@
         if version == self._version and router not in self._holders:
             self._holders[router] = _Holder(since)
 
-    def drop_holder(self, router: str, *, now: float) -> None:
+    def remove_holder(self, router: str, *, now: float) -> None:
         """Note that a router can't hand its version on: it lacks it, or will be gone soon.
 
         What is on its way to it may still come.
