--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -136,7 +136,7 @@
         self._reads_at = document_address
         self._seeds = tuple(seeds)
         self._table = table
-        self._take_document = take_document
+        self._apply_document = take_document
         self._on_unreadable = on_unreadable
         self._on_bad_update = on_bad_update
         self._get_news = get_news
@@ -352,7 +352,7 @@
         self.version = sent.version
         self._body = read.ok
         self._last_received = sent
-        self._take_document(sent.version, read.ok)
+        self._apply_document(sent.version, read.ok)
 
     def handle_redirect(self, referral: FetchElsewhere) -> list[Effect]:
         """Ask another router for a document that a replica has no time to send."""
