--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -139,7 +139,7 @@
         self._apply_document = take_document
         self._on_unreadable = on_unreadable
         self._on_bad_update = on_bad_update
-        self._get_news = get_news
+        self._get_report = get_news
         self._replicas: dict[str, _Replica] = {}
         self._next_follow = float("-inf")
         self._next_report = float("-inf")
@@ -197,7 +197,7 @@
     def _report_to_assigned(self, now: float) -> list[Effect]:
         self._refresh_replicas(now)
         name = self._choose_assigned(now)
-        news = self._get_news()
+        news = self._get_report()
         replica = self._replicas[name]
         if name != self._assigned:
             # The list held now is that of the replica before.
