--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -99,7 +99,7 @@
             seeds=list_seed_peers(settings),
             table=self.view.directory.table,
             take_document=self.view.take_document,
-            on_unreadable=self._on_unreadable,
+            on_unreadable=self._note_unreadable,
             on_bad_update=self._on_bad_update,
             get_news=self.view.get_news,
         )
@@ -199,7 +199,7 @@
             idle_timeout_s=limits.idle_timeout_s,
         )
 
-    def _on_unreadable(self, version: int, detail: str) -> None:
+    def _note_unreadable(self, version: int, detail: str) -> None:
         self._events.write("configuration_unreadable", version=version, detail=detail)
 
     def _on_bad_update(self, replica: str, detail: str) -> None:
