--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -100,7 +100,7 @@
             table=self.view.directory.table,
             take_document=self.view.take_document,
             on_unreadable=self._note_unreadable,
-            on_bad_update=self._on_bad_update,
+            on_bad_update=self._note_bad_update,
             get_news=self.view.get_news,
         )
         self._takers = dict(self._list_takers())
@@ -202,7 +202,7 @@
     def _note_unreadable(self, version: int, detail: str) -> None:
         self._events.write("configuration_unreadable", version=version, detail=detail)
 
-    def _on_bad_update(self, replica: str, detail: str) -> None:
+    def _note_bad_update(self, replica: str, detail: str) -> None:
         self._events.write("endpoints_unreadable", replica=replica, detail=detail)
 
     def _take_message(self, source: str, message: Message) -> None:
