--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -73,7 +73,7 @@
         self._send = send
         self._push = push
         self._events = events
-        self._broadcaster = EndpointBroadcaster(table=table)
+        self._spreading = EndpointBroadcaster(table=table)
         self._numbers = itertools.count(1)
         self._spreads: dict[int, _Spread] = {}
 
@@ -116,9 +116,9 @@
         if known is not None and known.state is not EndpointState.READY and is_change:
             return self._spread_for_sure(known)
         if is_change:
-            self._broadcaster.note_change(record)
+            self._spreading.note_change(record)
         elif known is record:
-            self._broadcaster.record_heartbeat(record.endpoint_id)
+            self._spreading.record_heartbeat(record.endpoint_id)
         return Ok(None)
 
     def leave(self, endpoint_id: str, born: int | None) -> Result[None, Fault]:
@@ -146,7 +146,7 @@
     def _pass_on_lost(self, lost: Iterable[EndpointRecord]) -> None:
         for record in lost:
             self._log(record)
-            self._broadcaster.note_change(record)
+            self._spreading.note_change(record)
 
     def _log(self, record: EndpointRecord) -> None:
         self._events.write("endpoint_said", **record.describe())
@@ -156,7 +156,7 @@
 
     def spread(self) -> None:
         """Tell the other replicas what endpoints have announced here since the last call."""
-        messages = self._broadcaster.make_messages(now=time.monotonic())
+        messages = self._spreading.make_messages(now=time.monotonic())
         for target in self._list_others():
             for message in messages:
                 self._send(target, message)
@@ -190,11 +190,11 @@
             return True
         if isinstance(message, BroadcastHeartbeats):
             self._send_if_any(
-                source, self._broadcaster.handle_heartbeats(message, now=time.monotonic())
+                source, self._spreading.handle_heartbeats(message, now=time.monotonic())
             )
             return True
         if isinstance(message, RecordsRequest):
-            self._send_if_any(source, self._broadcaster.answer(message))
+            self._send_if_any(source, self._spreading.answer(message))
             return True
         if not isinstance(message, BroadcastRecords):
             return False
