--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -333,7 +333,7 @@
             self.result.skews.append(max(in_flight) / mean)
         told = [list(one.placement.list_own()) for one in self._routers]
         for router in self._routers:
-            self._placements.note(router.placement.list_news(now / 1000), now=now / 1000)
+            self._placements.record(router.placement.list_news(now / 1000), now=now / 1000)
         sums = _add_up(told)
         lag = 0.0 if self._is_oracle else NEWS_LAG_MS
         for number, router in enumerate(self._routers):
--- a/chivetrack/components/distribution/placements.py
+++ b/chivetrack/components/distribution/placements.py
@@ -34,7 +34,7 @@
         self._placed: OrderedDict[_Key, _Placement] = OrderedDict()
         self.change = 0
 
-    def note(self, placed: Iterable[PlacedPart], *, now: float) -> None:
+    def record(self, placed: Iterable[PlacedPart], *, now: float) -> None:
         """Remember what a router has told."""
         for one in placed:
             key = (one.part, one.endpoint_id)
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -152,7 +152,7 @@
             self._endpoints.get_progress(follow.router).is_stopping = follow.is_stopping
         if not follow.is_assigned:
             return [self._make_view(follow.router, router, now)]
-        self.placements.note(follow.placed, now=now)
+        self.placements.record(follow.placed, now=now)
         self._new_placements += follow.placed
         return [self._make_assigned_view(follow.router, router, now)]
 
@@ -160,7 +160,7 @@
         """Take what another replica has heard from the routers close to it."""
         self._peers[source] = _Peer(last_seen_at=now, exchange=exchange)
         self.evidence.note(exchange.crash_reports, now=now)
-        self.placements.note(exchange.placed, now=now)
+        self.placements.record(exchange.placed, now=now)
 
     def make_exchange(self, *, now: float) -> Exchange:
         """Return what the other replicas should know, and begin to gather anew."""
--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -118,7 +118,7 @@
             )
             for _ in range(count)
         ]
-        self.publisher.placements.note(placed, now=self.now)
+        self.publisher.placements.record(placed, now=self.now)
 
     def announce(self, count: int, *, within_s: float) -> None:
         """Have endpoints announce themselves for the first time, spread evenly."""
--- a/tests/components/distribution/test_placements.py
+++ b/tests/components/distribution/test_placements.py
@@ -146,7 +146,7 @@
         placed = tuple(
             PlacedPart(part=f"{n:08x}:5000", endpoint_id=f"e{n}", age_s=0.0) for n in range(737)
         )
-        fixture.publisher.placements.note(placed, now=0.0)
+        fixture.publisher.placements.record(placed, now=0.0)
         sent_bytes = 0
         changes = [0] * 59
         for step in range(12):
