--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -116,7 +116,7 @@
         if known is not None and known.state is not EndpointState.READY and is_change:
             return self._spread_for_sure(known)
         if is_change:
-            self._spreading.note_change(record)
+            self._spreading.record_change(record)
         elif known is record:
             self._spreading.record_heartbeat(record.endpoint_id)
         return Ok(None)
@@ -146,7 +146,7 @@
     def _pass_on_lost(self, lost: Iterable[EndpointRecord]) -> None:
         for record in lost:
             self._log(record)
-            self._spreading.note_change(record)
+            self._spreading.record_change(record)
 
     def _log(self, record: EndpointRecord) -> None:
         self._events.write("endpoint_said", **record.describe())
