--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -171,7 +171,7 @@
         if router.is_down:
             return
         if isinstance(message, View):
-            effects = router.subscriber.take_view(REPLICA, message, now=self.now)
+            effects = router.subscriber.handle_view(REPLICA, message, now=self.now)
         elif isinstance(message, SilentUpdate):
             effects = router.subscriber.handle_silent(message)
         else:
