--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -176,7 +176,7 @@
             effects = router.subscriber.handle_silent(message)
         else:
             assert isinstance(message, EndpointUpdate)
-            effects = router.subscriber.take_endpoints(message, now=self.now)
+            effects = router.subscriber.handle_endpoints(message, now=self.now)
         self._send(router.link, effects)
 
     def count_known(self) -> list[int]:
