--- a/chivetrack/components/distribution/__init__.py
+++ b/chivetrack/components/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""How replicas tell routers of the document and the endpoints."""
+"""Distribution of the document, endpoints and loads from replicas to routers."""
--- a/chivetrack/components/distribution/broadcast.py
+++ b/chivetrack/components/distribution/broadcast.py
@@ -1,4 +1,4 @@
-"""What a replica tells the others of the endpoints that announce themselves to it."""
+"""Broadcasts endpoint records and heartbeats received by one replica to the others."""
 
 from dataclasses import dataclass, field
 
@@ -14,11 +14,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class EndpointBroadcaster:
-    """Collects statements of endpoints for the other replicas; free of I/O.
+    """Collects records and heartbeats of endpoints for the other replicas; free of I/O.
 
-    Passed on one by one and whole, heartbeats of 3,000 endpoints take more than a link of
-    4 Mbit/s, and the log waits behind them until no quorum answers in time. Changed records
-    go out together, of all others only that they were heard.
+    Forwarded one at a time with whole records, heartbeats of 3,000 endpoints take more than a link
+    of 4 Mbit/s, and the log waits behind them until no quorum answers in time. So changed records
+    are sent together, and for all other endpoints only the fact that a heartbeat arrived.
     """
 
     table: EndpointTable
@@ -27,15 +27,15 @@
     _heartbeats_at: float = float("-inf")
 
     def record_change(self, record: EndpointRecord) -> None:
-        """Pass on a record with the next round."""
+        """Send a changed record with the next round."""
         self._changed[record.endpoint_id] = record
 
     def record_heartbeat(self, endpoint_id: str) -> None:
-        """Pass on that an endpoint was heard and said nothing new."""
+        """Send with the next round that an endpoint sent a heartbeat without changes."""
         self._heartbeats[endpoint_id] = None
 
     def make_messages(self, *, now: float) -> list[BroadcastRecords | BroadcastHeartbeats]:
-        """Return what each of the other replicas is to be sent now."""
+        """Return the messages to send to each of the other replicas now."""
         messages: list[BroadcastRecords | BroadcastHeartbeats] = []
         if self._changed:
             messages.append(BroadcastRecords(number=0, records=tuple(self._changed.values())))
@@ -46,27 +46,35 @@
         return messages
 
     def _pop_heartbeats(self) -> BroadcastHeartbeats:
-        # Neighbours that are alike compress best.
-        known = [record for one in sorted(self._heartbeats) if (record := self.table.find(one))]
+        # Sorted ids compress best, because neighbours are similar.
+        known = [
+            record
+            for endpoint_id in sorted(self._heartbeats)
+            if (record := self.table.find(endpoint_id))
+        ]
         self._heartbeats.clear()
         return BroadcastHeartbeats(
-            endpoint_ids=tuple(one.endpoint_id for one in known),
-            sequences=tuple(one.sequence for one in known),
-            checksums=tuple(self.table.find_checksum(one.endpoint_id) for one in known),
+            endpoint_ids=tuple(record.endpoint_id for record in known),
+            sequences=tuple(record.sequence for record in known),
+            checksums=tuple(self.table.find_checksum(record.endpoint_id) for record in known),
         )
 
-    def handle_heartbeats(self, heard: BroadcastHeartbeats, *, now: float) -> RecordsRequest | None:
-        """Take heartbeats that another replica got; return a question for records lacked here."""
-        rows = zip(heard.endpoint_ids, heard.sequences, heard.checksums, strict=False)
-        lacked = [
+    def handle_heartbeats(
+        self, heartbeats: BroadcastHeartbeats, *, now: float
+    ) -> RecordsRequest | None:
+        """Apply heartbeats that another replica received; return a request for missing records."""
+        rows = zip(
+            heartbeats.endpoint_ids, heartbeats.sequences, heartbeats.checksums, strict=False
+        )
+        missing = [
             endpoint_id
             for endpoint_id, sequence, checksum in rows
             if not self.table.hear(endpoint_id, sequence, checksum, now=now)
         ]
-        return RecordsRequest(endpoint_ids=tuple(lacked)) if lacked else None
+        return RecordsRequest(endpoint_ids=tuple(missing)) if missing else None
 
-    def answer(self, ask: RecordsRequest) -> BroadcastRecords | None:
-        """Return the records that another replica lacks, ``None`` if none is known here."""
-        known = [self.table.find(one) for one in ask.endpoint_ids]
-        records = tuple(one for one in known if one is not None)
+    def answer(self, request: RecordsRequest) -> BroadcastRecords | None:
+        """Return the records that another replica requested, ``None`` if none is known here."""
+        known = [self.table.find(endpoint_id) for endpoint_id in request.endpoint_ids]
+        records = tuple(record for record in known if record is not None)
         return BroadcastRecords(number=0, records=records) if records else None
--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -1,4 +1,4 @@
-"""Decides how documents reach routers: as patches, paced, from each other; free of I/O."""
+"""Decides how documents reach routers: as patches, rate-limited, via other routers; free of I/O."""
 
 from dataclasses import dataclass, field
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PacedDocument:
-    """A document, or who has it, that goes to a router after ``delay_s`` seconds."""
+    """A document, or a redirect to a router that holds it, to be sent after ``delay_s`` seconds."""
 
     target: str
     message: DocumentSent | FetchElsewhere
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ScheduledDocument:
-    """Which version a router is being sent, and until when asking again brings nothing."""
+    """Version last sent to a router, and from when on it is sent again on request."""
 
     version: int
     resend_at: float
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class DocumentFeed:
-    """Answers routers that ask for the newest document."""
+    """Answers routers that request the newest document."""
 
     history: DocumentHistory
     pacer: Pacer
@@ -44,28 +44,32 @@
     _relays: RelaySelector = field(default_factory=RelaySelector)
 
     def record_version(self, router: str, version: int, *, is_stopping: bool, now: float) -> None:
-        """Note which version a router has, 0 if none, and whether it can hand it on."""
+        """Record which version a router has, 0 if none, and whether it can relay it."""
         if is_stopping or version < self.history.version:
             self._relays.remove_holder(router, now=now)
         else:
             self._relays.record_holder(router, version, since=now)
 
     def remove_router(self, router: str) -> None:
-        """Drop a router that has gone."""
+        """Remove a router that has not polled for a long time."""
         self._scheduled.pop(router, None)
 
     def handle_fetch(
         self, source: str, fetch: FetchDocument, *, now: float
     ) -> tuple[PacedDocument, ...]:
-        """Send the newest document to a router that lacks it, when it is its turn."""
+        """Return the newest document, or a redirect, for a router that lacks it.
+
+        Returns nothing if the router is up to date, or if the document was sent to it so recently
+        that it may still be in flight.
+        """
         update = self.history.make_update(fetch.held_version)
         if update is None:
             return ()
-        due = self._scheduled.get(source)
-        is_again = due is not None and due.version == update.version
-        if due is not None and is_again and now < due.resend_at:
+        scheduled = self._scheduled.get(source)
+        is_repeated = scheduled is not None and scheduled.version == update.version
+        if scheduled is not None and is_repeated and now < scheduled.resend_at:
             return ()
-        paced = None if is_again else self._redirect(source, update, now)
+        paced = None if is_repeated else self._redirect(source, update, now)
         paced = paced or self._send_update(source, update, now)
         self._scheduled[source] = _ScheduledDocument(
             update.version, now + paced.delay_s + DOCUMENT_RESEND_S
@@ -73,7 +77,7 @@
         return (paced,)
 
     def _redirect(self, source: str, update: DocumentUpdate, now: float) -> PacedDocument | None:
-        """Name a router that hands the document on; one that asks again is not referred."""
+        """Return a redirect to a holder of the document, ``None`` to send it directly."""
         if self.pacer.find_delay(now=now) <= MAX_DIRECT_DELAY_S:
             return None
         size = len(update.payload)
--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -27,7 +27,10 @@
 
 @dataclass(slots=True)
 class EndpointProgress:
-    """Up to which change a router has the endpoints, and what is on its way to it."""
+    """Number of the last endpoint change that a router has confirmed, and of the last one sent.
+
+    Without progress after ``lost_at``, the changes in flight count as lost.
+    """
 
     confirmed: int = 0
     sent: int = 0
@@ -38,16 +41,16 @@
     last_seen_at: float = float("-inf")
 
     def record_sent(self, change: int, *, arrives_at: float) -> None:
-        """Note that the changes up to ``change`` are under way."""
+        """Record that the changes up to ``change`` are in flight."""
         if self.sent <= self.confirmed:
             self.lost_at = arrives_at + RESEND_AFTER_S
         self.sent = change
 
     def confirm(self, change: int, *, now: float) -> None:
-        """Take what the router says that it has.
+        """Record up to which change the router has the endpoints.
 
-        Without any progress for some time, what is on its way counts as lost, also while
-        newer changes keep going out.
+        Without progress for ``RESEND_AFTER_S``, the changes in flight count as lost, also while
+        newer changes are still being sent.
         """
         self.last_seen_at = now
         if change > self.confirmed:
@@ -64,7 +67,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class FeedCounts:
-    """Updates sent by what they hold; ``resent`` of them go again to single routers."""
+    """Counts of sent updates by content; ``resent`` of them were sent again to single routers."""
 
     tables: int = 0
     table_bytes: int = 0
@@ -74,7 +77,7 @@
 
 
 class _Group(NamedTuple):
-    """Which changes some routers lack: all after ``base``, or departures alone."""
+    """Which changes a group of routers lacks: all after ``base``, or departures only."""
 
     is_whole_table: bool
     is_partial: bool
@@ -90,16 +93,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class EndpointFeed:
-    """Sends endpoints in rounds: packed once for all routers, paced, handed on by routers.
+    """Sends endpoints in rounds: packed once for all routers, rate-limited, forwarded by routers.
 
-    It answers a fleet that starts: each of 60 routers close to a replica lacks 3,000
-    endpoints. Sent to each one as records they take a link of 4 Mbit/s for many seconds, and
-    votes, the log and operators wait behind them. Packed they take a tenth; a few routers
-    get them from the replica and hand them on, and no more is handed to the kernel at once
-    than the link drains in a moment.
+    When a fleet starts, each of 60 routers assigned to a replica lacks 3,000 endpoints. Sent to
+    each router as records, they take a link of 4 Mbit/s for many seconds, and votes, the log and
+    operator requests wait behind them. Packed, they take a tenth. A few routers get them from the
+    replica and forward them, and the kernel is never given more than the link sends within
+    ``MAX_SEND_AHEAD_S``.
 
-    A router gets the whole table from the replica that it is close to. From the others it
-    needs departures alone: those are acknowledged once a majority of replicas knows them.
+    A router gets the whole table from its assigned replica. From the others it needs only
+    departures, because those are acknowledged once a majority of replicas knows them.
     """
 
     replica: str
@@ -115,7 +118,7 @@
     _counts: FeedCounts = field(default_factory=FeedCounts)
 
     def pop_counts(self) -> FeedCounts:
-        """Return what was sent since the last call."""
+        """Return the counts of updates sent since the last call."""
         counts, self._counts = self._counts, FeedCounts()
         return counts
 
@@ -124,18 +127,19 @@
         return len(self._waiting)
 
     def get_progress(self, router: str) -> EndpointProgress:
-        """Return how far a router is, which may be a new one."""
+        """Return the progress of a router, a new one if the router is unknown."""
         progress = self._progress.get(router)
         if progress is None:
             progress = self._progress[router] = EndpointProgress()
         return progress
 
     def confirm(self, router: str, change: int | None, *, needs_whole: bool, now: float) -> None:
-        """Take up to which change a router is, ``None`` if it knows nothing of this replica.
+        """Record up to which change a router has the endpoints, ``None`` if it has none.
 
-        ``needs_whole``: it lacks more than departures. A router that has confirmed changes
-        and now knows nothing has restarted: taken for one that has lost an update, it would be
-        sent the table by the replica itself, like all others that were killed with it.
+        ``needs_whole``: it lacks more than departures. A router that has confirmed changes before
+        and now has none has restarted. Its progress is reset, because otherwise it would count as
+        one that lost an update: the replica itself would send the table to it and to all others
+        killed with it.
         """
         progress = self.get_progress(router)
         has_restarted = change is None and progress.confirmed > 0
@@ -144,13 +148,13 @@
         progress.confirm(0 if needs_whole else change or 0, now=now)
 
     def remove_router(self, router: str) -> None:
-        """Drop a router that has gone."""
+        """Remove a router that has not polled for a long time."""
         self._progress.pop(router, None)
         self._waiting.pop(router, None)
         self._waiting_for_silent.pop(router, None)
 
     def enqueue(self, router: str, *, is_assigned: bool) -> None:
-        """Have a router sent what it lacks with the next rounds."""
+        """Schedule the changes that a router lacks for the next rounds."""
         progress = self.get_progress(router)
         if progress.sent == 0:
             limit = SMALL_TABLE_RECORDS + 1
@@ -159,19 +163,20 @@
         self._waiting[router] = None
 
     def enqueue_silent(self, router: str) -> None:
-        """Have a router sent the list of silent endpoints with the next rounds."""
+        """Schedule the list of silent endpoints for a router in the next rounds."""
         self._waiting_for_silent[router] = None
 
     def send_round(self, *, now: float) -> list[SendMessage]:
-        """Return what is due, as far as the link has room.
+        """Return the messages that are due, as far as the rate limit allows.
 
-        Changes go first, then whole tables, since routers without one refuse all requests.
+        Changes go first, then whole tables. Of the whole tables, complete ones go before
+        departures.
         """
         if now < self._next_round_at:
             return []
         groups = list(self._list_groups(now))
-        changes = [one for one in groups if not one[0].is_whole_table]
-        tables = [one for one in groups if one[0].is_whole_table]
+        changes = [entry for entry in groups if not entry[0].is_whole_table]
+        tables = [entry for entry in groups if entry[0].is_whole_table]
         messages: list[SendMessage] = []
         for group, routers in changes:
             messages += self._send_group(group, routers, now)
@@ -183,38 +188,39 @@
         return messages
 
     def _list_groups(self, now: float) -> Iterator[tuple[_Group, list[str]]]:
-        """Yield the waiting routers by what they lack, those that lack least first.
+        """Yield the waiting routers grouped by what they lack, those that lack least first.
 
-        Routers that wait for the whole table go before those that get departures of endpoints
-        which they do not know yet.
+        Routers that wait for the whole table go before those that get departures of endpoints which
+        they do not know yet.
         """
         groups: dict[_Group, list[str]] = {}
         for router in list(self._waiting):
             progress = self._progress[router]
             if progress.sent >= self.table.change or not self._is_alive(router, now):
-                # One that is heard again asks again.
+                # A silent router is enqueued again with its next request.
                 del self._waiting[router]
                 continue
             is_whole_table = progress.sent == 0
             is_partial = is_whole_table and progress.is_partial
             group = _Group(is_whole_table, is_partial, progress.sent)
             groups.setdefault(group, []).append(router)
-        for group in sorted(groups, key=lambda one: (-one.base, one.is_partial)):
+        for group in sorted(groups, key=lambda group: (-group.base, group.is_partial)):
             yield group, groups[group]
 
     def _is_alive(self, router: str, now: float) -> bool:
         return now - self._progress[router].last_seen_at <= ROUTER_SILENT_S
 
     def prefer_reliable(self, routers: Iterable[str], *, now: float) -> list[str]:
-        """Return routers with those first that are surely alive and stay; the first hand on.
+        """Return routers with those first that are recently seen and not stopping; these forward.
 
-        The order stays for some seconds: with others each time, all would connect to all. It
-        does not stay for ever, since a router may not reach the one that it depends on.
+        The order is stable for ``RELAY_ORDER_S``: with a new order in each round, every router
+        would open connections to all others. It changes after that, because a router may be unable
+        to reach the router that forwards to it.
         """
         names = sorted(routers)
         turn = int(now / RELAY_ORDER_S) % max(1, len(names))
         turned = names[turn:] + names[:turn]
-        return sorted(turned, key=lambda one: self._is_unreliable(one, now))
+        return sorted(turned, key=lambda router: self._is_unreliable(router, now))
 
     def _is_unreliable(self, router: str, now: float) -> bool:
         progress = self._progress[router]
@@ -226,10 +232,10 @@
         if not self.fanout.has_room(now=now):
             return
         packed = self._pack(group, now)
-        for leg in self._plan_deliveries(routers, len(packed.payload), now):
-            self._count(group, len(packed.payload), self._progress[leg.first].has_lost_update)
-            for router in (leg.first, *leg.others):
-                self._progress[router].record_sent(packed.change, arrives_at=leg.arrives_at)
+        for delivery in self._plan_deliveries(routers, len(packed.payload), now):
+            self._count(group, len(packed.payload), self._progress[delivery.first].has_lost_update)
+            for router in (delivery.first, *delivery.others):
+                self._progress[router].record_sent(packed.change, arrives_at=delivery.arrives_at)
                 del self._waiting[router]
             update = EndpointUpdate(
                 replica=self.replica,
@@ -238,9 +244,9 @@
                 change=packed.change,
                 payload=packed.payload,
                 is_partial=group.is_partial,
-                forward_to=leg.others,
+                forward_to=delivery.others,
             )
-            yield SendMessage(target=leg.first, message=update)
+            yield SendMessage(target=delivery.first, message=update)
 
     def _count(self, group: _Group, size: int, has_lost_update: bool) -> None:
         counts = self._counts
@@ -253,30 +259,30 @@
             counts.change_bytes += size
 
     def _plan_deliveries(self, routers: Iterable[str], size: int, now: float) -> Iterator[Delivery]:
-        """Yield the ways to routers; one that has missed an update gets it from here."""
+        """Yield the deliveries to routers; one that lost an update gets it from this replica."""
         ordered = self.prefer_reliable(routers, now=now)
-        lost = [one for one in ordered if self._progress[one].has_lost_update]
-        others = [one for one in ordered if not self._progress[one].has_lost_update]
+        lost = [router for router in ordered if self._progress[router].has_lost_update]
+        others = [router for router in ordered if not self._progress[router].has_lost_update]
         yield from self.fanout.plan(lost, size, now=now, is_direct=True)
         yield from self.fanout.plan(others, size, now=now)
 
     def _send_silent(self, now: float) -> Iterator[SendMessage]:
         routers = self.prefer_reliable(
-            [one for one in self._waiting_for_silent if self._is_alive(one, now)], now=now
+            [router for router in self._waiting_for_silent if self._is_alive(router, now)], now=now
         )
         self._waiting_for_silent = dict.fromkeys(routers)
         size = len(self.silent.endpoint_ids) * SILENT_ID_BYTES
-        for leg in self.fanout.plan(routers, size, now=now):
-            for router in (leg.first, *leg.others):
+        for delivery in self.fanout.plan(routers, size, now=now):
+            for router in (delivery.first, *delivery.others):
                 del self._waiting_for_silent[router]
             update = SilentUpdate(
                 replica=self.replica,
                 run=self.run,
                 revision=self.silent.revision,
                 endpoint_ids=self.silent.endpoint_ids,
-                forward_to=leg.others,
+                forward_to=delivery.others,
             )
-            yield SendMessage(target=leg.first, message=update)
+            yield SendMessage(target=delivery.first, message=update)
 
     def _pack(self, group: _Group, now: float) -> _PackedRecords:
         known = self._packed.get(group)
@@ -285,7 +291,7 @@
         self._prune_packed(now)
         records = self.table.list_changes(group.base)
         if group.is_partial:
-            records = [one for one in records if one.state in _DEPARTURES]
+            records = [record for record in records if record.state in _DEPARTURES]
         packed = _PackedRecords(
             change=self.table.change, payload=pack_records(records), made_at=now
         )
--- a/chivetrack/components/distribution/fanout.py
+++ b/chivetrack/components/distribution/fanout.py
@@ -1,4 +1,4 @@
-"""Sends the same bytes to many routers, which hand them on to each other; free of I/O."""
+"""Fan-out of one message to many routers, which forward it to each other; free of I/O."""
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 )
 from chivetrack.components.distribution.pacing import Pacer
 
-# The frame, the names in an update and the TCP/IP headers.
+# Frame, names in an update, and TCP/IP headers.
 _OVERHEAD_BYTES = 200
 _ADDRESS_BYTES = 20
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Delivery:
-    """One message of the replica: to ``first``, which hands it on to ``others``."""
+    """One message of the replica: sent to ``first``, which forwards it to ``others``."""
 
     first: str
     others: tuple[str, ...]
@@ -28,35 +28,39 @@
 
 @dataclass(slots=True, kw_only=True)
 class Fanout:
-    """Divides routers among those that get a message first, within the pace of the link."""
+    """Selects the routers that get a message directly and forward it, within the rate limit."""
 
     pacer: Pacer
 
     def has_room(self, *, now: float) -> bool:
-        """Return whether more may be handed to the kernel now."""
+        """Return whether the rate limit allows to hand more data to the kernel now."""
         return self.pacer.find_delay(now=now) <= MAX_SEND_AHEAD_S
 
     def plan(
         self, routers: Sequence[str], size: int, *, now: float, is_direct: bool = False
     ) -> Iterator[Delivery]:
-        """Yield to whom ``size`` bytes go now; routers without room wait for the next round.
+        """Yield the deliveries of ``size`` bytes that fit now; the others wait for the next round.
 
-        The first of ``routers`` hand the message on: put those first that are surely alive.
-        With ``is_direct`` nobody hands it on.
+        The first of ``routers`` forward the message, so the caller puts routers first that are
+        likely to be alive. With ``is_direct`` every router gets the message from the replica.
         """
-        parts = [[one] for one in routers] if is_direct else _split(routers, size)
-        for first, *others in parts:
+        groups = [[router] for router in routers] if is_direct else _split(routers, size)
+        for first, *others in groups:
             if not self.has_room(now=now):
                 return
-            whole = size + _OVERHEAD_BYTES + _ADDRESS_BYTES * len(others)
-            sent_at = now + self.pacer.reserve(whole, now=now) + whole / self.pacer.bytes_per_s
-            arrives_at = sent_at + len(others) * whole / BULK_BYTES_PER_S
+            size_on_link = size + _OVERHEAD_BYTES + _ADDRESS_BYTES * len(others)
+            sent_at = (
+                now
+                + self.pacer.reserve(size_on_link, now=now)
+                + size_on_link / self.pacer.bytes_per_s
+            )
+            arrives_at = sent_at + len(others) * size_on_link / BULK_BYTES_PER_S
             yield Delivery(first=first, others=tuple(others), arrives_at=arrives_at)
 
 
 def _split(routers: Sequence[str], size: int) -> list[list[str]]:
     if len(routers) * size <= MAX_DIRECT_BYTES:
-        return [[one] for one in routers]
+        return [[router] for router in routers]
     forwards = max(1, min(MAX_FORWARDS, int(MAX_RELAY_BYTES // max(1, size))))
-    parts = -(-len(routers) // (forwards + 1))
-    return [[routers[part], *routers[parts + part :: parts]] for part in range(parts)]
+    groups = -(-len(routers) // (forwards + 1))
+    return [[routers[group], *routers[groups + group :: groups]] for group in range(groups)]
--- a/chivetrack/components/distribution/load_feed.py
+++ b/chivetrack/components/distribution/load_feed.py
@@ -17,10 +17,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class LoadFeed:
-    """Sends the same packed loads to all close routers, at intervals that rise with their size.
+    """Sends the same packed loads to all assigned routers, less often the larger they are.
 
-    With 3,000 endpoints in use, each answer to each of 60 routers would hold kilobytes of
-    loads, several times what a link of 4 Mbit/s carries, and the log would wait behind them.
+    With 3,000 endpoints in use, each answer to each of 60 routers would hold kilobytes of loads.
+    This is several times what a link of 4 Mbit/s carries, and the log would wait behind it.
+    ``is_broadcast``: loads are sent as separate updates and not within the answers.
     """
 
     replica: str
@@ -38,7 +39,7 @@
     ) -> Iterator[SendMessage]:
         """Yield the loads for ``routers`` if they are due and too many for the answers.
 
-        The first routers hand them on.
+        The first routers forward them.
         """
         if now < self._next_at:
             return
@@ -56,11 +57,11 @@
         yield from self._send(routers, payload, now)
 
     def _send(self, routers: Collection[str], payload: bytes, now: float) -> Iterator[SendMessage]:
-        # Whoever had no room in the last round comes first in this one.
+        # Routers that did not fit into the last round come first in this one.
         never = float("-inf")
-        ordered = sorted(routers, key=lambda one: self._sent_at.get(one, never))
-        self._sent_at = {one: self._sent_at.get(one, never) for one in ordered}
-        for leg in self.fanout.plan(ordered, len(payload), now=now):
-            self._sent_at.update(dict.fromkeys((leg.first, *leg.others), now))
-            update = LoadUpdate(replica=self.replica, payload=payload, forward_to=leg.others)
-            yield SendMessage(target=leg.first, message=update)
+        ordered = sorted(routers, key=lambda router: self._sent_at.get(router, never))
+        self._sent_at = {router: self._sent_at.get(router, never) for router in ordered}
+        for delivery in self.fanout.plan(ordered, len(payload), now=now):
+            self._sent_at.update(dict.fromkeys((delivery.first, *delivery.others), now))
+            update = LoadUpdate(replica=self.replica, payload=payload, forward_to=delivery.others)
+            yield SendMessage(target=delivery.first, message=update)
--- a/chivetrack/components/distribution/load_packing.py
+++ b/chivetrack/components/distribution/load_packing.py
@@ -1,4 +1,4 @@
-"""Packs the loads of many endpoints into few bytes, and takes a router's own part off."""
+"""Packs the loads of many endpoints, and subtracts a router's own share from a total."""
 
 from collections.abc import Iterable
 from operator import attrgetter
@@ -15,12 +15,12 @@
 
 
 def unpack_loads(payload: bytes) -> Result[list[EndpointLoad], str]:
-    """Return the loads that ``pack_loads`` was given; the error side says what is wrong."""
+    """Return the loads packed by ``pack_loads``; the error side describes the fault."""
     return unpack_rows(payload, EndpointLoad)
 
 
 def subtract_load(total: EndpointLoad, part: EndpointLoad | None) -> EndpointLoad:
-    """Return a load without one router's part, which may be a little newer than the total."""
+    """Return a load without one router's share, which may be slightly newer than the total."""
     if part is None:
         return total
     return EndpointLoad(
--- a/chivetrack/components/distribution/messages.py
+++ b/chivetrack/components/distribution/messages.py
@@ -8,10 +8,10 @@
 
 @message("distribution.load")
 class EndpointLoad(Message, frozen=True, array_like=True):
-    """How much of an endpoint some routers use, and how their last tries there ended.
+    """Load of one endpoint by one or more routers, and results of their recent attempts there.
 
-    ``running`` are requests in flight, ``tokens`` prompt tokens sent and not yet
-    answered by a first event. ``answered`` and ``failed`` are of the last 1.2 s.
+    ``running`` counts requests in flight, ``tokens`` the prompt tokens that were sent and not yet
+    answered by a first event. ``answered`` and ``failed`` count the attempts of the last 1.2 s.
     """
 
     endpoint_id: str
@@ -23,7 +23,7 @@
 
 @message("distribution.placed")
 class PlacedPart(Message, frozen=True, array_like=True):
-    """A part of a prompt that was sent to an endpoint ``age_s`` seconds ago."""
+    """Placement of a prompt part: it was sent to an endpoint ``age_s`` seconds ago."""
 
     part: str
     endpoint_id: str
@@ -32,16 +32,16 @@
 
 @message("distribution.follow")
 class Follow(Message, frozen=True, array_like=True):
-    """A router tells a replica what it has, and is sent what it lacks.
-
-    ``run`` and ``change`` say up to which change of which process of the replica the
-    endpoints are known, ``placed_change`` the placements. ``is_assigned``: this replica is
-    the one that hears of the router's load and tells it that of the others. ``document_address``
-    is where the router hands out its document, ``host:port``. ``crash_reports`` are the
-    router's recent crash reports, ``quarantine_revision`` is the revision of the quarantine
-    that it has in force. ``is_partial``: up to ``change`` only departures are known.
-    ``silent_revision`` is that of the list of silent endpoints held from this replica.
-    ``is_stopping``: the router has got SIGTERM.
+    """Poll of a replica by a router: says what the router has and requests what it lacks.
+
+    ``run`` identifies the process of the replica whose change numbers are meant; ``change`` is the
+    last endpoint change known from it, and ``placed_change`` the last placement change.
+    ``is_assigned``: this replica is the one that collects the router's load and returns the load of
+    the other routers. ``document_address`` is the ``host:port`` where the router serves its
+    document. ``crash_reports`` are the router's recent crash reports, ``quarantine_revision`` is
+    the revision of the quarantine that it has in force. ``is_partial``: up to ``change`` only
+    departures are known. ``silent_revision`` is the revision of the list of silent endpoints held
+    from this replica. ``is_stopping``: the router has received SIGTERM.
     """
 
     router: str
@@ -62,17 +62,17 @@
 
 @message("distribution.view")
 class View(Message, frozen=True, array_like=True):
-    """What a replica knows: records after change ``base``, and the state of the fleet.
-
-    ``version`` is that of the newest document applied there, ``evacuations`` are the zone
-    orders applied there. With ``has_loads``, ``loads``
-    are summed over all routers but the receiver, or ``None`` if they are many and come as
-    ``LoadUpdate``, ``routers`` counts the routers, ``stopping`` those of them that stop, and
-    ``placed`` are the placements after change ``placed_base``. ``quarantine`` is
-    ``None`` if the router already has that revision. ``is_pending``: more endpoints have
-    changed than fit; they follow as ``EndpointUpdate``. ``silent`` is ``None`` if the router
-    has the newest list, or that is long and follows as ``SilentUpdate``; ``silent_revision``
-    is the one that the router has then.
+    """Answer of a replica to a router: records changed after ``base``, and the fleet's state.
+
+    ``version`` is the version of the newest document applied by the replica, ``evacuations`` are
+    the zone orders applied by it. With ``has_loads``, the fields for assigned routers are valid:
+    ``loads`` are the loads summed over all routers but the receiver, or ``None`` if there are so
+    many that they are sent as ``LoadUpdate``; ``routers`` counts the routers, ``stopping`` those of
+    them that are stopping; ``placed`` are the placements after the router's ``placed_change``.
+    ``quarantine`` is ``None`` if the router already has that revision. ``is_pending``: more
+    endpoints have changed than fit; they follow as ``EndpointUpdate``. ``silent`` is ``None`` if
+    the router has the newest list, or if the list is long and follows as ``SilentUpdate``;
+    ``silent_revision`` is the revision that the router holds after this message.
     """
 
     run: str
@@ -96,11 +96,11 @@
 
 @message("distribution.endpoints")
 class EndpointUpdate(Message, frozen=True, array_like=True):
-    """Many endpoints that changed at a replica between two numbered changes, packed.
+    """Packed records of the endpoints that changed at a replica after ``base`` up to ``change``.
 
-    ``replica`` is the address of the replica and ``run`` names its process; both hold also
-    where a router hands the update on. The receiver sends it to each of ``forward_to``.
-    ``is_partial``: of the endpoints, only those that are leaving or have left.
+    ``replica`` is the address of the replica and ``run`` identifies its process, also where a
+    router forwards the update. The receiver forwards it to each router in ``forward_to``.
+    ``is_partial``: it holds only endpoints that are leaving or have left.
     """
 
     replica: str
@@ -114,7 +114,7 @@
 
 @message("distribution.silent")
 class SilentUpdate(Message, frozen=True, array_like=True):
-    """The endpoints that a replica has not heard of lately, where they are many.
+    """Long list of the endpoints from which a replica has recently received no heartbeat.
 
     ``replica``, ``run`` and ``forward_to`` are as in ``EndpointUpdate``.
     """
@@ -128,7 +128,7 @@
 
 @message("distribution.loads")
 class LoadUpdate(Message, frozen=True, array_like=True):
-    """The packed loads of all routers, the receiver among them.
+    """Packed loads of all routers, including the receiver.
 
     ``replica`` and ``forward_to`` are as in ``EndpointUpdate``.
     """
@@ -140,10 +140,10 @@
 
 @message("distribution.exchange")
 class Exchange(Message, frozen=True, array_like=True):
-    """What the routers that are close to one replica have in use and have sent lately.
+    """Summed loads and new placements of the routers assigned to the sending replica.
 
-    ``crash_reports`` are those that the replica first received recently. ``stopping`` of
-    the ``routers`` stop.
+    ``routers`` counts these routers, ``stopping`` those of them that are stopping.
+    ``crash_reports`` are those that the replica first received recently.
     """
 
     routers: int
@@ -155,14 +155,14 @@
 
 @message("distribution.fetch")
 class FetchDocument(Message, frozen=True, array_like=True):
-    """Ask for the newest document."""
+    """Request the newest document; ``held_version`` is the version that the sender has, or 0."""
 
     held_version: int
 
 
 @message("distribution.document")
 class DocumentSent(Message, frozen=True, array_like=True):
-    """A document, packed; with ``base_version``, a packed patch of that version."""
+    """A packed document or, with ``base_version``, a packed patch of that version."""
 
     version: int
     payload: bytes
@@ -171,7 +171,7 @@
 
 @message("distribution.fetch_elsewhere")
 class FetchElsewhere(Message, frozen=True, array_like=True):
-    """The document of ``version`` is to be asked for at another router."""
+    """Redirect: fetch the document of ``version`` from the router ``holder``."""
 
     version: int
     holder: str
@@ -179,7 +179,7 @@
 
 @message("distribution.spread")
 class BroadcastRecords(Message, frozen=True, array_like=True):
-    """Statements of endpoints that one replica passes on to the others."""
+    """Endpoint records that one replica sends to the others."""
 
     number: int
     records: tuple[EndpointRecord, ...]
@@ -187,16 +187,17 @@
 
 @message("distribution.spread_answer")
 class RecordsAck(Message, frozen=True, array_like=True):
-    """The statements of a ``BroadcastRecords`` are known here."""
+    """Acknowledgement that the records of a ``BroadcastRecords`` message are known."""
 
     number: int
 
 
 @message("distribution.heard")
 class BroadcastHeartbeats(Message, frozen=True, array_like=True):
-    """Heartbeats without news that a replica got, one in each place of the three sequences.
+    """Heartbeats without changes that a replica received; the three sequences are parallel.
 
-    ``checksums`` are those of the records, so that a replica that lacks one asks for it.
+    ``checksums`` are the checksums of the records, so that a replica that lacks a record requests
+    it.
     """
 
     endpoint_ids: tuple[str, ...]
@@ -206,6 +207,6 @@
 
 @message("distribution.ask_records")
 class RecordsRequest(Message, frozen=True, array_like=True):
-    """Ask another replica for the whole records of some endpoints."""
+    """Request the whole records of some endpoints from another replica."""
 
     endpoint_ids: tuple[str, ...]
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -1,4 +1,4 @@
-"""A replica's side: who follows, what each one has, what is sent to whom."""
+"""Replica side of the distribution: which routers poll, what each has, what is sent to each."""
 
 import itertools
 from collections.abc import Callable, Iterable, Mapping
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Router:
-    """What is known of a router that follows."""
+    """State of one router that polls this replica."""
 
     last_seen_at: float
     is_assigned: bool
@@ -60,14 +60,14 @@
     is_stopping: bool = False
 
     def confirm(self, placed_change: int, now: float) -> None:
-        """Take what the router says that it has; what is on its way may be more."""
+        """Record up to which change the router has placements; more may be in flight."""
         if placed_change >= self.placed_change or now - self.placements_sent_at > RESEND_AFTER_S:
             self.placed_change = placed_change
 
 
 @dataclass(slots=True, kw_only=True)
 class _Peer:
-    """The last word of another replica about the routers close to it."""
+    """The last exchange message of another replica about the routers assigned to it."""
 
     last_seen_at: float
     exchange: Exchange
@@ -75,11 +75,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Publisher:
-    """Decides what routers are sent.
+    """Decides which state is sent to which router.
 
-    ``replica`` is the own address, ``run`` names this process of the replica. Each router is
-    close to one replica, which hears of its load. Replicas exchange the sums, so that the
-    work of each grows with its own routers and not with all of them.
+    ``replica`` is this replica's address, ``run`` identifies its process. Each router is assigned
+    to one replica, to which it reports its load. Replicas exchange the sums, so that the work of
+    each grows with the number of its assigned routers and not with the whole fleet.
     """
 
     replica: str
@@ -106,7 +106,7 @@
     _records_inline: int = 0
 
     def __post_init__(self) -> None:
-        """Let endpoints, loads and documents share the pace of the link."""
+        """Create the feeds, which share the rate limit of the link."""
         self._documents = DocumentFeed(history=self.history, pacer=self._pacer)
         self._fanout = Fanout(pacer=self._pacer)
         self._endpoints = EndpointFeed(
@@ -117,11 +117,12 @@
     def handle_follow(
         self, follow: Follow, *, now: float, knows_leader: bool = True
     ) -> list[SendMessage]:
-        """Answer a router with what it lacks; just after a start only once there is a leader.
+        """Answer a router's poll with the state that it lacks.
 
-        After all instances lost power, hundreds of routers ask in the moment in which the
-        replicas elect a leader. Votes that waited behind the answers came after the next
-        election had begun, several times in a row, and no configuration was sure meanwhile.
+        Returns nothing while no leader is known within ``ELECTION_GRACE_S`` of the start. After a
+        power loss of all instances, hundreds of routers poll while the replicas elect a leader.
+        Votes that waited behind the answers arrived after the next election had begun, several
+        times in a row, and no configuration could be confirmed meanwhile.
         """
         if not knows_leader and now - self.started_at < ELECTION_GRACE_S:
             return []
@@ -157,27 +158,27 @@
         return [self._make_assigned_view(follow.router, router, now)]
 
     def handle_exchange(self, source: str, exchange: Exchange, *, now: float) -> None:
-        """Take what another replica has heard from the routers close to it."""
+        """Record the loads, crash reports and placements that another replica has collected."""
         self._peers[source] = _Peer(last_seen_at=now, exchange=exchange)
         self.evidence.note(exchange.crash_reports, now=now)
         self.placements.record(exchange.placed, now=now)
 
     def make_exchange(self, *, now: float) -> Exchange:
-        """Return what the other replicas should know, and begin to gather anew."""
-        news, self._new_placements = self._new_placements, []
-        close = self._list_assigned(now)
-        others = sum(one.exchange.routers for one in self._list_peers(now))
-        self._fleet_share.note(len(close) + others, now=now)
+        """Return the message for the other replicas, and clear the collected placements."""
+        placed, self._new_placements = self._new_placements, []
+        assigned = self._list_assigned(now)
+        elsewhere = sum(peer.exchange.routers for peer in self._list_peers(now))
+        self._fleet_share.note(len(assigned) + elsewhere, now=now)
         return Exchange(
-            routers=len(close),
-            loads=_sum_loads(one.loads for one in close.values()),
-            placed=tuple(news),
+            routers=len(assigned),
+            loads=_sum_loads(router.loads for router in assigned.values()),
+            placed=tuple(placed),
             crash_reports=self.evidence.list_recent(now=now),
-            stopping=_count_stopping(close),
+            stopping=_count_stopping(assigned),
         )
 
     def pop_counts(self) -> dict[str, int]:
-        """Return what routers were sent since the last call, and how many wait."""
+        """Return counts of what was sent to routers since the last call, and of waiting routers."""
         placed, self._placed_sent = self._placed_sent, 0
         records, self._records_inline = self._records_inline, 0
         return {
@@ -190,73 +191,75 @@
     def handle_fetch(
         self, source: str, fetch: FetchDocument, *, now: float
     ) -> tuple[PacedDocument, ...]:
-        """Send the newest document to a router that lacks it, when it is its turn."""
+        """Return the newest document, or a redirect, for a router that lacks it."""
         return self._documents.handle_fetch(source, fetch, now=now)
 
     def get_fleet_share(self, *, now: float) -> float:
-        """Return what part of the fleet's routers is close to this replica."""
+        """Return the share of the fleet's routers that is assigned to this replica."""
         return self._fleet_share.find(len(self._list_assigned(now)), now=now)
 
     def list_document_addresses(self, version: int, *, now: float) -> list[str]:
-        """Return where close routers hand out a document of this version or a newer one."""
+        """Return where assigned routers serve a document of this version or a newer one."""
         return [
-            one.document_address
-            for one in self._list_assigned(now).values()
-            if one.document_address and one.version >= version and not one.is_stopping
+            router.document_address
+            for router in self._list_assigned(now).values()
+            if router.document_address and router.version >= version and not router.is_stopping
         ]
 
     def publish(self, *, now: float) -> list[SendMessage]:
-        """Push what has changed to the routers, in a large fleet only to the close ones.
+        """Push changes to the routers, in a large fleet only to the assigned ones.
 
-        The others are told by the replica that they are close to, or at their next
-        question: pushed by each replica to each router, changes would fill the links.
+        The others get the changes from their own assigned replica or with their next poll: a push
+        from each replica to each router would fill the links.
         """
-        gone = [
-            one
-            for one, router in self._routers.items()
+        expired = [
+            name
+            for name, router in self._routers.items()
             if now - router.last_seen_at > ROUTER_EXPIRY_S
         ]
-        for one in gone:
-            del self._routers[one]
-            self._documents.remove_router(one)
-            self._endpoints.remove_router(one)
+        for name in expired:
+            del self._routers[name]
+            self._documents.remove_router(name)
+            self._endpoints.remove_router(name)
         is_large = len(self._routers) > LARGE_FLEET_ROUTERS
         targets = {
-            one: router
-            for one, router in self._routers.items()
+            name: router
+            for name, router in self._routers.items()
             if router.is_assigned or not is_large
         }
-        orders = (self.history.version, self.evacuations.revision, self.quarantine.revision)
-        has_orders = orders != self._published_revisions
-        self._published_revisions = orders
-        is_light = self._fits_push(targets, now)
-        if is_light or has_orders:
-            return [self._make_view(one, router, now) for one, router in targets.items()]
-        for one, router in targets.items():
-            self._endpoints.enqueue(one, is_assigned=router.is_assigned)
+        revisions = (self.history.version, self.evacuations.revision, self.quarantine.revision)
+        has_new_revision = revisions != self._published_revisions
+        self._published_revisions = revisions
+        fits_push = self._fits_push(targets, now)
+        if fits_push or has_new_revision:
+            return [self._make_view(name, router, now) for name, router in targets.items()]
+        for name, router in targets.items():
+            self._endpoints.enqueue(name, is_assigned=router.is_assigned)
         return []
 
     def send_round(self, *, now: float) -> list[SendMessage]:
-        """Return the packed endpoints and loads that are due; call this several times a second."""
+        """Return the packed endpoints and loads that are due; called several times a second."""
         messages = self._endpoints.send_round(now=now)
-        close = self._list_assigned(now)
-        routers = self._endpoints.prefer_reliable(close, now=now)
-        messages += self._loads.send_due(routers, lambda: self._sum_all_loads(close, now), now=now)
+        assigned = self._list_assigned(now)
+        routers = self._endpoints.prefer_reliable(assigned, now=now)
+        messages += self._loads.send_due(
+            routers, lambda: self._sum_all_loads(assigned, now), now=now
+        )
         return messages
 
     def _sum_all_loads(
-        self, close: Mapping[str, _Router], now: float, *, without: str = ""
+        self, assigned: Mapping[str, _Router], now: float, *, without: str = ""
     ) -> tuple[EndpointLoad, ...]:
-        own = [router.loads for name, router in close.items() if name != without]
-        return _sum_loads([*own, *(one.exchange.loads for one in self._list_peers(now))])
+        own = [router.loads for name, router in assigned.items() if name != without]
+        return _sum_loads([*own, *(peer.exchange.loads for peer in self._list_peers(now))])
 
     def _fits_push(self, targets: Mapping[str, _Router], now: float) -> bool:
-        """Return whether the newest changes are few and the link has room for their push."""
+        """Return whether the latest changes are few and the rate limit allows to push them now."""
         counts = [
             self.table.count_changes(
-                self._endpoints.get_progress(one).sent, limit=INLINE_RECORDS + 1
+                self._endpoints.get_progress(name).sent, limit=INLINE_RECORDS + 1
             )
-            for one in targets
+            for name in targets
         ]
         is_many = any(count > INLINE_RECORDS for count in counts)
         if is_many or not self._fanout.has_room(now=now):
@@ -291,7 +294,7 @@
         return SendMessage(target=name, message=view)
 
     def _fits_inline(self, records: int, now: float) -> bool:
-        """Return whether changed endpoints go out within an answer, and pace them if so."""
+        """Return whether changed endpoints fit into an answer, and reserve their bytes if so."""
         if records <= INLINE_RECORDS:
             return True
         if records > MAX_INLINE_RECORDS or not self._fanout.has_room(now=now):
@@ -302,7 +305,7 @@
     def _find_newer_silent(
         self, name: str, router: _Router, now: float
     ) -> tuple[tuple[str, ...] | None, int]:
-        """Return the silent endpoints, ``None`` if nothing is new or the list comes later."""
+        """Return the silent endpoints, ``None`` if unchanged or if the list is sent separately."""
         silent = self._endpoints.silent
         silent.refresh(self.table, now=now)
         if router.silent_revision == silent.revision:
@@ -318,27 +321,27 @@
         return self.quarantine
 
     def _make_assigned_view(self, name: str, router: _Router, now: float) -> SendMessage:
-        close = self._list_assigned(now)
-        peers = [one.exchange for one in self._list_peers(now)]
+        assigned = self._list_assigned(now)
+        peers = [peer.exchange for peer in self._list_peers(now)]
         sent = self._make_view(name, router, now)
         assert isinstance(sent.message, View)
         placed: tuple[PlacedPart, ...] = ()
         silent, silent_revision = None, router.silent_revision
         if self._knows_endpoints(name, sent.message):
-            placed, router.placed_change = self._list_placed(router, len(close), now)
+            placed, router.placed_change = self._list_placed(router, len(assigned), now)
             silent, silent_revision = self._find_newer_silent(name, router, now)
         if placed:
             router.placements_sent_at = now
         is_broadcast = self._loads.is_broadcast
-        loads = None if is_broadcast else self._sum_all_loads(close, now, without=name)
+        loads = None if is_broadcast else self._sum_all_loads(assigned, now, without=name)
         view = msgspec.structs.replace(
             sent.message,
             silent=silent,
             silent_revision=silent_revision,
             has_loads=True,
             loads=loads,
-            routers=len(close) + sum(one.routers for one in peers),
-            stopping=_count_stopping(close) + sum(one.stopping for one in peers),
+            routers=len(assigned) + sum(exchange.routers for exchange in peers),
+            stopping=_count_stopping(assigned) + sum(exchange.stopping for exchange in peers),
             placed=placed,
             placed_change=router.placed_change,
         )
@@ -347,25 +350,25 @@
     def _knows_endpoints(self, name: str, view: View) -> bool:
         """Return whether a router has the table of endpoints, at the latest with this view.
 
-        Before, it drops placements as the endpoints appear, and has no use for the list of
-        silent ones; both would delay the table on the link.
+        A router without the table drops placements of unknown endpoints and has no use for the list
+        of silent endpoints. Both would delay the table on the link.
         """
         brings_table = view.base == 0 and not view.is_pending
         return brings_table or self._endpoints.get_progress(name).confirmed > 0
 
     def _list_placed(
-        self, router: _Router, close: int, now: float
+        self, router: _Router, assigned_count: int, now: float
     ) -> tuple[tuple[PlacedPart, ...], int]:
-        """Return the placements that a router lacks, none before it has the document.
+        """Return the placements that a router lacks, none before it has the newest document.
 
-        After all instances lost power, every router lacks everything. With placements on
-        the link beside documents and endpoints, those and the leader's heartbeats came seconds
-        late, and callers were refused meanwhile. So placements wait for room on the link.
+        After a power loss of all instances, every router lacks everything. With placements on the
+        link besides documents and endpoints, these and the leader's heartbeats were seconds late,
+        and callers were refused meanwhile. So placements wait until the link has room.
         """
         is_behind = router.version < self.history.version
         if is_behind or self._pacer.find_delay(now=now) > MAX_PLACEMENTS_AHEAD_S:
             return (), router.placed_change
-        limit = max(1, PLACEMENTS_PER_ROUND // close)
+        limit = max(1, PLACEMENTS_PER_ROUND // assigned_count)
         placed, change = self.placements.list_after(router.placed_change, now=now, limit=limit)
         self._placed_sent += len(placed)
         self._pacer.reserve(len(placed) * PLACEMENT_BYTES, now=now)
@@ -379,11 +382,11 @@
         }
 
     def _list_peers(self, now: float) -> list[_Peer]:
-        return [one for one in self._peers.values() if now - one.last_seen_at <= ROUTER_SILENT_S]
+        return [peer for peer in self._peers.values() if now - peer.last_seen_at <= ROUTER_SILENT_S]
 
 
 def _count_stopping(routers: Mapping[str, _Router]) -> int:
-    return sum(1 for one in routers.values() if one.is_stopping)
+    return sum(1 for router in routers.values() if router.is_stopping)
 
 
 def _sum_loads(loads: Iterable[tuple[EndpointLoad, ...]]) -> tuple[EndpointLoad, ...]:
@@ -394,11 +397,11 @@
     return tuple(sums.values())
 
 
-def _add_loads(one: EndpointLoad, other: EndpointLoad) -> EndpointLoad:
+def _add_loads(first: EndpointLoad, second: EndpointLoad) -> EndpointLoad:
     return EndpointLoad(
-        endpoint_id=one.endpoint_id,
-        running=one.running + other.running,
-        tokens=one.tokens + other.tokens,
-        answered=one.answered + other.answered,
-        failed=one.failed + other.failed,
+        endpoint_id=first.endpoint_id,
+        running=first.running + second.running,
+        tokens=first.tokens + second.tokens,
+        answered=first.answered + second.answered,
+        failed=first.failed + second.failed,
     )
--- a/chivetrack/components/distribution/relays.py
+++ b/chivetrack/components/distribution/relays.py
@@ -1,4 +1,4 @@
-"""Routers that have a document hand it on to others, so that replicas send few copies."""
+"""Selects routers that relay a document to others, so that replicas send few copies."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class _Holder:
-    """A router that has a document from ``since`` on, and how much more it may hand out."""
+    """A router that has a document from ``since`` on, and how many bytes it may still relay."""
 
     since: float
     bytes_left: float = MAX_RELAY_BYTES
@@ -15,20 +15,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Relay:
-    """Where a router is to ask for a document, and in how many seconds."""
+    """The router from which a document is to be fetched, and after how many seconds."""
 
     holder: str
     delay_s: float
 
 
 class RelaySelector:
-    """Chooses the router that hands a document on; free of I/O.
+    """Selects the router that relays a document; free of I/O.
 
-    It answers a document of which 195 routers ask five replicas for 24 kB each in one
-    moment. On links of 4 Mbit/s, which heartbeats and endpoints need too, a replica takes
-    over three seconds for its part, and some routers refuse requests for new routes after
-    the time in which a change has to be in force. Routers have wider links, and twelve
-    copies from each of a few that were served first reach all others at once.
+    When 195 routers request a document of 24 kB from five replicas at the same moment, a replica
+    with a link of 4 Mbit/s, which heartbeats and endpoints need too, takes over three seconds for
+    its share. Some routers then refuse requests for new routes after the time in which a change has
+    to be in force. Routers have wider links: a few that were served first send twelve copies each,
+    which reaches all others in time.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self._holders: dict[str, _Holder] = {}
 
     def record_holder(self, router: str, version: int, *, since: float) -> None:
-        """Note that a router has a version, or will have it at ``since``."""
+        """Record that a router has a version, or will have it at ``since``."""
         if version > self._version:
             self._version = version
             self._holders.clear()
@@ -45,26 +45,26 @@
             self._holders[router] = _Holder(since)
 
     def remove_holder(self, router: str, *, now: float) -> None:
-        """Note that a router can't hand its version on: it lacks it, or will be gone soon.
+        """Remove a router that can't relay its version: it lacks the version, or is stopping.
 
-        What is on its way to it may still come.
+        A router to which the version may still be in flight is kept.
         """
         holder = self._holders.get(router)
         if holder is not None and holder.since + RESEND_AFTER_S <= now:
             del self._holders[router]
 
     def choose(self, asker: str, version: int, *, size: int, now: float) -> Relay | None:
-        """Return the holder that is ready first and has handed out least, if there is one."""
+        """Return a holder, ready ones that relayed least first, ``None`` if there is none."""
         if version != self._version:
             return None
-        free = [
+        available = [
             (holder.since > now, -holder.bytes_left, name)
             for name, holder in self._holders.items()
             if name != asker and holder.bytes_left >= size
         ]
-        if not free:
+        if not available:
             return None
-        _, _, name = min(free)
+        _, _, name = min(available)
         holder = self._holders[name]
         holder.bytes_left -= size
         return Relay(holder=name, delay_s=max(0.0, holder.since + RELAY_MARGIN_S - now))
--- a/chivetrack/components/distribution/silent.py
+++ b/chivetrack/components/distribution/silent.py
@@ -1,4 +1,4 @@
-"""The endpoints that were not heard of lately, as one replica tells routers of them."""
+"""List of the endpoints that are silent, which a replica sends to routers."""
 
 from dataclasses import dataclass
 
@@ -8,10 +8,11 @@
 
 @dataclass(slots=True)
 class SilentList:
-    """Lists the silent endpoints a few times a second and numbers each other list.
+    """Refreshes the silent endpoints a few times a second and numbers each changed list.
 
-    A zone that loses power silences a third of the fleet; repeated in every answer to every
-    router, their ids would take several times the link of a replica.
+    An endpoint is silent if it has sent no heartbeat for some seconds. A zone that loses power
+    silences a third of the fleet; their ids, repeated in every answer to every router, would take
+    several times the capacity of a replica's link.
     """
 
     endpoint_ids: tuple[str, ...] = ()
@@ -19,7 +20,7 @@
     _refreshed_at: float = float("-inf")
 
     def refresh(self, table: EndpointTable, *, now: float) -> None:
-        """Look for silent endpoints again if the last look is some time ago."""
+        """Refresh the list unless the last refresh was within ``SILENT_CHECK_INTERVAL_S``."""
         if now - self._refreshed_at < SILENT_CHECK_INTERVAL_S:
             return
         self._refreshed_at = now
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -1,4 +1,4 @@
-"""A router's side: which replicas it follows, and what it holds from them."""
+"""Router side of the distribution: which replicas a router polls and what it holds from them."""
 
 import zlib
 from collections.abc import Callable, Sequence
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class _Replica:
-    """What a replica has told so far."""
+    """State of the exchange with one replica."""
 
     last_named_at: float
     last_seen_at: float = float("-inf")
@@ -57,44 +57,47 @@
     silent_revision: int = 0
 
     def record_run(self, run: str) -> None:
-        """Note which process of the replica speaks; each one numbers its changes anew."""
+        """Record which process of the replica answers; each process numbers its changes anew."""
         if run != self.run:
             self.run, self.change, self.placed_change = run, 0, 0
             self.is_partial = False
             self.silent_revision = 0
 
     def record_changes(self, base: int, change: int, *, is_partial: bool = False) -> None:
-        """Note what came after change ``base``; after one that was lost it has to come again."""
+        """Record the changes after ``base`` up to ``change``, unless an earlier update was lost.
+
+        After a loss nothing is recorded, so that the replica sends the lost changes again.
+        """
         if base > self.change or base == change:
             return
         is_first = self.change == 0
         if is_partial and not (is_first or self.is_partial):
-            # Departures that come late say nothing of the others since the whole table.
+            # A late update with departures only lacks other changes made since the whole table.
             return
         if base == 0 and self.is_partial and not is_partial:
-            # The table may be older than the departures; what changed between is still lacked.
+            # The table may be older than the departures: the changes in between are still missing.
             self.change, self.is_partial = change, False
             return
         self.is_partial = self.is_partial or is_partial
         self.change = max(self.change, change)
 
     def record_request(self, now: float) -> None:
-        """Note a question to it."""
+        """Record that a request was sent to the replica."""
         self.unanswered_since = min(self.unanswered_since, now)
 
     def record_answer(self, now: float) -> None:
-        """Note its word."""
+        """Record that the replica has answered."""
         self.last_seen_at = now
         self.unanswered_since = float("inf")
 
     def is_silent(self, now: float) -> bool:
-        """Return whether it has left questions unanswered for long."""
+        """Return whether requests have been unanswered for more than ``REPLICA_SILENT_S``."""
         return now - self.unanswered_since > REPLICA_SILENT_S
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouterReport:
-    """What this router tells the others through the replicas."""
+    """What this router reports about itself to its assigned replica."""
 
     loads: tuple[EndpointLoad, ...]
     placed: tuple[PlacedPart, ...]
@@ -104,14 +107,15 @@
 
 
 class Subscriber:
-    """Follows several replicas, so that no single one of them can keep news from a router.
+    """Polls several replicas, so that no single replica can withhold state from a router.
 
-    A few routers follow all replicas. Many follow a majority each: a departure is
-    acknowledged once a majority of replicas knows it, and two majorities meet. Asked by
-    all of some hundred routers, a replica with half a core would be late for its own log.
+    A few routers poll all replicas. In a large fleet, each router polls a majority of them: a
+    departure is acknowledged once a majority of replicas knows it, and any two majorities overlap.
+    If all of about a hundred routers polled it, a replica with half a core would be late with its
+    own log.
 
-    A document is taken only if its version is higher than the one held: a replica that
-    lags, or has been cut off, can't take a router back.
+    A document is applied only if its version is higher than the one held, so a replica that lags or
+    has been cut off can't set a router back to an old version.
     """
 
     def __init__(
@@ -126,11 +130,11 @@
         on_bad_update: Callable[[str, str], None],
         get_news: Callable[[], RouterReport],
     ) -> None:
-        """Take the own addresses, those of the first replicas and the ways out.
+        """Set the router's own addresses, the seed replicas and the callbacks.
 
-        ``take_document`` gets the version and the document as the operator sent it,
-        ``on_unreadable`` the version and what was wrong with what a replica sent, and
-        ``on_bad_update`` the replica and what was wrong with packed endpoints.
+        ``apply_document`` gets the version and the document as the operator sent it,
+        ``on_unreadable`` the version and a description of the fault in a received document, and
+        ``on_bad_update`` the replica and a description of the fault in packed endpoints.
         """
         self._router = router
         self._reads_at = document_address
@@ -158,11 +162,11 @@
 
     @property
     def assigned_replica(self) -> str:
-        """Return the replica that is told of this router's load, empty before the first."""
+        """Return the replica to which this router reports its load, empty before the first one."""
         return self._assigned
 
     def wake(self, *, now: float) -> list[Effect]:
-        """Ask the replicas when it is time to."""
+        """Poll the replicas that are due."""
         effects: list[Effect] = []
         self._started_at = min(self._started_at, now)
         if now >= self._next_report:
@@ -181,12 +185,12 @@
         )
 
     def _list_order(self) -> list[str]:
-        """Return the replicas in an order of this router's own; it spreads routers evenly."""
+        """Return the replicas in an order specific to this router, which spreads routers evenly."""
         names = sorted(self._replicas)
         return Random(self._router).sample(names, len(names))
 
     def _choose_assigned(self, now: float) -> str:
-        """Return the first replica that answers; while none does, each in turn."""
+        """Return the first replica that answers; while none answers, each replica in turn."""
         order = self._list_order()
         for name in order:
             if now - self._replicas[name].last_seen_at <= ASSIGNED_REPLICA_TIMEOUT_S:
@@ -197,34 +201,34 @@
     def _report_to_assigned(self, now: float) -> list[Effect]:
         self._refresh_replicas(now)
         name = self._choose_assigned(now)
-        news = self._get_report()
+        report = self._get_report()
         replica = self._replicas[name]
         if name != self._assigned:
-            # The list held now is that of the replica before.
+            # The list held so far is from the previously assigned replica.
             replica.silent_revision = 0
         self._assigned = name
         replica.record_request(now)
-        self._quarantine_revision = news.quarantine_revision
+        self._quarantine_revision = report.quarantine_revision
         follow = Follow(
             router=self._router,
             run=replica.run,
             change=replica.change,
             version=self.version,
-            loads=news.loads,
-            placed=news.placed,
+            loads=report.loads,
+            placed=report.placed,
             is_assigned=True,
             placed_change=replica.placed_change,
             document_address=self._reads_at,
-            crash_reports=news.crash_reports,
-            quarantine_revision=news.quarantine_revision,
+            crash_reports=report.crash_reports,
+            quarantine_revision=report.quarantine_revision,
             is_partial=replica.is_partial,
             silent_revision=replica.silent_revision,
-            is_stopping=news.is_stopping,
+            is_stopping=report.is_stopping,
         )
         return [SendMessage(target=name, message=follow)]
 
     def report_load(self, *, now: float) -> list[Effect]:
-        """Send this router's news to the close replica without waiting for the next interval."""
+        """Report to the assigned replica without waiting for the next interval."""
         return self._report_to_assigned(now)
 
     def _poll_others(self, now: float) -> list[Effect]:
@@ -236,23 +240,23 @@
         return effects
 
     def _list_polled(self, now: float) -> list[str]:
-        """Return the replicas to ask beside the close one."""
+        """Return the replicas to poll besides the assigned one."""
         order = self._list_order()
         if now - self._started_at < STARTUP_S:
             order = order[:STARTUP_REPLICAS]
         others = [name for name in order if name != self._assigned]
         if self._router_count <= LARGE_FLEET_ROUTERS:
             return others
-        # With the close one, a majority of all that are known, the silent ones among them.
+        # Together with the assigned one: a majority of all known replicas, silent ones included.
         needed = len(self._replicas) // 2
         silent = [name for name in others if self._replicas[name].is_silent(now)]
-        heard = [name for name in others if name not in silent]
-        if len(heard) < needed:
+        answering = [name for name in others if name not in silent]
+        if len(answering) < needed:
             return others
-        return heard[:needed] + self._choose_probe(silent, now)
+        return answering[:needed] + self._choose_probe(silent, now)
 
     def _choose_probe(self, silent: list[str], now: float) -> list[str]:
-        """Return a silent replica to ask, now and then, so that a returned one is found."""
+        """Return a silent replica every ``PROBE_INTERVAL_S``, to detect that it has recovered."""
         if not silent or now < self._next_probe:
             return []
         self._next_probe = now + PROBE_INTERVAL_S
@@ -284,7 +288,7 @@
         return replica
 
     def handle_view(self, source: str, view: View, *, now: float) -> list[Effect]:
-        """Merge what a replica tells; ask for its document if it is newer."""
+        """Merge the state sent by a replica; request its document if that is newer."""
         replica = self._record_named(source, now)
         replica.record_answer(now)
         for record in view.records:
@@ -300,12 +304,12 @@
         return self._fetch(source, view.version, now)
 
     def handle_endpoints(self, update: EndpointUpdate, *, now: float) -> list[Effect]:
-        """Merge what a replica has packed and hand it on as it wishes."""
-        read = unpack_records(update.payload)
-        if read.is_error():
-            self._on_bad_update(update.replica, read.error)
+        """Merge the packed endpoints of a replica and forward the update."""
+        unpacked = unpack_records(update.payload)
+        if unpacked.is_error():
+            self._on_bad_update(update.replica, unpacked.error)
             return []
-        for record in read.ok:
+        for record in unpacked.ok:
             self._table.merge(record, now=now)
         replica = self._record_named(update.replica, now)
         replica.record_run(update.run)
@@ -313,16 +317,16 @@
         return self.forward_update(update)
 
     def handle_silent(self, update: SilentUpdate) -> list[Effect]:
-        """Note which list of silent endpoints is held from a replica and hand it on."""
+        """Record the revision of the list of silent endpoints and forward the update."""
         replica = self._replicas.get(update.replica)
         if replica is not None and replica.run == update.run:
             replica.silent_revision = update.revision
         return self.forward_update(update)
 
     def forward_update(self, update: EndpointUpdate | SilentUpdate | LoadUpdate) -> list[Effect]:
-        """Send an update on to the routers that it names."""
-        passed_on = msgspec.structs.replace(update, forward_to=())
-        return [SendMessage(target=one, message=passed_on) for one in update.forward_to]
+        """Forward an update to the routers listed in it."""
+        forwarded = msgspec.structs.replace(update, forward_to=())
+        return [SendMessage(target=router, message=forwarded) for router in update.forward_to]
 
     def _fetch(self, source: str, version: int, now: float) -> list[Effect]:
         if version <= self.version or now < self._next_fetch:
@@ -335,44 +339,44 @@
         return FetchDocument(held_version=self.version if self._body else 0)
 
     def handle_document(self, sent: DocumentSent) -> None:
-        """Put a newer document in force; an older one is dropped."""
+        """Apply a newer document; drop an older one."""
         if sent.version <= self.version:
             return
         if sent.base_version and sent.base_version != self.version:
-            # A patch of what was held when it was asked for; a newer one has come since.
+            # The patch was made for the version held at the time of the request, since replaced.
             return
-        read = self._read(sent)
+        body = self._read(sent)
         self._next_fetch = float("-inf")
         self._fetch_backoff_s = FETCH_RETRY_S
-        if read.is_error():
-            # Without the body the next question is for the whole document.
+        if body.is_error():
+            # Without the body, the next request is for the whole document.
             self._body = b""
-            self._on_unreadable(sent.version, str(read.error))
+            self._on_unreadable(sent.version, str(body.error))
             return
         self.version = sent.version
-        self._body = read.ok
+        self._body = body.ok
         self._last_received = sent
-        self._apply_document(sent.version, read.ok)
+        self._apply_document(sent.version, body.ok)
 
-    def handle_redirect(self, referral: FetchElsewhere) -> list[Effect]:
-        """Ask another router for a document that a replica has no time to send."""
-        if referral.version <= self.version:
+    def handle_redirect(self, redirect: FetchElsewhere) -> list[Effect]:
+        """Request the document from another router, to which a replica has redirected."""
+        if redirect.version <= self.version:
             return []
-        return [SendMessage(target=referral.holder, message=self._make_fetch())]
+        return [SendMessage(target=redirect.holder, message=self._make_fetch())]
 
     def handle_fetch_from_router(self, source: str, fetch: FetchDocument) -> list[Effect]:
-        """Hand the document on to another router that holds an older one."""
+        """Send the document to another router that holds an older one."""
         if self._last_received is None or fetch.held_version >= self.version:
             return []
         if self._last_received.base_version not in (0, fetch.held_version):
-            # The patch that came here does not fit there.
+            # The patch received here does not apply to the version held by the other router.
             self._last_received = DocumentSent(
                 version=self.version, payload=pack_document(self._body)
             )
         return [SendMessage(target=source, message=self._last_received)]
 
     def find_body(self, min_version: int) -> bytes | None:
-        """Return the document held, as the operator sent it, if it is new enough."""
+        """Return the document held, as the operator sent it, if its version is high enough."""
         return self._body if self._body and self.version >= min_version else None
 
     def _read(self, sent: DocumentSent) -> Result[bytes, PatchError]:
--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -1,4 +1,4 @@
-"""A replica and its routers over links with a rate, in simulated time."""
+"""Simulation of a replica and its routers over links of limited rate."""
 
 import heapq
 import itertools
@@ -32,7 +32,7 @@
 
 @dataclass
 class Link:
-    """What leaves one instance goes out in turn."""
+    """Outgoing link of one instance, which sends messages one after the other."""
 
     bytes_per_s: float
     free_at: float = 0.0
@@ -40,7 +40,7 @@
     longest_wait_s: float = 0.0
 
     def send(self, size: int, now: float) -> float:
-        """Return when the last byte has arrived."""
+        """Send ``size`` bytes and return when the last one has arrived."""
         start = max(now, self.free_at)
         self.longest_wait_s = max(self.longest_wait_s, start - now)
         self.free_at = start + size / self.bytes_per_s
@@ -59,9 +59,9 @@
 
 @dataclass
 class Fleet:
-    """One replica, ``routers`` that are close to it, and endpoints that come to know it.
+    """One replica, ``routers`` assigned to it, and endpoints that announce themselves to it.
 
-    The other replicas don't answer, so that all routers follow this one.
+    The other replicas don't answer, so all routers poll this one.
     """
 
     routers: int
@@ -69,7 +69,7 @@
     now: float = 0.0
     known: dict[str, Router] = field(default_factory=dict)
     unreachable: set[str] = field(default_factory=set)
-    """Routers that no other router reaches."""
+    """Routers to which no other router can connect."""
     random: Random = field(default_factory=lambda: Random(1))
 
     def __post_init__(self) -> None:
@@ -84,7 +84,9 @@
         for number in range(self.routers):
             self._add_router(f"r{number}")
         for name in self.known:
-            self._schedule(self.random.uniform(0.0, 0.3), lambda one=name: self._wake(one))
+            self._schedule(
+                self.random.uniform(0.0, 0.3), lambda router_name=name: self._wake(router_name)
+            )
         self._schedule(ROUND_S, self._run_rounds)
         self._schedule(PUSH_AFTER_S, self._push)
 
@@ -103,13 +105,13 @@
         self.known[name] = Router(subscriber, table, Link(ROUTER_BYTES_PER_S))
 
     def restart_routers(self) -> None:
-        """Start all routers anew, without what they knew."""
+        """Restart all routers without any state."""
         for name in list(self.known):
             self._add_router(name)
 
     def place(self, count: int) -> None:
-        """Have the replica know where routers sent parts of prompts."""
-        endpoints = [one.endpoint_id for one in self.table.list_records()]
+        """Record ``count`` placements of prompt parts at the replica."""
+        endpoints = [record.endpoint_id for record in self.table.list_records()]
         placed = [
             PlacedPart(
                 part=f"{self.random.getrandbits(48):x}:512",
@@ -121,13 +123,13 @@
         self.publisher.placements.record(placed, now=self.now)
 
     def announce(self, count: int, *, within_s: float) -> None:
-        """Have endpoints announce themselves for the first time, spread evenly."""
+        """Announce new endpoints, spread evenly over ``within_s``."""
         for number, record in enumerate(make_fleet(count)):
             at = self.now + within_s * number / count
-            self._schedule(at, lambda one=record: self.table.merge(one, now=self.now))
+            self._schedule(at, lambda announced=record: self.table.merge(announced, now=self.now))
 
     def run_until(self, end: float) -> None:
-        """Let time pass."""
+        """Run all events up to the simulated time ``end``."""
         while self._events and self._events[0][0] <= end:
             self.now, _, act = heapq.heappop(self._events)
             act()
@@ -160,9 +162,11 @@
             arrives_at = link.send(len(frame) + FRAME_OVERHEAD_BYTES, self.now)
             is_cut = link is not self.link and effect.target in self.unreachable
             if not is_cut and self.random.random() >= self.lost_share:
-                self._schedule(arrives_at, lambda one=effect: self._take(one.target, one.message))
+                self._schedule(
+                    arrives_at, lambda sent=effect: self._handle(sent.target, sent.message)
+                )
 
-    def _take(self, target: str, message: Message) -> None:
+    def _handle(self, target: str, message: Message) -> None:
         if target == REPLICA:
             assert isinstance(message, Follow)
             self._send(self.link, list(self.publisher.handle_follow(message, now=self.now)))
@@ -181,4 +185,4 @@
 
     def count_known(self) -> list[int]:
         """Return how many endpoints each router knows."""
-        return [len(list(one.table.list_records())) for one in self.known.values()]
+        return [len(list(router.table.list_records())) for router in self.known.values()]
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -1,4 +1,4 @@
-"""How a new configuration reaches routers: as a patch, paced, from each other."""
+"""How a new configuration reaches routers: as a patch, rate-limited, via other routers."""
 
 import unittest
 import zlib
@@ -45,11 +45,11 @@
         newest = FetchDocument(held_version=2)
         self.assertEqual(fixture.publisher.handle_fetch("r1", newest, now=0.0), ())
 
-    def test_change_of_one_object_travels_as_a_patch(self) -> None:
-        """Operators change a quota each second; the document has 600 routes.
+    def test_change_of_one_object_is_sent_as_a_patch(self) -> None:
+        """Guards against full links when a quota in a document of 600 routes changes each second.
 
-        Sent whole, packed to 15 kB, it filled the links of the replicas for 0.7 s each time,
-        and loads and acknowledgements waited behind it.
+        Sent whole, packed to 15 kB, the document filled the links of the replicas for 0.7 s each
+        time, and loads and acknowledgements waited behind it.
         """
         fixture = Fixture()
         old = make_body(600, quota=1)
@@ -64,17 +64,17 @@
         self.assertEqual(fixture.bodies[2], new)
 
     def fetch(self, fixture: Fixture, now: float) -> DocumentSent:
-        (ask,) = fixture.exchange(now)
-        assert isinstance(ask.message, FetchDocument)
-        (answer,) = fixture.publisher.handle_fetch("r1", ask.message, now=now)
+        (request,) = fixture.exchange(now)
+        assert isinstance(request.message, FetchDocument)
+        (answer,) = fixture.publisher.handle_fetch("r1", request.message, now=now)
         assert isinstance(answer.message, DocumentSent)
-        fixture.subscriber.take_document(answer.message)
+        fixture.subscriber.handle_document(answer.message)
         return answer.message
 
-    def test_patch_that_does_not_fit_is_dropped_and_the_whole_asked_for(self) -> None:
-        """A patch was spoiled, or made of other content under the version held here.
+    def test_patch_that_does_not_apply_is_dropped_and_the_document_requested(self) -> None:
+        """Guards against applying a patch that is damaged or was made from another content.
 
-        What comes of it must never be in force; the next question is for the whole.
+        Its result must never be in force, and the next request is for the whole document.
         """
         fixture = Fixture()
         fixture.put(1, make_body(600, quota=1))
@@ -96,46 +96,47 @@
         self.assertEqual((fixture.taken, fixture.unreadable), ([3], []))
 
     def test_documents_leave_room_for_heartbeats(self) -> None:
-        """1,300 routes are added; 17 routers ask a replica for 20 kB each at once.
+        """Guards against a new election when 17 routers request 20 kB each from a replica at once.
 
-        On 3 Mbit/s that is a second in which the leader's heartbeats come late, the others
-        elect a new one, and operators get no answer. Sent one after the other, the last
-        router still has its document well within the 2.5 s that it may take. Who asks
-        again meanwhile is not sent a second copy.
+        This happens when 1,300 routes are added. On 3 Mbit/s it takes a second in which the
+        leader's heartbeats are late, and operators get no answer. Sent one after the other, the
+        last router still has its document well within the 2.5 s that it may take. A router that
+        requests the document again meanwhile gets no second copy.
         """
         fixture = Fixture()
         random = Random(1)
         fixture.put(1, random.randbytes(20_000))
-        ask = FetchDocument(held_version=0)
+        request = FetchDocument(held_version=0)
         sent = []
         for now in (0.0, 0.2, 0.4):
             for number in range(17):
-                sent += fixture.publisher.handle_fetch(f"r{number}", ask, now=now)
+                sent += fixture.publisher.handle_fetch(f"r{number}", request, now=now)
         self.assertEqual(len(sent), 17)
         for start in sent:
-            together = [one for one in sent if 0 <= one.delay_s - start.delay_s < 0.3]
-            size = sum(count_bytes(one) for one in together)
+            together = [paced for paced in sent if 0 <= paced.delay_s - start.delay_s < 0.3]
+            size = sum(count_bytes(paced) for paced in together)
             self.assertLess(size, 0.3 * 375_000)
         self.assertLess(sent[-1].delay_s, 1.5)
-        again = fixture.publisher.handle_fetch("r0", ask, now=3.0)
-        self.assertEqual(len(again), 1)
+        repeated = fixture.publisher.handle_fetch("r0", request, now=3.0)
+        self.assertEqual(len(repeated), 1)
 
-    def test_routers_hand_a_large_document_on(self) -> None:
-        """1,680 routes are added; 39 routers ask a replica for 24 kB each in one moment.
+    def test_routers_relay_a_large_document(self) -> None:
+        """Guards against a late document when 39 routers request 24 kB each from a replica at once.
 
-        On the replica's 4 Mbit/s, paced for heartbeats, that takes over three seconds, and
-        the last routers answer 404 on routes that were acknowledged before. The first ones
-        are served by the replica, the others by those, and nobody sends more than a dozen.
+        This happens when 1,680 routes are added. On the replica's 4 Mbit/s, with room left for
+        heartbeats, it takes over three seconds, and the last routers answer 404 on routes that were
+        acknowledged before. So the replica serves the first routers and those serve the others,
+        with at most twelve copies from each.
         """
         publisher = Fixture().publisher
         publisher.history.note(
             StoredDocument(version=1, payload=zlib.compress(Random(1).randbytes(24_000)))
         )
-        ask = FetchDocument(held_version=0)
+        request = FetchDocument(held_version=0)
         has_at: dict[str, float] = {}
         handed_out: Counter[str] = Counter()
         for number in range(39):
-            (paced,) = publisher.handle_fetch(f"r{number}", ask, now=0.0)
+            (paced,) = publisher.handle_fetch(f"r{number}", request, now=0.0)
             if isinstance(paced.message, DocumentSent):
                 has_at[paced.target] = paced.delay_s + 24_000 / 300_000
                 continue
@@ -147,67 +148,68 @@
         self.assertLess(max(has_at.values()), 1.0)
         self.assertLessEqual(max(handed_out.values()), 12)
 
-    def test_router_that_got_nothing_from_another_is_served_by_the_replica(self) -> None:
-        """The router that should hand the document on was killed meanwhile."""
+    def test_router_that_got_no_document_from_a_relay_is_served_by_the_replica(self) -> None:
+        """Guards against a redirect to a router that was killed before it sent the document."""
         publisher = Fixture().publisher
         publisher.history.note(StoredDocument(version=1, payload=Random(1).randbytes(24_000)))
-        ask = FetchDocument(held_version=0)
-        referred = ""
+        request = FetchDocument(held_version=0)
+        redirected = ""
         for number in range(8):
-            (paced,) = publisher.handle_fetch(f"r{number}", ask, now=0.0)
+            (paced,) = publisher.handle_fetch(f"r{number}", request, now=0.0)
             if isinstance(paced.message, FetchElsewhere):
-                referred = paced.target
-        (again,) = publisher.handle_fetch(referred, ask, now=1.2)
-        self.assertIsInstance(again.message, DocumentSent)
+                redirected = paced.target
+        (repeated,) = publisher.handle_fetch(redirected, request, now=1.2)
+        self.assertIsInstance(repeated.message, DocumentSent)
 
-    def refer(self, *, is_stopping: bool, version: int) -> str:
-        """Return to whom routers are referred once ``r0``, which had the document, says this."""
+    def find_redirect_holder(self, *, is_stopping: bool, version: int) -> str:
+        """Return the router to which others are redirected after this last poll of ``r0``."""
         fixture = Fixture()
         fixture.put(1, make_body(1600, quota=1))
         publisher = fixture.publisher
         publisher.handle_follow(make_assigned_follow("r0", version=1), now=0.0)
-        word = make_assigned_follow("r0", version=version, is_stopping=is_stopping)
-        publisher.handle_follow(word, now=5.0)
-        ask = FetchDocument(held_version=0)
+        last_poll = make_assigned_follow("r0", version=version, is_stopping=is_stopping)
+        publisher.handle_follow(last_poll, now=5.0)
+        request = FetchDocument(held_version=0)
         for number in range(1, 12):
-            (paced,) = publisher.handle_fetch(f"r{number}", ask, now=5.0)
+            (paced,) = publisher.handle_fetch(f"r{number}", request, now=5.0)
             if isinstance(paced.message, FetchElsewhere):
                 return paced.message.holder
         return ""
 
-    def test_routers_that_can_not_hand_on_are_not_named(self) -> None:
-        """Guards against a document asked of a router that has restarted, or is gone."""
-        self.assertEqual(self.refer(is_stopping=False, version=1), "r0")
-        self.assertNotEqual(self.refer(is_stopping=False, version=0), "r0")
-        self.assertNotEqual(self.refer(is_stopping=True, version=1), "r0")
+    def test_routers_that_can_not_relay_are_not_chosen(self) -> None:
+        """Guards against a redirect to a router that has restarted or is stopping."""
+        self.assertEqual(self.find_redirect_holder(is_stopping=False, version=1), "r0")
+        self.assertNotEqual(self.find_redirect_holder(is_stopping=False, version=0), "r0")
+        self.assertNotEqual(self.find_redirect_holder(is_stopping=True, version=1), "r0")
 
-    def test_router_hands_on_what_fits(self) -> None:
-        """One router holds the version that the patch was made for, another an older one."""
+    def test_router_sends_a_patch_or_the_whole_document(self) -> None:
+        """One router holds the version that the patch was made for, another an older version."""
         fixture = Fixture()
         old, new = make_body(600, quota=1), make_body(600, quota=2)
         fixture.put(1, old)
         self.fetch(fixture, 0.0)
         fixture.put(2, new)
         sent = self.fetch(fixture, FOLLOW_INTERVAL_S)
-        asked = fixture.subscriber.handle_fetch_from_router
+        handle_fetch = fixture.subscriber.handle_fetch_from_router
         self.assertEqual(
-            asked("r2", FetchDocument(held_version=1)), [SendMessage(target="r2", message=sent)]
+            handle_fetch("r2", FetchDocument(held_version=1)),
+            [SendMessage(target="r2", message=sent)],
         )
-        self.assertEqual(asked("r2", FetchDocument(held_version=2)), [])
-        (effect,) = asked("r2", FetchDocument(held_version=0))
+        self.assertEqual(handle_fetch("r2", FetchDocument(held_version=2)), [])
+        (effect,) = handle_fetch("r2", FetchDocument(held_version=0))
         assert isinstance(effect, SendMessage) and isinstance(effect.message, DocumentSent)
         self.assertEqual(effect.message.base_version, 0)
         self.assertEqual(zlib.decompress(effect.message.payload), new)
-        referral = FetchElsewhere(version=2, holder="r2")
-        self.assertEqual(fixture.subscriber.handle_redirect(referral), [])
+        redirect = FetchElsewhere(version=2, holder="r2")
+        self.assertEqual(fixture.subscriber.handle_redirect(redirect), [])
         newer = FetchElsewhere(version=3, holder="r2")
-        ask = FetchDocument(held_version=2)
+        request = FetchDocument(held_version=2)
         self.assertEqual(
-            fixture.subscriber.handle_redirect(newer), [SendMessage(target="r2", message=ask)]
+            fixture.subscriber.handle_redirect(newer), [SendMessage(target="r2", message=request)]
         )
 
-    def test_routers_that_hand_out_a_version(self) -> None:
-        """Only who is close, was heard lately and has the version is named."""
+    def test_routers_that_serve_a_version(self) -> None:
+        """Only routers that are assigned, recently seen and have the version are listed."""
         publisher = Fixture().publisher
         for name, version, is_assigned in (("a", 5, True), ("b", 4, True), ("c", 5, False)):
             publisher.handle_follow(
--- a/tests/components/distribution/test_endpoint_feed.py
+++ b/tests/components/distribution/test_endpoint_feed.py
@@ -18,11 +18,11 @@
 from tests.components.distribution.world import Fixture, make_assigned_follow
 
 ENDPOINTS = 3000
-# Close to one of five replicas in a fleet of 295 and of 380 routers.
+# Routers assigned to one of five replicas in fleets of 295 and 380 routers.
 SIZES = (59, 76)
-VITAL_WAIT_S = 0.3
+MAX_LINK_WAIT_S = 0.3
 RESTART_S = 2.5
-"""Of the 3 s within which callers expect to be served again; a start takes the rest."""
+"""Part of the 3 s within which callers expect service again; the process start takes the rest."""
 
 
 class StartTest(unittest.TestCase):
@@ -34,7 +34,7 @@
                 fleet.announce(ENDPOINTS, within_s=1.2)
                 fleet.run_until(6.0)
                 self.assertEqual(set(fleet.count_known()), {ENDPOINTS})
-                self.assertLess(fleet.link.longest_wait_s, VITAL_WAIT_S)
+                self.assertLess(fleet.link.longest_wait_s, MAX_LINK_WAIT_S)
 
     def test_restarted_routers_get_endpoints_in_time(self) -> None:
         """Guards against routers that refuse requests for seconds after all were killed."""
@@ -59,21 +59,21 @@
             fleet.table.close(record.endpoint_id, born=record.born, now=fleet.now)
         fleet.run_until(10.0)
         left = [
-            sum(one.state is EndpointState.LEFT for one in router.table.list_records())
+            sum(record.state is EndpointState.LEFT for record in router.table.list_records())
             for router in fleet.known.values()
         ]
         self.assertEqual(set(left), {1000})
         self.assertLess(fleet.link.sent_bytes - before, 2 * 525_000)
 
-    def test_lost_messages_are_made_good(self) -> None:
-        """Guards against routers that lack endpoints for good after a lost update."""
+    def test_lost_messages_are_sent_again(self) -> None:
+        """Guards against routers that lack endpoints permanently after a lost update."""
         fleet = Fleet(routers=SIZES[0], lost_share=0.2)
         fleet.announce(ENDPOINTS, within_s=1.2)
         fleet.run_until(15.0)
         self.assertEqual(set(fleet.count_known()), {ENDPOINTS})
 
-    def test_routers_that_go_down_keep_the_table_from_no_other(self) -> None:
-        """Guards against routers without endpoints because those before them were killed."""
+    def test_killed_relays_do_not_keep_the_table_from_others(self) -> None:
+        """Guards against routers without endpoints after their relays were killed."""
         fleet = Fleet(routers=SIZES[0])
         fleet.announce(ENDPOINTS, within_s=0.1)
         fleet.run_until(0.4)
@@ -81,12 +81,14 @@
             fleet.known[f"r{number}"].is_down = True
         fleet.run_until(10.0)
         known = {
-            len(list(one.table.list_records())) for one in fleet.known.values() if not one.is_down
+            len(list(router.table.list_records()))
+            for router in fleet.known.values()
+            if not router.is_down
         }
         self.assertEqual(known, {ENDPOINTS})
 
     def test_router_that_no_other_reaches_gets_changes_from_the_replica(self) -> None:
-        """Guards against a router that never hears of a departure behind a broken link."""
+        """Guards against a router that misses a departure because its relay can't reach it."""
         fleet = Fleet(routers=SIZES[0])
         fleet.announce(ENDPOINTS, within_s=0.1)
         fleet.run_until(8.0)
@@ -95,13 +97,17 @@
             fleet.table.close(record.endpoint_id, born=record.born, now=fleet.now)
         fleet.run_until(10.5)
         for router in fleet.known.values():
-            left = [one for one in router.table.list_records() if one.state is EndpointState.LEFT]
+            left = [
+                record
+                for record in router.table.list_records()
+                if record.state is EndpointState.LEFT
+            ]
             self.assertEqual(len(left), 300)
 
 
 class ProgressTest(unittest.TestCase):
     def test_lost_update_is_sent_again_while_changes_go_on(self) -> None:
-        """Guards against a router that lacks an endpoint for as long as others change."""
+        """Guards against a router that lacks an endpoint while other endpoints keep changing."""
         progress = EndpointProgress()
         for step in range(1, 20):
             now = 0.25 * step
@@ -123,13 +129,13 @@
 
     def take_update(self, fixture: Fixture, follow: Follow, now: float) -> EndpointUpdate:
         fixture.publisher.handle_follow(follow, now=now)
-        updates = [one.message for one in fixture.publisher.send_round(now=now)]
+        updates = [effect.message for effect in fixture.publisher.send_round(now=now)]
         (update,) = updates
         assert isinstance(update, EndpointUpdate)
         return update
 
-    def test_other_replicas_send_departures_alone(self) -> None:
-        """Guards against a table that each router is sent by every replica that it follows."""
+    def test_other_replicas_send_only_departures(self) -> None:
+        """Guards against a whole table sent to a router by every replica that it polls."""
         fixture = self.make_fixture()
         follow = Follow(router="r1", run="", change=0, version=0)
         update = self.take_update(fixture, follow, 0.0)
@@ -139,23 +145,23 @@
         (left,) = fixture.own.list_records()
         self.assertIs(left.state, EndpointState.LEFT)
 
-    def test_replica_that_becomes_the_close_one_sends_the_rest(self) -> None:
-        """Guards against a router that keeps departures alone from its new close replica."""
+    def test_newly_assigned_replica_sends_the_whole_table(self) -> None:
+        """Guards against a router that gets only departures from its newly assigned replica."""
         fixture = self.make_fixture()
         follow = Follow(router="r1", run="", change=0, version=0)
         update = self.take_update(fixture, follow, 0.0)
         fixture.subscriber.handle_endpoints(update, now=0.1)
         now = 1.0
-        close = fixture.follow(now)
-        self.assertTrue(close.is_assigned and close.is_partial)
-        update = self.take_update(fixture, close, now)
+        assigned = fixture.follow(now)
+        self.assertTrue(assigned.is_assigned and assigned.is_partial)
+        update = self.take_update(fixture, assigned, now)
         self.assertFalse(update.is_partial)
         fixture.subscriber.handle_endpoints(update, now=now)
         self.assertEqual(len(list(fixture.own.list_records())), ENDPOINTS)
         self.assertFalse(fixture.follow(2.0).is_partial)
 
-    def test_table_that_is_older_than_the_departures(self) -> None:
-        """Guards against endpoints that a router never hears of after it got both."""
+    def test_table_older_than_the_departures(self) -> None:
+        """Guards against endpoints that a router never gets after a table and newer departures."""
         fixture = self.make_fixture()
         follow = Follow(router="r1", run="", change=0, version=0)
         table = self.take_update(fixture, make_assigned_follow("r2"), 0.0)
@@ -179,41 +185,41 @@
         self.assertEqual(len(answer.message.records), 64)
         self.assertFalse(answer.message.is_pending)
 
-    def test_router_that_stops_hands_nothing_on(self) -> None:
-        """Guards against endpoints that end with the router which should hand them on."""
+    def test_stopping_router_forwards_nothing(self) -> None:
+        """Guards against updates lost with a stopping router that should have forwarded them."""
         fixture = self.make_fixture()
         for number in range(60):
             follow = make_assigned_follow(f"r{number}", is_stopping=number < 30)
             fixture.publisher.handle_follow(follow, now=0.0)
-        heads = []
+        relays = []
         for step in range(8):
-            for one in fixture.publisher.send_round(now=step * 0.125):
-                assert isinstance(one.message, EndpointUpdate)
-                heads += [one.target] if one.message.forward_to else []
-        self.assertGreater(len(heads), 3)
-        self.assertTrue(all(int(one[1:]) >= 30 for one in heads), heads)
-
-    def test_whole_tables_go_before_departures_alone(self) -> None:
-        """Guards against routers that refuse requests while others get nothing they can use."""
+            for sent in fixture.publisher.send_round(now=step * 0.125):
+                assert isinstance(sent.message, EndpointUpdate)
+                relays += [sent.target] if sent.message.forward_to else []
+        self.assertGreater(len(relays), 3)
+        self.assertTrue(all(int(sent[1:]) >= 30 for sent in relays), relays)
+
+    def test_whole_tables_go_before_departures(self) -> None:
+        """Guards against routers without a table while others get useless departures."""
         fixture = self.make_fixture()
         for number in range(200):
             follow = Follow(router=f"o{number}", run="", change=0, version=0)
             fixture.publisher.handle_follow(follow, now=0.0)
         fixture.publisher.handle_follow(make_assigned_follow("r1"), now=0.0)
-        first, *_ = (one.message for one in fixture.publisher.send_round(now=0.0))
+        first, *_ = (effect.message for effect in fixture.publisher.send_round(now=0.0))
         assert isinstance(first, EndpointUpdate)
         self.assertFalse(first.is_partial)
 
-    def test_rounds_go_no_faster_than_their_pace(self) -> None:
+    def test_rounds_keep_to_the_rate_limit(self) -> None:
         """Guards against socket buffers full of endpoints, which the log can't overtake."""
         fixture = self.make_fixture()
         sent = 0
         for number in range(60):
             fixture.publisher.handle_follow(make_assigned_follow(f"r{number}"), now=0.0)
         for step in range(8):
-            for one in fixture.publisher.send_round(now=step * 0.125):
-                assert isinstance(one.message, EndpointUpdate)
-                sent += len(one.message.payload)
+            for effect in fixture.publisher.send_round(now=step * 0.125):
+                assert isinstance(effect.message, EndpointUpdate)
+                sent += len(effect.message.payload)
         largest = len(pack_records(fixture.table.list_records()))
         self.assertLessEqual(sent, BULK_BYTES_PER_S * (1.0 + MAX_SEND_AHEAD_S) + largest)
 
--- a/tests/components/distribution/test_load_feed.py
+++ b/tests/components/distribution/test_load_feed.py
@@ -17,23 +17,23 @@
 
 ROUTERS = 59
 LINK_BYTES_PER_S = 525_000
-# The share of a router's link and processor that control may take is 19 kB/s in all.
+# Control traffic may take 19 kB/s of a router's link and processor in all.
 ROUTER_BYTES_PER_S = 19_000
 
 
 def make_loads(count: int) -> tuple[EndpointLoad, ...]:
     return tuple(
-        EndpointLoad(one.endpoint_id, 1 + number % 3, number * 7919 % 900, number % 4)
-        for number, one in enumerate(make_fleet(count))
+        EndpointLoad(record.endpoint_id, 1 + number % 3, number * 7919 % 900, number % 4)
+        for number, record in enumerate(make_fleet(count))
     )
 
 
 class LoadFeedTest(unittest.TestCase):
     def simulate(self, loads: int) -> tuple[int, dict[str, list[float]], list[View]]:
-        """Return the bytes of one replica in 10 s, when each router got loads, and its answers."""
+        """Return the bytes sent in 10 s, when each router got packed loads, and all answers."""
         publisher = Fixture().publisher
         sent = 0
-        told: dict[str, list[float]] = {f"r{number}": [] for number in range(ROUTERS)}
+        received: dict[str, list[float]] = {f"r{number}": [] for number in range(ROUTERS)}
         views: list[View] = []
         for step in range(80):
             now = step * 0.125
@@ -43,36 +43,36 @@
             for number in range(step % 2, ROUTERS, 2):
                 messages += publisher.handle_follow(make_assigned_follow(f"r{number}"), now=now)
             messages += publisher.send_round(now=now)
-            for one in messages:
-                sent += len(encode_frame([pack(one.message)])) + FRAME_OVERHEAD_BYTES
-                if isinstance(one.message, LoadUpdate):
-                    for router in (one.target, *one.message.forward_to):
-                        told[router].append(now)
-                elif isinstance(one.message, View):
-                    views.append(one.message)
-        return sent, told, views
+            for sent_message in messages:
+                sent += len(encode_frame([pack(sent_message.message)])) + FRAME_OVERHEAD_BYTES
+                if isinstance(sent_message.message, LoadUpdate):
+                    for router in (sent_message.target, *sent_message.message.forward_to):
+                        received[router].append(now)
+                elif isinstance(sent_message.message, View):
+                    views.append(sent_message.message)
+        return sent, received, views
 
     def test_loads_leave_room_for_the_log(self) -> None:
         """Guards against configurations that no quorum confirms while the fleet is busy."""
-        sent, told, _ = self.simulate(loads=1000)
+        sent, received, _ = self.simulate(loads=1000)
         self.assertLess(sent, 10 * LINK_BYTES_PER_S / 2)
-        for times in told.values():
+        for times in received.values():
             gaps = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
             self.assertLessEqual(max(gaps), 1.5)
             self.assertLess(len(times) * len(pack_loads(make_loads(1000))), 10 * ROUTER_BYTES_PER_S)
 
-    def test_few_loads_come_with_each_answer(self) -> None:
-        """Guards against counts that are older than need be in a fleet with few endpoints."""
-        _, told, views = self.simulate(loads=30)
-        self.assertFalse(any(told.values()))
+    def test_few_loads_are_sent_with_each_answer(self) -> None:
+        """Guards against unnecessarily old counts in a fleet with few endpoints."""
+        _, received, views = self.simulate(loads=30)
+        self.assertFalse(any(received.values()))
         self.assertTrue(all(view.loads for view in views))
 
-    def test_packed_loads_come_back_as_they_were(self) -> None:
+    def test_packed_loads_are_unpacked_unchanged(self) -> None:
         loads = make_loads(50)
         self.assertCountEqual(unpack_loads(pack_loads(loads)).ok, loads)
         self.assertTrue(unpack_loads(b"x").is_error())
 
-    def test_own_part_is_taken_off(self) -> None:
+    def test_own_share_is_subtracted(self) -> None:
         """Guards against a router that counts its own requests twice."""
         total = EndpointLoad("e1", 5, 300, 4, 1)
         self.assertEqual(
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -1,4 +1,4 @@
-"""What reaches a router when messages are lost, late or from a replica that lags."""
+"""What reaches a router when messages are lost or late, or come from a replica that lags."""
 
 import unittest
 import zlib
@@ -53,12 +53,12 @@
 
 
 class NewsTest(unittest.TestCase):
-    def test_push_that_was_lost_is_made_good(self) -> None:
-        """An endpoint drains; the push to one router is lost on its way.
+    def test_lost_push_is_sent_again(self) -> None:
+        """Guards against a drain that one router misses because the push to it was lost.
 
-        The replica believes that the router has it. The router's next question says up to
-        which change it really is. Once the push can't be on its way any more, the answer
-        begins there, well within the 2 s that a drain may take.
+        The replica assumes that the router has the change. The router's next poll says up to which
+        change it has them. Once the push can't be in flight any more, the answer starts there, well
+        within the 2 s that a drain may take.
         """
         fixture = Fixture()
         fixture.table.merge(make_record(1), now=0.0)
@@ -73,10 +73,10 @@
         self.assertIs(record.state, EndpointState.DRAINING)
 
     def test_later_push_does_not_hide_a_lost_one(self) -> None:
-        """Two endpoints change; the first push is lost and the second arrives.
+        """Guards against an endpoint change that stays lost after the next push has arrived.
 
-        Did the router take the second one's number as its own, it would never ask for the
-        first change again.
+        If the router recorded the number of the second push, it would never request the first
+        change.
         """
         fixture = Fixture()
         fixture.exchange(0.0)
@@ -90,8 +90,8 @@
         fixture.exchange_until(0.2 + RESEND_AFTER_S + FOLLOW_INTERVAL_S)
         self.assertIsNotNone(fixture.own.find("e1"))
 
-    def test_what_routers_were_sent_is_counted(self) -> None:
-        """Guards against a full link of which nobody can say what it carries."""
+    def test_sent_updates_are_counted(self) -> None:
+        """Guards against a full link without counts that show what it carries."""
         fixture = Fixture()
         for record in make_fleet(400):
             fixture.table.merge(record, now=0.0)
@@ -103,11 +103,11 @@
         self.assertGreater(counts["table_bytes"], 1000)
         self.assertEqual(fixture.publisher.pop_counts()["tables"], 0)
 
-    def test_routers_are_told_how_many_of_them_stop(self) -> None:
-        """Guards against callers sent from one stopping router to another that stops too."""
+    def test_routers_learn_how_many_routers_are_stopping(self) -> None:
+        """Guards against callers redirected from one stopping router to another."""
         fixture = Fixture()
         fixture.exchange(0.0)
-        fixture.news = RouterReport(loads=(), placed=(), is_stopping=True)
+        fixture.report = RouterReport(loads=(), placed=(), is_stopping=True)
         other = Exchange(routers=3, loads=(), placed=(), stopping=2)
         fixture.publisher.handle_exchange("p2", other, now=1.0)
         (answer,) = fixture.publisher.handle_follow(fixture.follow(1.0), now=1.0)
@@ -115,7 +115,7 @@
         self.assertEqual((answer.message.routers, answer.message.stopping), (4, 3))
         self.assertEqual(fixture.publisher.make_exchange(now=1.0).stopping, 1)
 
-    def test_restarted_replica_numbers_anew(self) -> None:
+    def test_restarted_replica_numbers_changes_anew(self) -> None:
         fixture = Fixture()
         for number in range(5):
             fixture.table.merge(make_record(1, endpoint_id=f"e{number}"), now=0.0)
@@ -126,11 +126,11 @@
         fixture.exchange(FOLLOW_INTERVAL_S)
         self.assertIsNotNone(fixture.own.find("new"))
 
-    def test_lagging_replica_takes_no_router_back(self) -> None:
-        """A replica that was cut off sends the document of before the cut.
+    def test_lagging_replica_does_not_roll_a_router_back(self) -> None:
+        """Guards against a replica that was cut off and sends the document from before the cut.
 
-        The router has a newer one in force. Requests that a newer route served would get
-        404 again; a lower version is never taken.
+        The router has a newer version in force. With the old one, requests that a newer route
+        served would get 404 again, so a lower version is never applied.
         """
         fixture = Fixture()
         for version in (5, 3):
@@ -140,33 +140,33 @@
         fixture.put(3)
         self.assertEqual(fixture.exchange(0.0), [])
 
-    def test_change_is_pushed_by_one_replica_each_in_a_large_fleet(self) -> None:
-        """Five replicas pushed each change to all of 87 routers, 35 kB of each link.
+    def test_change_is_pushed_only_by_the_assigned_replica_in_a_large_fleet(self) -> None:
+        """Guards against links filled by pushes from five replicas to all of 87 routers.
 
-        A router gets it from the replica that it is close to, and from any other with its
-        next question.
+        Each change took 35 kB of each replica's link. A router gets the change from its assigned
+        replica, and from any other replica with its next poll.
         """
         fixture = Fixture()
         for number in range(87):
-            ask = Follow(
+            poll = Follow(
                 router=f"r{number}", run="", change=0, version=0, is_assigned=number % 5 == 0
             )
-            fixture.publisher.handle_follow(ask, now=0.0)
+            fixture.publisher.handle_follow(poll, now=0.0)
         fixture.table.merge(make_record(1, endpoint_id="new"), now=0.1)
-        pushed = {one.target for one in fixture.publisher.publish(now=0.1)}
+        pushed = {effect.target for effect in fixture.publisher.publish(now=0.1)}
         self.assertEqual(pushed, {f"r{number}" for number in range(0, 87, 5)})
         (answer,) = fixture.publisher.handle_follow(
             Follow(router="r1", run="run1", change=0, version=0), now=1.0
         )
         assert isinstance(answer.message, View)
-        self.assertEqual([one.endpoint_id for one in answer.message.records], ["new"])
+        self.assertEqual([record.endpoint_id for record in answer.message.records], ["new"])
 
-    def test_replica_that_starts_elects_before_it_answers(self) -> None:
-        """All instances lost power; hundreds of routers ask while replicas elect a leader.
+    def test_starting_replica_answers_no_router_before_the_election(self) -> None:
+        """Guards against an election delayed by answers to hundreds of routers after a power loss.
 
-        Votes waited behind the answers, for longer than candidates wait before they try
-        again. Routers are answered once there is a leader, or after a second: a replica that
-        is cut off from the others still tells of endpoints and loads.
+        Votes waited behind the answers for longer than the election timeout. Routers are answered
+        once there is a leader, or after a second: a replica that is cut off from the others still
+        sends endpoints and loads.
         """
         publisher = Fixture().publisher
         publisher.started_at = 10.0
@@ -177,12 +177,12 @@
             (10.9, False, 0),
             (11.1, False, 1),
         ):
-            given = publisher.handle_follow(follow, now=now, knows_leader=knows_leader)
-            self.assertEqual(len(given), answers, now)
+            sent = publisher.handle_follow(follow, now=now, knows_leader=knows_leader)
+            self.assertEqual(len(sent), answers, now)
 
 
 class ZoneOrderTest(unittest.TestCase):
-    def test_order_goes_out_with_every_word(self) -> None:
+    def test_order_is_sent_with_every_view(self) -> None:
         """A router that has missed the push learns of an evacuated zone with its next answer."""
         fixture = Fixture()
         fixture.exchange(0.0)
@@ -196,27 +196,27 @@
             self.assertEqual(sent.message.evacuations.list_evacuated(), ("z1",))
 
     def test_order_reaches_each_of_200_routers_at_once(self) -> None:
-        """A zone is evacuated; five replicas apply the order within a heartbeat.
+        """Guards against routers that learn of an evacuated zone only with their next poll.
 
-        Each pushes it to the routers that are close to it, so that nobody waits for the
-        next question, which many routers ask rarely.
+        Five replicas apply the order within a heartbeat, and each pushes it to its assigned
+        routers.
         """
         zones = (ZoneState(zone="z1", is_evacuated=True, revision=4, since=0.0),)
-        told: set[str] = set()
+        reached: set[str] = set()
         for replica in range(5):
             fixture = Fixture()
             for number in range(200):
                 is_assigned = number % 5 == replica
-                ask = Follow(
+                poll = Follow(
                     router=f"r{number}", run="", change=0, version=0, is_assigned=is_assigned
                 )
-                fixture.publisher.handle_follow(ask, now=0.0)
+                fixture.publisher.handle_follow(poll, now=0.0)
             fixture.publisher.evacuations = Evacuations(zones=zones)
             for sent in fixture.publisher.publish(now=0.1):
                 assert isinstance(sent.message, View)
                 self.assertEqual(sent.message.evacuations.list_evacuated(), ("z1",))
-                told.add(sent.target)
-        self.assertEqual(len(told), 200)
+                reached.add(sent.target)
+        self.assertEqual(len(reached), 200)
 
 
 if __name__ == "__main__":
--- a/tests/components/distribution/test_placements.py
+++ b/tests/components/distribution/test_placements.py
@@ -1,4 +1,4 @@
-"""What routers are told of each other: loads, and what was sent where."""
+"""What routers learn about each other: loads and placements of prompt parts."""
 
 import unittest
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class PlacementTest(unittest.TestCase):
-    def test_router_that_starts_is_told_what_was_sent_where(self) -> None:
+    def test_starting_router_gets_placements(self) -> None:
         fixture = Fixture()
         placed = (PlacedPart(part="d:10000", endpoint_id="e1", age_s=1.0),)
         fixture.publisher.handle_follow(make_assigned_follow("r2", placed=placed), now=0.0)
@@ -37,46 +37,48 @@
         assert isinstance(answer.message, View)
         self.assertEqual(answer.message.placed, ())
 
-    def test_endpoints_come_before_placements(self) -> None:
-        """Guards against placements that a router drops, since it gets the endpoints later."""
+    def test_endpoints_are_sent_before_placements(self) -> None:
+        """Guards against placements that a router drops because it gets the endpoints later."""
         fixture = Fixture()
         for record in make_fleet(400):
             fixture.table.merge(record, now=0.0)
         placed = (PlacedPart(part="d:10000", endpoint_id="e1", age_s=1.0),)
         fixture.publisher.handle_follow(make_assigned_follow("r2", placed=placed), now=0.0)
-        told = []
+        received = []
         for change in (0, 0, fixture.table.change):
             follow = make_assigned_follow("r1", run="run1", change=change)
             (answer,) = fixture.publisher.handle_follow(follow, now=0.3)
             fixture.publisher.send_round(now=0.3)
             assert isinstance(answer.message, View)
-            told.append((len(answer.message.placed), answer.message.placed_change))
-        self.assertEqual(told, [(0, 0), (0, 0), (1, 1)])
+            received.append((len(answer.message.placed), answer.message.placed_change))
+        self.assertEqual(received, [(0, 0), (0, 0), (1, 1)])
 
-    def test_configuration_comes_before_placements(self) -> None:
-        """All instances lost power and start; 39 routers ask a replica for all that it has.
+    def test_configuration_is_sent_before_placements(self) -> None:
+        """Guards against placements that delay the configuration after a power loss.
 
-        Until a router has the configuration it refuses its callers, and what was sent where
-        is of no use to it. It is told that once it says that it has the newest version.
+        39 routers request everything from a replica. Until a router has the configuration it
+        refuses its callers and has no use for placements, so it gets them once it reports the
+        newest version.
         """
         fixture = Fixture()
         fixture.put(7)
         placed = (PlacedPart(part="d:10000", endpoint_id="e1", age_s=1.0),)
         fixture.publisher.handle_follow(make_assigned_follow("r2", placed=placed), now=0.0)
-        told = []
+        received = []
         for version in (0, 6, 7):
             follow = make_assigned_follow("r1", run="run1", version=version)
             (answer,) = fixture.publisher.handle_follow(follow, now=0.3)
             assert isinstance(answer.message, View)
-            told.append(len(answer.message.placed))
-        self.assertEqual(told, [0, 0, 1])
+            received.append(len(answer.message.placed))
+        self.assertEqual(received, [0, 0, 1])
 
-    @mock.patch.object(publisher_module, "PLACED_IN_ROUND", 1200)
+    @mock.patch.object(publisher_module, "PLACEMENTS_PER_ROUND", 1200)
     def test_full_link_is_not_filled_further(self) -> None:
-        """A replica's link is full, so its answers reach routers a second late.
+        """Guards against a full link that repeated answers keep full.
 
-        Each question still names the old state. Answered anew each time, the same news
-        went out four times, the link filled up, and endpoints and operators got no answer.
+        When the answers of a replica arrive a second late, each poll still names the old state.
+        Answered anew each time, the same placements were sent four times, and endpoints and
+        operators got no answer.
         """
         fixture = Fixture()
         placed = tuple(
@@ -94,12 +96,12 @@
         assert isinstance(answer.message, View)
         self.assertEqual(len(answer.message.placed), limit)
 
-    def test_hundreds_of_routers_are_told_what_was_sent_where_in_time(self) -> None:
-        """195 routers place 220 parts of prompts a second at engines that lacked them.
+    def test_hundreds_of_routers_get_placements_in_time(self) -> None:
+        """Guards against late placements when 195 routers place 220 prompt parts a second.
 
-        With thirty parts in each answer a router fell behind by seconds and had long
-        prompts read again that engines had cached, 0.46 k tokens for each request. Each
-        answer brings all that is new, and the placements to 39 routers take less than half
+        With thirty parts in each answer, a router fell behind by seconds and sent long prompts to
+        engines that had to read them although others had cached them, 0.46 k tokens for each
+        request. Each answer brings all new placements, and those to 39 routers take less than half
         of a link of 4 Mbit/s.
         """
         random = Random(1)
@@ -138,7 +140,7 @@
                 self.assertEqual(changes[number], publisher.placements.change)
         self.assertLess(sent_bytes / 6.0, 262_000)
 
-    def test_placements_and_endpoints_share_the_pace_of_the_link(self) -> None:
+    def test_placements_and_endpoints_share_the_rate_limit(self) -> None:
         """Guards against a log that waits behind both after all instances were killed."""
         fixture = Fixture()
         for record in make_fleet(3000):
@@ -159,16 +161,16 @@
                 assert isinstance(answer.message, View)
                 changes[number] = answer.message.placed_change
                 sent_bytes += 14 * len(answer.message.placed)
-            for one in fixture.publisher.send_round(now=now):
-                assert isinstance(one.message, EndpointUpdate)
-                sent_bytes += len(one.message.payload)
+            for effect in fixture.publisher.send_round(now=now):
+                assert isinstance(effect.message, EndpointUpdate)
+                sent_bytes += len(effect.message.payload)
         largest = len(pack_records(fixture.table.list_records()))
         self.assertLessEqual(sent_bytes, BULK_BYTES_PER_S * (now + MAX_SEND_AHEAD_S) + largest)
 
     def test_loads_are_those_of_the_other_routers(self) -> None:
-        """Three routers are close to one replica, a fourth one to another.
+        """Three routers are assigned to one replica, a fourth router to another.
 
-        Each is told the sum of all others and never its own share, which it knows better.
+        Each gets the sum of all others without its own load, of which it knows a newer value.
         """
         fixture, other = Fixture("run1"), Fixture("run2")
         for router, running in (("r1", 3), ("r2", 4), ("r3", 5)):
@@ -191,7 +193,7 @@
         other.publisher.handle_exchange("p1", fixture.publisher.make_exchange(now=0.1), now=0.1)
         (answer,) = other.publisher.handle_follow(make_assigned_follow("r4"), now=0.2)
         assert isinstance(answer.message, View)
-        self.assertEqual([one.part for one in answer.message.placed], ["d:10000"])
+        self.assertEqual([placement.part for placement in answer.message.placed], ["d:10000"])
         self.assertEqual(other.publisher.make_exchange(now=0.3).placed, ())
         self.assertEqual(fixture.publisher.make_exchange(now=0.3).placed, ())
 
--- a/tests/components/distribution/test_watching.py
+++ b/tests/components/distribution/test_watching.py
@@ -1,4 +1,4 @@
-"""Which replicas a router asks, and how often."""
+"""Which replicas a router polls, and how often."""
 
 import unittest
 
@@ -13,13 +13,13 @@
 
 
 class WatchingTest(unittest.TestCase):
-    def test_start_asks_few_and_then_all(self) -> None:
-        """All instances start at once; each router would connect to every replica.
+    def test_starting_router_polls_few_replicas_and_then_all(self) -> None:
+        """Guards against an election delayed by connections from all routers at a common start.
 
-        The replicas have to elect a leader in that moment. Each router asks two of them
-        first, not all routers the same ones, and every replica a second later.
+        Each router polls two replicas first, different routers different ones, and every replica a
+        second later.
         """
-        asked: set[str] = set()
+        polled: set[str] = set()
         for number in range(9):
             subscriber = Subscriber(
                 router=f"r{number}",
@@ -35,30 +35,31 @@
             later = {e.target for e in subscriber.wake(now=2.0) if isinstance(e, SendMessage)}
             self.assertEqual(len(first), 2)
             self.assertEqual(later, {"p1", "p2", "p3"})
-            asked |= first
-        self.assertEqual(asked, {"p1", "p2", "p3"})
+            polled |= first
+        self.assertEqual(polled, {"p1", "p2", "p3"})
 
-    def test_two_majorities_meet_in_a_large_fleet(self) -> None:
-        """An endpoint drains; a majority of five replicas knows it and acknowledges.
+    def test_two_majorities_overlap_in_a_large_fleet(self) -> None:
+        """Guards against a router that misses a drain acknowledged by a majority of five replicas.
 
-        195 routers that ask all replicas take half of a core of each. Each asks the close
-        one and so many others that one of them is among those that know.
+        195 routers that poll all replicas take half of a core of each. So each router polls its
+        assigned replica and enough others for a majority, which includes a replica that knows of
+        the drain.
         """
-        asked_by_all: list[str] = []
+        polled_by_all: list[str] = []
         for number in range(195):
             watch = Watch(f"r{number}")
-            asked = {name for _, name in watch.run(3.0, 6.0)}
-            self.assertEqual(len(asked), 3)
-            asked_by_all += asked
+            polled = {name for _, name in watch.run(3.0, 6.0)}
+            self.assertEqual(len(polled), 3)
+            polled_by_all += polled
         for name in watch.replicas:
-            self.assertAlmostEqual(asked_by_all.count(name), 195 * 3 / 5, delta=35)
+            self.assertAlmostEqual(polled_by_all.count(name), 195 * 3 / 5, delta=35)
 
     def test_silent_replica_is_replaced_and_found_again(self) -> None:
-        """One of the replicas that a router follows freezes, and wakes again seconds later.
+        """Guards against a missed departure when a replica that a router polls freezes for seconds.
 
-        Another one takes its part within two seconds, so that a departure acknowledged by
-        those that are left reaches the router in time. Now and then the frozen one is
-        asked, and once it answers it is followed as before.
+        Another replica replaces it within two seconds, so that a departure acknowledged by the
+        remaining replicas reaches the router in time. The frozen replica is probed, and polled as
+        before once it answers.
         """
         watch = Watch("r1")
         before = {name for _, name in watch.run(3.0, 6.0)}
@@ -67,15 +68,15 @@
             watch.run(6.0, 8.0)
             answered = {name for _, name in watch.run(8.0, 12.0) if name != frozen}
             self.assertEqual(len(answered), 3, frozen)
-            asked = [name for _, name in watch.run(12.0, 18.0)]
-            self.assertLessEqual(asked.count(frozen), 2)
+            polled = [name for _, name in watch.run(12.0, 18.0)]
+            self.assertLessEqual(polled.count(frozen), 2)
             watch.frozen = set()
             watch.run(18.0, 22.0)
             self.assertEqual({name for _, name in watch.run(22.0, 25.0)}, before)
             watch = Watch("r1")
             watch.run(0.0, 6.0)
 
-    def test_silent_close_replica_is_left(self) -> None:
+    def test_silent_assigned_replica_is_replaced(self) -> None:
         fixture = Fixture()
         fixture.exchange(0.0)
         targets = []
@@ -87,11 +88,12 @@
         self.assertEqual(targets[:3], ["p1"] * 3)
         self.assertIn("p2", targets[3:])
 
-    def test_large_fleet_asks_less_often(self) -> None:
-        """87 routers ask 5 replicas with half a core and 3 Mbit/s each.
+    def test_large_fleet_polls_less_often(self) -> None:
+        """Guards against replicas overloaded by the polls of 87 routers.
 
-        Asked by all every 0.4 s, the replicas answered nobody in time: two of three calls
-        of endpoints failed. Each gets some 120 questions a second this way.
+        Five replicas with half a core and 3 Mbit/s each, polled by all routers every 0.4 s,
+        answered nobody in time: two of three calls of endpoints failed. With the longer interval,
+        each replica gets about 120 polls a second.
         """
         fixture = Fixture()
         view = View(
@@ -106,13 +108,13 @@
             routers=87,
         )
         fixture.subscriber.handle_view("p1", view, now=0.0)
-        questions = 0
+        polls = 0
         for step in range(1000):
             now = 2.0 + step * 0.01
             fixture.subscriber.handle_view("p1", view, now=now)
             effects = fixture.subscriber.wake(now=now)
-            questions += sum(1 for one in effects if isinstance(one, SendMessage))
-        self.assertLess(questions * 87 / 5 / 10.0, 125)
+            polls += sum(1 for effect in effects if isinstance(effect, SendMessage))
+        self.assertLess(polls * 87 / 5 / 10.0, 125)
 
 
 if __name__ == "__main__":
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -1,4 +1,4 @@
-"""A replica and routers that talk by hand."""
+"""A replica and routers whose messages a test delivers step by step."""
 
 import json
 import zlib
@@ -19,7 +19,7 @@
 
 
 def make_body(routes: int, *, quota: int) -> bytes:
-    """Return a document of some 100 bytes a route."""
+    """Return a document of about 100 bytes a route."""
     listed = [
         {"host": f"h{n}.example", "prefix": f"/{n * 7919 % 9973}/", "timeout": 1000 + n % 7}
         for n in range(routes)
@@ -28,14 +28,14 @@
 
 
 class Fixture:
-    """A replica and a router that talk by hand."""
+    """A replica and a router whose messages a test delivers step by step."""
 
     def __init__(self, run: str = "run1", own: EndpointTable | None = None) -> None:
         self.table = EndpointTable()
         self.taken: list[int] = []
         self.unreadable: list[int] = []
         self.bodies: dict[int, bytes] = {}
-        self.news = RouterReport(loads=(), placed=())
+        self.report = RouterReport(loads=(), placed=())
         self.publisher = self.make_publisher(run)
         self.own = EndpointTable() if own is None else own
         self.subscriber = Subscriber(
@@ -46,7 +46,7 @@
             take_document=self.take_document,
             on_unreadable=lambda version, detail: self.unreadable.append(version),
             on_bad_update=lambda replica, detail: None,
-            get_news=lambda: self.news,
+            get_news=lambda: self.report,
         )
 
     def make_publisher(self, run: str) -> Publisher:
@@ -72,7 +72,7 @@
         raise AssertionError("no follow was due")
 
     def exchange_until(self, end: float) -> None:
-        """Carry questions and answers as they come due."""
+        """Deliver polls and answers as they become due, up to the time ``end``."""
         for step in range(1, int(end / 0.1) + 1):
             for effect in self.subscriber.wake(now=step * 0.1):
                 if isinstance(effect, SendMessage) and isinstance(effect.message, Follow):
@@ -81,15 +81,15 @@
                     self.subscriber.handle_view(effect.target, answer.message, now=step * 0.1)
 
     def exchange(self, now: float) -> list[SendMessage]:
-        """Carry one question and its answer; return what the router sends on."""
+        """Deliver one poll and its answer; return what the router sends in response."""
         (answer,) = self.publisher.handle_follow(self.follow(now), now=now)
         assert isinstance(answer.message, View)
         effects = self.subscriber.handle_view("p1", answer.message, now=now)
-        return [one for one in effects if isinstance(one, SendMessage)]
+        return [effect for effect in effects if isinstance(effect, SendMessage)]
 
 
 def count_bytes(paced: PacedDocument) -> int:
-    """Return what a document takes on the replica's link; a referral takes next to none."""
+    """Return the size of a document on the replica's link; a redirect counts as 0."""
     return len(paced.message.payload) if isinstance(paced.message, DocumentSent) else 0
 
 
@@ -113,16 +113,16 @@
         self.run(0.0, 3.0)
 
     def run(self, start: float, end: float) -> list[tuple[float, str]]:
-        """Return when each replica was asked."""
-        asked: list[tuple[float, str]] = []
+        """Return when the router polled which replica."""
+        polls: list[tuple[float, str]] = []
         for step in range(round((end - start) * 20)):
             now = start + step * 0.05
             for effect in self.subscriber.wake(now=now):
                 if isinstance(effect, SendMessage):
-                    asked.append((now, effect.target))
+                    polls.append((now, effect.target))
                     if effect.target not in self.frozen:
                         self.subscriber.handle_view(effect.target, self.make_view(), now=now)
-        return asked
+        return polls
 
     def make_view(self) -> View:
         return View(
@@ -149,7 +149,7 @@
     placed_change: int = 0,
     is_stopping: bool = False,
 ) -> Follow:
-    """Return the word of a router to the replica that it is close to."""
+    """Return a router's poll of its assigned replica."""
     loads = (EndpointLoad(endpoint_id="e1", running=running, tokens=10),) if running else ()
     return Follow(
         router=router,
