--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -85,7 +85,7 @@
             host=self.host,
             store=self._store,
             send=self.transport.send,
-            list_document_addresses=lambda version: self._publisher.list_document_addresses(
+            list_readers=lambda version: self._publisher.list_readers(
                 version, now=time.monotonic()
             ),
             events=events,
