--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -198,7 +198,7 @@
         """Return the share of the fleet's routers that is assigned to this replica."""
         return self._fleet_share.find(len(self._list_assigned(now)), now=now)
 
-    def list_readers(self, version: int, *, now: float) -> list[str]:
+    def list_document_addresses(self, version: int, *, now: float) -> list[str]:
         """Return where assigned routers serve a document of this version or a newer one."""
         return [
             router.document_address
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -85,7 +85,7 @@
             host=self.host,
             store=self._store,
             send=self.transport.send,
-            list_readers=lambda version: self._publisher.list_readers(
+            list_readers=lambda version: self._publisher.list_document_addresses(
                 version, now=time.monotonic()
             ),
             events=events,
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -223,11 +223,11 @@
                 ),
                 now=0.0,
             )
-        self.assertEqual(publisher.list_readers(5, now=0.5), ["a:80"])
-        self.assertEqual(publisher.list_readers(5, now=60.0), [])
+        self.assertEqual(publisher.list_document_addresses(5, now=0.5), ["a:80"])
+        self.assertEqual(publisher.list_document_addresses(5, now=60.0), [])
         stopping = make_assigned_follow("a", version=5, is_stopping=True)
         publisher.handle_follow(msgspec.structs.replace(stopping, document_address="a:80"), now=1.0)
-        self.assertEqual(publisher.list_readers(5, now=1.0), [])
+        self.assertEqual(publisher.list_document_addresses(5, now=1.0), [])
 
 
 if __name__ == "__main__":
