--- a/chivetrack/daemon/fleet/restart_file.py
+++ b/chivetrack/daemon/fleet/restart_file.py
@@ -62,7 +62,7 @@
             msgspec.structs.replace(one, age_s=one.age_s + passed_s) for one in content.placed
         ]
         self._table.restore(content.records, now=now)
-        self._placements.note(placed, now=now)
+        self._placements.record(placed, now=now)
         self._events.write(
             "restart_file_read", endpoints=len(content.records), placements=len(placed)
         )
