--- a/chivetrack/components/distribution/broadcast.py
+++ b/chivetrack/components/distribution/broadcast.py
@@ -73,7 +73,7 @@
         ]
         return RecordsRequest(endpoint_ids=tuple(missing)) if missing else None
 
-    def answer(self, request: RecordsRequest) -> BroadcastRecords | None:
+    def make_records(self, request: RecordsRequest) -> BroadcastRecords | None:
         """Return the records that another replica requested, ``None`` if none is known here."""
         known = [self.table.find(endpoint_id) for endpoint_id in request.endpoint_ids]
         records = tuple(record for record in known if record is not None)
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -194,7 +194,7 @@
             )
             return True
         if isinstance(message, RecordsRequest):
-            self._send_if_any(source, self._spreading.answer(message))
+            self._send_if_any(source, self._spreading.make_records(message))
             return True
         if not isinstance(message, BroadcastRecords):
             return False
