--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -42,7 +42,7 @@
                 self.table.merge(record, now=now)
             return
         request = self.broadcaster.handle_heartbeats(message, now=now)
-        answer = None if request is None else source.broadcaster.answer(request)
+        answer = None if request is None else source.broadcaster.make_records(request)
         if answer is not None:
             self.handle(answer, source, now)
 
