--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -19,9 +19,9 @@
     Digest,
     GossipFrame,
     News,
-    NewsCallback,
     Peer,
     Summary,
+    UpdateCallback,
     Urgency,
 )
 from chivetrack.components.gossip.own import OwnValues
@@ -73,7 +73,7 @@
             tick_s=tick_s,
         )
         self._clock = TransitClock()
-        self._subscribers: dict[str, list[NewsCallback]] = {}
+        self._subscribers: dict[str, list[UpdateCallback]] = {}
         self._last_load = float("-inf")
         self._frame_heard: dict[str, float] = {}
         self._peer_incarnations: dict[str, int] = {}
@@ -130,7 +130,7 @@
         """Send one frame with a digest to an instance that need not be a peer."""
         self._sender.greet(peer)
 
-    def subscribe(self, topic: str, callback: NewsCallback) -> Unsubscribe:
+    def subscribe(self, topic: str, callback: UpdateCallback) -> Unsubscribe:
         """Call back with every newer value of a topic from another origin."""
         callbacks = self._subscribers.setdefault(topic, [])
         callbacks.append(callback)
--- a/chivetrack/components/gossip/models.py
+++ b/chivetrack/components/gossip/models.py
@@ -47,7 +47,7 @@
     now: float
 
 
-NewsCallback = Callable[[News], None]
+UpdateCallback = Callable[[News], None]
 
 
 class Entry(Message, frozen=True, array_like=True):
