--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -13,7 +13,7 @@
 from chivetrack.components.endpoints.models import AnnouncedState, Announcement, EndpointKind
 from chivetrack.components.endpoints.registry import EndpointRegistry
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News, Urgency
+from chivetrack.components.gossip.models import Urgency, ValueUpdate
 from chivetrack.components.membership.const import FLEET_TOPICS
 from chivetrack.components.membership.membership import Membership
 from chivetrack.components.membership.models import Instance, Life, Seed
@@ -136,7 +136,7 @@
         self.network.start(name, [*timed, publisher])
         return router
 
-    def _note_load(self, router: Router, news: News) -> None:
+    def _note_load(self, router: Router, news: ValueUpdate) -> None:
         router.born[f"{news.origin}/{news.key}"] = news.now - news.age_s
         self.delays.append(news.age_s)
 
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -32,7 +32,7 @@
     read_renewal_news,
 )
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News
+from chivetrack.components.gossip.models import ValueUpdate
 from chivetrack.core import Effect, Event, TimeReached, Unsubscribe, WakeAt
 from chivetrack.exceptions import Fault
 
@@ -160,7 +160,7 @@
 
     # Taking in
 
-    def _receive_body(self, news: News) -> None:
+    def _receive_body(self, news: ValueUpdate) -> None:
         if news.payload is None:
             record = self._records.get(news.key)
             if record is not None:
@@ -175,7 +175,7 @@
         record.carriers[news.origin] = body
         self._update([record], news.now, soon=not record.present)
 
-    def _receive_renewals(self, news: News) -> None:
+    def _receive_renewals(self, news: ValueUpdate) -> None:
         renewals = read_renewal_news(news)
         if renewals is None:
             return
--- a/chivetrack/components/endpoints/spread.py
+++ b/chivetrack/components/endpoints/spread.py
@@ -19,7 +19,7 @@
     read_body,
 )
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News, Urgency
+from chivetrack.components.gossip.models import Urgency, ValueUpdate
 from chivetrack.helpers.codec import DecodeError, decode, encode
 
 
@@ -117,7 +117,7 @@
     return Renewal(record.endpoint_hash, round((now - record.direct_at) * 10))
 
 
-def read_endpoint_news(news: News) -> Announcement | None:
+def read_endpoint_news(news: ValueUpdate) -> Announcement | None:
     """Return the announcement in a piece of news, ``None`` if it can't be read."""
     try:
         body = decode("endpoints.body", news.payload or b"")
@@ -126,7 +126,7 @@
         return None
 
 
-def read_renewal_news(news: News) -> Renewals | None:
+def read_renewal_news(news: ValueUpdate) -> Renewals | None:
     """Return the renewals in a piece of news, ``None`` if they can't be read."""
     try:
         renewals = decode("endpoints.renewals", news.payload or b"")
--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -4,7 +4,7 @@
 from chivetrack.components.configuration.models import RevisionHeard
 from chivetrack.components.fleet.models import TOPIC_LEADER, LeaderRecord, LeadershipSeen
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News, Urgency
+from chivetrack.components.gossip.models import Urgency, ValueUpdate
 from chivetrack.components.proposals.client import ProposalClient
 from chivetrack.core import Effect, Event
 from chivetrack.helpers.codec import DecodeError, decode_as, encode
@@ -62,7 +62,7 @@
         self._published = record
         self._gossip.publish(TOPIC_LEADER, "", encode(record), Urgency.CONFIGURATION, now=now)
 
-    def _take_news(self, news: News) -> None:
+    def _take_news(self, news: ValueUpdate) -> None:
         if news.payload is None:
             return
         try:
--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -18,11 +18,11 @@
     Delta,
     Digest,
     GossipFrame,
-    News,
     Peer,
     Summary,
     UpdateCallback,
     Urgency,
+    ValueUpdate,
 )
 from chivetrack.components.gossip.own import OwnValues
 from chivetrack.components.gossip.repair import compare_digest, find_lacking, has_newer
@@ -237,7 +237,7 @@
                 self._tell(value, None, now)
 
     def _tell(self, value: Value, payload: bytes | None, now: float) -> None:
-        news = News(
+        news = ValueUpdate(
             topic=value.key.topic,
             origin=value.origin,
             key=value.key.key,
--- a/chivetrack/components/gossip/models.py
+++ b/chivetrack/components/gossip/models.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class News:
+class ValueUpdate:
     """A value that came in.
 
     ``payload`` is ``None`` when the key was retracted or its origin restarted.
@@ -47,7 +47,7 @@
     now: float
 
 
-UpdateCallback = Callable[[News], None]
+UpdateCallback = Callable[[ValueUpdate], None]
 
 
 class Entry(Message, frozen=True, array_like=True):
--- a/chivetrack/components/limits/exchange.py
+++ b/chivetrack/components/limits/exchange.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Collection
 
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News, Urgency
+from chivetrack.components.gossip.models import Urgency, ValueUpdate
 from chivetrack.components.limits.const import DEMAND_INTERVAL_S
 from chivetrack.components.limits.models import DemandReport
 from chivetrack.components.limits.shares import ShareBook
@@ -48,7 +48,7 @@
         self._published = report.demands
         self._gossip.publish(TOPIC_DEMAND, "", encode(report), Urgency.OVERLOAD, now=now)
 
-    def _take_news(self, news: News) -> None:
+    def _take_news(self, news: ValueUpdate) -> None:
         if news.payload is None:
             return
         try:
--- a/chivetrack/components/load/exchange.py
+++ b/chivetrack/components/load/exchange.py
@@ -1,7 +1,7 @@
 """Exchanges in-flight counts between routers by gossip."""
 
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News, Urgency
+from chivetrack.components.gossip.models import Urgency, ValueUpdate
 from chivetrack.components.load.book import LoadBook
 from chivetrack.components.load.models import LoadCounts
 from chivetrack.components.load.pacer import CountsPacer
@@ -50,7 +50,7 @@
         payload = encode(self._book.collect_counts(now))
         self._gossip.publish(TOPIC_LOAD, KEY_COUNTS, payload, Urgency.LOAD, now=now)
 
-    def _take_news(self, news: News) -> None:
+    def _take_news(self, news: ValueUpdate) -> None:
         if news.payload is None:
             return
         try:
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News, Peer, Urgency
+from chivetrack.components.gossip.models import Peer, Urgency, ValueUpdate
 from chivetrack.components.membership.const import (
     ALIVE_EVERY_S,
     FORGET_AFTER_S,
@@ -293,7 +293,7 @@
 
     # News
 
-    def _receive_record(self, news: News) -> None:
+    def _receive_record(self, news: ValueUpdate) -> None:
         record = _decode_record(news.payload)
         if record is None:
             return
@@ -315,7 +315,7 @@
         elif is_new_life:
             self._change(member, InstanceStatus.ALIVE, "showed a new life", news.now)
 
-    def _add_member(self, news: News, record: InstanceRecord, heard_at: float) -> None:
+    def _add_member(self, news: ValueUpdate, record: InstanceRecord, heard_at: float) -> None:
         # The record may be old; whether it lives shows from now on.
         status = InstanceStatus.LEFT if record.leaving else InstanceStatus.ALIVE
         member = Member(
@@ -328,7 +328,7 @@
         self._members[news.origin] = member
         self._tell(member)
 
-    def _receive_verdict(self, news: News) -> None:
+    def _receive_verdict(self, news: ValueUpdate) -> None:
         if news.payload is None:
             return
         try:
@@ -343,7 +343,7 @@
             return
         self._accept_verdict(verdict, life, news)
 
-    def _accept_verdict(self, verdict: Verdict, life: Life, news: News) -> None:
+    def _accept_verdict(self, verdict: Verdict, life: Life, news: ValueUpdate) -> None:
         member = self._members.get(verdict.target)
         if member is None or not member.is_counted or life < member.life:
             return
--- a/chivetrack/components/membership/regions.py
+++ b/chivetrack/components/membership/regions.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News, Peer, Urgency
+from chivetrack.components.gossip.models import Peer, Urgency, ValueUpdate
 from chivetrack.components.membership.const import (
     SUMMARY_CONTACTS,
     SUMMARY_EVERY_S,
@@ -65,7 +65,7 @@
             self._is_publisher = False
             self._gossip.retract(TOPIC_REGION, self._own_region, Urgency.REST, now=now)
 
-    def _receive(self, news: News) -> None:
+    def _receive(self, news: ValueUpdate) -> None:
         if news.payload is None or news.key == self._own_region:
             return
         try:
--- a/tests/components/gossip/fleet.py
+++ b/tests/components/gossip/fleet.py
@@ -3,7 +3,7 @@
 import random
 
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News, Peer
+from chivetrack.components.gossip.models import Peer, ValueUpdate
 from tests.components.network import Network
 
 TOPIC = "topic"
@@ -18,7 +18,7 @@
         self.seed = seed
         self.budget = budget_bytes_per_s
         self.gossips: dict[str, Gossip] = {}
-        self.news: dict[str, list[News]] = {name: [] for name in self.names}
+        self.news: dict[str, list[ValueUpdate]] = {name: [] for name in self.names}
         for name in self.names:
             self.start(name, incarnation=1)
 
--- a/tests/components/gossip/test_gossip.py
+++ b/tests/components/gossip/test_gossip.py
@@ -10,10 +10,10 @@
     Digest,
     Entry,
     GossipFrame,
-    News,
     OriginDigest,
     Peer,
     Urgency,
+    ValueUpdate,
 )
 from chivetrack.components.gossip.repair import compare_digest
 from chivetrack.components.gossip.state import GossipState
@@ -377,7 +377,7 @@
         Counted from receipt, what it says would look 9 s too young and leases would
         outlive their endpoints by that.
         """
-        told: list[News] = []
+        told: list[ValueUpdate] = []
         gossip = Gossip(instance_id="b", incarnation=1, random=random.Random(1))
         gossip.subscribe(TOPIC, told.append)
         for sent, received in ((100.0, 7.0), (101.0, 8.001), (102.0, 18.0)):
