--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -11,7 +11,7 @@
 from chivetrack.components.gossip.state import KEY_HASH_END, GossipState
 
 
-class Answers:
+class PendingAnswers:
     """Summaries that peers need to see what is lacking here, and names unknown here."""
 
     def __init__(self, *, state: GossipState, largest_frame: int) -> None:
--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -4,7 +4,7 @@
 
 from expression import Error, Ok, Result
 
-from chivetrack.components.gossip.answers import Answers
+from chivetrack.components.gossip.answers import PendingAnswers
 from chivetrack.components.gossip.budget import ByteBudget
 from chivetrack.components.gossip.clock import TransitClock
 from chivetrack.components.gossip.const import (
@@ -60,7 +60,7 @@
         self._outbox = Outbox()
         largest_frame = get_largest_frame(self.budget)
         self._largest_entry = largest_frame - DELTA_HEADER_BYTES - len(instance_id.encode())
-        self._answers = Answers(state=self._state, largest_frame=largest_frame)
+        self._answers = PendingAnswers(state=self._state, largest_frame=largest_frame)
         self._sender = Sender(
             own=self._own,
             state=self._state,
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -2,7 +2,7 @@
 
 import random as random_module
 
-from chivetrack.components.gossip.answers import Answers, bound_summary
+from chivetrack.components.gossip.answers import PendingAnswers, bound_summary
 from chivetrack.components.gossip.budget import ByteBudget, TokenBucket
 from chivetrack.components.gossip.const import (
     ANSWER_EVERY,
@@ -39,7 +39,7 @@
         own: OwnValues,
         state: GossipState,
         outbox: Outbox,
-        answers: Answers,
+        answers: PendingAnswers,
         budget: ByteBudget,
         random: random_module.Random,
         region: str,
