--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -52,7 +52,7 @@
         for summary in summaries:
             self._summaries.setdefault(peer, {}).setdefault(summary.origin, summary)
 
-    def add_unreadable(self, peer: str, name_hash: int) -> None:
+    def add_unknown_name(self, peer: str, name_hash: int) -> None:
         """Note a short name from a peer that is not known here."""
         self._unreadable.setdefault(peer, {})[name_hash] = None
 
--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -197,7 +197,7 @@
             if full is not None:
                 self._merge(source, full, extra_age_s, now)
             else:
-                self._answers.add_unreadable(source, short.name_hash)
+                self._answers.add_unknown_name(source, short.name_hash)
         for name_hash in frame.unknown_names:
             self._outbox.note_unknown(source, name_hash)
         held = self._state.origins.get(source)
