--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -56,7 +56,7 @@
         """Note a short name from a peer that is not known here."""
         self._unreadable.setdefault(peer, {})[name_hash] = None
 
-    def list_unreadable(self, peer: str) -> tuple[int, ...]:
+    def list_unknown_names(self, peer: str) -> tuple[int, ...]:
         """Return the names to report to a peer in one frame."""
         return tuple(self._unreadable.get(peer, {}))[:UNKNOWN_NAMES]
 
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -150,7 +150,7 @@
         room -= 0 if digest is None else _bound_digest(digest)
         summaries = self._answers.take_summaries(peer, room // 2)
         room -= sum(bound_summary(summary) for summary in summaries)
-        unknown = self._answers.list_unreadable(peer)
+        unknown = self._answers.list_unknown_names(peer)
         room -= UNKNOWN_NAME_BYTES * len(unknown)
         wanted = self._outbox.list_wanted(peer, topics, now)
         chosen = Selection(
