--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -19,18 +19,18 @@
         self._state = state
         self._summaries: dict[str, dict[str, Summary]] = {}
         self._summary_from: dict[str, int] = {}
-        self._unreadable: dict[str, dict[int, None]] = {}
+        self._unknown_names: dict[str, dict[int, None]] = {}
         room = largest_frame // 2 - SUMMARY_HEADER_BYTES - 64
         self._keys = max(1, min(SUMMARY_KEYS, room // SUMMARY_KEY_BYTES))
 
     def has(self, peer: str) -> bool:
         """Return whether an answer waits for a peer."""
-        return bool(self._summaries.get(peer) or self._unreadable.get(peer))
+        return bool(self._summaries.get(peer) or self._unknown_names.get(peer))
 
     def drop_peer(self, peer: str) -> None:
         """Forget what a peer that is gone was to be answered."""
         self._summaries.pop(peer, None)
-        self._unreadable.pop(peer, None)
+        self._unknown_names.pop(peer, None)
 
     def add_summary(self, peer: str, origin: str, topics: frozenset[str] | None) -> None:
         """Tell a peer, range by range, what is held of an origin."""
@@ -54,15 +54,15 @@
 
     def add_unknown_name(self, peer: str, name_hash: int) -> None:
         """Note a short name from a peer that is not known here."""
-        self._unreadable.setdefault(peer, {})[name_hash] = None
+        self._unknown_names.setdefault(peer, {})[name_hash] = None
 
     def list_unknown_names(self, peer: str) -> tuple[int, ...]:
         """Return the names to report to a peer in one frame."""
-        return tuple(self._unreadable.get(peer, {}))[:UNKNOWN_NAMES]
+        return tuple(self._unknown_names.get(peer, {}))[:UNKNOWN_NAMES]
 
     def mark_reported(self, peer: str) -> None:
         """Note that the names were reported; those still unknown come up again."""
-        self._unreadable.pop(peer, None)
+        self._unknown_names.pop(peer, None)
 
     def _summarise(self, origin: str, topics: frozenset[str] | None) -> Summary:
         held = self._state.origins.get(origin)
