--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -36,7 +36,7 @@
         """Tell a peer, range by range, what is held of an origin."""
         self._summaries.setdefault(peer, {})[origin] = self._summarise(origin, topics)
 
-    def take_summaries(self, peer: str, room: int) -> tuple[Summary, ...]:
+    def pop_summaries(self, peer: str, room: int) -> tuple[Summary, ...]:
         """Return and drop the summaries for a peer that fit into ``room``."""
         waiting = self._summaries.get(peer, {})
         taken: list[Summary] = []
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -148,7 +148,7 @@
         has_digest = peer in self._greetings or self._is_digest_due(now)
         digest = self._make_digest(peer, now) if has_digest else None
         room -= 0 if digest is None else _bound_digest(digest)
-        summaries = self._answers.take_summaries(peer, room // 2)
+        summaries = self._answers.pop_summaries(peer, room // 2)
         room -= sum(bound_summary(summary) for summary in summaries)
         unknown = self._answers.list_unknown_names(peer)
         room -= UNKNOWN_NAME_BYTES * len(unknown)
