--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -47,7 +47,7 @@
             taken.append(waiting.pop(origin))
         return tuple(taken)
 
-    def put_back(self, peer: str, summaries: tuple[Summary, ...]) -> None:
+    def requeue(self, peer: str, summaries: tuple[Summary, ...]) -> None:
         """Keep summaries that were not sent after all."""
         for summary in summaries:
             self._summaries.setdefault(peer, {}).setdefault(summary.origin, summary)
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -162,10 +162,10 @@
         is_urgent = bool(wanted.urgent or digest)
         may_wait = chosen.is_waiting and not self._budget.is_pace_full(now)
         if room < 0 or (may_wait and not is_urgent):
-            self._answers.put_back(peer, summaries)
+            self._answers.requeue(peer, summaries)
             return []
         if not (chosen.values or digest or summaries or unknown):
-            self._answers.put_back(peer, summaries)
+            self._answers.requeue(peer, summaries)
             return []
         deltas = make_deltas(chosen.full, self._state, now)
         shorts = tuple(value.get_short_entry(now) for value in chosen.short)
@@ -174,7 +174,7 @@
             self._own.held.incarnation, sent_ms, deltas, digest, summaries, shorts, unknown
         )
         if not self._budget.charge(len(encode(frame)), now):
-            self._answers.put_back(peer, summaries)
+            self._answers.requeue(peer, summaries)
             return []
         self._answers.mark_reported(peer)
         self._frames.take(1, now)
