--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -23,7 +23,7 @@
         room = largest_frame // 2 - SUMMARY_HEADER_BYTES - 64
         self._keys = max(1, min(SUMMARY_KEYS, room // SUMMARY_KEY_BYTES))
 
-    def has(self, peer: str) -> bool:
+    def has_pending(self, peer: str) -> bool:
         """Return whether an answer waits for a peer."""
         return bool(self._summaries.get(peer) or self._unknown_names.get(peer))
 
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -138,7 +138,9 @@
         Left to the rotation, each of the three steps of a repair would take a round.
         """
         waiting = [
-            peer for peer in self._peers if self._answers.has(peer) or self._outbox.owes(peer)
+            peer
+            for peer in self._peers
+            if self._answers.has_pending(peer) or self._outbox.owes(peer)
         ]
         return self._random.choice(waiting) if waiting else None
 
