--- a/chivetrack/components/gossip/const.py
+++ b/chivetrack/components/gossip/const.py
@@ -15,7 +15,7 @@
 WINDOW_S: Final = 1.001
 # Ordinary news gets this share of the budget, and at most that of a second at once;
 # the rest is for urgent news and for probes.
-PACED_SHARE: Final = 0.88
+NON_URGENT_SHARE: Final = 0.88
 PACED_BURST_SHARE: Final = 0.35
 
 # Probes and their answers get at most this share. Without a limit a burst of suspicions
