--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -6,8 +6,8 @@
 from chivetrack.components.gossip.const import (
     MAX_BUDGET_BYTES_PER_S,
     MIN_BUDGET_BYTES_PER_S,
+    NON_URGENT_BURST_SHARE,
     NON_URGENT_SHARE,
-    PACED_BURST_SHARE,
     PROBE_BURST_S,
     PROBE_SHARE,
     TRANSPORT_OVERHEAD_BYTES,
@@ -66,7 +66,7 @@
         self.bytes_per_s = bytes_per_s
         self.overhead_bytes = overhead_bytes
         self._pace = TokenBucket(
-            rate=bytes_per_s * NON_URGENT_SHARE, capacity=bytes_per_s * PACED_BURST_SHARE
+            rate=bytes_per_s * NON_URGENT_SHARE, capacity=bytes_per_s * NON_URGENT_BURST_SHARE
         )
         self._probes = TokenBucket(
             rate=bytes_per_s * PROBE_SHARE, capacity=bytes_per_s * PROBE_SHARE * PROBE_BURST_S
--- a/chivetrack/components/gossip/const.py
+++ b/chivetrack/components/gossip/const.py
@@ -16,7 +16,7 @@
 # Ordinary news gets this share of the budget, and at most that of a second at once;
 # the rest is for urgent news and for probes.
 NON_URGENT_SHARE: Final = 0.88
-PACED_BURST_SHARE: Final = 0.35
+NON_URGENT_BURST_SHARE: Final = 0.35
 
 # Probes and their answers get at most this share. Without a limit a burst of suspicions
 # would squeeze out the news that shows life, and so cause more suspicions without end.
