--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -84,7 +84,7 @@
         self._expire(now)
         return self.bytes_per_s - self._paid - self.overhead_bytes
 
-    def get_paced_room(self, now: float) -> int:
+    def get_non_urgent_room(self, now: float) -> int:
         """Return the same for ordinary news."""
         paced = int(self._pace.get_level(now)) - self.overhead_bytes
         return min(paced, self.get_room(now))
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -190,7 +190,7 @@
     def _get_room(self, now: float) -> int:
         if self._outbox.count_urgent():
             return min(self._largest_frame, self._budget.get_room(now) - PROBE_RESERVE_BYTES)
-        return min(self._budget.get_paced_room(now), self._largest_frame)
+        return min(self._budget.get_non_urgent_room(now), self._largest_frame)
 
     def _is_digest_due(self, now: float) -> bool:
         # Urgent news goes before a digest, but without an end to that a stream of it
