--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -89,7 +89,7 @@
         paced = int(self._pace.get_level(now)) - self.overhead_bytes
         return min(paced, self.get_room(now))
 
-    def is_pace_full(self, now: float) -> bool:
+    def is_non_urgent_full(self, now: float) -> bool:
         """Return whether waiting longer would give ordinary news no more room."""
         return self._pace.get_level(now) >= self._pace.capacity
 
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -162,7 +162,7 @@
         )
         fill_frame(chosen, wanted, loads_first=self._loads_first)
         is_urgent = bool(wanted.urgent or digest)
-        may_wait = chosen.is_waiting and not self._budget.is_pace_full(now)
+        may_wait = chosen.is_waiting and not self._budget.is_non_urgent_full(now)
         if room < 0 or (may_wait and not is_urgent):
             self._answers.requeue(peer, summaries)
             return []
