--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Payment:
+class _Charge:
     at: float
     amount: int
 
@@ -71,7 +71,7 @@
         self._probes = TokenBucket(
             rate=bytes_per_s * PROBE_SHARE, capacity=bytes_per_s * PROBE_SHARE * PROBE_BURST_S
         )
-        self._payments: deque[_Payment] = deque()
+        self._payments: deque[_Charge] = deque()
         self._paid = 0
 
     @property
@@ -106,7 +106,7 @@
             return False
         amount = encoded_bytes + self.overhead_bytes
         self._pace.take(min(amount, self._pace.get_level(now)), now)
-        self._payments.append(_Payment(now, amount))
+        self._payments.append(_Charge(now, amount))
         self._paid += amount
         return True
 
