--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -71,7 +71,7 @@
         self._probes = TokenBucket(
             rate=bytes_per_s * PROBE_SHARE, capacity=bytes_per_s * PROBE_SHARE * PROBE_BURST_S
         )
-        self._payments: deque[_Charge] = deque()
+        self._charges: deque[_Charge] = deque()
         self._paid = 0
 
     @property
@@ -106,10 +106,10 @@
             return False
         amount = encoded_bytes + self.overhead_bytes
         self._pace.take(min(amount, self._pace.get_level(now)), now)
-        self._payments.append(_Charge(now, amount))
+        self._charges.append(_Charge(now, amount))
         self._paid += amount
         return True
 
     def _expire(self, now: float) -> None:
-        while self._payments and self._payments[0].at <= now - WINDOW_S:
-            self._paid -= self._payments.popleft().amount
+        while self._charges and self._charges[0].at <= now - WINDOW_S:
+            self._paid -= self._charges.popleft().amount
