--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -72,7 +72,7 @@
             rate=bytes_per_s * PROBE_SHARE, capacity=bytes_per_s * PROBE_SHARE * PROBE_BURST_S
         )
         self._charges: deque[_Charge] = deque()
-        self._paid = 0
+        self._charged_bytes = 0
 
     @property
     def largest_message(self) -> int:
@@ -82,7 +82,7 @@
     def get_room(self, now: float) -> int:
         """Return the encoded size of the largest message that may be sent now."""
         self._expire(now)
-        return self.bytes_per_s - self._paid - self.overhead_bytes
+        return self.bytes_per_s - self._charged_bytes - self.overhead_bytes
 
     def get_non_urgent_room(self, now: float) -> int:
         """Return the same for ordinary news."""
@@ -107,9 +107,9 @@
         amount = encoded_bytes + self.overhead_bytes
         self._pace.take(min(amount, self._pace.get_level(now)), now)
         self._charges.append(_Charge(now, amount))
-        self._paid += amount
+        self._charged_bytes += amount
         return True
 
     def _expire(self, now: float) -> None:
         while self._charges and self._charges[0].at <= now - WINDOW_S:
-            self._paid -= self._charges.popleft().amount
+            self._charged_bytes -= self._charges.popleft().amount
