--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -65,7 +65,7 @@
             )
         self.bytes_per_s = bytes_per_s
         self.overhead_bytes = overhead_bytes
-        self._pace = TokenBucket(
+        self._non_urgent_bucket = TokenBucket(
             rate=bytes_per_s * NON_URGENT_SHARE, capacity=bytes_per_s * NON_URGENT_BURST_SHARE
         )
         self._probes = TokenBucket(
@@ -77,7 +77,7 @@
     @property
     def largest_message(self) -> int:
         """Return the encoded size of the largest message that pacing ever lets through."""
-        return int(self._pace.capacity) - self.overhead_bytes
+        return int(self._non_urgent_bucket.capacity) - self.overhead_bytes
 
     def get_room(self, now: float) -> int:
         """Return the encoded size of the largest message that may be sent now."""
@@ -86,12 +86,12 @@
 
     def get_non_urgent_room(self, now: float) -> int:
         """Return the same for ordinary news."""
-        paced = int(self._pace.get_level(now)) - self.overhead_bytes
+        paced = int(self._non_urgent_bucket.get_level(now)) - self.overhead_bytes
         return min(paced, self.get_room(now))
 
     def is_non_urgent_full(self, now: float) -> bool:
         """Return whether waiting longer would give ordinary news no more room."""
-        return self._pace.get_level(now) >= self._pace.capacity
+        return self._non_urgent_bucket.get_level(now) >= self._non_urgent_bucket.capacity
 
     def charge_probe(self, encoded_bytes: int, now: float) -> bool:
         """Pay for a probe or an answer to one, within their own share."""
@@ -105,7 +105,7 @@
         if encoded_bytes > self.get_room(now):
             return False
         amount = encoded_bytes + self.overhead_bytes
-        self._pace.take(min(amount, self._pace.get_level(now)), now)
+        self._non_urgent_bucket.take(min(amount, self._non_urgent_bucket.get_level(now)), now)
         self._charges.append(_Charge(now, amount))
         self._charged_bytes += amount
         return True
