--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -68,7 +68,7 @@
         self._non_urgent_bucket = TokenBucket(
             rate=bytes_per_s * NON_URGENT_SHARE, capacity=bytes_per_s * NON_URGENT_BURST_SHARE
         )
-        self._probes = TokenBucket(
+        self._probe_bucket = TokenBucket(
             rate=bytes_per_s * PROBE_SHARE, capacity=bytes_per_s * PROBE_SHARE * PROBE_BURST_S
         )
         self._charges: deque[_Charge] = deque()
@@ -96,9 +96,9 @@
     def charge_probe(self, encoded_bytes: int, now: float) -> bool:
         """Pay for a probe or an answer to one, within their own share."""
         amount = encoded_bytes + self.overhead_bytes
-        if self._probes.get_level(now) < amount or not self.charge(encoded_bytes, now):
+        if self._probe_bucket.get_level(now) < amount or not self.charge(encoded_bytes, now):
             return False
-        return self._probes.take(amount, now)
+        return self._probe_bucket.take(amount, now)
 
     def charge(self, encoded_bytes: int, now: float) -> bool:
         """Pay for one message; ``False`` means that it must not be sent."""
