--- a/chivetrack/components/gossip/clock.py
+++ b/chivetrack/components/gossip/clock.py
@@ -8,7 +8,7 @@
 @dataclass(slots=True)
 class _Offset:
     incarnation: int
-    least_s: float
+    min_s: float
     seen_at: float
 
 
@@ -32,10 +32,10 @@
         if known is None or known.incarnation != incarnation:
             self._offsets[sender] = _Offset(incarnation, offset, now)
             return 0.0
-        known.least_s += (now - known.seen_at) * CLOCK_DRIFT
+        known.min_s += (now - known.seen_at) * CLOCK_DRIFT
         known.seen_at = now
-        known.least_s = min(known.least_s, offset)
-        return offset - known.least_s
+        known.min_s = min(known.min_s, offset)
+        return offset - known.min_s
 
     def forget(self, sender: str) -> None:
         """Drop what is known of a sender that is gone."""
