--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -6,8 +6,8 @@
 from chivetrack.components.gossip.budget import ByteBudget, TokenBucket
 from chivetrack.components.gossip.const import (
     ANSWER_EVERY,
-    DIGEST_EVERY_S,
     DIGEST_HEADER_BYTES,
+    DIGEST_INTERVAL_S,
     DIGEST_ORIGIN_BYTES,
     DIGEST_ORIGINS,
     DIGEST_PATIENCE_S,
@@ -183,7 +183,7 @@
         self._loads_first = not self._loads_first
         self._outbox.mark_sent(peer, chosen.values, peers=len(self._near.members), now=now)
         if digest is not None:
-            self._digest_due = now + DIGEST_EVERY_S
+            self._digest_due = now + DIGEST_INTERVAL_S
             self._digest_from[topics is not None] = digest.end or ""
         return [SendMessage(target=peer, message=frame)]
 
