--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -10,11 +10,11 @@
     DIGEST_INTERVAL_S,
     DIGEST_ORIGIN_BYTES,
     DIGEST_ORIGINS,
-    DIGEST_PATIENCE_S,
     FAR_REGION_EVERY,
     FRAME_BURST,
     FRAME_HEADER_BYTES,
     GREET_EVERY,
+    MAX_DIGEST_DELAY_S,
     MAX_FRAMES_PER_S,
     PROBE_RESERVE_BYTES,
     TICK_JITTER,
@@ -195,7 +195,7 @@
     def _is_digest_due(self, now: float) -> bool:
         # Urgent news goes before a digest, but without an end to that a stream of it
         # would put off repair for ever.
-        patience = DIGEST_PATIENCE_S if self._outbox.count_urgent() else 0.0
+        patience = MAX_DIGEST_DELAY_S if self._outbox.count_urgent() else 0.0
         return now >= self._digest_due + patience
 
     def _make_digest(self, peer: str, now: float) -> Digest:
