--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -10,7 +10,6 @@
     DIGEST_INTERVAL_S,
     DIGEST_ORIGIN_BYTES,
     DIGEST_ORIGINS,
-    FAR_REGION_EVERY,
     FRAME_BURST,
     FRAME_HEADER_BYTES,
     GREET_EVERY,
@@ -18,6 +17,7 @@
     MAX_FRAMES_PER_S,
     PROBE_RESERVE_BYTES,
     TICK_JITTER,
+    TICKS_PER_FAR_REGION_FRAME,
     UNKNOWN_NAME_BYTES,
 )
 from chivetrack.components.gossip.models import Digest, GossipFrame, Peer
@@ -127,7 +127,7 @@
         # In step with the rotation, a quiet instance would compare with one peer only.
         if self._near.members and self._is_digest_due(now):
             return [self._random.choice(self._near.members)]
-        if self._ticks % FAR_REGION_EVERY == 0 and self._far.members:
+        if self._ticks % TICKS_PER_FAR_REGION_FRAME == 0 and self._far.members:
             return self._far.take(1)
         extra = 2 if self._outbox.count_urgent() else 0
         return self._near.take(1 + extra)
