--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -12,12 +12,12 @@
     DIGEST_ORIGINS,
     FRAME_BURST,
     FRAME_HEADER_BYTES,
-    GREET_EVERY,
     MAX_DIGEST_DELAY_S,
     MAX_FRAMES_PER_S,
     PROBE_RESERVE_BYTES,
     TICK_JITTER,
     TICKS_PER_FAR_REGION_FRAME,
+    TICKS_PER_GREETING,
     UNKNOWN_NAME_BYTES,
 )
 from chivetrack.components.gossip.models import Digest, GossipFrame, Peer
@@ -120,7 +120,7 @@
             self._outbox.drop_known(near, topics=self._outbox.list_topics() - self._fleet_topics)
 
     def _choose_peers(self, now: float) -> list[str]:
-        if self._greetings and self._ticks % GREET_EVERY == 0:
+        if self._greetings and self._ticks % TICKS_PER_GREETING == 0:
             return [next(iter(self._greetings))]
         if self._ticks % ANSWER_EVERY == 0 and (waiting := self._find_waiting()) is not None:
             return [waiting]
