--- a/chivetrack/components/gossip/const.py
+++ b/chivetrack/components/gossip/const.py
@@ -36,7 +36,7 @@
 SUMMARY_KEYS: Final = 48
 TICKS_PER_FAR_REGION_FRAME: Final = 8
 TICKS_PER_GREETING: Final = 3
-ANSWER_EVERY: Final = 2
+TICKS_PER_ANSWER: Final = 2
 
 # A load count that would make a peer's younger by less is not worth its bytes.
 MIN_GAIN_S: Final = 0.1
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -5,7 +5,6 @@
 from chivetrack.components.gossip.answers import PendingAnswers, bound_summary
 from chivetrack.components.gossip.budget import ByteBudget, TokenBucket
 from chivetrack.components.gossip.const import (
-    ANSWER_EVERY,
     DIGEST_HEADER_BYTES,
     DIGEST_INTERVAL_S,
     DIGEST_ORIGIN_BYTES,
@@ -16,6 +15,7 @@
     MAX_FRAMES_PER_S,
     PROBE_RESERVE_BYTES,
     TICK_JITTER,
+    TICKS_PER_ANSWER,
     TICKS_PER_FAR_REGION_FRAME,
     TICKS_PER_GREETING,
     UNKNOWN_NAME_BYTES,
@@ -122,7 +122,7 @@
     def _choose_peers(self, now: float) -> list[str]:
         if self._greetings and self._ticks % TICKS_PER_GREETING == 0:
             return [next(iter(self._greetings))]
-        if self._ticks % ANSWER_EVERY == 0 and (waiting := self._find_waiting()) is not None:
+        if self._ticks % TICKS_PER_ANSWER == 0 and (waiting := self._find_waiting()) is not None:
             return [waiting]
         # In step with the rotation, a quiet instance would compare with one peer only.
         if self._near.members and self._is_digest_due(now):
