--- a/chivetrack/components/gossip/const.py
+++ b/chivetrack/components/gossip/const.py
@@ -39,7 +39,7 @@
 TICKS_PER_ANSWER: Final = 2
 
 # A load count that would make a peer's younger by less is not worth its bytes.
-MIN_GAIN_S: Final = 0.1
+MIN_AGE_GAIN_S: Final = 0.1
 
 SMALL_LOAD_BYTES: Final = 64
 LARGE_VALUE_BYTES: Final = 128
--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -8,7 +8,7 @@
 from chivetrack.components.gossip.const import (
     DELTA_HEADER_BYTES,
     LARGE_VALUE_BYTES,
-    MIN_GAIN_S,
+    MIN_AGE_GAIN_S,
     ORDINARY_SENDS,
     PROMOTION_S,
     SHORT_ENTRY_BYTES,
@@ -219,7 +219,7 @@
                 continue
             known = loads.get(name)
             gain = math.inf if known is None else value.born - known.born
-            if gain >= MIN_GAIN_S:
+            if gain >= MIN_AGE_GAIN_S:
                 yield Ranked(Rank(Urgency.LOAD, -gain / value.size_bound), value)
 
 
