--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -1,10 +1,10 @@
 """What is still to be answered to each peer: summaries and short names."""
 
 from chivetrack.components.gossip.const import (
+    MAX_UNKNOWN_NAMES,
     SUMMARY_HEADER_BYTES,
     SUMMARY_KEY_BYTES,
     SUMMARY_KEYS,
-    UNKNOWN_NAMES,
 )
 from chivetrack.components.gossip.models import Summary
 from chivetrack.components.gossip.repair import make_empty_summary, make_summary
@@ -58,7 +58,7 @@
 
     def list_unknown_names(self, peer: str) -> tuple[int, ...]:
         """Return the names to report to a peer in one frame."""
-        return tuple(self._unknown_names.get(peer, {}))[:UNKNOWN_NAMES]
+        return tuple(self._unknown_names.get(peer, {}))[:MAX_UNKNOWN_NAMES]
 
     def mark_reported(self, peer: str) -> None:
         """Note that the names were reported; those still unknown come up again."""
--- a/chivetrack/components/gossip/const.py
+++ b/chivetrack/components/gossip/const.py
@@ -45,7 +45,7 @@
 LARGE_VALUE_BYTES: Final = 128
 
 # Short names that a peer can't read are reported back, at most so many in a frame.
-UNKNOWN_NAMES: Final = 16
+MAX_UNKNOWN_NAMES: Final = 16
 UNKNOWN_NAME_BYTES: Final = 6
 
 # All urgent news but the first may fill at most this share of a frame while load counts
