--- a/chivetrack/components/gossip/rotation.py
+++ b/chivetrack/components/gossip/rotation.py
@@ -3,7 +3,7 @@
 import random as random_module
 from collections.abc import Iterable
 
-from chivetrack.components.gossip.const import RANDOM_VISIT_EVERY, RING_BASE
+from chivetrack.components.gossip.const import RING_BASE, VISITS_PER_RANDOM_VISIT
 
 
 class Rotation:
@@ -44,9 +44,9 @@
 
     def _take_one(self, at_random: bool) -> str:
         self._visits += 1
-        if at_random or self._visits % RANDOM_VISIT_EVERY == 0:
+        if at_random or self._visits % VISITS_PER_RANDOM_VISIT == 0:
             return self._random.choice(self.members)
-        regular = self._visits - self._visits // RANDOM_VISIT_EVERY
+        regular = self._visits - self._visits // VISITS_PER_RANDOM_VISIT
         return self._ring[self._distances[regular % len(self._distances)]]
 
 
