--- a/chivetrack/components/gossip/const.py
+++ b/chivetrack/components/gossip/const.py
@@ -61,7 +61,7 @@
 RING_BASE: Final = 3
 VISITS_PER_RANDOM_VISIT: Final = 5
 
-FORGET_AGE_S: Final = 60.0
+MAX_REVIVING_AGE_S: Final = 60.0
 CLOCK_DRIFT: Final = 2e-4
 
 # Upper bounds of msgpack's own bytes, so that a frame can be filled without encoding it.
--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -10,7 +10,7 @@
 from chivetrack.components.gossip.const import (
     DEFAULT_BUDGET_BYTES_PER_S,
     DELTA_HEADER_BYTES,
-    FORGET_AGE_S,
+    MAX_REVIVING_AGE_S,
     SMALL_LOAD_BYTES,
     TICK_S,
 )
@@ -277,5 +277,5 @@
     Peers that have not forgotten it yet still hand on its old values; only news
     that is younger than the forgetting, or from itself, counts.
     """
-    youngest = min((entry.age_ms for entry in delta.entries), default=FORGET_AGE_S * 1000)
-    return source == delta.origin or youngest < FORGET_AGE_S * 1000
+    youngest = min((entry.age_ms for entry in delta.entries), default=MAX_REVIVING_AGE_S * 1000)
+    return source == delta.origin or youngest < MAX_REVIVING_AGE_S * 1000
