--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -1,10 +1,10 @@
 """What is still to be answered to each peer: summaries and short names."""
 
 from chivetrack.components.gossip.const import (
+    MAX_SUMMARY_KEYS,
     MAX_UNKNOWN_NAMES,
     SUMMARY_HEADER_BYTES,
     SUMMARY_KEY_BYTES,
-    SUMMARY_KEYS,
 )
 from chivetrack.components.gossip.models import Summary
 from chivetrack.components.gossip.repair import make_empty_summary, make_summary
@@ -21,7 +21,7 @@
         self._summary_from: dict[str, int] = {}
         self._unknown_names: dict[str, dict[int, None]] = {}
         room = largest_frame // 2 - SUMMARY_HEADER_BYTES - 64
-        self._keys = max(1, min(SUMMARY_KEYS, room // SUMMARY_KEY_BYTES))
+        self._keys = max(1, min(MAX_SUMMARY_KEYS, room // SUMMARY_KEY_BYTES))
 
     def has_pending(self, peer: str) -> bool:
         """Return whether an answer waits for a peer."""
--- a/chivetrack/components/gossip/repair.py
+++ b/chivetrack/components/gossip/repair.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterator
 
-from chivetrack.components.gossip.const import DIGEST_ORIGINS, SUMMARY_KEYS
+from chivetrack.components.gossip.const import DIGEST_ORIGINS, MAX_SUMMARY_KEYS
 from chivetrack.components.gossip.models import Digest, KeyVersion, OriginDigest, Summary
 from chivetrack.components.gossip.state import KEY_HASH_END, GossipState, OriginState, Value
 
@@ -32,7 +32,7 @@
 
 
 def make_summary(
-    held: OriginState, *, first: int, topics: frozenset[str] | None, limit: int = SUMMARY_KEYS
+    held: OriginState, *, first: int, topics: frozenset[str] | None, limit: int = MAX_SUMMARY_KEYS
 ) -> Summary:
     """Return the versions of up to ``limit`` keys with a hash from ``first`` on."""
     values = sorted(
