--- a/chivetrack/components/gossip/repair.py
+++ b/chivetrack/components/gossip/repair.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterator
 
-from chivetrack.components.gossip.const import DIGEST_ORIGINS, MAX_SUMMARY_KEYS
+from chivetrack.components.gossip.const import MAX_DIGEST_ORIGINS, MAX_SUMMARY_KEYS
 from chivetrack.components.gossip.models import Digest, KeyVersion, OriginDigest, Summary
 from chivetrack.components.gossip.state import KEY_HASH_END, GossipState, OriginState, Value
 
@@ -17,7 +17,7 @@
     *,
     first: str,
     topics: frozenset[str] | None,
-    limit: int = DIGEST_ORIGINS,
+    limit: int = MAX_DIGEST_ORIGINS,
 ) -> Digest:
     """Return the digest of up to ``limit`` origins from ``first`` on."""
     names = sorted(name for name in state.origins if name >= first)
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -8,10 +8,10 @@
     DIGEST_HEADER_BYTES,
     DIGEST_INTERVAL_S,
     DIGEST_ORIGIN_BYTES,
-    DIGEST_ORIGINS,
     FRAME_BURST,
     FRAME_HEADER_BYTES,
     MAX_DIGEST_DELAY_S,
+    MAX_DIGEST_ORIGINS,
     MAX_FRAMES_PER_S,
     PROBE_RESERVE_BYTES,
     TICK_JITTER,
@@ -202,7 +202,7 @@
         topics = self.get_topics(peer)
         first = self._digest_from.get(topics is not None, "")
         limit = self._largest_frame // 2 // (DIGEST_ORIGIN_BYTES + 32)
-        limit = max(1, min(DIGEST_ORIGINS, limit))
+        limit = max(1, min(MAX_DIGEST_ORIGINS, limit))
         return make_digest(self._state, first=first, topics=topics, limit=limit)
 
 
