--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -257,7 +257,7 @@
         self._report_dropped(tuple(found.dropped), now)
         for value in found.lacking:
             self._outbox.owe(source, value)
-        for origin in found.unequal:
+        for origin in found.differing:
             self._answers.add_summary(source, origin, topics)
 
     def _answer_summary(self, source: str, summary: Summary) -> None:
--- a/chivetrack/components/gossip/repair.py
+++ b/chivetrack/components/gossip/repair.py
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         """Start with nothing found."""
         self.lacking: list[Value] = []
-        self.unequal: list[str] = []
+        self.differing: list[str] = []
         self.dropped: list[Value] = []
 
 
@@ -77,7 +77,7 @@
     held = state.origins.get(theirs.origin)
     if held is None:
         if not state.is_forgotten(theirs.origin):
-            found.unequal.append(theirs.origin)
+            found.differing.append(theirs.origin)
         return
     if theirs.incarnation < held.incarnation:
         found.lacking.extend(held.list_repaired(topics))
@@ -86,7 +86,7 @@
     if not newer and theirs.floor > held.floor:
         found.dropped.extend(held.drop_below_floor(theirs.floor))
     if newer or theirs.checksum != held.get_checksum(topics):
-        found.unequal.append(theirs.origin)
+        found.differing.append(theirs.origin)
 
 
 def find_lacking(
--- a/tests/components/gossip/test_gossip.py
+++ b/tests/components/gossip/test_gossip.py
@@ -436,4 +436,4 @@
         state.forget("gone")
         digest = Digest("", None, (OriginDigest("gone", 1, 0, 5), OriginDigest("new", 1, 0, 5)))
         found = compare_digest(state, digest, topics=None)
-        self.assertEqual(found.unequal, ["new"])
+        self.assertEqual(found.differing, ["new"])
