--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -25,7 +25,7 @@
     ValueUpdate,
 )
 from chivetrack.components.gossip.own import OwnValues
-from chivetrack.components.gossip.repair import compare_digest, find_lacking, has_newer
+from chivetrack.components.gossip.repair import compare_digest, find_missing, has_newer
 from chivetrack.components.gossip.selection import Outbox
 from chivetrack.components.gossip.sender import Sender, get_largest_frame
 from chivetrack.components.gossip.state import GossipState, Value, ValueKey, bound_size
@@ -265,7 +265,7 @@
         if held is None:
             return
         topics = self._sender.get_topics(source)
-        for value in find_lacking(held, summary, topics=topics):
+        for value in find_missing(held, summary, topics=topics):
             self._outbox.owe(source, value)
         if has_newer(held, summary):
             self._answers.add_summary(source, summary.origin, topics)
--- a/chivetrack/components/gossip/repair.py
+++ b/chivetrack/components/gossip/repair.py
@@ -89,7 +89,7 @@
         found.differing.append(theirs.origin)
 
 
-def find_lacking(
+def find_missing(
     held: OriginState, summary: Summary, *, topics: frozenset[str] | None
 ) -> Iterator[Value]:
     """Yield the values that the sender of a summary lacks or has only older."""
