--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -141,7 +141,7 @@
 
         return unsubscribe
 
-    def get_life(self, origin: str) -> float | None:
+    def get_last_seen(self, origin: str) -> float | None:
         """Return the latest local time at which an origin certainly lived."""
         held = self._state.origins.get(origin)
         return None if held is None else held.heard_at
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -175,7 +175,7 @@
 
     def _take_signs_of_life(self, now: float) -> None:
         for member in self._members.values():
-            heard_at = self._gossip.get_life(member.instance_id)
+            heard_at = self._gossip.get_last_seen(member.instance_id)
             if heard_at is None:
                 continue
             member.hear(heard_at)
@@ -223,7 +223,7 @@
 
     def _notice_the_dead(self, member: Member, now: float) -> None:
         """Tell an instance that counts as dead and yet shows life, so that it refutes."""
-        heard_at = self._gossip.get_life(member.instance_id)
+        heard_at = self._gossip.get_last_seen(member.instance_id)
         if member.status is not InstanceStatus.DEAD or heard_at is None:
             return
         if heard_at <= member.since or now < member.noticed_at + NOTICE_EVERY_S:
@@ -347,7 +347,7 @@
         member = self._members.get(verdict.target)
         if member is None or not member.is_counted or life < member.life:
             return
-        heard_at = self._gossip.get_life(verdict.target)
+        heard_at = self._gossip.get_last_seen(verdict.target)
         latest = max(member.heard_at, heard_at if heard_at is not None else member.heard_at)
         # Whoever has a sign of life from after the verdict knows better than its judges.
         if latest > news.now - news.age_s:
--- a/tests/components/gossip/test_gossip.py
+++ b/tests/components/gossip/test_gossip.py
@@ -423,7 +423,7 @@
         fleet.network.run_for(90)
         fleet.gossips["router-1"].forget(ORIGIN)
         fleet.network.run_for(20)
-        self.assertIsNone(fleet.gossips["router-1"].get_life(ORIGIN))
+        self.assertIsNone(fleet.gossips["router-1"].get_last_seen(ORIGIN))
         fleet.start(ORIGIN, incarnation=2)
         fleet.gossips[ORIGIN].publish(TOPIC, "key", b"2", Urgency.REST, now=fleet.network.now)
         fleet.network.run_for(10)
--- a/tests/components/membership/test_membership.py
+++ b/tests/components/membership/test_membership.py
@@ -139,8 +139,8 @@
         fleet.network.run_for(10)
         fleet.network.cut(["kyushu-0-0"], ["kyushu-1-0"])
         for gossip in fleet.gossips.values():
-            known = gossip.get_life
-            gossip.get_life = lambda o, known=known: None if o == "kyushu-1-0" else known(o)
+            known = gossip.get_last_seen
+            gossip.get_last_seen = lambda o, known=known: None if o == "kyushu-1-0" else known(o)
         fleet.network.run_for(20)
         suspected = [i for _, _, i in fleet.told if i.status is InstanceStatus.SUSPECT]
         self.assertGreater(len(suspected), 8)
