--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -75,7 +75,7 @@
         self._clock = TransitClock()
         self._subscribers: dict[str, list[UpdateCallback]] = {}
         self._last_load = float("-inf")
-        self._frame_heard: dict[str, float] = {}
+        self._last_frame_at: dict[str, float] = {}
         self._peer_incarnations: dict[str, int] = {}
 
     @property
@@ -148,7 +148,7 @@
 
     def get_direct_contact(self, sender: str) -> float | None:
         """Return when the last frame came straight from an instance, less its delay."""
-        return self._frame_heard.get(sender)
+        return self._last_frame_at.get(sender)
 
     def count_held(self, origin: str) -> int:
         """Return how many keys of an origin are held, retracted ones among them."""
@@ -171,7 +171,7 @@
         self._state.forget(origin)
         self._outbox.drop_origin(origin)
         self._clock.forget(origin)
-        self._frame_heard.pop(origin, None)
+        self._last_frame_at.pop(origin, None)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Take in a frame, or send what is due."""
@@ -189,7 +189,7 @@
         if self._peer_incarnations.get(source) != frame.incarnation:
             self._peer_incarnations[source] = frame.incarnation
             self._outbox.drop_peer(source)
-        self._frame_heard[source] = now - extra_age_s
+        self._last_frame_at[source] = now - extra_age_s
         for delta in frame.deltas:
             self._merge(source, delta, extra_age_s, now)
         for short in frame.shorts:
