--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -144,7 +144,7 @@
     def get_last_seen(self, origin: str) -> float | None:
         """Return the latest local time at which an origin certainly lived."""
         held = self._state.origins.get(origin)
-        return None if held is None else held.heard_at
+        return None if held is None else held.last_seen_at
 
     def get_direct_contact(self, sender: str) -> float | None:
         """Return when the last frame came straight from an instance, less its delay."""
@@ -202,7 +202,7 @@
             self._outbox.note_unknown(source, name_hash)
         held = self._state.origins.get(source)
         if held is not None and held.incarnation == frame.incarnation:
-            held.heard_at = max(held.heard_at, now - extra_age_s)
+            held.last_seen_at = max(held.last_seen_at, now - extra_age_s)
         if frame.digest is not None:
             self._answer_digest(source, frame.digest, now)
         for summary in frame.summaries:
--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -90,12 +90,12 @@
 
 @dataclass(slots=True)
 class OriginState:
-    """All values of one origin; ``heard_at`` is when it last certainly lived."""
+    """All values of one origin; ``last_seen_at`` is when it last certainly lived."""
 
     origin: str
     incarnation: int
     floor: int = 0
-    heard_at: float = float("-inf")
+    last_seen_at: float = float("-inf")
     values: dict[ValueKey, Value] = field(default_factory=dict)
 
     def list_repaired(self, topics: frozenset[str] | None) -> Iterator[Value]:
@@ -196,7 +196,7 @@
         repeated: list[Value] = []
         for entry in delta.entries:
             born = now - entry.age_ms / 1000 - extra_age_s
-            state.heard_at = max(state.heard_at, born)
+            state.last_seen_at = max(state.last_seen_at, born)
             value = self._take(state, entry, born, now)
             if value is not None:
                 put.append(value)
