--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -213,7 +213,7 @@
             newest = max((entry.version for entry in delta.entries), default=0)
             self._defend(delta.incarnation, newest, now)
             return
-        if self._state.is_forgotten(delta.origin) and not _shows_life(source, delta):
+        if self._state.is_forgotten(delta.origin) and not _proves_alive(source, delta):
             return
         merged = self._state.merge(delta, source=source, extra_age_s=extra_age_s, now=now)
         self._report_dropped(merged.dropped, now)
@@ -271,7 +271,7 @@
             self._answers.add_summary(source, summary.origin, topics)
 
 
-def _shows_life(source: str, delta: Delta) -> bool:
+def _proves_alive(source: str, delta: Delta) -> bool:
     """Return whether a delta proves that a forgotten origin is back.
 
     Peers that have not forgotten it yet still hand on its old values; only news
