--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -211,7 +211,7 @@
     def _merge(self, source: str, delta: Delta, extra_age_s: float, now: float) -> None:
         if delta.origin == self._instance_id:
             newest = max((entry.version for entry in delta.entries), default=0)
-            self._defend(delta.incarnation, newest, now)
+            self._supersede_own(delta.incarnation, newest, now)
             return
         if self._state.is_forgotten(delta.origin) and not _proves_alive(source, delta):
             return
@@ -224,7 +224,7 @@
             self._outbox.add(value)
             self._tell(value, value.payload, now)
 
-    def _defend(self, incarnation: int, version: int, now: float) -> None:
+    def _supersede_own(self, incarnation: int, version: int, now: float) -> None:
         """Outbid what others hold of an earlier start with a higher or equal incarnation."""
         if (incarnation, version) <= (self.incarnation, self._own.version):
             return
@@ -252,7 +252,7 @@
         topics = self._sender.get_topics(source)
         for theirs in digest.origins:
             if theirs.origin == self._instance_id:
-                self._defend(theirs.incarnation, 0, now)
+                self._supersede_own(theirs.incarnation, 0, now)
         found = compare_digest(self._state, digest, topics=topics)
         self._report_dropped(tuple(found.dropped), now)
         for value in found.lacking:
