--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -228,7 +228,7 @@
         """Outbid what others hold of an earlier start with a higher or equal incarnation."""
         if (incarnation, version) <= (self.incarnation, self._own.version):
             return
-        for value in self._own.outbid(incarnation, now):
+        for value in self._own.supersede(incarnation, now):
             self._outbox.add(value)
 
     def _report_dropped(self, dropped: tuple[Value, ...], now: float) -> None:
--- a/chivetrack/components/gossip/own.py
+++ b/chivetrack/components/gossip/own.py
@@ -62,7 +62,7 @@
         self._held.drop_below_floor(self.version)
         return [self._renew(value, now) for value in live]
 
-    def outbid(self, incarnation: int, now: float) -> list[Value]:
+    def supersede(self, incarnation: int, now: float) -> list[Value]:
         """Take a higher incarnation than one that others hold; return what to send again."""
         live = [value for value in self._held.values.values() if value.payload is not None]
         for value in self._held.values.values():
