--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -216,7 +216,7 @@
         if self._state.is_forgotten(delta.origin) and not _proves_alive(source, delta):
             return
         merged = self._state.merge(delta, source=source, extra_age_s=extra_age_s, now=now)
-        self._report_dropped(merged.dropped, now)
+        self._notify_dropped(merged.dropped, now)
         for value in merged.repeated:
             self._outbox.note_known(source, value)
         for value in merged.put:
@@ -231,7 +231,7 @@
         for value in self._own.supersede(incarnation, now):
             self._outbox.add(value)
 
-    def _report_dropped(self, dropped: tuple[Value, ...], now: float) -> None:
+    def _notify_dropped(self, dropped: tuple[Value, ...], now: float) -> None:
         for value in dropped:
             if value.payload is not None:
                 self._tell(value, None, now)
@@ -254,7 +254,7 @@
             if theirs.origin == self._instance_id:
                 self._supersede_own(theirs.incarnation, 0, now)
         found = compare_digest(self._state, digest, topics=topics)
-        self._report_dropped(tuple(found.dropped), now)
+        self._notify_dropped(tuple(found.dropped), now)
         for value in found.lacking:
             self._outbox.owe(source, value)
         for origin in found.differing:
