--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -222,7 +222,7 @@
         for value in merged.put:
             self._outbox.note_known(source, value)
             self._outbox.add(value)
-            self._tell(value, value.payload, now)
+            self._notify(value, value.payload, now)
 
     def _supersede_own(self, incarnation: int, version: int, now: float) -> None:
         """Outbid what others hold of an earlier start with a higher or equal incarnation."""
@@ -234,9 +234,9 @@
     def _notify_dropped(self, dropped: tuple[Value, ...], now: float) -> None:
         for value in dropped:
             if value.payload is not None:
-                self._tell(value, None, now)
+                self._notify(value, None, now)
 
-    def _tell(self, value: Value, payload: bytes | None, now: float) -> None:
+    def _notify(self, value: Value, payload: bytes | None, now: float) -> None:
         news = ValueUpdate(
             topic=value.key.topic,
             origin=value.origin,
