--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -204,7 +204,7 @@
         if held is not None and held.incarnation == frame.incarnation:
             held.last_seen_at = max(held.last_seen_at, now - extra_age_s)
         if frame.digest is not None:
-            self._answer_digest(source, frame.digest, now)
+            self._handle_digest(source, frame.digest, now)
         for summary in frame.summaries:
             self._answer_summary(source, summary)
 
@@ -248,7 +248,7 @@
         for callback in tuple(self._subscribers.get(value.key.topic, ())):
             callback(news)
 
-    def _answer_digest(self, source: str, digest: Digest, now: float) -> None:
+    def _handle_digest(self, source: str, digest: Digest, now: float) -> None:
         topics = self._sender.get_topics(source)
         for theirs in digest.origins:
             if theirs.origin == self._instance_id:
