--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -206,7 +206,7 @@
         if frame.digest is not None:
             self._handle_digest(source, frame.digest, now)
         for summary in frame.summaries:
-            self._answer_summary(source, summary)
+            self._handle_summary(source, summary)
 
     def _merge(self, source: str, delta: Delta, extra_age_s: float, now: float) -> None:
         if delta.origin == self._instance_id:
@@ -260,7 +260,7 @@
         for origin in found.differing:
             self._answers.add_summary(source, origin, topics)
 
-    def _answer_summary(self, source: str, summary: Summary) -> None:
+    def _handle_summary(self, source: str, summary: Summary) -> None:
         held = self._state.origins.get(summary.origin)
         if held is None:
             return
