--- a/chivetrack/components/gossip/rotation.py
+++ b/chivetrack/components/gossip/rotation.py
@@ -39,10 +39,10 @@
         """Return the next ``count`` distinct members, or all if there are fewer."""
         taken: dict[str, None] = {}
         while len(taken) < min(count, len(self.members)):
-            taken[self._take_one(bool(taken))] = None
+            taken[self._choose_member(bool(taken))] = None
         return list(taken)
 
-    def _take_one(self, at_random: bool) -> str:
+    def _choose_member(self, at_random: bool) -> str:
         self._visits += 1
         if at_random or self._visits % VISITS_PER_RANDOM_VISIT == 0:
             return self._random.choice(self.members)
