--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -83,7 +83,7 @@
 
     def __init__(self) -> None:
         """Start with nothing to send."""
-        self._hot: dict[Value, None] = {}
+        self._pending: dict[Value, None] = {}
         self._loads: dict[LoadName, Value] = {}
         self._owed: dict[str, dict[Value, None]] = {}
         self._known_loads: dict[str, dict[LoadName, KnownLoad]] = {}
@@ -96,7 +96,7 @@
         if value.urgency == Urgency.LOAD:
             self._loads[LoadName(value.origin, value.key)] = value
         else:
-            self._hot[value] = None
+            self._pending[value] = None
 
     def owe(self, peer: str, value: Value) -> None:
         """Send a value to a peer that lacks it."""
@@ -139,9 +139,9 @@
         owed = self._owed.get(peer, {})
         for value in [value for value in owed if not value.current]:
             del owed[value]
-        for value in [value for value in self._hot if not value.current]:
-            del self._hot[value]
-        news = {**owed, **dict.fromkeys(v for v in self._hot if peer not in v.known)}
+        for value in [value for value in self._pending if not value.current]:
+            del self._pending[value]
+        news = {**owed, **dict.fromkeys(v for v in self._pending if peer not in v.known)}
         ranked = [Ranked(rank_value(value, now), value) for value in news]
         ranked.extend(self._rank_loads(peer))
         ranked.sort(key=lambda entry: entry.rank)
@@ -153,23 +153,23 @@
 
     def list_topics(self) -> frozenset[str]:
         """Return the topics of the hot values."""
-        return frozenset(value.key.topic for value in self._hot)
+        return frozenset(value.key.topic for value in self._pending)
 
     def drop_known(self, peers: frozenset[str], *, topics: frozenset[str] | None) -> None:
         """Stop sending on what all ``peers``, who are told of ``topics``, are known to have."""
-        known = [value for value in self._hot if peers <= value.known]
+        known = [value for value in self._pending if peers <= value.known]
         for value in known:
             if topics is None or value.key.topic in topics:
-                del self._hot[value]
+                del self._pending[value]
 
     def count_ordinary(self) -> int:
         """Return how many values of ordinary urgency are still being sent on."""
-        return sum(1 for v in self._hot if v.current and v.urgency > Urgency.LOAD)
+        return sum(1 for v in self._pending if v.current and v.urgency > Urgency.LOAD)
 
     def count_urgent(self) -> int:
         """Return how many hot values of the highest urgency nobody was sent yet."""
         return sum(
-            1 for value in self._hot if value.urgency == Urgency.LEAVING and value.sends == 0
+            1 for value in self._pending if value.urgency == Urgency.LEAVING and value.sends == 0
         )
 
     def takes_short(self, peer: str, value: Value) -> bool:
@@ -210,7 +210,7 @@
             value.waiting_since = now
             self.note_known(peer, value)
             if value.sends >= limit_sends(value.urgency, peers):
-                self._hot.pop(value, None)
+                self._pending.pop(value, None)
 
     def _rank_loads(self, peer: str) -> Iterator[Ranked]:
         loads = self._known_loads.get(peer, {})
