--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -85,7 +85,7 @@
         """Start with nothing to send."""
         self._pending: dict[Value, None] = {}
         self._loads: dict[LoadName, Value] = {}
-        self._owed: dict[str, dict[Value, None]] = {}
+        self._missing_at: dict[str, dict[Value, None]] = {}
         self._known_loads: dict[str, dict[LoadName, KnownLoad]] = {}
         self._full_sends: dict[int, int] = {}
         self._full_limit = 1
@@ -101,15 +101,15 @@
     def owe(self, peer: str, value: Value) -> None:
         """Send a value to a peer that lacks it."""
         value.known.discard(peer)
-        self._owed.setdefault(peer, {})[value] = None
+        self._missing_at.setdefault(peer, {})[value] = None
 
     def owes(self, peer: str) -> bool:
         """Return whether a peer was seen to lack something."""
-        return any(value.current for value in self._owed.get(peer, ()))
+        return any(value.current for value in self._missing_at.get(peer, ()))
 
     def drop_peer(self, peer: str) -> None:
         """Forget what was owed to a peer that is gone, and what it knows."""
-        self._owed.pop(peer, None)
+        self._missing_at.pop(peer, None)
         self._known_loads.pop(peer, None)
         self._unknown_to.pop(peer, None)
 
@@ -136,7 +136,7 @@
 
     def list_wanted(self, peer: str, topics: frozenset[str] | None, now: float) -> Wanted:
         """Return what a peer should get, the most urgent first."""
-        owed = self._owed.get(peer, {})
+        owed = self._missing_at.get(peer, {})
         for value in [value for value in owed if not value.current]:
             del owed[value]
         for value in [value for value in self._pending if not value.current]:
@@ -196,7 +196,7 @@
 
     def mark_sent(self, peer: str, values: Iterable[Value], *, peers: int, now: float) -> None:
         """Note that values went to a peer."""
-        owed = self._owed.get(peer, {})
+        owed = self._missing_at.get(peer, {})
         unknown = self._unknown_to.get(peer, set())
         self._full_limit = limit_sends(Urgency.LOAD, peers)
         for value in values:
