--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -256,7 +256,7 @@
         found = compare_digest(self._state, digest, topics=topics)
         self._notify_dropped(tuple(found.dropped), now)
         for value in found.lacking:
-            self._outbox.owe(source, value)
+            self._outbox.add_missing(source, value)
         for origin in found.differing:
             self._answers.add_summary(source, origin, topics)
 
@@ -266,7 +266,7 @@
             return
         topics = self._sender.get_topics(source)
         for value in find_missing(held, summary, topics=topics):
-            self._outbox.owe(source, value)
+            self._outbox.add_missing(source, value)
         if has_newer(held, summary):
             self._answers.add_summary(source, summary.origin, topics)
 
--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -98,7 +98,7 @@
         else:
             self._pending[value] = None
 
-    def owe(self, peer: str, value: Value) -> None:
+    def add_missing(self, peer: str, value: Value) -> None:
         """Send a value to a peer that lacks it."""
         value.known.discard(peer)
         self._missing_at.setdefault(peer, {})[value] = None
