--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -103,7 +103,7 @@
         value.known.discard(peer)
         self._missing_at.setdefault(peer, {})[value] = None
 
-    def owes(self, peer: str) -> bool:
+    def has_missing(self, peer: str) -> bool:
         """Return whether a peer was seen to lack something."""
         return any(value.current for value in self._missing_at.get(peer, ()))
 
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -140,7 +140,7 @@
         waiting = [
             peer
             for peer in self._peers
-            if self._answers.has_pending(peer) or self._outbox.owes(peer)
+            if self._answers.has_pending(peer) or self._outbox.has_missing(peer)
         ]
         return self._random.choice(waiting) if waiting else None
 
