--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -218,9 +218,9 @@
         merged = self._state.merge(delta, source=source, extra_age_s=extra_age_s, now=now)
         self._notify_dropped(merged.dropped, now)
         for value in merged.repeated:
-            self._outbox.note_known(source, value)
+            self._outbox.record_known(source, value)
         for value in merged.put:
-            self._outbox.note_known(source, value)
+            self._outbox.record_known(source, value)
             self._outbox.add(value)
             self._notify(value, value.payload, now)
 
--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -122,7 +122,7 @@
             for name in [name for name in loads if name.origin == origin]:
                 del loads[name]
 
-    def note_known(self, peer: str, value: Value) -> None:
+    def record_known(self, peer: str, value: Value) -> None:
         """Note that a peer has a value as young as this."""
         if value.urgency != Urgency.LOAD:
             return
@@ -208,7 +208,7 @@
             value.known.add(peer)
             value.sends += 1
             value.waiting_since = now
-            self.note_known(peer, value)
+            self.record_known(peer, value)
             if value.sends >= limit_sends(value.urgency, peers):
                 self._pending.pop(value, None)
 
