--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -199,7 +199,7 @@
             else:
                 self._answers.add_unknown_name(source, short.name_hash)
         for name_hash in frame.unknown_names:
-            self._outbox.note_unknown(source, name_hash)
+            self._outbox.record_unknown_name(source, name_hash)
         held = self._state.origins.get(source)
         if held is not None and held.incarnation == frame.incarnation:
             held.last_seen_at = max(held.last_seen_at, now - extra_age_s)
--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -187,7 +187,7 @@
             return True
         return self._full_sends.get(value.name_hash, 0) >= self._full_limit
 
-    def note_unknown(self, peer: str, name_hash: int) -> None:
+    def record_unknown_name(self, peer: str, name_hash: int) -> None:
         """Note that a peer can't read a short name."""
         self._unknown_to.setdefault(peer, set()).add(name_hash)
         for known in self._known_loads.get(peer, {}).values():
