--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -172,7 +172,7 @@
             1 for value in self._pending if value.urgency == Urgency.LEAVING and value.sends == 0
         )
 
-    def takes_short(self, peer: str, value: Value) -> bool:
+    def accepts_short(self, peer: str, value: Value) -> bool:
         """Return whether a peer should understand the short form of a value.
 
         The full form goes out as often as other news, which reaches nearly everyone; who
@@ -200,7 +200,7 @@
         unknown = self._unknown_to.get(peer, set())
         self._full_limit = limit_sends(Urgency.LOAD, peers)
         for value in values:
-            if value.urgency == Urgency.LOAD and not self.takes_short(peer, value):
+            if value.urgency == Urgency.LOAD and not self.accepts_short(peer, value):
                 unknown.discard(value.name_hash)
                 sends = self._full_sends.get(value.name_hash, 0)
                 self._full_sends[value.name_hash] = sends + 1
@@ -236,13 +236,13 @@
 class Selection:
     """The values of one frame, in full and in short form."""
 
-    def __init__(self, *, room: int, largest: int, takes_short: Callable[[Value], bool]) -> None:
+    def __init__(self, *, room: int, largest: int, accepts_short: Callable[[Value], bool]) -> None:
         """Start an empty frame with ``room`` bytes; no frame ever has over ``largest``."""
         self.full: list[Value] = []
         self.short: list[Value] = []
         self._room = room
         self._largest = largest
-        self._takes_short = takes_short
+        self._takes_short = accepts_short
         self._origins: set[str] = set()
         self.is_waiting = False
 
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -158,7 +158,7 @@
         chosen = Selection(
             room=room,
             largest=self._largest_frame,
-            takes_short=lambda value: self._outbox.takes_short(peer, value),
+            accepts_short=lambda value: self._outbox.accepts_short(peer, value),
         )
         fill_frame(chosen, wanted, loads_first=self._loads_first)
         is_urgent = bool(wanted.urgent or digest)
