--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -242,7 +242,7 @@
         self.short: list[Value] = []
         self._room = room
         self._largest = largest
-        self._takes_short = accepts_short
+        self._accepts_short = accepts_short
         self._origins: set[str] = set()
         self.is_waiting = False
 
@@ -265,7 +265,7 @@
         for value in values:
             if not self._can_ever_hold(value):
                 continue
-            short = self._takes_short(value)
+            short = self._accepts_short(value)
             need = self._measure(value, short=short)
             if need > self._room - kept:
                 if waits:
