--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -89,7 +89,7 @@
         self._known_loads: dict[str, dict[LoadName, KnownLoad]] = {}
         self._full_sends: dict[int, int] = {}
         self._full_limit = 1
-        self._unknown_to: dict[str, set[int]] = {}
+        self._unknown_names: dict[str, set[int]] = {}
 
     def add(self, value: Value) -> None:
         """Send a new value on."""
@@ -111,7 +111,7 @@
         """Forget what was owed to a peer that is gone, and what it knows."""
         self._missing_at.pop(peer, None)
         self._known_loads.pop(peer, None)
-        self._unknown_to.pop(peer, None)
+        self._unknown_names.pop(peer, None)
 
     def drop_origin(self, origin: str) -> None:
         """Send nothing more of an origin that is gone."""
@@ -180,7 +180,7 @@
         """
         if value.urgency != Urgency.LOAD:
             return False
-        if value.name_hash in self._unknown_to.get(peer, ()):
+        if value.name_hash in self._unknown_names.get(peer, ()):
             return False
         known = self._known_loads.get(peer, {}).get(LoadName(value.origin, value.key))
         if known is not None and known.name_hash == value.name_hash:
@@ -189,7 +189,7 @@
 
     def record_unknown_name(self, peer: str, name_hash: int) -> None:
         """Note that a peer can't read a short name."""
-        self._unknown_to.setdefault(peer, set()).add(name_hash)
+        self._unknown_names.setdefault(peer, set()).add(name_hash)
         for known in self._known_loads.get(peer, {}).values():
             if known.name_hash == name_hash:
                 known.born = -math.inf
@@ -197,7 +197,7 @@
     def mark_sent(self, peer: str, values: Iterable[Value], *, peers: int, now: float) -> None:
         """Note that values went to a peer."""
         owed = self._missing_at.get(peer, {})
-        unknown = self._unknown_to.get(peer, set())
+        unknown = self._unknown_names.get(peer, set())
         self._full_limit = limit_sends(Urgency.LOAD, peers)
         for value in values:
             if value.urgency == Urgency.LOAD and not self.accepts_short(peer, value):
