--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Wanted:
+class PendingValues:
     """What a peer should get, by kind and each in the order of sending."""
 
     urgent: list[Value] = field(default_factory=list)
@@ -134,7 +134,7 @@
             return
         known.born = max(known.born, value.born)
 
-    def list_wanted(self, peer: str, topics: frozenset[str] | None, now: float) -> Wanted:
+    def list_wanted(self, peer: str, topics: frozenset[str] | None, now: float) -> PendingValues:
         """Return what a peer should get, the most urgent first."""
         owed = self._missing_at.get(peer, {})
         for value in [value for value in owed if not value.current]:
@@ -145,7 +145,7 @@
         ranked = [Ranked(rank_value(value, now), value) for value in news]
         ranked.extend(self._rank_loads(peer))
         ranked.sort(key=lambda entry: entry.rank)
-        wanted = Wanted()
+        wanted = PendingValues()
         for rank, value in ranked:
             if topics is None or value.key.topic in topics:
                 wanted.add(rank, value)
@@ -295,7 +295,7 @@
         self.full.append(value)
 
 
-def fill_frame(selection: Selection, wanted: Wanted, *, loads_first: bool) -> None:
+def fill_frame(selection: Selection, wanted: PendingValues, *, loads_first: bool) -> None:
     """Fill a frame: urgent news, then load counts and ordinary news in turns.
 
     Load counts never end and ordinary news may come in bulk; whichever always went
