--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -134,7 +134,7 @@
             return
         known.born = max(known.born, value.born)
 
-    def list_wanted(self, peer: str, topics: frozenset[str] | None, now: float) -> PendingValues:
+    def list_pending(self, peer: str, topics: frozenset[str] | None, now: float) -> PendingValues:
         """Return what a peer should get, the most urgent first."""
         owed = self._missing_at.get(peer, {})
         for value in [value for value in owed if not value.current]:
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -154,7 +154,7 @@
         room -= sum(bound_summary(summary) for summary in summaries)
         unknown = self._answers.list_unknown_names(peer)
         room -= UNKNOWN_NAME_BYTES * len(unknown)
-        wanted = self._outbox.list_wanted(peer, topics, now)
+        wanted = self._outbox.list_pending(peer, topics, now)
         chosen = Selection(
             room=room,
             largest=self._largest_frame,
