--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -145,11 +145,11 @@
         ranked = [Ranked(rank_value(value, now), value) for value in news]
         ranked.extend(self._rank_loads(peer))
         ranked.sort(key=lambda entry: entry.rank)
-        wanted = PendingValues()
+        pending = PendingValues()
         for rank, value in ranked:
             if topics is None or value.key.topic in topics:
-                wanted.add(rank, value)
-        return wanted
+                pending.add(rank, value)
+        return pending
 
     def list_topics(self) -> frozenset[str]:
         """Return the topics of the hot values."""
@@ -295,16 +295,16 @@
         self.full.append(value)
 
 
-def fill_frame(selection: Selection, wanted: PendingValues, *, loads_first: bool) -> None:
+def fill_frame(selection: Selection, pending: PendingValues, *, loads_first: bool) -> None:
     """Fill a frame: urgent news, then load counts and ordinary news in turns.
 
     Load counts never end and ordinary news may come in bulk; whichever always went
     first would keep the other from being sent.
     """
-    share = URGENT_SHARE if wanted.loads else 1.0
-    selection.fill(wanted.urgent[:1])
-    selection.fill(wanted.urgent[1:], share=share)
-    first, second = wanted.loads, wanted.ordinary
+    share = URGENT_SHARE if pending.loads else 1.0
+    selection.fill(pending.urgent[:1])
+    selection.fill(pending.urgent[1:], share=share)
+    first, second = pending.loads, pending.ordinary
     if not loads_first:
         first, second = second, first
     if selection.fill(first):
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -154,14 +154,14 @@
         room -= sum(bound_summary(summary) for summary in summaries)
         unknown = self._answers.list_unknown_names(peer)
         room -= UNKNOWN_NAME_BYTES * len(unknown)
-        wanted = self._outbox.list_pending(peer, topics, now)
+        pending = self._outbox.list_pending(peer, topics, now)
         chosen = Selection(
             room=room,
             largest=self._largest_frame,
             accepts_short=lambda value: self._outbox.accepts_short(peer, value),
         )
-        fill_frame(chosen, wanted, loads_first=self._loads_first)
-        is_urgent = bool(wanted.urgent or digest)
+        fill_frame(chosen, pending, loads_first=self._loads_first)
+        is_urgent = bool(pending.urgent or digest)
         may_wait = chosen.is_waiting and not self._budget.is_non_urgent_full(now)
         if room < 0 or (may_wait and not is_urgent):
             self._answers.requeue(peer, summaries)
