--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -47,7 +47,7 @@
     value: Value
 
 
-def limit_sends(urgency: int, peers: int) -> int:
+def get_send_limit(urgency: int, peers: int) -> int:
     """Return how many copies of a value each holder sends on of its own accord."""
     if urgency > Urgency.LOAD:
         return ORDINARY_SENDS
@@ -198,7 +198,7 @@
         """Note that values went to a peer."""
         owed = self._missing_at.get(peer, {})
         unknown = self._unknown_names.get(peer, set())
-        self._full_limit = limit_sends(Urgency.LOAD, peers)
+        self._full_limit = get_send_limit(Urgency.LOAD, peers)
         for value in values:
             if value.urgency == Urgency.LOAD and not self.accepts_short(peer, value):
                 unknown.discard(value.name_hash)
@@ -209,7 +209,7 @@
             value.sends += 1
             value.waiting_since = now
             self.record_known(peer, value)
-            if value.sends >= limit_sends(value.urgency, peers):
+            if value.sends >= get_send_limit(value.urgency, peers):
                 self._pending.pop(value, None)
 
     def _rank_loads(self, peer: str) -> Iterator[Ranked]:
