--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -113,7 +113,7 @@
         if urgency is Urgency.LOAD and len(payload) <= SMALL_LOAD_BYTES:
             self._last_load = now
         value = self._own.put(value_key, payload, urgency, now)
-        value.born = now - age_s
+        value.published_at = now - age_s
         self._outbox.add(value)
         return Ok(None)
 
@@ -242,7 +242,7 @@
             origin=value.origin,
             key=value.key.key,
             payload=payload,
-            age_s=now - value.born,
+            age_s=now - value.published_at,
             now=now,
         )
         for callback in tuple(self._subscribers.get(value.key.topic, ())):
--- a/chivetrack/components/gossip/own.py
+++ b/chivetrack/components/gossip/own.py
@@ -38,7 +38,7 @@
             version=self.version,
             urgency=urgency,
             payload=payload,
-            born=now,
+            published_at=now,
             waiting_since=waiting_since,
             key_hash=hash_key(key),
             known={self._instance_id},
@@ -75,5 +75,5 @@
 
     def _renew(self, value: Value, now: float) -> Value:
         renewed = self.put(value.key, value.payload, value.urgency, now)
-        renewed.born = value.born
+        renewed.published_at = value.published_at
         return renewed
--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -29,7 +29,7 @@
 class KnownLoad:
     """How young a load count a peer has, under which name."""
 
-    born: float
+    published_at: float
     name_hash: int
 
 
@@ -130,9 +130,9 @@
         name = LoadName(value.origin, value.key)
         known = loads.get(name)
         if known is None or known.name_hash != value.name_hash:
-            loads[name] = KnownLoad(value.born, value.name_hash)
+            loads[name] = KnownLoad(value.published_at, value.name_hash)
             return
-        known.born = max(known.born, value.born)
+        known.published_at = max(known.published_at, value.published_at)
 
     def list_pending(self, peer: str, topics: frozenset[str] | None, now: float) -> PendingValues:
         """Return what a peer should get, the most urgent first."""
@@ -192,7 +192,7 @@
         self._unknown_names.setdefault(peer, set()).add(name_hash)
         for known in self._known_loads.get(peer, {}).values():
             if known.name_hash == name_hash:
-                known.born = -math.inf
+                known.published_at = -math.inf
 
     def mark_sent(self, peer: str, values: Iterable[Value], *, peers: int, now: float) -> None:
         """Note that values went to a peer."""
@@ -218,7 +218,7 @@
             if peer == name.origin:
                 continue
             known = loads.get(name)
-            gain = math.inf if known is None else value.born - known.born
+            gain = math.inf if known is None else value.published_at - known.published_at
             if gain >= MIN_AGE_GAIN_S:
                 yield Ranked(Rank(Urgency.LOAD, -gain / value.size_bound), value)
 
--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -36,7 +36,7 @@
     version: int
     urgency: int
     payload: bytes | None
-    born: float
+    published_at: float
     waiting_since: float
     key_hash: int
     known: set[str]
@@ -62,12 +62,12 @@
 
     def get_short_entry(self, now: float) -> ShortEntry:
         """Return its short form in a frame that is sent at ``now``."""
-        age_ms = max(0, round((now - self.born) * 1000))
+        age_ms = max(0, round((now - self.published_at) * 1000))
         return ShortEntry(self.name_hash, self.version, age_ms, self.payload)
 
     def get_entry(self, now: float) -> Entry:
         """Return its form in a frame that is sent at ``now``."""
-        age_ms = max(0, round((now - self.born) * 1000))
+        age_ms = max(0, round((now - self.published_at) * 1000))
         topic, key = self.key
         return Entry(topic, key, self.version, self.urgency, age_ms, self.payload)
 
@@ -195,9 +195,9 @@
         put: list[Value] = []
         repeated: list[Value] = []
         for entry in delta.entries:
-            born = now - entry.age_ms / 1000 - extra_age_s
-            state.last_seen_at = max(state.last_seen_at, born)
-            value = self._take(state, entry, born, now)
+            published_at = now - entry.age_ms / 1000 - extra_age_s
+            state.last_seen_at = max(state.last_seen_at, published_at)
+            value = self._take(state, entry, published_at, now)
             if value is not None:
                 put.append(value)
                 continue
@@ -222,7 +222,9 @@
         self._least_incarnations[state.origin] = incarnation
         return dropped
 
-    def _take(self, state: OriginState, entry: Entry, born: float, now: float) -> Value | None:
+    def _take(
+        self, state: OriginState, entry: Entry, published_at: float, now: float
+    ) -> Value | None:
         key = ValueKey(entry.topic, entry.key)
         held = state.values.get(key)
         if entry.version <= state.floor or (held is not None and held.version >= entry.version):
@@ -233,7 +235,7 @@
             version=entry.version,
             urgency=entry.urgency,
             payload=entry.payload,
-            born=born,
+            published_at=published_at,
             waiting_since=now if held is None or held.sends else held.waiting_since,
             key_hash=hash_key(key) if held is None else held.key_hash,
             known={state.origin},
