--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -251,7 +251,9 @@
         """Return all values."""
         return self.full + self.short
 
-    def fill(self, values: Iterable[Value], *, share: float = 1.0, waits: bool = True) -> bool:
+    def fill(
+        self, values: Iterable[Value], *, share: float = 1.0, stops_when_full: bool = True
+    ) -> bool:
         """Add values in their order, up to a share of the room.
 
         With ``waits`` one that does not fit now stops the rest and ``False`` is returned:
@@ -268,7 +270,7 @@
             short = self._accepts_short(value)
             need = self._measure(value, short=short)
             if need > self._room - kept:
-                if waits:
+                if stops_when_full:
                     self.is_waiting = value.size_bound > LARGE_VALUE_BYTES
                     return False
                 continue
@@ -308,7 +310,7 @@
     if not loads_first:
         first, second = second, first
     if selection.fill(first):
-        selection.fill(second, waits=False)
+        selection.fill(second, stops_when_full=False)
 
 
 def make_deltas(values: Iterable[Value], state: GossipState, now: float) -> tuple[Delta, ...]:
