--- a/chivetrack/components/gossip/own.py
+++ b/chivetrack/components/gossip/own.py
@@ -66,7 +66,7 @@
         """Take a higher incarnation than one that others hold; return what to send again."""
         live = [value for value in self._held.values.values() if value.payload is not None]
         for value in self._held.values.values():
-            value.current = False
+            value.is_current = False
         self._held.values.clear()
         self._held.floor = 0
         self._held.incarnation = incarnation + 1
--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -105,7 +105,7 @@
 
     def has_missing(self, peer: str) -> bool:
         """Return whether a peer was seen to lack something."""
-        return any(value.current for value in self._missing_at.get(peer, ()))
+        return any(value.is_current for value in self._missing_at.get(peer, ()))
 
     def drop_peer(self, peer: str) -> None:
         """Forget what was owed to a peer that is gone, and what it knows."""
@@ -137,9 +137,9 @@
     def list_pending(self, peer: str, topics: frozenset[str] | None, now: float) -> PendingValues:
         """Return what a peer should get, the most urgent first."""
         owed = self._missing_at.get(peer, {})
-        for value in [value for value in owed if not value.current]:
+        for value in [value for value in owed if not value.is_current]:
             del owed[value]
-        for value in [value for value in self._pending if not value.current]:
+        for value in [value for value in self._pending if not value.is_current]:
             del self._pending[value]
         news = {**owed, **dict.fromkeys(v for v in self._pending if peer not in v.known)}
         ranked = [Ranked(rank_value(value, now), value) for value in news]
@@ -164,7 +164,7 @@
 
     def count_ordinary(self) -> int:
         """Return how many values of ordinary urgency are still being sent on."""
-        return sum(1 for v in self._pending if v.current and v.urgency > Urgency.LOAD)
+        return sum(1 for v in self._pending if v.is_current and v.urgency > Urgency.LOAD)
 
     def count_urgent(self) -> int:
         """Return how many hot values of the highest urgency nobody was sent yet."""
--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -42,7 +42,7 @@
     known: set[str]
     size_bound: int
     sends: int = 0
-    current: bool = True
+    is_current: bool = True
     name_hash: int = 0
 
     @property
@@ -115,7 +115,7 @@
         """Hold a newer value in place of the one before it."""
         old = self.values.get(value.key)
         if old is not None:
-            old.current = False
+            old.is_current = False
         self.values[value.key] = value
 
     def drop_below_floor(self, floor: int) -> list[Value]:
@@ -123,7 +123,7 @@
         self.floor = max(self.floor, floor)
         void = [value for value in self.values.values() if value.version <= self.floor]
         for value in void:
-            value.current = False
+            value.is_current = False
             del self.values[value.key]
         return void
 
@@ -210,7 +210,7 @@
 
     def _drop_names(self, state: OriginState) -> None:
         for value in state.values.values():
-            value.current = False
+            value.is_current = False
             self._short_names.pop(value.name_hash, None)
 
     def _replace(self, state: OriginState, incarnation: int) -> list[Value]:
