--- a/chivetrack/components/gossip/own.py
+++ b/chivetrack/components/gossip/own.py
@@ -31,7 +31,7 @@
         """Hold a new value of a key; ``None`` retracts it."""
         self.version += 1
         old = self._held.values.get(key)
-        waiting_since = old.waiting_since if old is not None and not old.sends else now
+        waiting_since = old.waiting_since if old is not None and not old.send_count else now
         value = Value(
             origin=self._instance_id,
             key=key,
--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -169,7 +169,9 @@
     def count_urgent(self) -> int:
         """Return how many hot values of the highest urgency nobody was sent yet."""
         return sum(
-            1 for value in self._pending if value.urgency == Urgency.LEAVING and value.sends == 0
+            1
+            for value in self._pending
+            if value.urgency == Urgency.LEAVING and value.send_count == 0
         )
 
     def accepts_short(self, peer: str, value: Value) -> bool:
@@ -202,14 +204,14 @@
         for value in values:
             if value.urgency == Urgency.LOAD and not self.accepts_short(peer, value):
                 unknown.discard(value.name_hash)
-                sends = self._full_sends.get(value.name_hash, 0)
-                self._full_sends[value.name_hash] = sends + 1
+                send_count = self._full_sends.get(value.name_hash, 0)
+                self._full_sends[value.name_hash] = send_count + 1
             owed.pop(value, None)
             value.known.add(peer)
-            value.sends += 1
+            value.send_count += 1
             value.waiting_since = now
             self.record_known(peer, value)
-            if value.sends >= get_send_limit(value.urgency, peers):
+            if value.send_count >= get_send_limit(value.urgency, peers):
                 self._pending.pop(value, None)
 
     def _rank_loads(self, peer: str) -> Iterator[Ranked]:
--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -41,7 +41,7 @@
     key_hash: int
     known: set[str]
     size_bound: int
-    sends: int = 0
+    send_count: int = 0
     is_current: bool = True
     name_hash: int = 0
 
@@ -236,7 +236,7 @@
             urgency=entry.urgency,
             payload=entry.payload,
             published_at=published_at,
-            waiting_since=now if held is None or held.sends else held.waiting_since,
+            waiting_since=now if held is None or held.send_count else held.waiting_since,
             key_hash=hash_key(key) if held is None else held.key_hash,
             known={state.origin},
             size_bound=bound_size(key, entry.payload),
