--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Merged:
+class MergeResult:
     """What a delta changed."""
 
     put: tuple[Value, ...] = ()
@@ -181,12 +181,12 @@
         """Return whether the origin was dropped and has shown no life since."""
         return origin in self._forgotten
 
-    def merge(self, delta: Delta, *, source: str, extra_age_s: float, now: float) -> Merged:
+    def merge(self, delta: Delta, *, source: str, extra_age_s: float, now: float) -> MergeResult:
         """Take in the newer values of a delta."""
         # A restarted origin would be overwritten by relays that still hold what it
         # said before; an older incarnation is refused whoever brings it.
         if delta.incarnation < self._least_incarnations.get(delta.origin, 0):
-            return Merged()
+            return MergeResult()
         state = self.open_origin(delta.origin, delta.incarnation)
         dropped: list[Value] = []
         if delta.incarnation > state.incarnation:
@@ -206,7 +206,7 @@
                 repeated.append(held)
         for value in (*put, *repeated):
             value.known.add(source)
-        return Merged(put=tuple(put), repeated=tuple(repeated), dropped=tuple(dropped))
+        return MergeResult(put=tuple(put), repeated=tuple(repeated), dropped=tuple(dropped))
 
     def _drop_names(self, state: OriginState) -> None:
         for value in state.values.values():
