--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -143,7 +143,7 @@
     def __init__(self) -> None:
         """Start with nothing."""
         self.origins: dict[str, OriginState] = {}
-        self._least_incarnations: dict[str, int] = {}
+        self._min_incarnations: dict[str, int] = {}
         self._forgotten: set[str] = set()
         self._short_names: dict[int, Value] = {}
 
@@ -153,7 +153,7 @@
         if state is None:
             state = OriginState(origin=origin, incarnation=incarnation)
             self.origins[origin] = state
-        self._least_incarnations[origin] = state.incarnation
+        self._min_incarnations[origin] = state.incarnation
         self._forgotten.discard(origin)
         return state
 
@@ -185,7 +185,7 @@
         """Take in the newer values of a delta."""
         # A restarted origin would be overwritten by relays that still hold what it
         # said before; an older incarnation is refused whoever brings it.
-        if delta.incarnation < self._least_incarnations.get(delta.origin, 0):
+        if delta.incarnation < self._min_incarnations.get(delta.origin, 0):
             return MergeResult()
         state = self.open_origin(delta.origin, delta.incarnation)
         dropped: list[Value] = []
@@ -219,7 +219,7 @@
         state.values.clear()
         state.incarnation = incarnation
         state.floor = 0
-        self._least_incarnations[state.origin] = incarnation
+        self._min_incarnations[state.origin] = incarnation
         return dropped
 
     def _take(
