--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -197,7 +197,7 @@
         for entry in delta.entries:
             published_at = now - entry.age_ms / 1000 - extra_age_s
             state.last_seen_at = max(state.last_seen_at, published_at)
-            value = self._take(state, entry, published_at, now)
+            value = self._store_newer(state, entry, published_at, now)
             if value is not None:
                 put.append(value)
                 continue
@@ -222,7 +222,7 @@
         self._min_incarnations[state.origin] = incarnation
         return dropped
 
-    def _take(
+    def _store_newer(
         self, state: OriginState, entry: Entry, published_at: float, now: float
     ) -> Value | None:
         key = ValueKey(entry.topic, entry.key)
