--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -242,10 +242,10 @@
             size_bound=bound_size(key, entry.payload),
         )
         state.put(value)
-        self._note_short_name(state, value, held)
+        self._record_short_name(state, value, held)
         return value
 
-    def _note_short_name(self, state: OriginState, value: Value, held: Value | None) -> None:
+    def _record_short_name(self, state: OriginState, value: Value, held: Value | None) -> None:
         if value.urgency != Urgency.LOAD:
             return
         known = held is not None and held.name_hash != 0
