--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -46,7 +46,7 @@
     name_hash: int = 0
 
     @property
-    def is_repaired(self) -> bool:
+    def is_in_digests(self) -> bool:
         """Return whether digests cover it."""
         return self.urgency != Urgency.LOAD
 
@@ -101,7 +101,7 @@
     def list_repaired(self, topics: frozenset[str] | None) -> Iterator[Value]:
         """Yield the values that digests cover, of ``topics`` or of all."""
         for value in self.values.values():
-            if value.is_repaired and (topics is None or value.key.topic in topics):
+            if value.is_in_digests and (topics is None or value.key.topic in topics):
                 yield value
 
     def get_checksum(self, topics: frozenset[str] | None) -> int:
