--- a/chivetrack/components/gossip/repair.py
+++ b/chivetrack/components/gossip/repair.py
@@ -36,7 +36,7 @@
 ) -> Summary:
     """Return the versions of up to ``limit`` keys with a hash from ``first`` on."""
     values = sorted(
-        (value for value in held.list_repaired(topics) if value.key_hash >= first),
+        (value for value in held.list_in_digests(topics) if value.key_hash >= first),
         key=lambda value: value.key_hash,
     )
     listed = values[:limit]
@@ -67,7 +67,7 @@
     for name, held in state.origins.items():
         in_range = name >= digest.first and (digest.end is None or name < digest.end)
         if in_range and name not in listed:
-            found.lacking.extend(held.list_repaired(topics))
+            found.lacking.extend(held.list_in_digests(topics))
     return found
 
 
@@ -80,7 +80,7 @@
             found.differing.append(theirs.origin)
         return
     if theirs.incarnation < held.incarnation:
-        found.lacking.extend(held.list_repaired(topics))
+        found.lacking.extend(held.list_in_digests(topics))
         return
     newer = theirs.incarnation > held.incarnation
     if not newer and theirs.floor > held.floor:
@@ -98,7 +98,7 @@
     versions = {entry.key_hash: entry.version for entry in summary.keys}
     if summary.incarnation < held.incarnation:
         versions = {}
-    for value in held.list_repaired(topics):
+    for value in held.list_in_digests(topics):
         in_range = summary.first <= value.key_hash < summary.end
         if in_range and versions.get(value.key_hash, -1) < value.version:
             yield value
--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -98,7 +98,7 @@
     last_seen_at: float = float("-inf")
     values: dict[ValueKey, Value] = field(default_factory=dict)
 
-    def list_repaired(self, topics: frozenset[str] | None) -> Iterator[Value]:
+    def list_in_digests(self, topics: frozenset[str] | None) -> Iterator[Value]:
         """Yield the values that digests cover, of ``topics`` or of all."""
         for value in self.values.values():
             if value.is_in_digests and (topics is None or value.key.topic in topics):
@@ -107,7 +107,7 @@
     def get_checksum(self, topics: frozenset[str] | None) -> int:
         """Return a checksum over the keys and versions that digests cover."""
         checksum = 0
-        for value in self.list_repaired(topics):
+        for value in self.list_in_digests(topics):
             checksum ^= value.checksum
         return checksum
 
