--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -213,7 +213,7 @@
             newest = max((entry.version for entry in delta.entries), default=0)
             self._supersede_own(delta.incarnation, newest, now)
             return
-        if self._state.is_forgotten(delta.origin) and not _proves_alive(source, delta):
+        if self._state.is_removed(delta.origin) and not _proves_alive(source, delta):
             return
         merged = self._state.merge(delta, source=source, extra_age_s=extra_age_s, now=now)
         self._notify_dropped(merged.dropped, now)
--- a/chivetrack/components/gossip/repair.py
+++ b/chivetrack/components/gossip/repair.py
@@ -76,7 +76,7 @@
 ) -> None:
     held = state.origins.get(theirs.origin)
     if held is None:
-        if not state.is_forgotten(theirs.origin):
+        if not state.is_removed(theirs.origin):
             found.differing.append(theirs.origin)
         return
     if theirs.incarnation < held.incarnation:
--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -177,7 +177,7 @@
         entry = Entry(topic, key, short.version, named.urgency, short.age_ms, short.payload)
         return Delta(held.origin, held.incarnation, held.floor, (entry,))
 
-    def is_forgotten(self, origin: str) -> bool:
+    def is_removed(self, origin: str) -> bool:
         """Return whether the origin was dropped and has shown no life since."""
         return origin in self._forgotten
 
