--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -144,7 +144,7 @@
         """Start with nothing."""
         self.origins: dict[str, OriginState] = {}
         self._min_incarnations: dict[str, int] = {}
-        self._forgotten: set[str] = set()
+        self._removed: set[str] = set()
         self._short_names: dict[int, Value] = {}
 
     def open_origin(self, origin: str, incarnation: int) -> OriginState:
@@ -154,7 +154,7 @@
             state = OriginState(origin=origin, incarnation=incarnation)
             self.origins[origin] = state
         self._min_incarnations[origin] = state.incarnation
-        self._forgotten.discard(origin)
+        self._removed.discard(origin)
         return state
 
     def forget(self, origin: str) -> None:
@@ -163,7 +163,7 @@
         if state is None:
             return
         self._drop_names(state)
-        self._forgotten.add(origin)
+        self._removed.add(origin)
 
     def expand(self, short: ShortEntry) -> Delta | None:
         """Return a short entry in full, or ``None`` if its name was never seen."""
@@ -179,7 +179,7 @@
 
     def is_removed(self, origin: str) -> bool:
         """Return whether the origin was dropped and has shown no life since."""
-        return origin in self._forgotten
+        return origin in self._removed
 
     def merge(self, delta: Delta, *, source: str, extra_age_s: float, now: float) -> MergeResult:
         """Take in the newer values of a delta."""
