--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -74,7 +74,7 @@
         )
         self._clock = TransitClock()
         self._subscribers: dict[str, list[UpdateCallback]] = {}
-        self._last_load = float("-inf")
+        self._last_load_at = float("-inf")
         self._last_frame_at: dict[str, float] = {}
         self._peer_incarnations: dict[str, int] = {}
 
@@ -111,7 +111,7 @@
                 )
             )
         if urgency is Urgency.LOAD and len(payload) <= SMALL_LOAD_BYTES:
-            self._last_load = now
+            self._last_load_at = now
         value = self._own.put(value_key, payload, urgency, now)
         value.published_at = now - age_s
         self._outbox.add(value)
@@ -164,7 +164,7 @@
 
         Large ones don't count: it may take long until the budget lets them through.
         """
-        return self._last_load
+        return self._last_load_at
 
     def forget(self, origin: str) -> None:
         """Drop everything of an instance that is gone for good."""
