--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -159,7 +159,7 @@
         """Return how much ordinary news is still being sent on from here."""
         return self._outbox.count_ordinary()
 
-    def get_last_load(self) -> float:
+    def get_last_load_at(self) -> float:
         """Return when this instance last published a load count that shows its life.
 
         Large ones don't count: it may take long until the budget lets them through.
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -162,7 +162,7 @@
         if self._joined_at is None:
             self._joined_at = now
             self._publish_own(now, Urgency.ANNOUNCEMENT)
-        if now >= self._gossip.get_last_load() + ALIVE_EVERY_S and not self._leaving:
+        if now >= self._gossip.get_last_load_at() + ALIVE_EVERY_S and not self._leaving:
             self._gossip.publish(TOPIC_ALIVE, "", b"", Urgency.LOAD, now=now)
         self._take_signs_of_life(now)
         self._isolated = is_isolated(self._members.values(), now)
