--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -18,7 +18,7 @@
         """Start with nothing to answer."""
         self._state = state
         self._summaries: dict[str, dict[str, Summary]] = {}
-        self._summary_from: dict[str, int] = {}
+        self._next_summary_start: dict[str, int] = {}
         self._unknown_names: dict[str, dict[int, None]] = {}
         room = largest_frame // 2 - SUMMARY_HEADER_BYTES - 64
         self._keys = max(1, min(MAX_SUMMARY_KEYS, room // SUMMARY_KEY_BYTES))
@@ -68,9 +68,9 @@
         held = self._state.origins.get(origin)
         if held is None:
             return make_empty_summary(origin)
-        first = self._summary_from.get(origin, 0)
+        first = self._next_summary_start.get(origin, 0)
         summary = make_summary(held, first=first, topics=topics, limit=self._keys)
-        self._summary_from[origin] = 0 if summary.end == KEY_HASH_END else summary.end
+        self._next_summary_start[origin] = 0 if summary.end == KEY_HASH_END else summary.end
         return summary
 
 
