--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -61,7 +61,7 @@
         self._greetings: dict[str, Peer] = {}
         self._near = Rotation(own_id=own.held.origin, random=random)
         self._far = Rotation(own_id=own.held.origin, random=random)
-        self._digest_from: dict[bool, str] = {}
+        self._next_digest_start: dict[bool, str] = {}
         self._digest_due = 0.0
         self._ticks = 0
         self._loads_first = True
@@ -184,7 +184,7 @@
         self._outbox.mark_sent(peer, chosen.values, peers=len(self._near.members), now=now)
         if digest is not None:
             self._digest_due = now + DIGEST_INTERVAL_S
-            self._digest_from[topics is not None] = digest.end or ""
+            self._next_digest_start[topics is not None] = digest.end or ""
         return [SendMessage(target=peer, message=frame)]
 
     def _get_room(self, now: float) -> int:
@@ -200,7 +200,7 @@
 
     def _make_digest(self, peer: str, now: float) -> Digest:
         topics = self.get_topics(peer)
-        first = self._digest_from.get(topics is not None, "")
+        first = self._next_digest_start.get(topics is not None, "")
         limit = self._largest_frame // 2 // (DIGEST_ORIGIN_BYTES + 32)
         limit = max(1, min(MAX_DIGEST_ORIGINS, limit))
         return make_digest(self._state, first=first, topics=topics, limit=limit)
