--- a/tests/components/endpoints/test_fuzz.py
+++ b/tests/components/endpoints/test_fuzz.py
@@ -143,7 +143,7 @@
                     for router in world.fleet.names:
                         self.check(world, router)
                 for name in world.fleet.names:
-                    self.assertLessEqual(world.fleet.find_worst_second(name), 4096)
+                    self.assertLessEqual(world.fleet.find_max_bytes_per_s(name), 4096)
 
     def check(self, world: _World, router: str) -> None:
         listed = {s.endpoint_id: s for s in world.fleet.registries[router].list_endpoints(SERVICE)}
--- a/tests/components/gossip/fleet.py
+++ b/tests/components/gossip/fleet.py
@@ -46,7 +46,7 @@
             if name != origin and self.list_held(name, origin).get(key, b"-") == payload
         )
 
-    def find_worst_second(self, name: str) -> int:
+    def find_max_bytes_per_s(self, name: str) -> int:
         """Return the most bytes that one start of a node sent in any window of one second.
 
         Nodes restart in no time here, which a process can't; the seconds before and after
--- a/tests/components/gossip/test_gossip.py
+++ b/tests/components/gossip/test_gossip.py
@@ -169,7 +169,7 @@
                 fleet = GossipFleet(6, budget_bytes_per_s=budget)
                 self._flood(fleet, 8)
                 for name in fleet.names:
-                    worst = fleet.find_worst_second(name)
+                    worst = fleet.find_max_bytes_per_s(name)
                     self.assertLessEqual(worst, budget)
                     self.assertGreater(worst, budget // 4)
 
