--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -166,7 +166,7 @@
         """
         return self._last_load_at
 
-    def forget(self, origin: str) -> None:
+    def remove_instance(self, origin: str) -> None:
         """Drop everything of an instance that is gone for good."""
         self._state.forget(origin)
         self._outbox.drop_origin(origin)
