--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -81,7 +81,7 @@
     @property
     def incarnation(self) -> int:
         """Return the own incarnation; it rises above one that others still hold."""
-        return self._own.held.incarnation
+        return self._own.origin_state.incarnation
 
     def set_peers(self, peers: list[Peer]) -> None:
         """Replace the instances that frames are sent to."""
@@ -119,7 +119,7 @@
 
     def retract(self, topic: str, key: str, urgency: Urgency, *, now: float) -> None:
         """Take back the own value of a key; does nothing if there is none."""
-        held = self._own.held.values.get(ValueKey(topic, key))
+        held = self._own.origin_state.values.get(ValueKey(topic, key))
         if held is None or held.payload is None:
             return
         self._outbox.add(self._own.put(held.key, None, urgency, now))
--- a/chivetrack/components/gossip/own.py
+++ b/chivetrack/components/gossip/own.py
@@ -23,7 +23,7 @@
         self._held = state.open_origin(instance_id, incarnation)
 
     @property
-    def held(self) -> OriginState:
+    def origin_state(self) -> OriginState:
         """Return the state of the own origin."""
         return self._held
 
