--- a/chivetrack/components/gossip/clock.py
+++ b/chivetrack/components/gossip/clock.py
@@ -37,6 +37,6 @@
         known.min_s = min(known.min_s, offset)
         return offset - known.min_s
 
-    def forget(self, sender: str) -> None:
+    def remove_instance(self, sender: str) -> None:
         """Drop what is known of a sender that is gone."""
         self._offsets.pop(sender, None)
--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -168,9 +168,9 @@
 
     def remove_instance(self, origin: str) -> None:
         """Drop everything of an instance that is gone for good."""
-        self._state.forget(origin)
+        self._state.remove_instance(origin)
         self._outbox.drop_origin(origin)
-        self._clock.forget(origin)
+        self._clock.remove_instance(origin)
         self._last_frame_at.pop(origin, None)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -157,7 +157,7 @@
         self._removed.discard(origin)
         return state
 
-    def forget(self, origin: str) -> None:
+    def remove_instance(self, origin: str) -> None:
         """Drop all values of an origin that is gone; its incarnation is remembered."""
         state = self.origins.pop(origin, None)
         if state is None:
