--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -33,7 +33,7 @@
         self._filled_at = now if self._filled_at is None else max(now, self._filled_at)
         return self._level
 
-    def take(self, amount: float, now: float) -> bool:
+    def try_consume(self, amount: float, now: float) -> bool:
         """Take ``amount`` if it is there; otherwise take nothing."""
         if self.get_level(now) < amount:
             return False
@@ -98,14 +98,16 @@
         amount = encoded_bytes + self.overhead_bytes
         if self._probe_bucket.get_level(now) < amount or not self.charge(encoded_bytes, now):
             return False
-        return self._probe_bucket.take(amount, now)
+        return self._probe_bucket.try_consume(amount, now)
 
     def charge(self, encoded_bytes: int, now: float) -> bool:
         """Pay for one message; ``False`` means that it must not be sent."""
         if encoded_bytes > self.get_room(now):
             return False
         amount = encoded_bytes + self.overhead_bytes
-        self._non_urgent_bucket.take(min(amount, self._non_urgent_bucket.get_level(now)), now)
+        self._non_urgent_bucket.try_consume(
+            min(amount, self._non_urgent_bucket.get_level(now)), now
+        )
         self._charges.append(_Charge(now, amount))
         self._charged_bytes += amount
         return True
