--- a/chivetrack/components/gossip/rotation.py
+++ b/chivetrack/components/gossip/rotation.py
@@ -35,7 +35,7 @@
         self._ring = ring[start:] + ring[:start]
         self._distances = list_distances(len(ring))
 
-    def take(self, count: int) -> list[str]:
+    def choose(self, count: int) -> list[str]:
         """Return the next ``count`` distinct members, or all if there are fewer."""
         taken: dict[str, None] = {}
         while len(taken) < min(count, len(self.members)):
