--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -255,7 +255,7 @@
                 self._supersede_own(theirs.incarnation, 0, now)
         found = compare_digest(self._state, digest, topics=topics)
         self._notify_dropped(tuple(found.dropped), now)
-        for value in found.lacking:
+        for value in found.missing:
             self._outbox.add_missing(source, value)
         for origin in found.differing:
             self._answers.add_summary(source, origin, topics)
--- a/chivetrack/components/gossip/repair.py
+++ b/chivetrack/components/gossip/repair.py
@@ -50,7 +50,7 @@
 
     def __init__(self) -> None:
         """Start with nothing found."""
-        self.lacking: list[Value] = []
+        self.missing: list[Value] = []
         self.differing: list[str] = []
         self.dropped: list[Value] = []
 
@@ -67,7 +67,7 @@
     for name, held in state.origins.items():
         in_range = name >= digest.first and (digest.end is None or name < digest.end)
         if in_range and name not in listed:
-            found.lacking.extend(held.list_in_digests(topics))
+            found.missing.extend(held.list_in_digests(topics))
     return found
 
 
@@ -80,7 +80,7 @@
             found.differing.append(theirs.origin)
         return
     if theirs.incarnation < held.incarnation:
-        found.lacking.extend(held.list_in_digests(topics))
+        found.missing.extend(held.list_in_digests(topics))
         return
     newer = theirs.incarnation > held.incarnation
     if not newer and theirs.floor > held.floor:
