--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -218,7 +218,7 @@
         if now < member.since + FORGET_AFTER_S:
             return
         self._gossip.retract(TOPIC_VERDICT, member.instance_id, Urgency.REST, now=now)
-        self._gossip.forget(member.instance_id)
+        self._gossip.remove_instance(member.instance_id)
         del self._members[member.instance_id]
 
     def _notice_the_dead(self, member: Member, now: float) -> None:
