--- a/chivetrack/components/gossip/__init__.py
+++ b/chivetrack/components/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Spreads versioned key-values between instances within a budget of bytes."""
+"""Gossip of versioned key-values between instances within a budget of bytes."""
--- a/chivetrack/components/gossip/answers.py
+++ b/chivetrack/components/gossip/answers.py
@@ -1,4 +1,4 @@
-"""What is still to be answered to each peer: summaries and short names."""
+"""Answers that are pending for each peer: summaries and unknown short names."""
 
 from chivetrack.components.gossip.const import (
     MAX_SUMMARY_KEYS,
@@ -12,10 +12,10 @@
 
 
 class PendingAnswers:
-    """Summaries that peers need to see what is lacking here, and names unknown here."""
+    """Summaries for peers, which then send what is missing here, and names unknown here."""
 
     def __init__(self, *, state: GossipState, largest_frame: int) -> None:
-        """Start with nothing to answer."""
+        """Start without pending answers."""
         self._state = state
         self._summaries: dict[str, dict[str, Summary]] = {}
         self._next_summary_start: dict[str, int] = {}
@@ -24,20 +24,20 @@
         self._keys = max(1, min(MAX_SUMMARY_KEYS, room // SUMMARY_KEY_BYTES))
 
     def has_pending(self, peer: str) -> bool:
-        """Return whether an answer waits for a peer."""
+        """Return whether an answer is pending for a peer."""
         return bool(self._summaries.get(peer) or self._unknown_names.get(peer))
 
     def drop_peer(self, peer: str) -> None:
-        """Forget what a peer that is gone was to be answered."""
+        """Drop the pending answers for a peer that was removed."""
         self._summaries.pop(peer, None)
         self._unknown_names.pop(peer, None)
 
     def add_summary(self, peer: str, origin: str, topics: frozenset[str] | None) -> None:
-        """Tell a peer, range by range, what is held of an origin."""
+        """Queue a summary of an origin's keys for a peer, one range of key hashes at a time."""
         self._summaries.setdefault(peer, {})[origin] = self._summarise(origin, topics)
 
     def pop_summaries(self, peer: str, room: int) -> tuple[Summary, ...]:
-        """Return and drop the summaries for a peer that fit into ``room``."""
+        """Return and clear the summaries for a peer that fit into ``room`` bytes."""
         waiting = self._summaries.get(peer, {})
         taken: list[Summary] = []
         for origin in list(waiting):
@@ -48,20 +48,20 @@
         return tuple(taken)
 
     def requeue(self, peer: str, summaries: tuple[Summary, ...]) -> None:
-        """Keep summaries that were not sent after all."""
+        """Queue summaries again that were not sent."""
         for summary in summaries:
             self._summaries.setdefault(peer, {}).setdefault(summary.origin, summary)
 
     def add_unknown_name(self, peer: str, name_hash: int) -> None:
-        """Note a short name from a peer that is not known here."""
+        """Record a short name from a peer that is unknown here."""
         self._unknown_names.setdefault(peer, {})[name_hash] = None
 
     def list_unknown_names(self, peer: str) -> tuple[int, ...]:
-        """Return the names to report to a peer in one frame."""
+        """Return the unknown names to report to a peer in one frame."""
         return tuple(self._unknown_names.get(peer, {}))[:MAX_UNKNOWN_NAMES]
 
     def mark_reported(self, peer: str) -> None:
-        """Note that the names were reported; those still unknown come up again."""
+        """Clear the reported names; names that are still unknown are recorded again on receipt."""
         self._unknown_names.pop(peer, None)
 
     def _summarise(self, origin: str, topics: frozenset[str] | None) -> Summary:
--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -1,4 +1,4 @@
-"""Token buckets: bytes and messages a second that control traffic may take."""
+"""Byte budget and token buckets that limit control traffic."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 
 class TokenBucket:
-    """Fills by ``rate`` a second up to ``capacity``; starts full."""
+    """Token bucket that refills at ``rate`` a second up to ``capacity``; starts full."""
 
     def __init__(self, *, rate: float, capacity: float) -> None:
         """Create a full bucket."""
@@ -26,7 +26,7 @@
         self._filled_at: float | None = None
 
     def get_level(self, now: float) -> float:
-        """Return what may be taken at ``now``."""
+        """Return how many tokens are available at ``now``."""
         if self._filled_at is not None and now > self._filled_at:
             gained = (now - self._filled_at) * self._rate
             self._level = min(self.capacity, self._level + gained)
@@ -34,7 +34,7 @@
         return self._level
 
     def try_consume(self, amount: float, now: float) -> bool:
-        """Take ``amount`` if it is there; otherwise take nothing."""
+        """Consume ``amount`` tokens and return ``True``, or nothing if fewer are available."""
         if self.get_level(now) < amount:
             return False
         self._level -= amount
@@ -48,16 +48,16 @@
 
 
 class ByteBudget:
-    """The bytes that this instance's control messages may take, shared by their senders.
+    """Byte budget for this instance's control messages, shared by their senders.
 
-    Two limits hold. Any window of one second, wherever it starts, sees at most
-    ``bytes_per_s``: payments of the last second are remembered and summed. Ordinary
-    news is also paced by a token bucket of a smaller rate, so that it never uses up
-    the second and urgent news and probes find room at once.
+    Two limits apply. Any window of one second, wherever it starts, contains at most
+    ``bytes_per_s``: the charges of the last second are remembered and summed. Updates that are not
+    urgent are also limited by a token bucket of a lower rate, so that they never use up the second,
+    and urgent updates and probes can be sent at once.
     """
 
     def __init__(self, *, bytes_per_s: int, overhead_bytes: int = TRANSPORT_OVERHEAD_BYTES) -> None:
-        """Create a budget; raise ``ValueError`` for a rate outside of the allowance."""
+        """Create a budget; raise ``ValueError`` for a rate outside of the allowed range."""
         if not MIN_BUDGET_BYTES_PER_S <= bytes_per_s <= MAX_BUDGET_BYTES_PER_S:
             raise ValueError(
                 f"budget of {bytes_per_s} bytes/s is not within"
@@ -76,7 +76,7 @@
 
     @property
     def largest_message(self) -> int:
-        """Return the encoded size of the largest message that pacing ever lets through."""
+        """Return the encoded size of the largest message that the token bucket can ever admit."""
         return int(self._non_urgent_bucket.capacity) - self.overhead_bytes
 
     def get_room(self, now: float) -> int:
@@ -85,23 +85,23 @@
         return self.bytes_per_s - self._charged_bytes - self.overhead_bytes
 
     def get_non_urgent_room(self, now: float) -> int:
-        """Return the same for ordinary news."""
-        paced = int(self._non_urgent_bucket.get_level(now)) - self.overhead_bytes
-        return min(paced, self.get_room(now))
+        """Return the same for updates that are not urgent."""
+        bucket_room = int(self._non_urgent_bucket.get_level(now)) - self.overhead_bytes
+        return min(bucket_room, self.get_room(now))
 
     def is_non_urgent_full(self, now: float) -> bool:
-        """Return whether waiting longer would give ordinary news no more room."""
+        """Return whether waiting longer gives updates that are not urgent no more room."""
         return self._non_urgent_bucket.get_level(now) >= self._non_urgent_bucket.capacity
 
     def charge_probe(self, encoded_bytes: int, now: float) -> bool:
-        """Pay for a probe or an answer to one, within their own share."""
+        """Charge a probe or its answer, within the probe share; ``False`` means: don't send."""
         amount = encoded_bytes + self.overhead_bytes
         if self._probe_bucket.get_level(now) < amount or not self.charge(encoded_bytes, now):
             return False
         return self._probe_bucket.try_consume(amount, now)
 
     def charge(self, encoded_bytes: int, now: float) -> bool:
-        """Pay for one message; ``False`` means that it must not be sent."""
+        """Charge one message; ``False`` means that it must not be sent."""
         if encoded_bytes > self.get_room(now):
             return False
         amount = encoded_bytes + self.overhead_bytes
--- a/chivetrack/components/gossip/clock.py
+++ b/chivetrack/components/gossip/clock.py
@@ -1,4 +1,4 @@
-"""Finds how long a frame was under way, without comparing clocks."""
+"""Estimates the transit delay of frames without comparing clocks."""
 
 from dataclasses import dataclass
 
@@ -13,20 +13,20 @@
 
 
 class TransitClock:
-    """Measures by how much a frame took longer than the fastest one of its sender.
+    """Measures by how much a frame took longer than the fastest frame of its sender.
 
-    A frame that waited in a queue or in a frozen process would otherwise bring news
-    that looks young, and leases would outlive their endpoints by that time. The
-    difference between two monotonic clocks is constant but for their drift, so what
-    exceeds the least difference seen is time under way.
+    A frame that waited in a queue or in a frozen process would otherwise bring updates that look
+    recent, and leases would outlive their endpoints by the time spent waiting. The difference
+    between two monotonic clocks is constant except for their drift, so what exceeds the smallest
+    difference seen is additional transit delay.
     """
 
     def __init__(self) -> None:
-        """Start with no sender known."""
+        """Start without known senders."""
         self._offsets: dict[str, _Offset] = {}
 
     def measure(self, sender: str, incarnation: int, sent_s: float, now: float) -> float:
-        """Return the seconds by which this frame was slower than the fastest one."""
+        """Return by how many seconds this frame was slower than the fastest one."""
         offset = now - sent_s
         known = self._offsets.get(sender)
         if known is None or known.incarnation != incarnation:
@@ -38,5 +38,5 @@
         return offset - known.min_s
 
     def remove_instance(self, sender: str) -> None:
-        """Drop what is known of a sender that is gone."""
+        """Remove the measurements of a sender that was removed."""
         self._offsets.pop(sender, None)
--- a/chivetrack/components/gossip/gossip.py
+++ b/chivetrack/components/gossip/gossip.py
@@ -1,4 +1,4 @@
-"""The gossip component: takes values in, sends them on within the budget."""
+"""The gossip component: holds values and sends them to peers within the budget."""
 
 import random as random_module
 
@@ -34,7 +34,7 @@
 
 
 class Gossip:
-    """Holds the latest value of every key of every origin, and spreads them."""
+    """Holds the latest value of every key of every origin, and gossips it to peers."""
 
     def __init__(
         self,
@@ -50,8 +50,8 @@
     ) -> None:
         """Create a gossip without peers.
 
-        ``incarnation`` must rise with every start. ``fleet_topics`` are the only ones
-        that leave the region. ``budget`` shares one with other senders.
+        ``incarnation`` must rise with every start. Only values of ``fleet_topics`` leave the
+        region. ``budget`` is a budget shared with other senders.
         """
         self.budget = budget or ByteBudget(bytes_per_s=budget_bytes_per_s)
         self._instance_id = instance_id
@@ -80,11 +80,11 @@
 
     @property
     def incarnation(self) -> int:
-        """Return the own incarnation; it rises above one that others still hold."""
+        """Return the own incarnation; it rises above any that peers still hold."""
         return self._own.origin_state.incarnation
 
     def set_peers(self, peers: list[Peer]) -> None:
-        """Replace the instances that frames are sent to."""
+        """Replace the instances to which frames are sent."""
         self._sender.set_peers(peers)
 
     def publish(
@@ -97,9 +97,9 @@
         now: float,
         age_s: float = 0.0,
     ) -> Result[None, Fault]:
-        """Set the own value of a key; refused if no frame could ever hold it.
+        """Set the own value of a key; return an error if no frame can hold it.
 
-        ``age_s`` is how old the news is already.
+        ``age_s`` is the age that the value already has.
         """
         value_key = ValueKey(topic, key)
         if bound_size(value_key, payload) > self._largest_entry:
@@ -118,7 +118,7 @@
         return Ok(None)
 
     def retract(self, topic: str, key: str, urgency: Urgency, *, now: float) -> None:
-        """Take back the own value of a key; does nothing if there is none."""
+        """Retract the own value of a key; does nothing if there is none."""
         held = self._own.origin_state.values.get(ValueKey(topic, key))
         if held is None or held.payload is None:
             return
@@ -142,39 +142,39 @@
         return unsubscribe
 
     def get_last_seen(self, origin: str) -> float | None:
-        """Return the latest local time at which an origin certainly lived."""
+        """Return the latest local time at which an origin was certainly alive."""
         held = self._state.origins.get(origin)
         return None if held is None else held.last_seen_at
 
     def get_direct_contact(self, sender: str) -> float | None:
-        """Return when the last frame came straight from an instance, less its delay."""
+        """Return the time of the last frame received directly from an instance, less its delay."""
         return self._last_frame_at.get(sender)
 
     def count_held(self, origin: str) -> int:
-        """Return how many keys of an origin are held, retracted ones among them."""
+        """Return how many keys of an origin are held, including retracted ones."""
         held = self._state.origins.get(origin)
         return 0 if held is None else len(held.values)
 
     def count_ordinary(self) -> int:
-        """Return how much ordinary news is still being sent on from here."""
+        """Return how many ordinary values are still being forwarded from here."""
         return self._outbox.count_ordinary()
 
     def get_last_load_at(self) -> float:
-        """Return when this instance last published a load count that shows its life.
+        """Return when this instance last published a load count that shows that it is alive.
 
-        Large ones don't count: it may take long until the budget lets them through.
+        Large load counts are ignored, because they may wait long for the budget.
         """
         return self._last_load_at
 
     def remove_instance(self, origin: str) -> None:
-        """Drop everything of an instance that is gone for good."""
+        """Remove all state of an instance that has left for good."""
         self._state.remove_instance(origin)
         self._outbox.drop_origin(origin)
         self._clock.remove_instance(origin)
         self._last_frame_at.pop(origin, None)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take in a frame, or send what is due."""
+        """Handle a received frame, or send the frames that are due."""
         if isinstance(event, MessageReceived):
             if isinstance(event.message, GossipFrame):
                 self._receive(event.source, event.message, now)
@@ -185,7 +185,7 @@
 
     def _receive(self, source: str, frame: GossipFrame, now: float) -> None:
         extra_age_s = self._clock.measure(source, frame.incarnation, frame.sent_ms / 1000, now)
-        # What the peer's earlier start knew and was owed means nothing to this one.
+        # What an earlier incarnation of the peer had or lacked does not apply to this one.
         if self._peer_incarnations.get(source) != frame.incarnation:
             self._peer_incarnations[source] = frame.incarnation
             self._outbox.drop_peer(source)
@@ -225,7 +225,7 @@
             self._notify(value, value.payload, now)
 
     def _supersede_own(self, incarnation: int, version: int, now: float) -> None:
-        """Outbid what others hold of an earlier start with a higher or equal incarnation."""
+        """Publish above an earlier start of this instance that others hold at a higher version."""
         if (incarnation, version) <= (self.incarnation, self._own.version):
             return
         for value in self._own.supersede(incarnation, now):
@@ -237,7 +237,7 @@
                 self._notify(value, None, now)
 
     def _notify(self, value: Value, payload: bytes | None, now: float) -> None:
-        news = ValueUpdate(
+        update = ValueUpdate(
             topic=value.key.topic,
             origin=value.origin,
             key=value.key.key,
@@ -246,7 +246,7 @@
             now=now,
         )
         for callback in tuple(self._subscribers.get(value.key.topic, ())):
-            callback(news)
+            callback(update)
 
     def _handle_digest(self, source: str, digest: Digest, now: float) -> None:
         topics = self._sender.get_topics(source)
@@ -272,10 +272,10 @@
 
 
 def _proves_alive(source: str, delta: Delta) -> bool:
-    """Return whether a delta proves that a forgotten origin is back.
+    """Return whether a delta proves that a removed origin is back.
 
-    Peers that have not forgotten it yet still hand on its old values; only news
-    that is younger than the forgetting, or from itself, counts.
+    Peers that have not removed it yet still forward its old values. Only entries younger than
+    ``MAX_REVIVING_AGE_S``, or a delta from the origin itself, count.
     """
     youngest = min((entry.age_ms for entry in delta.entries), default=MAX_REVIVING_AGE_S * 1000)
     return source == delta.origin or youngest < MAX_REVIVING_AGE_S * 1000
--- a/chivetrack/components/gossip/models.py
+++ b/chivetrack/components/gossip/models.py
@@ -1,4 +1,4 @@
-"""What gossip is told, what it tells and what it sends."""
+"""Values that gossip receives and publishes, and the messages that carry them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,10 +8,10 @@
 
 
 class Urgency(IntEnum):
-    """The order in which news is sent; lower goes first.
+    """The order in which values are sent; lower values are sent first.
 
-    ``LOAD`` values are republished all the time: they are never repaired, a lost
-    one is made good by the next. All others are repaired by digests.
+    ``LOAD`` values are republished continuously. They are not repaired by digests, because the next
+    one replaces a lost one. All others are repaired by digests.
     """
 
     LEAVING = 0
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Peer:
-    """An instance that frames may be sent to."""
+    """An instance to which frames may be sent."""
 
     instance_id: str
     region: str
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ValueUpdate:
-    """A value that came in.
+    """A value received from another origin.
 
-    ``payload`` is ``None`` when the key was retracted or its origin restarted.
-    ``age_s`` is the time since the origin published it, summed over all hops on
-    monotonic clocks; ``now`` is the local time of receipt.
+    ``payload`` is ``None`` when the key was retracted or its origin restarted. ``age_s`` is the
+    time since the origin published it, summed over all hops on monotonic clocks; ``now`` is the
+    local time of receipt.
     """
 
     topic: str
@@ -62,10 +62,10 @@
 
 
 class ShortEntry(Message, frozen=True, array_like=True):
-    """A load count whose origin, incarnation, topic and key are named by a hash.
+    """A load count whose origin, incarnation, topic and key are given by a hash.
 
-    The names would take more bytes than the counts. A peer that has not seen the full
-    entry ignores it and reports the hash back.
+    The names would take more bytes than the counts. A peer that has not seen the full entry ignores
+    the short one and reports the hash back.
     """
 
     name_hash: int
@@ -84,7 +84,7 @@
 
 
 class OriginDigest(Message, frozen=True, array_like=True):
-    """What the sender holds of one origin, as a checksum of keys and versions."""
+    """Checksum of the keys and versions that the sender holds of one origin."""
 
     origin: str
     incarnation: int
@@ -93,9 +93,9 @@
 
 
 class Digest(Message, frozen=True, array_like=True):
-    """All origins that the sender holds from ``first`` up to, not with, ``end``.
+    """Digests of all origins that the sender holds in the name range ``[first, end)``.
 
-    An ``end`` of ``None`` means that there is no origin beyond.
+    An ``end`` of ``None`` means that there are no origins after this range.
     """
 
     first: str
@@ -104,14 +104,14 @@
 
 
 class KeyVersion(Message, frozen=True, array_like=True):
-    """The version that the sender holds of a key, the key as a 32-bit hash."""
+    """The version that the sender holds of a key; the key is given as a 32-bit hash."""
 
     key_hash: int
     version: int
 
 
 class Summary(Message, frozen=True, array_like=True):
-    """All keys of an origin that the sender holds with a hash in ``[first, end)``."""
+    """Versions of all keys of an origin that the sender holds with a hash in ``[first, end)``."""
 
     origin: str
     incarnation: int
@@ -122,9 +122,9 @@
 
 @message("gossip.frame")
 class GossipFrame(Message, frozen=True, array_like=True):
-    """Everything that one instance tells another at a time.
+    """One frame of gossip from an instance to a peer.
 
-    ``sent_ms`` is the sender's monotonic clock: only differences of it are used.
+    ``sent_ms`` is the sender's monotonic clock; only differences of it are used.
     """
 
     incarnation: int
--- a/chivetrack/components/gossip/own.py
+++ b/chivetrack/components/gossip/own.py
@@ -13,24 +13,24 @@
 
 
 class OwnValues:
-    """Gives this instance's values their versions."""
+    """Assigns versions to this instance's values."""
 
     def __init__(self, *, state: GossipState, instance_id: str, incarnation: int) -> None:
-        """Open the own origin."""
+        """Create the origin of this instance."""
         self._state = state
         self._instance_id = instance_id
         self.version = 0
-        self._held = state.open_origin(instance_id, incarnation)
+        self._origin_state = state.open_origin(instance_id, incarnation)
 
     @property
     def origin_state(self) -> OriginState:
         """Return the state of the own origin."""
-        return self._held
+        return self._origin_state
 
     def put(self, key: ValueKey, payload: bytes | None, urgency: int, now: float) -> Value:
-        """Hold a new value of a key; ``None`` retracts it."""
+        """Store a new value of a key; ``None`` retracts it."""
         self.version += 1
-        old = self._held.values.get(key)
+        old = self._origin_state.values.get(key)
         waiting_since = old.waiting_since if old is not None and not old.send_count else now
         value = Value(
             origin=self._instance_id,
@@ -41,35 +41,35 @@
             published_at=now,
             waiting_since=waiting_since,
             key_hash=hash_key(key),
-            known={self._instance_id},
+            known_by={self._instance_id},
             size_bound=bound_size(key, payload),
-            name_hash=hash_name(self._instance_id, self._held.incarnation, key),
+            name_hash=hash_name(self._instance_id, self._origin_state.incarnation, key),
         )
-        self._held.put(value)
+        self._origin_state.put(value)
         return value
 
     def compact(self, now: float) -> list[Value]:
-        """Drop retracted keys once there are many; return what must be sent again.
+        """Drop retracted keys once there are too many; return the values to send again.
 
-        An instance that was cut off still holds the keys as live and would bring them
-        back to those who forgot. Live values get versions above a floor, and whatever
-        lies at or below the floor is void everywhere.
+        A peer that was cut off still holds the keys as live and would send them to peers that have
+        dropped them. So live values get versions above a floor, and all versions up to the floor
+        are void everywhere.
         """
-        retracted = [value for value in self._held.values.values() if value.payload is None]
+        retracted = [value for value in self._origin_state.values.values() if value.payload is None]
         if len(retracted) <= MAX_TOMBSTONES:
             return []
-        live = [value for value in self._held.values.values() if value.payload is not None]
-        self._held.drop_below_floor(self.version)
+        live = [value for value in self._origin_state.values.values() if value.payload is not None]
+        self._origin_state.drop_below_floor(self.version)
         return [self._renew(value, now) for value in live]
 
     def supersede(self, incarnation: int, now: float) -> list[Value]:
-        """Take a higher incarnation than one that others hold; return what to send again."""
-        live = [value for value in self._held.values.values() if value.payload is not None]
-        for value in self._held.values.values():
+        """Switch to a higher incarnation than the given one; return the values to send again."""
+        live = [value for value in self._origin_state.values.values() if value.payload is not None]
+        for value in self._origin_state.values.values():
             value.is_current = False
-        self._held.values.clear()
-        self._held.floor = 0
-        self._held.incarnation = incarnation + 1
+        self._origin_state.values.clear()
+        self._origin_state.floor = 0
+        self._origin_state.incarnation = incarnation + 1
         self._state.open_origin(self._instance_id, incarnation + 1)
         return [self._renew(value, now) for value in live]
 
--- a/chivetrack/components/gossip/repair.py
+++ b/chivetrack/components/gossip/repair.py
@@ -1,8 +1,8 @@
 """Anti-entropy: finds what a peer lacks, in chunks of bounded size.
 
-A digest lists origins with a checksum each. Who sees another checksum than its own
-answers with a summary, the versions of that origin's keys; who sees a summary owes
-the sender whatever is newer than it or missing from it.
+A digest lists origins with a checksum each. A receiver whose own checksum differs answers with a
+summary, the versions of that origin's keys. The receiver of a summary sends back the values that
+are newer than the summary or missing from it.
 """
 
 from collections.abc import Iterator
@@ -46,10 +46,10 @@
 
 
 class Comparison:
-    """What a digest shows: values the peer lacks, origins to ask it about, void values."""
+    """Result for a digest: values missing at the peer, origins that differ, void values."""
 
     def __init__(self) -> None:
-        """Start with nothing found."""
+        """Start without results."""
         self.missing: list[Value] = []
         self.differing: list[str] = []
         self.dropped: list[Value] = []
@@ -58,7 +58,7 @@
 def compare_digest(
     state: GossipState, digest: Digest, *, topics: frozenset[str] | None
 ) -> Comparison:
-    """Compare a peer's digest with what is held here."""
+    """Compare a peer's digest with the local state."""
     found = Comparison()
     listed: set[str] = set()
     for theirs in digest.origins:
@@ -92,7 +92,7 @@
 def find_missing(
     held: OriginState, summary: Summary, *, topics: frozenset[str] | None
 ) -> Iterator[Value]:
-    """Yield the values that the sender of a summary lacks or has only older."""
+    """Yield the values that the sender of a summary lacks or has in an older version."""
     if summary.incarnation > held.incarnation:
         return
     versions = {entry.key_hash: entry.version for entry in summary.keys}
@@ -105,7 +105,7 @@
 
 
 def has_newer(held: OriginState, summary: Summary) -> bool:
-    """Return whether the sender of a summary has values that are lacking here."""
+    """Return whether the sender of a summary has values that are missing here."""
     if summary.incarnation != held.incarnation:
         return summary.incarnation > held.incarnation
     versions = {value.key_hash: value.version for value in held.values.values()}
@@ -116,5 +116,5 @@
 
 
 def make_empty_summary(origin: str) -> Summary:
-    """Return the summary of an origin of which nothing is held."""
+    """Return the summary of an origin without values."""
     return Summary(origin, 0, 0, KEY_HASH_END, ())
--- a/chivetrack/components/gossip/rotation.py
+++ b/chivetrack/components/gossip/rotation.py
@@ -9,10 +9,10 @@
 class Rotation:
     """Visits peers at fixed distances on the ring of sorted ids, and some at random.
 
-    The distances are the multiples of the powers of a small base, so news gets from
-    anyone to anyone in as many hops as a number below the ring's size has digits, and
-    nobody waits for a lucky draw. The random visits get round bad links and instances
-    whose views of the ring differ.
+    The distances are the multiples of the powers of a small base, so an update reaches every
+    instance in as many hops as a number below the ring's size has digits, and does not depend on
+    random choice. The random visits work around bad links and instances whose views of the ring
+    differ.
     """
 
     def __init__(self, *, own_id: str, random: random_module.Random) -> None:
@@ -37,10 +37,10 @@
 
     def choose(self, count: int) -> list[str]:
         """Return the next ``count`` distinct members, or all if there are fewer."""
-        taken: dict[str, None] = {}
-        while len(taken) < min(count, len(self.members)):
-            taken[self._choose_member(bool(taken))] = None
-        return list(taken)
+        chosen: dict[str, None] = {}
+        while len(chosen) < min(count, len(self.members)):
+            chosen[self._choose_member(bool(chosen))] = None
+        return list(chosen)
 
     def _choose_member(self, at_random: bool) -> str:
         self._visits += 1
--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -1,4 +1,4 @@
-"""Chooses the values of a frame: most urgent first, none waiting for ever."""
+"""Selects the values of a frame: most urgent first, without starving any."""
 
 import math
 from collections.abc import Callable, Iterable, Iterator
@@ -19,7 +19,7 @@
 
 
 class LoadName(NamedTuple):
-    """Names a load count among those of all origins."""
+    """Identifies a load count among those of all origins."""
 
     origin: str
     key: ValueKey
@@ -27,28 +27,28 @@
 
 @dataclass(slots=True)
 class KnownLoad:
-    """How young a load count a peer has, under which name."""
+    """When the load count that a peer has was published, and its name hash."""
 
     published_at: float
     name_hash: int
 
 
 class Rank(NamedTuple):
-    """The place of a value in the order of sending; the smallest goes first."""
+    """Sort key in the order of sending; the smallest is sent first."""
 
     urgency: int
     order: float
 
 
 class Ranked(NamedTuple):
-    """A value and its place."""
+    """A value and its rank."""
 
     rank: Rank
     value: Value
 
 
 def get_send_limit(urgency: int, peers: int) -> int:
-    """Return how many copies of a value each holder sends on of its own accord."""
+    """Return how many copies of a value each holder forwards unless a peer lacks it."""
     if urgency > Urgency.LOAD:
         return ORDINARY_SENDS
     rounds = math.ceil(math.log2(peers + 2))
@@ -57,14 +57,14 @@
 
 @dataclass(slots=True)
 class PendingValues:
-    """What a peer should get, by kind and each in the order of sending."""
+    """Values to send to a peer, by kind, each in the order of sending."""
 
     urgent: list[Value] = field(default_factory=list)
     loads: list[Value] = field(default_factory=list)
     ordinary: list[Value] = field(default_factory=list)
 
     def add(self, rank: Rank, value: Value) -> None:
-        """Enter a value."""
+        """Add a value."""
         if value.urgency == Urgency.LOAD:
             self.loads.append(value)
         elif rank.urgency < Urgency.LOAD:
@@ -74,15 +74,15 @@
 
 
 class Outbox:
-    """The values that have still to be sent on.
+    """The values that have yet to be sent.
 
-    Hot values go to any peer that is not known to have them, a limited number of
-    times. Owed values go to one peer that was seen to lack them. Load counts are
-    never done: a peer gets those by which its own become younger the most for a byte.
+    Pending values are sent a limited number of times to any peer that is not known to have them.
+    Missing values are sent to one peer that was found to lack them. Load counts are sent without
+    limit: a peer first gets those that reduce the age of its own counts most per byte.
     """
 
     def __init__(self) -> None:
-        """Start with nothing to send."""
+        """Start without values to send."""
         self._pending: dict[Value, None] = {}
         self._loads: dict[LoadName, Value] = {}
         self._missing_at: dict[str, dict[Value, None]] = {}
@@ -92,29 +92,29 @@
         self._unknown_names: dict[str, set[int]] = {}
 
     def add(self, value: Value) -> None:
-        """Send a new value on."""
+        """Queue a new value."""
         if value.urgency == Urgency.LOAD:
             self._loads[LoadName(value.origin, value.key)] = value
         else:
             self._pending[value] = None
 
     def add_missing(self, peer: str, value: Value) -> None:
-        """Send a value to a peer that lacks it."""
-        value.known.discard(peer)
+        """Queue a value for a peer that lacks it."""
+        value.known_by.discard(peer)
         self._missing_at.setdefault(peer, {})[value] = None
 
     def has_missing(self, peer: str) -> bool:
-        """Return whether a peer was seen to lack something."""
+        """Return whether a peer was found to lack a value."""
         return any(value.is_current for value in self._missing_at.get(peer, ()))
 
     def drop_peer(self, peer: str) -> None:
-        """Forget what was owed to a peer that is gone, and what it knows."""
+        """Remove all state of a peer that was removed or has restarted."""
         self._missing_at.pop(peer, None)
         self._known_loads.pop(peer, None)
         self._unknown_names.pop(peer, None)
 
     def drop_origin(self, origin: str) -> None:
-        """Send nothing more of an origin that is gone."""
+        """Stop sending the load counts of an origin that was removed."""
         for name in [name for name in self._loads if name.origin == origin]:
             self._full_sends.pop(self._loads[name].name_hash, None)
             del self._loads[name]
@@ -123,7 +123,7 @@
                 del loads[name]
 
     def record_known(self, peer: str, value: Value) -> None:
-        """Note that a peer has a value as young as this."""
+        """Record that a peer has a load count as recent as this."""
         if value.urgency != Urgency.LOAD:
             return
         loads = self._known_loads.setdefault(peer, {})
@@ -135,14 +135,17 @@
         known.published_at = max(known.published_at, value.published_at)
 
     def list_pending(self, peer: str, topics: frozenset[str] | None, now: float) -> PendingValues:
-        """Return what a peer should get, the most urgent first."""
-        owed = self._missing_at.get(peer, {})
-        for value in [value for value in owed if not value.is_current]:
-            del owed[value]
+        """Return the values to send to a peer, the most urgent first."""
+        missing = self._missing_at.get(peer, {})
+        for value in [value for value in missing if not value.is_current]:
+            del missing[value]
         for value in [value for value in self._pending if not value.is_current]:
             del self._pending[value]
-        news = {**owed, **dict.fromkeys(v for v in self._pending if peer not in v.known)}
-        ranked = [Ranked(rank_value(value, now), value) for value in news]
+        candidates = {
+            **missing,
+            **dict.fromkeys(v for v in self._pending if peer not in v.known_by),
+        }
+        ranked = [Ranked(rank_value(value, now), value) for value in candidates]
         ranked.extend(self._rank_loads(peer))
         ranked.sort(key=lambda entry: entry.rank)
         pending = PendingValues()
@@ -152,22 +155,22 @@
         return pending
 
     def list_topics(self) -> frozenset[str]:
-        """Return the topics of the hot values."""
+        """Return the topics of the pending values."""
         return frozenset(value.key.topic for value in self._pending)
 
     def drop_known(self, peers: frozenset[str], *, topics: frozenset[str] | None) -> None:
-        """Stop sending on what all ``peers``, who are told of ``topics``, are known to have."""
-        known = [value for value in self._pending if peers <= value.known]
+        """Stop forwarding values of ``topics``, or of all, that all ``peers`` are known to have."""
+        known = [value for value in self._pending if peers <= value.known_by]
         for value in known:
             if topics is None or value.key.topic in topics:
                 del self._pending[value]
 
     def count_ordinary(self) -> int:
-        """Return how many values of ordinary urgency are still being sent on."""
+        """Return how many values of ordinary urgency are still being forwarded."""
         return sum(1 for v in self._pending if v.is_current and v.urgency > Urgency.LOAD)
 
     def count_urgent(self) -> int:
-        """Return how many hot values of the highest urgency nobody was sent yet."""
+        """Return how many values of the highest urgency were not sent to any peer yet."""
         return sum(
             1
             for value in self._pending
@@ -175,10 +178,11 @@
         )
 
     def accepts_short(self, peer: str, value: Value) -> bool:
-        """Return whether a peer should understand the short form of a value.
+        """Return whether a peer is expected to know the short name of a value.
 
-        The full form goes out as often as other news, which reaches nearly everyone; who
-        missed it says so. Each holder naming everything to each peer would take minutes.
+        The full form is sent as often as other values, which reaches nearly every peer; a peer that
+        missed it reports the name as unknown. If each holder sent the full name to each peer, it
+        would take minutes.
         """
         if value.urgency != Urgency.LOAD:
             return False
@@ -190,15 +194,15 @@
         return self._full_sends.get(value.name_hash, 0) >= self._full_limit
 
     def record_unknown_name(self, peer: str, name_hash: int) -> None:
-        """Note that a peer can't read a short name."""
+        """Record that a peer does not know a short name."""
         self._unknown_names.setdefault(peer, set()).add(name_hash)
         for known in self._known_loads.get(peer, {}).values():
             if known.name_hash == name_hash:
                 known.published_at = -math.inf
 
     def mark_sent(self, peer: str, values: Iterable[Value], *, peers: int, now: float) -> None:
-        """Note that values went to a peer."""
-        owed = self._missing_at.get(peer, {})
+        """Record that values were sent to a peer."""
+        missing = self._missing_at.get(peer, {})
         unknown = self._unknown_names.get(peer, set())
         self._full_limit = get_send_limit(Urgency.LOAD, peers)
         for value in values:
@@ -206,8 +210,8 @@
                 unknown.discard(value.name_hash)
                 send_count = self._full_sends.get(value.name_hash, 0)
                 self._full_sends[value.name_hash] = send_count + 1
-            owed.pop(value, None)
-            value.known.add(peer)
+            missing.pop(value, None)
+            value.known_by.add(peer)
             value.send_count += 1
             value.waiting_since = now
             self.record_known(peer, value)
@@ -226,10 +230,10 @@
 
 
 def rank_value(value: Value, now: float) -> Rank:
-    """Return the place of a value in the order of sending.
+    """Return the rank of a value in the order of sending.
 
-    Without promotion a steady stream of urgent news would keep the rest from ever
-    being sent; waiting raises a value by a level every few seconds, without end.
+    A value rises by one level of urgency for each ``PROMOTION_S`` of waiting, without limit.
+    Otherwise a steady stream of urgent values would starve all others.
     """
     promotion = math.floor(max(0.0, now - value.waiting_since) / PROMOTION_S)
     return Rank(value.urgency - promotion, value.waiting_since)
@@ -239,7 +243,7 @@
     """The values of one frame, in full and in short form."""
 
     def __init__(self, *, room: int, largest: int, accepts_short: Callable[[Value], bool]) -> None:
-        """Start an empty frame with ``room`` bytes; no frame ever has over ``largest``."""
+        """Start an empty frame of ``room`` bytes; no frame ever exceeds ``largest`` bytes."""
         self.full: list[Value] = []
         self.short: list[Value] = []
         self._room = room
@@ -258,26 +262,26 @@
     ) -> bool:
         """Add values in their order, up to a share of the room.
 
-        With ``waits`` one that does not fit now stops the rest and ``False`` is returned:
-        others must not use up the budget that it waits for. One that will never fit,
-        since it came from an instance with a larger budget, is passed over.
+        With ``stops_when_full``, a value that does not fit now ends the filling and ``False`` is
+        returned, because others must not use up the budget that it waits for. A value that can
+        never fit, because it came from an instance with a larger budget, is skipped.
 
-        ``is_waiting`` is then set if it is large: small values that were chosen before it
-        should wait too, since at every tick they use up what it needs.
+        If that value is large, ``is_waiting`` is set: small values chosen before it should wait
+        too, because they would use up the budget that it needs at every tick.
         """
-        kept = self._room * (1 - share)
+        reserved = self._room * (1 - share)
         for value in values:
             if not self._can_ever_hold(value):
                 continue
-            short = self._accepts_short(value)
-            need = self._measure(value, short=short)
-            if need > self._room - kept:
+            is_short = self._accepts_short(value)
+            size = self._measure(value, short=is_short)
+            if size > self._room - reserved:
                 if stops_when_full:
                     self.is_waiting = value.size_bound > LARGE_VALUE_BYTES
                     return False
                 continue
-            self._room -= need
-            self._put(value, short=short)
+            self._room -= size
+            self._put(value, short=is_short)
         return True
 
     def _can_ever_hold(self, value: Value) -> bool:
@@ -300,10 +304,10 @@
 
 
 def fill_frame(selection: Selection, pending: PendingValues, *, loads_first: bool) -> None:
-    """Fill a frame: urgent news, then load counts and ordinary news in turns.
+    """Fill a frame: urgent values, then load counts and ordinary values in turns.
 
-    Load counts never end and ordinary news may come in bulk; whichever always went
-    first would keep the other from being sent.
+    Load counts never end and there may be many ordinary values, so the kind that always went first
+    would starve the other.
     """
     share = URGENT_SHARE if pending.loads else 1.0
     selection.fill(pending.urgent[:1])
@@ -316,7 +320,7 @@
 
 
 def make_deltas(values: Iterable[Value], state: GossipState, now: float) -> tuple[Delta, ...]:
-    """Return the values in their form on the wire."""
+    """Return the values in their wire format."""
     entries: dict[str, list[Entry]] = {}
     for value in values:
         entries.setdefault(value.origin, []).append(value.get_entry(now))
--- a/chivetrack/components/gossip/sender.py
+++ b/chivetrack/components/gossip/sender.py
@@ -1,4 +1,4 @@
-"""Decides when to send to whom, and fills the frames."""
+"""Decides when to send to which peer, and fills the frames."""
 
 import random as random_module
 
@@ -31,7 +31,7 @@
 
 
 class Sender:
-    """Sends a frame at every tick, as far as the budget and the news go."""
+    """Sends a frame at every tick, as far as there are values and the budget allows."""
 
     def __init__(
         self,
@@ -59,8 +59,8 @@
         self._frames = TokenBucket(rate=MAX_FRAMES_PER_S, capacity=FRAME_BURST)
         self._peers: dict[str, Peer] = {}
         self._greetings: dict[str, Peer] = {}
-        self._near = Rotation(own_id=own.held.origin, random=random)
-        self._far = Rotation(own_id=own.held.origin, random=random)
+        self._near = Rotation(own_id=own.origin_state.origin, random=random)
+        self._far = Rotation(own_id=own.origin_state.origin, random=random)
         self._next_digest_start: dict[bool, str] = {}
         self._digest_due = 0.0
         self._ticks = 0
@@ -69,8 +69,8 @@
         self._largest_frame = get_largest_frame(budget)
 
     def set_peers(self, peers: list[Peer]) -> None:
-        """Replace the instances that frames are sent to."""
-        own_id = self._own.held.origin
+        """Replace the instances to which frames are sent."""
+        own_id = self._own.origin_state.origin
         known = {peer.instance_id: peer for peer in peers if peer.instance_id != own_id}
         for gone in self._peers.keys() - known.keys():
             self._outbox.drop_peer(gone)
@@ -81,11 +81,11 @@
 
     def greet(self, peer: Peer) -> None:
         """Send one frame with a digest to an instance that need not be a peer."""
-        if peer.instance_id != self._own.held.origin:
+        if peer.instance_id != self._own.origin_state.origin:
             self._greetings[peer.instance_id] = peer
 
     def get_topics(self, peer: str) -> frozenset[str] | None:
-        """Return the topics that a peer may be told of, ``None`` for all."""
+        """Return the topics that a peer may get, ``None`` for all."""
         known = self._peers.get(peer) or self._greetings.get(peer)
         near = known is None or known.region == self._region
         return None if near else self._fleet_topics
@@ -94,7 +94,7 @@
         return self._peers[peer].region != self._region
 
     def tick(self, now: float) -> list[Effect]:
-        """Send what is due; asks to be woken for the next tick."""
+        """Send the frames that are due, and schedule the next tick."""
         if now < self._next_tick:
             return [WakeAt(at=self._next_tick)]
         jitter = 1 + TICK_JITTER * (2 * self._random.random() - 1)
@@ -111,7 +111,7 @@
         return effects
 
     def _drop_known(self) -> None:
-        """Clear out what needs no sending, or it would count as backlog for ever."""
+        """Drop values that need no sending, which would otherwise count as backlog forever."""
         near, far = frozenset(self._near.members), frozenset(self._far.members)
         if near and not far:
             self._outbox.drop_known(near, topics=None)
@@ -124,18 +124,19 @@
             return [next(iter(self._greetings))]
         if self._ticks % TICKS_PER_ANSWER == 0 and (waiting := self._find_waiting()) is not None:
             return [waiting]
-        # In step with the rotation, a quiet instance would compare with one peer only.
+        # A digest peer is random: in a rotation in step with the digest interval, an instance
+        # with few updates would compare its state with one peer only.
         if self._near.members and self._is_digest_due(now):
             return [self._random.choice(self._near.members)]
         if self._ticks % TICKS_PER_FAR_REGION_FRAME == 0 and self._far.members:
-            return self._far.take(1)
+            return self._far.choose(1)
         extra = 2 if self._outbox.count_urgent() else 0
-        return self._near.take(1 + extra)
+        return self._near.choose(1 + extra)
 
     def _find_waiting(self) -> str | None:
-        """Return a peer that an answer waits for.
+        """Return a peer for which an answer is pending.
 
-        Left to the rotation, each of the three steps of a repair would take a round.
+        In the normal rotation, each of the three steps of a repair would take a whole round.
         """
         waiting = [
             peer
@@ -155,33 +156,33 @@
         unknown = self._answers.list_unknown_names(peer)
         room -= UNKNOWN_NAME_BYTES * len(unknown)
         pending = self._outbox.list_pending(peer, topics, now)
-        chosen = Selection(
+        selection = Selection(
             room=room,
             largest=self._largest_frame,
             accepts_short=lambda value: self._outbox.accepts_short(peer, value),
         )
-        fill_frame(chosen, pending, loads_first=self._loads_first)
+        fill_frame(selection, pending, loads_first=self._loads_first)
         is_urgent = bool(pending.urgent or digest)
-        may_wait = chosen.is_waiting and not self._budget.is_non_urgent_full(now)
+        may_wait = selection.is_waiting and not self._budget.is_non_urgent_full(now)
         if room < 0 or (may_wait and not is_urgent):
             self._answers.requeue(peer, summaries)
             return []
-        if not (chosen.values or digest or summaries or unknown):
+        if not (selection.values or digest or summaries or unknown):
             self._answers.requeue(peer, summaries)
             return []
-        deltas = make_deltas(chosen.full, self._state, now)
-        shorts = tuple(value.get_short_entry(now) for value in chosen.short)
+        deltas = make_deltas(selection.full, self._state, now)
+        shorts = tuple(value.get_short_entry(now) for value in selection.short)
         sent_ms = round(now * 1000)
         frame = GossipFrame(
-            self._own.held.incarnation, sent_ms, deltas, digest, summaries, shorts, unknown
+            self._own.origin_state.incarnation, sent_ms, deltas, digest, summaries, shorts, unknown
         )
         if not self._budget.charge(len(encode(frame)), now):
             self._answers.requeue(peer, summaries)
             return []
         self._answers.mark_reported(peer)
-        self._frames.take(1, now)
+        self._frames.try_consume(1, now)
         self._loads_first = not self._loads_first
-        self._outbox.mark_sent(peer, chosen.values, peers=len(self._near.members), now=now)
+        self._outbox.mark_sent(peer, selection.values, peers=len(self._near.members), now=now)
         if digest is not None:
             self._digest_due = now + DIGEST_INTERVAL_S
             self._next_digest_start[topics is not None] = digest.end or ""
@@ -193,10 +194,10 @@
         return min(self._budget.get_non_urgent_room(now), self._largest_frame)
 
     def _is_digest_due(self, now: float) -> bool:
-        # Urgent news goes before a digest, but without an end to that a stream of it
-        # would put off repair for ever.
-        patience = MAX_DIGEST_DELAY_S if self._outbox.count_urgent() else 0.0
-        return now >= self._digest_due + patience
+        # Urgent values go before a digest, but only for a limited time: otherwise a stream
+        # of them would delay repair indefinitely.
+        max_delay_s = MAX_DIGEST_DELAY_S if self._outbox.count_urgent() else 0.0
+        return now >= self._digest_due + max_delay_s
 
     def _make_digest(self, peer: str, now: float) -> Digest:
         topics = self.get_topics(peer)
@@ -207,7 +208,7 @@
 
 
 def get_largest_frame(budget: ByteBudget) -> int:
-    """Return how many bytes of a frame are left for what it carries at most."""
+    """Return the largest size in bytes of a frame's content."""
     return budget.largest_message - FRAME_HEADER_BYTES
 
 
--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -15,7 +15,7 @@
 
 
 class ValueKey(NamedTuple):
-    """What names a value within its origin."""
+    """Identifies a value within its origin."""
 
     topic: str
     key: str
@@ -25,10 +25,9 @@
 class Value:
     """The latest value of a key.
 
-    ``born`` is the local time at which the origin published it, ``waiting_since``
-    the local time since which something has waited to be sent for this key.
-    ``known`` are the peers that surely have it or were sent it, ``sends`` counts
-    the latter.
+    ``published_at`` is the local time at which the origin published it, ``waiting_since`` the local
+    time since which a value of this key has waited to be sent. ``known_by`` are the peers that have
+    it or to which it was sent, ``send_count`` counts the latter.
     """
 
     origin: str
@@ -39,7 +38,7 @@
     published_at: float
     waiting_since: float
     key_hash: int
-    known: set[str]
+    known_by: set[str]
     size_bound: int
     send_count: int = 0
     is_current: bool = True
@@ -47,26 +46,26 @@
 
     @property
     def is_in_digests(self) -> bool:
-        """Return whether digests cover it."""
+        """Return whether digests cover this value."""
         return self.urgency != Urgency.LOAD
 
     @property
     def checksum(self) -> int:
-        """Return its share of the origin's checksum.
+        """Return this value's share of the origin's checksum.
 
-        The shares are combined by exclusive or, under which a cyclic redundancy check is
-        linear: different versions of two keys would often cancel out, and what a peer
-        lacks would never be found.
+        The shares are combined by exclusive or. A cyclic redundancy check is linear under exclusive
+        or, so different versions of two keys would often cancel out, and a value that a peer lacks
+        would never be found. A non-linear hash avoids this.
         """
         return xxhash.xxh32_intdigest(self.version.to_bytes(8, "big"), self.key_hash)
 
     def get_short_entry(self, now: float) -> ShortEntry:
-        """Return its short form in a frame that is sent at ``now``."""
+        """Return the short form for a frame that is sent at ``now``."""
         age_ms = max(0, round((now - self.published_at) * 1000))
         return ShortEntry(self.name_hash, self.version, age_ms, self.payload)
 
     def get_entry(self, now: float) -> Entry:
-        """Return its form in a frame that is sent at ``now``."""
+        """Return the full form for a frame that is sent at ``now``."""
         age_ms = max(0, round((now - self.published_at) * 1000))
         topic, key = self.key
         return Entry(topic, key, self.version, self.urgency, age_ms, self.payload)
@@ -79,18 +78,18 @@
 
 
 def hash_key(key: ValueKey) -> int:
-    """Return the 32-bit hash by which summaries name a key."""
+    """Return the 32-bit hash that identifies a key in summaries."""
     return zlib.crc32(f"{key.topic}\0{key.key}".encode())
 
 
 def hash_name(origin: str, incarnation: int, key: ValueKey) -> int:
-    """Return the 32-bit hash by which short entries name a load count."""
+    """Return the 32-bit hash that identifies a load count in short entries."""
     return zlib.crc32(f"{origin}\0{incarnation}\0{key.topic}\0{key.key}".encode())
 
 
 @dataclass(slots=True)
 class OriginState:
-    """All values of one origin; ``last_seen_at`` is when it last certainly lived."""
+    """All values of one origin; ``last_seen_at`` is when it was last certainly alive."""
 
     origin: str
     incarnation: int
@@ -112,14 +111,14 @@
         return checksum
 
     def put(self, value: Value) -> None:
-        """Hold a newer value in place of the one before it."""
+        """Store a newer value in place of the previous one."""
         old = self.values.get(value.key)
         if old is not None:
             old.is_current = False
         self.values[value.key] = value
 
     def drop_below_floor(self, floor: int) -> list[Value]:
-        """Raise the floor and return the values that it voids."""
+        """Raise the floor, and remove and return the values that it voids."""
         self.floor = max(self.floor, floor)
         void = [value for value in self.values.values() if value.version <= self.floor]
         for value in void:
@@ -130,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MergeResult:
-    """What a delta changed."""
+    """Values that a delta stored, repeated and dropped."""
 
     put: tuple[Value, ...] = ()
     repeated: tuple[Value, ...] = ()
@@ -138,17 +137,17 @@
 
 
 class GossipState:
-    """Everything held of all origins; refuses what is older than what it has."""
+    """State of all origins; rejects values older than the ones held."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start without origins."""
         self.origins: dict[str, OriginState] = {}
         self._min_incarnations: dict[str, int] = {}
         self._removed: set[str] = set()
         self._short_names: dict[int, Value] = {}
 
     def open_origin(self, origin: str, incarnation: int) -> OriginState:
-        """Return the state of an origin, created if need be."""
+        """Return the state of an origin, created if needed."""
         state = self.origins.get(origin)
         if state is None:
             state = OriginState(origin=origin, incarnation=incarnation)
@@ -158,7 +157,7 @@
         return state
 
     def remove_instance(self, origin: str) -> None:
-        """Drop all values of an origin that is gone; its incarnation is remembered."""
+        """Remove all values of an origin; its incarnation is remembered."""
         state = self.origins.pop(origin, None)
         if state is None:
             return
@@ -166,7 +165,7 @@
         self._removed.add(origin)
 
     def expand(self, short: ShortEntry) -> Delta | None:
-        """Return a short entry in full, or ``None`` if its name was never seen."""
+        """Return a short entry in full form, or ``None`` if its name is unknown."""
         named = self._short_names.get(short.name_hash)
         held = None if named is None else self.origins.get(named.origin)
         if named is None or held is None:
@@ -178,13 +177,13 @@
         return Delta(held.origin, held.incarnation, held.floor, (entry,))
 
     def is_removed(self, origin: str) -> bool:
-        """Return whether the origin was dropped and has shown no life since."""
+        """Return whether the origin was removed and has not been seen alive since."""
         return origin in self._removed
 
     def merge(self, delta: Delta, *, source: str, extra_age_s: float, now: float) -> MergeResult:
-        """Take in the newer values of a delta."""
-        # A restarted origin would be overwritten by relays that still hold what it
-        # said before; an older incarnation is refused whoever brings it.
+        """Store the newer values of a delta."""
+        # Peers that still hold values from before a restart would overwrite the new ones, so
+        # an older incarnation is rejected from any source.
         if delta.incarnation < self._min_incarnations.get(delta.origin, 0):
             return MergeResult()
         state = self.open_origin(delta.origin, delta.incarnation)
@@ -205,7 +204,7 @@
             if held is not None and held.version == entry.version:
                 repeated.append(held)
         for value in (*put, *repeated):
-            value.known.add(source)
+            value.known_by.add(source)
         return MergeResult(put=tuple(put), repeated=tuple(repeated), dropped=tuple(dropped))
 
     def _drop_names(self, state: OriginState) -> None:
@@ -238,7 +237,7 @@
             published_at=published_at,
             waiting_since=now if held is None or held.send_count else held.waiting_since,
             key_hash=hash_key(key) if held is None else held.key_hash,
-            known={state.origin},
+            known_by={state.origin},
             size_bound=bound_size(key, entry.payload),
         )
         state.put(value)
--- a/tests/components/gossip/fleet.py
+++ b/tests/components/gossip/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of gossips on the network in memory."""
+"""A fleet of gossip instances on the in-memory network."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 class GossipFleet:
-    """Some gossips that know each other, and what each was told on one topic."""
+    """Gossip instances that know each other, and the updates that each got on one topic."""
 
     def __init__(self, size: int, *, seed: int = 1, budget_bytes_per_s: int = 4096) -> None:
         self.network = Network(seed=seed)
@@ -18,7 +18,7 @@
         self.seed = seed
         self.budget = budget_bytes_per_s
         self.gossips: dict[str, Gossip] = {}
-        self.news: dict[str, list[ValueUpdate]] = {name: [] for name in self.names}
+        self.updates: dict[str, list[ValueUpdate]] = {name: [] for name in self.names}
         for name in self.names:
             self.start(name, incarnation=1)
 
@@ -30,14 +30,16 @@
             budget_bytes_per_s=self.budget,
         )
         gossip.set_peers([Peer(instance_id=other, region="") for other in self.names])
-        gossip.subscribe(TOPIC, self.news[name].append)
+        gossip.subscribe(TOPIC, self.updates[name].append)
         self.gossips[name] = gossip
         self.network.start(name, [gossip], clock_offset_s=clock_offset_s)
         return gossip
 
     def list_held(self, name: str, origin: str) -> dict[str, bytes | None]:
-        """Return the latest value of each key of an origin as told to a node."""
-        return {news.key: news.payload for news in self.news[name] if news.origin == origin}
+        """Return the latest value of each key of an origin that a node was notified of."""
+        return {
+            update.key: update.payload for update in self.updates[name] if update.origin == origin
+        }
 
     def count_holders(self, origin: str, key: str, payload: bytes | None) -> int:
         return sum(
@@ -47,10 +49,10 @@
         )
 
     def find_max_bytes_per_s(self, name: str) -> int:
-        """Return the most bytes that one start of a node sent in any window of one second.
+        """Return the most bytes that one incarnation of a node sent in any window of one second.
 
-        Nodes restart in no time here, which a process can't; the seconds before and after
-        are of two processes.
+        Nodes restart instantly here, which a process can't, so a second that spans a restart is not
+        counted as one.
         """
         sent = [sent for sent in self.network.sent if sent.source == name]
         return max(
--- a/tests/components/gossip/test_gossip.py
+++ b/tests/components/gossip/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip under loss, cuts, restarts and floods of news."""
+"""Gossip under message loss, network cuts, restarts and floods of updates."""
 
 import random
 import unittest
@@ -24,11 +24,11 @@
 
 
 class SpreadTest(unittest.TestCase):
-    def test_reaches_everyone_under_faults(self) -> None:
-        """Frames are lost, doubled and overtake each other, and values are overwritten.
+    def test_values_reach_all_instances_under_faults(self) -> None:
+        """Guards against lost or reordered values when frames are lost, duplicated and reordered.
 
-        Whatever the fault, after a few digests every instance holds the last value of
-        each key and has never been told an older one after a newer one.
+        Whatever the fault, after a few digests every instance holds the last value of each key and
+        was never notified of an older value after a newer one.
         """
         cases = {
             "no fault": (0.0, 0.0, 0.005),
@@ -59,16 +59,17 @@
         for (origin, key), payload in last.items():
             self.assertEqual(fleet.count_holders(origin, key, payload), 8, (origin, key))
         for name in fleet.names:
-            told = [(n.origin, n.key, n.payload) for n in fleet.news[name]]
+            notified = [(n.origin, n.key, n.payload) for n in fleet.updates[name]]
             for origin, key in last:
-                values = [value for o, k, value in told if (o, k) == (origin, key)]
+                values = [value for o, k, value in notified if (o, k) == (origin, key)]
                 self.assertEqual(values, sorted(values))
 
     def test_a_cut_off_side_catches_up(self) -> None:
-        """Three routers hold 100 keys and are cut off while 200 more come and 100 change.
+        """Guards against values that stay missing after a network cut.
 
-        Their peers count the news as sent. Only the digests after the healing show that
-        it never came, and the summaries go key range by key range.
+        Three routers hold 100 keys and are cut off while 200 keys are added and 100 change. Their
+        peers count the updates as sent. Only the digests after the cut show that they were lost,
+        and the summaries cover one range of keys at a time.
         """
         fleet = GossipFleet(9)
         self._publish(fleet, 100, b"1" * 40)
@@ -90,7 +91,7 @@
                 TOPIC, f"key-{index}", payload, Urgency.ANNOUNCEMENT, now=fleet.network.now
             )
 
-    def test_a_later_joiner_gets_everything(self) -> None:
+    def test_a_later_joiner_gets_all_values(self) -> None:
         fleet = GossipFleet(5)
         fleet.network.kill("router-4")
         fleet.gossips[ORIGIN].publish(TOPIC, "key", b"value", Urgency.REST, now=0.0)
@@ -101,7 +102,7 @@
 
 
 class ShortNameTest(unittest.TestCase):
-    """Load counts go under short names, which a peer can't read before it saw the full one."""
+    """Load counts are sent under short names, which a peer can't read before the full name."""
 
     def run_publishing(self, fleet: GossipFleet, seconds: float) -> None:
         for _ in range(int(seconds * 10)):
@@ -110,38 +111,40 @@
             fleet.network.run_for(0.1)
 
     def test_a_restarted_router_gets_full_names_at_once(self) -> None:
-        """A router restarts empty; its peers count the full names as sent to it.
+        """Guards against a restarted router without load counts.
 
-        Until their next full ones it would place requests without any load counts.
+        It restarts without state while its peers count the full names as sent to it. Until their
+        next full names it would place requests without any load counts.
         """
         for seed in range(4):
             with self.subTest(seed=seed):
                 fleet = GossipFleet(9, seed=seed)
                 self.run_publishing(fleet, 10)
                 fleet.network.kill("router-4")
-                fleet.news["router-4"].clear()
+                fleet.updates["router-4"].clear()
                 fleet.start("router-4", incarnation=2)
                 self.run_publishing(fleet, 1.2)
-                self.assertEqual(len({news.origin for news in fleet.news["router-4"]}), 8)
+                self.assertEqual(len({update.origin for update in fleet.updates["router-4"]}), 8)
 
     def test_a_lost_full_name_is_sent_again(self) -> None:
-        """The first frames between two routers are lost, the only ones with full names.
+        """Guards against two routers that never read each other's load counts.
 
-        Without a full name now and then they would never read each other's counts.
+        The first frames between them, the only ones with full names, are lost.
         """
         fleet = GossipFleet(2)
         fleet.network.cut(["router-0"], ["router-1"], one_way=True)
         self.run_publishing(fleet, 2)
         fleet.network.heal()
         self.run_publishing(fleet, 4)
-        self.assertNotEqual(fleet.news["router-1"], [])
+        self.assertNotEqual(fleet.updates["router-1"], [])
 
 
 class ChecksumTest(unittest.TestCase):
     def test_versions_of_two_keys_do_not_cancel_out(self) -> None:
-        """One instance holds two keys at versions 4 and 7, another at 5 and 6.
+        """Guards against a difference that no digest shows.
 
-        A linear hash gives both the same checksum, so that no digest would ever show it.
+        One instance holds two keys at versions 4 and 7, another one at 5 and 6. A linear hash gives
+        both the same checksum.
         """
         seen: set[int] = set()
         for first in range(1, 9):
@@ -159,10 +162,9 @@
 
 class BudgetTest(unittest.TestCase):
     def test_no_second_exceeds_the_budget(self) -> None:
-        """Every router publishes far more than can be sent, urgent news among it.
+        """Guards against control traffic above the budget when routers publish too much.
 
-        The operator sees the bytes of a second stay below the setting whatever the load,
-        since a frame that is not paid for is not sent.
+        A frame that can't be charged is not sent, urgent values included.
         """
         for budget in (2048, 4096, 19 * 1024):
             with self.subTest(budget=budget):
@@ -183,11 +185,11 @@
                     fleet.gossips[name].publish(TOPIC, key, payload, urgency, now=fleet.network.now)
             fleet.network.run_for(0.1)
 
-    def test_leaving_overtakes_what_waits(self) -> None:
-        """300 announcements wait, over a minute's worth of budget, when an endpoint leaves.
+    def test_leaving_overtakes_waiting_values(self) -> None:
+        """Guards against a departure that waits behind 300 announcements.
 
-        In the order of arrival the news would come after a minute; callers would be sent
-        to the leaving endpoint all that time. It is to be everywhere within 2 seconds.
+        These are over a minute's worth of budget. In the order of arrival, callers would be sent to
+        the leaving endpoint all that time. The departure has to be everywhere within 2 seconds.
         """
         fleet = GossipFleet(9)
         gossip = fleet.gossips[ORIGIN]
@@ -200,7 +202,7 @@
         self.assertLess(len(fleet.list_held("router-5", ORIGIN)), 150)
 
     def stream(self, urgency: Urgency, *, size: int, waiting: int, urgent_keys: int) -> set[str]:
-        """Fill the budget with one kind of news; return which waiting keys came through."""
+        """Fill the budget with values of one kind; return which waiting keys were received."""
         fleet = GossipFleet(4, budget_bytes_per_s=4096)
         gossip = fleet.gossips[ORIGIN]
         gossip.publish(TOPIC, "rest", bytes(waiting), Urgency.REST, now=0.0)
@@ -210,26 +212,25 @@
                 gossip.publish(TOPIC, f"u-{index}", bytes(size), urgency, now=now)
             gossip.publish(TOPIC, "load", bytes(waiting), Urgency.LOAD, now=now)
             fleet.network.run_for(0.1)
-        came = {key for name in fleet.names[1:] for key in fleet.list_held(name, ORIGIN)}
-        return came & {"rest", "load"}
+        received = {key for name in fleet.names[1:] for key in fleet.list_held(name, ORIGIN)}
+        return received & {"rest", "load"}
 
-    def test_a_stream_of_news_does_not_starve_the_rest(self) -> None:
-        """News of one kind fills the budget without a pause while a key and counts wait.
+    def test_a_stream_of_values_does_not_starve_others(self) -> None:
+        """Guards against a key and load counts starved by a steady stream of values of one kind.
 
-        Sent strictly by urgency they would wait for ever. Waiting raises the urgency, and
-        urgent news leaves a part of each frame to load counts.
+        Waiting raises the urgency, and urgent values leave a share of each frame to load counts.
         """
         for urgency in (Urgency.OVERLOAD, Urgency.ANNOUNCEMENT):
             with self.subTest(urgency=urgency):
-                came = self.stream(urgency, size=200, waiting=200, urgent_keys=20)
-                self.assertIn("rest", came)
-        came = self.stream(Urgency.OVERLOAD, size=60, waiting=100, urgent_keys=12)
-        self.assertIn("load", came)
+                received = self.stream(urgency, size=200, waiting=200, urgent_keys=20)
+                self.assertIn("rest", received)
+        received = self.stream(Urgency.OVERLOAD, size=60, waiting=100, urgent_keys=12)
+        self.assertIn("load", received)
 
     def test_large_load_counts_get_through_small_ones(self) -> None:
-        """A router with many engines has counts of 700 bytes, the others many small ones.
+        """Guards against a large load count starved by small ones, which fit into every frame.
 
-        Small ones fit into every frame; the large one has to get through all the same.
+        A router with many engines has counts of 700 bytes, the others many small ones.
         """
         fleet = GossipFleet(5)
         for _ in range(200):
@@ -242,14 +243,15 @@
                     )
             fleet.network.run_for(0.1)
         for name in fleet.names[1:]:
-            came = [news for news in fleet.news[name] if news.key == "large"]
-            self.assertGreater(len(came), 5, name)
+            received = [update for update in fleet.updates[name] if update.key == "large"]
+            self.assertGreater(len(received), 5, name)
 
     def test_bulk_and_load_counts_take_turns(self) -> None:
-        """400 announcements wait while everyone's large load counts change all the time.
+        """Guards against announcements and load counts that starve each other.
 
-        Either could fill every frame. Placement needs the counts, and a router that is
-        never told of an endpoint can't use it; both have to get through.
+        400 announcements wait while large load counts of all routers change continuously; either
+        could fill every frame. Placement needs the counts, and a router can't use an endpoint
+        without its announcement.
         """
         fleet = GossipFleet(6)
         for index in range(400):
@@ -263,23 +265,23 @@
                 )
             fleet.network.run_for(0.1)
         for name in fleet.names[1:]:
-            loads = [news for news in fleet.news[name] if news.key == "load"]
-            self.assertEqual(len({news.origin for news in loads}), 5, name)
+            loads = [update for update in fleet.updates[name] if update.key == "load"]
+            self.assertEqual(len({update.origin for update in loads}), 5, name)
             self.assertGreater(len(loads), 20, name)
             self.assertGreater(len(fleet.list_held(name, ORIGIN)), 20, name)
 
-    def test_refuses_what_no_frame_can_hold(self) -> None:
+    def test_rejects_a_value_that_no_frame_can_hold(self) -> None:
         gossip = GossipFleet(2).gossips[ORIGIN]
         refused = gossip.publish(TOPIC, "key", bytes(4096), Urgency.REST, now=0.0)
         self.assertEqual(refused.swap().ok.code, "gossip_value_too_large")
 
 
 class IncarnationTest(unittest.TestCase):
-    def test_a_restart_replaces_and_the_old_never_returns(self) -> None:
-        """A router restarts with one key while a cut-off peer still holds its old ones.
+    def test_values_of_an_earlier_start_never_return(self) -> None:
+        """Guards against keys of an earlier start that return from a peer that was cut off.
 
-        When the peer comes back it hands on what it holds. Taken in, keys that the new
-        start never published would live for ever.
+        When the cut ends, the peer forwards what it holds. If these values were stored, keys that
+        the new start never published would stay forever.
         """
         fleet = GossipFleet(5)
         for key in ("kept", "gone"):
@@ -294,8 +296,8 @@
         for name in fleet.names[1:]:
             self.assertEqual(fleet.list_held(name, ORIGIN), {"kept": b"2", "gone": None}, name)
 
-    def test_a_late_frame_of_an_earlier_start_is_refused(self) -> None:
-        """A relay's frame from before the restart arrives after the first one since."""
+    def test_a_late_frame_of_an_earlier_start_is_rejected(self) -> None:
+        """A relayed frame from before the restart arrives after the first frame since."""
         fleet = GossipFleet(2)
         for incarnation, key in ((2, "new"), (1, "old")):
             entry = Entry(TOPIC, key, 5, int(Urgency.REST), 0, b"1")
@@ -304,11 +306,11 @@
             fleet.gossips[ORIGIN].handle(event, now=1.0)
         self.assertEqual(fleet.list_held(ORIGIN, "router-9"), {"new": b"1"})
 
-    def test_a_start_with_a_lower_incarnation_outbids(self) -> None:
-        """A router's clock went back, so it starts with a lower incarnation than before.
+    def test_a_start_with_a_lower_incarnation_chooses_a_higher_one(self) -> None:
+        """Guards against a router whose values are ignored because its clock was set back.
 
-        Its peers refuse all it says. It must learn that from what they hold of it and
-        take a higher number, or it stays mute until they restart.
+        It starts with a lower incarnation than before, and its peers reject all of its values. It
+        must learn this from the values that they hold and choose a higher incarnation.
         """
         for incarnation in (3, 7):
             with self.subTest(incarnation=incarnation):
@@ -326,10 +328,10 @@
                 self.assertEqual(fleet.count_holders(ORIGIN, "old", None), 3)
 
     def test_retracted_keys_do_not_return_from_a_cut_off_peer(self) -> None:
-        """Keys are retracted while a peer is cut off; there are so many that they are dropped.
+        """Guards against retracted keys that return from a peer that was cut off.
 
-        The peer holds them as live. Without the floor it would hand them back to all who
-        have forgotten that they were retracted.
+        So many keys are retracted that they are dropped, while the peer holds them as live. Without
+        the floor it would send them to all peers that have dropped them.
         """
         fleet = GossipFleet(4)
         gossip = fleet.gossips[ORIGIN]
@@ -350,11 +352,11 @@
 
 
 class AgeTest(unittest.TestCase):
-    def test_age_adds_up_over_hops_and_clocks_that_differ(self) -> None:
-        """News goes from A over B to C, whose monotonic clocks started at different times.
+    def test_age_adds_up_over_hops_with_different_clocks(self) -> None:
+        """Guards against ages computed from the clock of another machine.
 
-        A lease that is counted from a clock of another machine would end hours early or
-        late, so only local differences may be used.
+        An update goes from A over B to C, whose monotonic clocks started at different times. A
+        lease counted from another machine's clock would end hours early or late.
         """
         fleet = GossipFleet(3)
         for index, name in enumerate(fleet.names):
@@ -367,25 +369,25 @@
         fleet.network.heal()
         fleet.network.cut(["router-0"], ["router-2"])
         fleet.network.run_for(13)
-        news = fleet.news["router-2"][-1]
-        self.assertAlmostEqual(news.age_s, news.now - 80.0, delta=0.05)
-        self.assertGreater(news.age_s, 7.0)
+        update = fleet.updates["router-2"][-1]
+        self.assertAlmostEqual(update.age_s, update.now - 80.0, delta=0.05)
+        self.assertGreater(update.age_s, 7.0)
 
-    def test_time_in_a_queue_counts(self) -> None:
-        """A frame waits 9 s in a frozen sender's queue after it was made.
+    def test_age_includes_time_in_a_queue(self) -> None:
+        """Guards against ages that omit the time in a queue of a frozen sender.
 
-        Counted from receipt, what it says would look 9 s too young and leases would
-        outlive their endpoints by that.
+        Counted from receipt, the values in a frame that waited 9 s would look 9 s too recent, and
+        leases would outlive their endpoints by this time.
         """
-        told: list[ValueUpdate] = []
+        updates: list[ValueUpdate] = []
         gossip = Gossip(instance_id="b", incarnation=1, random=random.Random(1))
-        gossip.subscribe(TOPIC, told.append)
+        gossip.subscribe(TOPIC, updates.append)
         for sent, received in ((100.0, 7.0), (101.0, 8.001), (102.0, 18.0)):
             entry = Entry(TOPIC, "key", int(sent), int(Urgency.REST), 500, b"1")
             frame = GossipFrame(1, int(sent * 1000), (Delta("a", 1, 0, (entry,)),))
             gossip.handle(MessageReceived(source="a", message=frame), now=received)
-        for news, age in zip(told, (0.5, 0.501, 9.5), strict=True):
-            self.assertAlmostEqual(news.age_s, age, delta=0.01)
+        for update, age in zip(updates, (0.5, 0.501, 9.5), strict=True):
+            self.assertAlmostEqual(update.age_s, age, delta=0.01)
 
 
 class RegionTest(unittest.TestCase):
@@ -411,17 +413,17 @@
 
 
 class ForgetTest(unittest.TestCase):
-    def test_a_forgotten_origin_returns_only_alive(self) -> None:
-        """One router drops a dead one's values; its peer, which has not yet, offers them again.
+    def test_a_removed_origin_returns_only_alive(self) -> None:
+        """Guards against two routers that revive a dead origin for each other forever.
 
-        Taken back, the two would go on reviving them for each other for ever.
+        One router has removed its values; the other, which has not yet, offers them again.
         """
         fleet = GossipFleet(3)
         fleet.gossips[ORIGIN].publish(TOPIC, "key", b"1", Urgency.REST, now=0.0)
         fleet.network.run_for(5)
         fleet.network.kill(ORIGIN)
         fleet.network.run_for(90)
-        fleet.gossips["router-1"].forget(ORIGIN)
+        fleet.gossips["router-1"].remove_instance(ORIGIN)
         fleet.network.run_for(20)
         self.assertIsNone(fleet.gossips["router-1"].get_last_seen(ORIGIN))
         fleet.start(ORIGIN, incarnation=2)
@@ -429,11 +431,11 @@
         fleet.network.run_for(10)
         self.assertEqual(fleet.count_holders(ORIGIN, "key", b"2"), 2)
 
-    def test_a_forgotten_origin_is_not_asked_for(self) -> None:
-        """Peers that have not forgotten it yet list it in every digest for two minutes."""
+    def test_a_removed_origin_is_not_requested(self) -> None:
+        """Peers that have not removed it yet list it in every digest for two minutes."""
         state = GossipState()
         state.open_origin("gone", 1)
-        state.forget("gone")
+        state.remove_instance("gone")
         digest = Digest("", None, (OriginDigest("gone", 1, 0, 5), OriginDigest("new", 1, 0, 5)))
         found = compare_digest(state, digest, topics=None)
         self.assertEqual(found.differing, ["new"])
