--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -165,7 +165,7 @@
             self._close(link)
         now = time.monotonic()
         for queued_at, one in queued:
-            self.traffic.note_wait(one.kind, now - queued_at)
+            self.traffic.record_wait(one.kind, now - queued_at)
 
     def _count_sent(self, batch: list[_Packed], frame: bytes) -> None:
         self.traffic.sent_batches += 1
--- a/chivetrack/components/peers/outbox.py
+++ b/chivetrack/components/peers/outbox.py
@@ -26,7 +26,7 @@
     """Bytes of the messages themselves, by their name on the wire."""
     _longest_waits: dict[str, float] = field(default_factory=dict)
 
-    def note_wait(self, kind: str, wait_s: float) -> None:
+    def record_wait(self, kind: str, wait_s: float) -> None:
         """Note how long a message waited until the kernel had taken all of it."""
         if wait_s > self._longest_waits.get(kind, 0.0):
             self._longest_waits[kind] = wait_s
--- a/tests/components/peers/test_outbox.py
+++ b/tests/components/peers/test_outbox.py
@@ -10,7 +10,7 @@
         """Guards against a full link that no line shows: only the newest wait was kept."""
         traffic = TrafficCount()
         for kind, wait_s in (("log", 0.2), ("log", 0.1), ("view", 1.5)):
-            traffic.note_wait(kind, wait_s)
+            traffic.record_wait(kind, wait_s)
         self.assertEqual(traffic.take_longest_waits(), {"log": 0.2, "view": 1.5})
         self.assertEqual(traffic.take_longest_waits(), {})
 
