--- a/chivetrack/components/peers/outbox.py
+++ b/chivetrack/components/peers/outbox.py
@@ -31,7 +31,7 @@
         if wait_s > self._longest_waits.get(kind, 0.0):
             self._longest_waits[kind] = wait_s
 
-    def take_longest_waits(self) -> dict[str, float]:
+    def pop_longest_waits(self) -> dict[str, float]:
         """Return the longest wait (s) by kind since the last call."""
         waits, self._longest_waits = self._longest_waits, {}
         return waits
--- a/chivetrack/daemon/fleet/peering.py
+++ b/chivetrack/daemon/fleet/peering.py
@@ -55,7 +55,7 @@
         self._kinds_before = traffic.sent_by_kind.copy()
         received_by_kind = traffic.received_by_kind - self._received_before
         self._received_before = traffic.received_by_kind.copy()
-        waits = traffic.take_longest_waits()
+        waits = traffic.pop_longest_waits()
         self._events.write(
             "peer_traffic",
             sent=sent,
--- a/tests/components/peers/test_outbox.py
+++ b/tests/components/peers/test_outbox.py
@@ -11,8 +11,8 @@
         traffic = TrafficCount()
         for kind, wait_s in (("log", 0.2), ("log", 0.1), ("view", 1.5)):
             traffic.record_wait(kind, wait_s)
-        self.assertEqual(traffic.take_longest_waits(), {"log": 0.2, "view": 1.5})
-        self.assertEqual(traffic.take_longest_waits(), {})
+        self.assertEqual(traffic.pop_longest_waits(), {"log": 0.2, "view": 1.5})
+        self.assertEqual(traffic.pop_longest_waits(), {})
 
 
 if __name__ == "__main__":
