--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -137,7 +137,7 @@
         while outbox.ready.wait(IDLE_LINK_S):
             link = self._links.get(target) or self._dial(target)
             if link is None:
-                outbox.drop_old(max_wait_s=MAX_WAIT_S)
+                outbox.drop_expired(max_wait_s=MAX_WAIT_S)
                 gevent.sleep(wait_s)
                 wait_s = min(REDIAL_MAX_S, 2 * wait_s)
                 continue
@@ -150,7 +150,7 @@
             self._close(link)
 
     def _send_waiting(self, link: _Link, outbox: Outbox[_Packed]) -> None:
-        outbox.drop_old(max_wait_s=MAX_WAIT_S)
+        outbox.drop_expired(max_wait_s=MAX_WAIT_S)
         queued = outbox.take(BATCH_LIMIT)
         if not queued:
             return
--- a/chivetrack/components/peers/outbox.py
+++ b/chivetrack/components/peers/outbox.py
@@ -61,7 +61,7 @@
         self._note_empty()
         return items
 
-    def drop_old(self, *, max_wait_s: float) -> None:
+    def drop_expired(self, *, max_wait_s: float) -> None:
         """Drop what has waited for ``max_wait_s`` or longer."""
         oldest = time.monotonic() - max_wait_s
         while self._waiting and self._waiting[0][0] <= oldest:
--- a/chivetrack/components/peers/transport.py
+++ b/chivetrack/components/peers/transport.py
@@ -149,7 +149,7 @@
             outbox.ready.wait()
             address = self._find_address(target)
             if address is None:
-                outbox.drop_old(max_wait_s=0.0)
+                outbox.drop_expired(max_wait_s=0.0)
                 continue
             stream = _Stream(address)
             try:
@@ -180,7 +180,7 @@
                 yield batch
 
     def _take_batch(self, outbox: Outbox[peer_pb2.Envelope]) -> peer_pb2.Batch | None:
-        outbox.drop_old(max_wait_s=MAX_WAIT_S)
+        outbox.drop_expired(max_wait_s=MAX_WAIT_S)
         envelopes = [envelope for _, envelope in outbox.take(BATCH_LIMIT)]
         if not envelopes:
             return None
