--- a/chivetrack/components/peers/outbox.py
+++ b/chivetrack/components/peers/outbox.py
@@ -58,7 +58,7 @@
         """Remove and return the oldest items, at most ``limit``, with when they were queued."""
         count = min(len(self._waiting), limit)
         items = [self._waiting.popleft() for _ in range(count)]
-        self._note_empty()
+        self._clear_ready()
         return items
 
     def drop_expired(self, *, max_wait_s: float) -> None:
@@ -67,8 +67,8 @@
         while self._waiting and self._waiting[0][0] <= oldest:
             self._waiting.popleft()
             self.traffic.dropped_messages += 1
-        self._note_empty()
+        self._clear_ready()
 
-    def _note_empty(self) -> None:
+    def _clear_ready(self) -> None:
         if not self._waiting:
             self.ready.clear()
