--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -151,7 +151,7 @@
 
     def _send_waiting(self, link: _Link, outbox: Outbox[_Packed]) -> None:
         outbox.drop_expired(max_wait_s=MAX_WAIT_S)
-        queued = outbox.take(BATCH_LIMIT)
+        queued = outbox.pop(BATCH_LIMIT)
         if not queued:
             return
         batch = [one for _, one in queued]
--- a/chivetrack/components/peers/outbox.py
+++ b/chivetrack/components/peers/outbox.py
@@ -54,7 +54,7 @@
         self._waiting.append((time.monotonic(), item))
         self.ready.set()
 
-    def take(self, limit: int) -> list[tuple[float, ItemT]]:
+    def pop(self, limit: int) -> list[tuple[float, ItemT]]:
         """Remove and return the oldest items, at most ``limit``, with when they were queued."""
         count = min(len(self._waiting), limit)
         items = [self._waiting.popleft() for _ in range(count)]
--- a/chivetrack/components/peers/transport.py
+++ b/chivetrack/components/peers/transport.py
@@ -181,7 +181,7 @@
 
     def _take_batch(self, outbox: Outbox[peer_pb2.Envelope]) -> peer_pb2.Batch | None:
         outbox.drop_expired(max_wait_s=MAX_WAIT_S)
-        envelopes = [envelope for _, envelope in outbox.take(BATCH_LIMIT)]
+        envelopes = [envelope for _, envelope in outbox.pop(BATCH_LIMIT)]
         if not envelopes:
             return None
         batch = peer_pb2.Batch(
