--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -220,7 +220,7 @@
                 self.traffic.received_bytes += len(data)
                 for kind, payload in reader.feed(data):
                     self.traffic.received_by_kind[kind] += len(payload)
-                    self._take(link, kind, payload)
+                    self._handle_message(link, kind, payload)
         except FrameError as error:
             self._on_error(f"bad frame from {link.peer or 'an unnamed instance'}: {error}")
         except OSError:
@@ -228,7 +228,7 @@
         finally:
             self._close(link)
 
-    def _take(self, link: _Link, kind: str, payload: bytes) -> None:
+    def _handle_message(self, link: _Link, kind: str, payload: bytes) -> None:
         try:
             message = decode(kind, payload)
         except DecodeError as error:
