--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -135,7 +135,7 @@
     def _run_sender(self, target: str, outbox: Outbox[_Packed]) -> None:
         wait_s = REDIAL_MIN_S
         while outbox.ready.wait(IDLE_LINK_S):
-            link = self._links.get(target) or self._dial(target)
+            link = self._links.get(target) or self._connect(target)
             if link is None:
                 outbox.drop_expired(max_wait_s=MAX_WAIT_S)
                 gevent.sleep(wait_s)
@@ -173,7 +173,7 @@
         for one in batch:
             self.traffic.sent_by_kind[one.kind] += len(one.body)
 
-    def _dial(self, target: str) -> _Link | None:
+    def _connect(self, target: str) -> _Link | None:
         host, _, port = target.rpartition(":")
         try:
             opened = gevent_socket.create_connection((host, int(port)), CONNECT_TIMEOUT_S)
