--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -186,7 +186,7 @@
         except OSError:
             link.close()
             return None
-        self._adopt(link, target)
+        self._register(link, target)
         reader = gevent.spawn(self._read, link)
         self._readers.add(reader)
         reader.link(self._readers.discard)
@@ -203,7 +203,7 @@
             return
         self._read(link)
 
-    def _adopt(self, link: _Link, peer: str) -> None:
+    def _register(self, link: _Link, peer: str) -> None:
         """Use a link for what goes to ``peer`` from now on."""
         link.peer = peer
         before = self._links.get(peer)
@@ -236,7 +236,7 @@
             self._on_error(f"bad message from {link.peer}: {error}")
             return
         if isinstance(message, Hello):
-            self._adopt(link, message.source)
+            self._register(link, message.source)
         elif link.peer:
             self._on_message(link.peer, message)
         else:
