--- a/chivetrack/components/peers/transport.py
+++ b/chivetrack/components/peers/transport.py
@@ -118,7 +118,7 @@
         peer_pb2_grpc.add_PeerServicer_to_server(_Servicer(transport=self), self._server)
         self._bind(listen, server_credentials)
         self._advertised = advertised
-        self._learned: dict[str, str] = {}
+        self._learned_addresses: dict[str, str] = {}
 
     def _bind(self, listen: str, credentials: grpc.ServerCredentials | None) -> int:
         if credentials is None:
@@ -164,7 +164,7 @@
                 gevent.sleep(0)
 
     def _find_address(self, target: str) -> str | None:
-        return self._resolve(target) or self._learned.get(target)
+        return self._resolve(target) or self._learned_addresses.get(target)
 
     def _make_batches(
         self, target: str, outbox: Outbox[peer_pb2.Envelope], stream: _Stream
@@ -215,7 +215,7 @@
     def receive_batch(self, batch: peer_pb2.Batch) -> None:
         """Hand on the messages of a batch; one bad message does not hide the others."""
         self.traffic.received_bytes += batch.ByteSize()
-        self._learned[batch.source] = batch.source_address
+        self._learned_addresses[batch.source] = batch.source_address
         for envelope in batch.envelopes:
             try:
                 message = decode(envelope.kind, envelope.payload)
