--- a/chivetrack/components/peers/frames.py
+++ b/chivetrack/components/peers/frames.py
@@ -49,30 +49,30 @@
 
     def __init__(self) -> None:
         """Start at the beginning of a connection."""
-        self._left = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[tuple[str, bytes]]:
         """Return the messages that are complete now, as kind and payload.
 
         Raises ``FrameError`` for bytes that can't be a frame.
         """
-        self._left += data
+        self._buffer += data
         messages: list[tuple[str, bytes]] = []
         while (body := self._take_body()) is not None:
             messages += _decode_body(body)
         return messages
 
     def _take_body(self) -> bytes | None:
-        if len(self._left) < _HEAD.size:
+        if len(self._buffer) < _HEAD.size:
             return None
-        length, coding = _HEAD.unpack_from(self._left)
+        length, coding = _HEAD.unpack_from(self._buffer)
         if length > MAX_FRAME_BYTES:
             raise FrameError(f"a frame of {length} bytes is over the limit")
         end = _HEAD.size + length
-        if len(self._left) < end:
+        if len(self._buffer) < end:
             return None
-        body = bytes(self._left[_HEAD.size : end])
-        del self._left[:end]
+        body = bytes(self._buffer[_HEAD.size : end])
+        del self._buffer[:end]
         return _decompress(body) if coding == _COMPRESSED else body
 
 
