--- a/chivetrack/components/peers/frames.py
+++ b/chivetrack/components/peers/frames.py
@@ -58,11 +58,11 @@
         """
         self._buffer += data
         messages: list[tuple[str, bytes]] = []
-        while (body := self._take_body()) is not None:
+        while (body := self._pop_body()) is not None:
             messages += _decode_body(body)
         return messages
 
-    def _take_body(self) -> bytes | None:
+    def _pop_body(self) -> bytes | None:
         if len(self._buffer) < _HEAD.size:
             return None
         length, coding = _HEAD.unpack_from(self._buffer)
