--- a/chivetrack/components/peers/transport.py
+++ b/chivetrack/components/peers/transport.py
@@ -175,11 +175,11 @@
                 return
             if self._find_address(target) != stream.address:
                 return
-            batch = self._take_batch(outbox)
+            batch = self._pop_batch(outbox)
             if batch is not None:
                 yield batch
 
-    def _take_batch(self, outbox: Outbox[peer_pb2.Envelope]) -> peer_pb2.Batch | None:
+    def _pop_batch(self, outbox: Outbox[peer_pb2.Envelope]) -> peer_pb2.Batch | None:
         outbox.drop_expired(max_wait_s=MAX_WAIT_S)
         envelopes = [envelope for _, envelope in outbox.pop(BATCH_LIMIT)]
         if not envelopes:
