--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -20,9 +20,9 @@
     CONNECT_TIMEOUT_S,
     FRAME_OVERHEAD_BYTES,
     IDLE_LINK_S,
+    KEEPALIVE_IDLE_S,
     LINK_BACKLOG,
     MAX_WAIT_S,
-    PROBE_AFTER_S,
     PROBE_COUNT,
     PROBE_EVERY_S,
     READ_BYTES,
@@ -258,7 +258,7 @@
     opened.settimeout(None)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
