--- a/chivetrack/components/peers/const.py
+++ b/chivetrack/components/peers/const.py
@@ -45,7 +45,7 @@
 # A silent cut is noticed in 2 s where something was sent, in 4 s on an idle link.
 UNACKNOWLEDGED_MS: Final = 1500
 KEEPALIVE_IDLE_S: Final = 2
-PROBE_EVERY_S: Final = 1
+KEEPALIVE_INTERVAL_S: Final = 1
 PROBE_COUNT: Final = 2
 # The TCP/IP headers of a frame and of its acknowledgement.
 FRAME_OVERHEAD_BYTES: Final = 100
--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -21,10 +21,10 @@
     FRAME_OVERHEAD_BYTES,
     IDLE_LINK_S,
     KEEPALIVE_IDLE_S,
+    KEEPALIVE_INTERVAL_S,
     LINK_BACKLOG,
     MAX_WAIT_S,
     PROBE_COUNT,
-    PROBE_EVERY_S,
     READ_BYTES,
     REDIAL_MAX_S,
     REDIAL_MIN_S,
@@ -259,6 +259,6 @@
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
