--- a/chivetrack/components/peers/const.py
+++ b/chivetrack/components/peers/const.py
@@ -46,6 +46,6 @@
 UNACKNOWLEDGED_MS: Final = 1500
 KEEPALIVE_IDLE_S: Final = 2
 KEEPALIVE_INTERVAL_S: Final = 1
-PROBE_COUNT: Final = 2
+KEEPALIVE_PROBES: Final = 2
 # The TCP/IP headers of a frame and of its acknowledgement.
 FRAME_OVERHEAD_BYTES: Final = 100
--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -22,9 +22,9 @@
     IDLE_LINK_S,
     KEEPALIVE_IDLE_S,
     KEEPALIVE_INTERVAL_S,
+    KEEPALIVE_PROBES,
     LINK_BACKLOG,
     MAX_WAIT_S,
-    PROBE_COUNT,
     READ_BYTES,
     REDIAL_MAX_S,
     REDIAL_MIN_S,
@@ -260,5 +260,5 @@
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
