--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -29,7 +29,7 @@
     REDIAL_MAX_S,
     REDIAL_MIN_S,
     SEND_STALL_S,
-    UNACKNOWLEDGED_MS,
+    TCP_USER_TIMEOUT_MS,
 )
 from chivetrack.components.peers.frames import FrameError, FrameReader, Hello, encode_frame
 from chivetrack.components.peers.outbox import Outbox, TrafficCount
@@ -261,4 +261,4 @@
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
