--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -28,7 +28,7 @@
     READ_BYTES,
     REDIAL_MAX_S,
     REDIAL_MIN_S,
-    SEND_STALL_S,
+    SEND_TIMEOUT_S,
     TCP_USER_TIMEOUT_MS,
 )
 from chivetrack.components.peers.frames import FrameError, FrameReader, Hello, encode_frame
@@ -158,7 +158,7 @@
         frame = encode_frame([one.body for one in batch])
         self._count_sent(batch, frame)
         try:
-            with gevent.Timeout(SEND_STALL_S, TimeoutError()):
+            with gevent.Timeout(SEND_TIMEOUT_S, TimeoutError()):
                 link.socket.sendall(frame)
         except OSError:
             self.traffic.dropped_messages += len(batch)
