--- a/chivetrack/components/peers/const.py
+++ b/chivetrack/components/peers/const.py
@@ -39,7 +39,7 @@
 CONNECT_TIMEOUT_S: Final = 0.5
 REDIAL_MIN_S: Final = 0.1
 REDIAL_MAX_S: Final = 0.4
-IDLE_LINK_S: Final = 30.0
+LINK_IDLE_TIMEOUT_S: Final = 30.0
 # A frozen process leaves bytes unread while its kernel goes on acknowledging probes.
 SEND_TIMEOUT_S: Final = 3.0
 # A silent cut is noticed in 2 s where something was sent, in 4 s on an idle link.
--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -19,11 +19,11 @@
     BATCH_LIMIT,
     CONNECT_TIMEOUT_S,
     FRAME_OVERHEAD_BYTES,
-    IDLE_LINK_S,
     KEEPALIVE_IDLE_S,
     KEEPALIVE_INTERVAL_S,
     KEEPALIVE_PROBES,
     LINK_BACKLOG,
+    LINK_IDLE_TIMEOUT_S,
     MAX_WAIT_S,
     READ_BYTES,
     REDIAL_MAX_S,
@@ -134,7 +134,7 @@
 
     def _run_sender(self, target: str, outbox: Outbox[_Packed]) -> None:
         wait_s = REDIAL_MIN_S
-        while outbox.ready.wait(IDLE_LINK_S):
+        while outbox.ready.wait(LINK_IDLE_TIMEOUT_S):
             link = self._links.get(target) or self._connect(target)
             if link is None:
                 outbox.drop_expired(max_wait_s=MAX_WAIT_S)
