--- a/chivetrack/components/peers/const.py
+++ b/chivetrack/components/peers/const.py
@@ -12,7 +12,7 @@
 MAX_WAIT_S: Final = 2.0
 # A stream that carried nothing for so long is closed; most pairs of a large fleet
 # rarely talk.
-IDLE_STREAM_S: Final = 30.0
+STREAM_IDLE_TIMEOUT_S: Final = 30.0
 RETRY_STREAM_S: Final = 0.1
 RECONNECT_MIN_MS: Final = 100
 RECONNECT_MAX_MS: Final = 2000
--- a/chivetrack/components/peers/transport.py
+++ b/chivetrack/components/peers/transport.py
@@ -10,7 +10,6 @@
 from chivetrack.components.peers.const import (
     BATCH_LIMIT,
     BATCH_OVERHEAD_BYTES,
-    IDLE_STREAM_S,
     KEEPALIVE_MS,
     MAX_MESSAGE_BYTES,
     MAX_WAIT_S,
@@ -20,6 +19,7 @@
     RETRY_STREAM_S,
     SERVER_WORKERS,
     STOP_GRACE_S,
+    STREAM_IDLE_TIMEOUT_S,
 )
 from chivetrack.components.peers.outbox import Outbox, TrafficCount
 from chivetrack.helpers.codec import DecodeError, Message, decode, encode, get_kind
@@ -171,7 +171,7 @@
     ) -> Iterator[peer_pb2.Batch]:
         """Yield batches until the stream has failed, is idle or the target has moved."""
         while stream.is_open:
-            if not outbox.ready.wait(IDLE_STREAM_S) or not stream.is_open:
+            if not outbox.ready.wait(STREAM_IDLE_TIMEOUT_S) or not stream.is_open:
                 return
             if self._find_address(target) != stream.address:
                 return
