--- a/chivetrack/components/peers/const.py
+++ b/chivetrack/components/peers/const.py
@@ -13,7 +13,7 @@
 # A stream that carried nothing for so long is closed; most pairs of a large fleet
 # rarely talk.
 STREAM_IDLE_TIMEOUT_S: Final = 30.0
-RETRY_STREAM_S: Final = 0.1
+STREAM_RETRY_DELAY_S: Final = 0.1
 RECONNECT_MIN_MS: Final = 100
 RECONNECT_MAX_MS: Final = 2000
 KEEPALIVE_MS: Final = 10_000
--- a/chivetrack/components/peers/transport.py
+++ b/chivetrack/components/peers/transport.py
@@ -16,10 +16,10 @@
     PING_TIMEOUT_MS,
     RECONNECT_MAX_MS,
     RECONNECT_MIN_MS,
-    RETRY_STREAM_S,
     SERVER_WORKERS,
     STOP_GRACE_S,
     STREAM_IDLE_TIMEOUT_S,
+    STREAM_RETRY_DELAY_S,
 )
 from chivetrack.components.peers.outbox import Outbox, TrafficCount
 from chivetrack.helpers.codec import DecodeError, Message, decode, encode, get_kind
@@ -155,7 +155,7 @@
             try:
                 self._get_stub(address).Deliver(self._make_batches(target, outbox, stream))
             except grpc.RpcError:
-                gevent.sleep(RETRY_STREAM_S)
+                gevent.sleep(STREAM_RETRY_DELAY_S)
             finally:
                 # The library may be waiting inside the batches of a stream that has
                 # failed. Woken later, it would take a batch and send it nowhere.
