--- a/chivetrack/components/peers/const.py
+++ b/chivetrack/components/peers/const.py
@@ -30,7 +30,7 @@
 # Links of plain frames. The largest message is a snapshot of one document of 4 MiB.
 MAX_FRAME_BYTES: Final = 16 * MEBIBYTE
 # Bytes; shorter bodies hardly shrink.
-COMPRESS_FROM_BYTES: Final = 400
+MIN_COMPRESS_BYTES: Final = 400
 # The fastest: processor time is dearer than the bytes that a higher level would save.
 COMPRESSION_LEVEL: Final = 1
 READ_BYTES: Final = 16 * 1024
--- a/chivetrack/components/peers/frames.py
+++ b/chivetrack/components/peers/frames.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from chivetrack.components.peers.const import (
-    COMPRESS_FROM_BYTES,
     COMPRESSION_LEVEL,
     MAX_FRAME_BYTES,
+    MIN_COMPRESS_BYTES,
 )
 from chivetrack.helpers.codec import Message, message
 
@@ -38,7 +38,7 @@
 def encode_frame(messages: Sequence[bytes]) -> bytes:
     """Return a frame of messages that ``codec.pack`` has encoded."""
     body = _ENCODER.encode([msgspec.Raw(one) for one in messages])
-    if len(body) < COMPRESS_FROM_BYTES:
+    if len(body) < MIN_COMPRESS_BYTES:
         return _HEAD.pack(len(body), _PLAIN) + body
     packed = zlib.compress(body, COMPRESSION_LEVEL)
     return _HEAD.pack(len(packed), _COMPRESSED) + packed
