--- a/chivetrack/components/peers/const.py
+++ b/chivetrack/components/peers/const.py
@@ -37,7 +37,7 @@
 # All routers of a large fleet may connect in one moment.
 LINK_BACKLOG: Final = 1024
 CONNECT_TIMEOUT_S: Final = 0.5
-REDIAL_MIN_S: Final = 0.1
+MIN_RECONNECT_DELAY_S: Final = 0.1
 REDIAL_MAX_S: Final = 0.4
 LINK_IDLE_TIMEOUT_S: Final = 30.0
 # A frozen process leaves bytes unread while its kernel goes on acknowledging probes.
--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -25,9 +25,9 @@
     LINK_BACKLOG,
     LINK_IDLE_TIMEOUT_S,
     MAX_WAIT_S,
+    MIN_RECONNECT_DELAY_S,
     READ_BYTES,
     REDIAL_MAX_S,
-    REDIAL_MIN_S,
     SEND_TIMEOUT_S,
     TCP_USER_TIMEOUT_MS,
 )
@@ -133,7 +133,7 @@
     # Sending
 
     def _run_sender(self, target: str, outbox: Outbox[_Packed]) -> None:
-        wait_s = REDIAL_MIN_S
+        wait_s = MIN_RECONNECT_DELAY_S
         while outbox.ready.wait(LINK_IDLE_TIMEOUT_S):
             link = self._links.get(target) or self._connect(target)
             if link is None:
@@ -141,7 +141,7 @@
                 gevent.sleep(wait_s)
                 wait_s = min(REDIAL_MAX_S, 2 * wait_s)
                 continue
-            wait_s = REDIAL_MIN_S
+            wait_s = MIN_RECONNECT_DELAY_S
             self._send_waiting(link, outbox)
         del self._targets[target]
         link = self._links.get(target)
