--- a/chivetrack/components/peers/const.py
+++ b/chivetrack/components/peers/const.py
@@ -38,7 +38,7 @@
 LINK_BACKLOG: Final = 1024
 CONNECT_TIMEOUT_S: Final = 0.5
 MIN_RECONNECT_DELAY_S: Final = 0.1
-REDIAL_MAX_S: Final = 0.4
+MAX_RECONNECT_DELAY_S: Final = 0.4
 LINK_IDLE_TIMEOUT_S: Final = 30.0
 # A frozen process leaves bytes unread while its kernel goes on acknowledging probes.
 SEND_TIMEOUT_S: Final = 3.0
--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -24,10 +24,10 @@
     KEEPALIVE_PROBES,
     LINK_BACKLOG,
     LINK_IDLE_TIMEOUT_S,
+    MAX_RECONNECT_DELAY_S,
     MAX_WAIT_S,
     MIN_RECONNECT_DELAY_S,
     READ_BYTES,
-    REDIAL_MAX_S,
     SEND_TIMEOUT_S,
     TCP_USER_TIMEOUT_MS,
 )
@@ -139,7 +139,7 @@
             if link is None:
                 outbox.drop_expired(max_wait_s=MAX_WAIT_S)
                 gevent.sleep(wait_s)
-                wait_s = min(REDIAL_MAX_S, 2 * wait_s)
+                wait_s = min(MAX_RECONNECT_DELAY_S, 2 * wait_s)
                 continue
             wait_s = MIN_RECONNECT_DELAY_S
             self._send_waiting(link, outbox)
