--- a/chivetrack/components/peers/const.py
+++ b/chivetrack/components/peers/const.py
@@ -35,7 +35,7 @@
 COMPRESSION_LEVEL: Final = 1
 READ_BYTES: Final = 16 * 1024
 # All routers of a large fleet may connect in one moment.
-LINK_BACKLOG: Final = 1024
+LISTEN_BACKLOG: Final = 1024
 CONNECT_TIMEOUT_S: Final = 0.5
 MIN_RECONNECT_DELAY_S: Final = 0.1
 MAX_RECONNECT_DELAY_S: Final = 0.4
--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -22,8 +22,8 @@
     KEEPALIVE_IDLE_S,
     KEEPALIVE_INTERVAL_S,
     KEEPALIVE_PROBES,
-    LINK_BACKLOG,
     LINK_IDLE_TIMEOUT_S,
+    LISTEN_BACKLOG,
     MAX_RECONNECT_DELAY_S,
     MAX_WAIT_S,
     MIN_RECONNECT_DELAY_S,
@@ -95,7 +95,7 @@
         self._readers: set[gevent.Greenlet] = set()
         self.traffic = TrafficCount()
         host, _, port = address.rpartition(":")
-        self._server = StreamServer((host, int(port)), self._accept, backlog=LINK_BACKLOG)
+        self._server = StreamServer((host, int(port)), self._accept, backlog=LISTEN_BACKLOG)
 
     def start(self) -> None:
         """Begin to listen; raise ``OSError`` where the address is taken."""
