--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Packed:
+class _EncodedMessage:
     """A message that waits to be sent."""
 
     kind: str
@@ -67,7 +67,7 @@
 class _Target:
     """What waits for one instance, and who sends it."""
 
-    outbox: Outbox[_Packed]
+    outbox: Outbox[_EncodedMessage]
     sender: gevent.Greenlet
 
 
@@ -113,10 +113,10 @@
         """Queue a message; returns at once. A link is opened where there is none."""
         known = self._targets.get(target)
         if known is None:
-            outbox = Outbox[_Packed](self.traffic)
+            outbox = Outbox[_EncodedMessage](self.traffic)
             sender = gevent.spawn(self._run_sender, target, outbox)
             known = self._targets[target] = _Target(outbox, sender)
-        known.outbox.put(_Packed(get_kind(message), pack(message)))
+        known.outbox.put(_EncodedMessage(get_kind(message), pack(message)))
 
     def answer(self, target: str, message: Message) -> None:
         """Queue a message for an instance that has opened a link; drop it if that is gone.
@@ -132,7 +132,7 @@
 
     # Sending
 
-    def _run_sender(self, target: str, outbox: Outbox[_Packed]) -> None:
+    def _run_sender(self, target: str, outbox: Outbox[_EncodedMessage]) -> None:
         wait_s = MIN_RECONNECT_DELAY_S
         while outbox.ready.wait(LINK_IDLE_TIMEOUT_S):
             link = self._links.get(target) or self._connect(target)
@@ -149,7 +149,7 @@
             # Nothing more was said; whoever opened a link also ends it.
             self._close(link)
 
-    def _send_waiting(self, link: _Link, outbox: Outbox[_Packed]) -> None:
+    def _send_waiting(self, link: _Link, outbox: Outbox[_EncodedMessage]) -> None:
         outbox.drop_expired(max_wait_s=MAX_WAIT_S)
         queued = outbox.pop(BATCH_LIMIT)
         if not queued:
@@ -167,7 +167,7 @@
         for queued_at, one in queued:
             self.traffic.record_wait(one.kind, now - queued_at)
 
-    def _count_sent(self, batch: list[_Packed], frame: bytes) -> None:
+    def _count_sent(self, batch: list[_EncodedMessage], frame: bytes) -> None:
         self.traffic.sent_batches += 1
         self.traffic.sent_bytes += len(frame) + FRAME_OVERHEAD_BYTES
         for one in batch:
