--- a/chivetrack/components/peers/__init__.py
+++ b/chivetrack/components/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Carries messages between instances."""
+"""Transports that carry messages between instances."""
--- a/chivetrack/components/peers/frames.py
+++ b/chivetrack/components/peers/frames.py
@@ -1,7 +1,7 @@
 """Frames of messages on a connection between two instances; free of I/O.
 
-A frame is a head of five bytes, the length of the body and whether it is compressed, and the
-body, an array of messages with their kinds.
+A frame consists of a header of five bytes, with the length of the body and whether it is
+compressed, and the body, an array of messages with their kinds.
 """
 
 import struct
@@ -17,7 +17,7 @@
 )
 from chivetrack.helpers.codec import Message, message
 
-_HEAD = struct.Struct(">IB")
+_HEADER = struct.Struct(">IB")
 _PLAIN = 0
 _COMPRESSED = 1
 _ENCODER = msgspec.msgpack.Encoder()
@@ -25,27 +25,27 @@
 
 
 class FrameError(Exception):
-    """The bytes are not a frame; nothing that follows on the connection can be read."""
+    """The bytes are not a valid frame; nothing after them on the connection can be read."""
 
 
 @message("peers.hello")
 class Hello(Message, frozen=True, array_like=True):
-    """The first message of the side that connects: the address at which it listens."""
+    """The first message on a link that an instance opens: the address at which it listens."""
 
     source: str
 
 
 def encode_frame(messages: Sequence[bytes]) -> bytes:
-    """Return a frame of messages that ``codec.pack`` has encoded."""
-    body = _ENCODER.encode([msgspec.Raw(one) for one in messages])
+    """Return a frame of messages encoded by ``codec.pack``."""
+    body = _ENCODER.encode([msgspec.Raw(message) for message in messages])
     if len(body) < MIN_COMPRESS_BYTES:
-        return _HEAD.pack(len(body), _PLAIN) + body
+        return _HEADER.pack(len(body), _PLAIN) + body
     packed = zlib.compress(body, COMPRESSION_LEVEL)
-    return _HEAD.pack(len(packed), _COMPRESSED) + packed
+    return _HEADER.pack(len(packed), _COMPRESSED) + packed
 
 
 class FrameReader:
-    """Takes bytes as they arrive and returns the messages of whole frames."""
+    """Decodes a byte stream into the messages of complete frames."""
 
     def __init__(self) -> None:
         """Start at the beginning of a connection."""
@@ -63,29 +63,29 @@
         return messages
 
     def _pop_body(self) -> bytes | None:
-        if len(self._buffer) < _HEAD.size:
+        if len(self._buffer) < _HEADER.size:
             return None
-        length, coding = _HEAD.unpack_from(self._buffer)
+        length, coding = _HEADER.unpack_from(self._buffer)
         if length > MAX_FRAME_BYTES:
-            raise FrameError(f"a frame of {length} bytes is over the limit")
-        end = _HEAD.size + length
+            raise FrameError(f"a frame of {length} bytes exceeds the limit")
+        end = _HEADER.size + length
         if len(self._buffer) < end:
             return None
-        body = bytes(self._buffer[_HEAD.size : end])
+        body = bytes(self._buffer[_HEADER.size : end])
         del self._buffer[:end]
         return _decompress(body) if coding == _COMPRESSED else body
 
 
 def _decompress(body: bytes) -> bytes:
-    # Bounded: a few bytes of a broken sender may stand for gigabytes.
+    # Limit the output, because a few bytes of a faulty sender may decompress to gigabytes.
     decoder = zlib.decompressobj()
     try:
-        whole = decoder.decompress(body, MAX_FRAME_BYTES)
+        decompressed = decoder.decompress(body, MAX_FRAME_BYTES)
     except zlib.error as error:
         raise FrameError(f"a frame can't be decompressed: {error}") from error
     if not decoder.eof:
-        raise FrameError("a compressed frame is not whole or over the limit")
-    return whole
+        raise FrameError("a compressed frame is incomplete or over the limit")
+    return decompressed
 
 
 def _decode_body(body: bytes) -> list[tuple[str, bytes]]:
--- a/chivetrack/components/peers/links.py
+++ b/chivetrack/components/peers/links.py
@@ -1,8 +1,8 @@
-"""The TCP edge between instances of a large fleet: messages in frames, one link a pair.
+"""TCP transport between instances of a large fleet: framed messages, one link for each pair.
 
-A stream of gRPC takes a thread of its own in each direction under this event loop, and each
-message several wakings of it. A replica that hundreds of routers ask has half a core, so
-messages go as frames over plain sockets here, both ways on one connection.
+A gRPC stream needs a thread in each direction under this event loop, and several thread wake-ups
+for each message. A replica that hundreds of routers poll has half a core, so this transport uses
+frames on plain sockets, with one connection for both directions.
 """
 
 import contextlib
@@ -54,10 +54,10 @@
     is_open: bool = True
 
     def close(self) -> None:
-        """End the connection and whoever waits for its bytes."""
+        """Close the connection and wake the greenlets that wait for its bytes."""
         if self.is_open:
             self.is_open = False
-            # It may be gone already; closing it is all that is left then.
+            # The shutdown fails if the connection is gone already; the socket is still closed.
             with contextlib.suppress(OSError):
                 self.socket.shutdown(socket.SHUT_RDWR)
             self.socket.close()
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class _Target:
-    """What waits for one instance, and who sends it."""
+    """Messages waiting for one instance, and the greenlet that sends them."""
 
     outbox: Outbox[_EncodedMessage]
     sender: gevent.Greenlet
@@ -75,8 +75,8 @@
     """Sends messages to other instances and receives theirs; an id is a ``host:port``.
 
     Delivery is best effort: a message may be lost or late, and never waits for more than
-    ``QUEUE_LIMIT`` others or ``MAX_WAIT_S`` seconds. ``on_message`` gets the sender's
-    address and the message; messages of one sender come one after the other.
+    ``QUEUE_LIMIT`` others or ``MAX_WAIT_S`` seconds. ``on_message`` gets the sender's address and
+    the message; messages of one sender are delivered one after the other.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         on_message: Callable[[str, Message], None],
         on_error: Callable[[str], None],
     ) -> None:
-        """Take the own address; nothing is opened before ``start``."""
+        """Set the own address; nothing is opened before ``start``."""
         self._address = address
         self._on_message = on_message
         self._on_error = on_error
@@ -98,19 +98,19 @@
         self._server = StreamServer((host, int(port)), self._accept, backlog=LISTEN_BACKLOG)
 
     def start(self) -> None:
-        """Begin to listen; raise ``OSError`` where the address is taken."""
+        """Start to listen; raise ``OSError`` if the address is in use."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop listening, close all links and drop what waits."""
+        """Stop listening, close all links and drop waiting messages."""
         self._server.stop(timeout=0)
-        senders = [one.sender for one in self._targets.values()]
+        senders = [target.sender for target in self._targets.values()]
         gevent.killall([*senders, *self._readers])
         for link in list(self._links.values()):
             self._close(link)
 
     def send(self, target: str, message: Message) -> None:
-        """Queue a message; returns at once. A link is opened where there is none."""
+        """Queue a message and return at once; a link is opened if there is none."""
         known = self._targets.get(target)
         if known is None:
             outbox = Outbox[_EncodedMessage](self.traffic)
@@ -119,11 +119,10 @@
         known.outbox.put(_EncodedMessage(get_kind(message), pack(message)))
 
     def answer(self, target: str, message: Message) -> None:
-        """Queue a message for an instance that has opened a link; drop it if that is gone.
+        """Queue a message for an instance that has an open link; drop it if the link is gone.
 
-        An instance that was killed is asked for nothing: whoever wants an answer connects.
-        Without this, each change cost a replica one attempt to connect for each router
-        that was down.
+        No link is opened, because an instance that wants an answer connects itself. Otherwise each
+        change would cost a replica one connection attempt for each router that is down.
         """
         if target in self._links:
             self.send(target, message)
@@ -133,20 +132,20 @@
     # Sending
 
     def _run_sender(self, target: str, outbox: Outbox[_EncodedMessage]) -> None:
-        wait_s = MIN_RECONNECT_DELAY_S
+        delay_s = MIN_RECONNECT_DELAY_S
         while outbox.ready.wait(LINK_IDLE_TIMEOUT_S):
             link = self._links.get(target) or self._connect(target)
             if link is None:
                 outbox.drop_expired(max_wait_s=MAX_WAIT_S)
-                gevent.sleep(wait_s)
-                wait_s = min(MAX_RECONNECT_DELAY_S, 2 * wait_s)
+                gevent.sleep(delay_s)
+                delay_s = min(MAX_RECONNECT_DELAY_S, 2 * delay_s)
                 continue
-            wait_s = MIN_RECONNECT_DELAY_S
+            delay_s = MIN_RECONNECT_DELAY_S
             self._send_waiting(link, outbox)
         del self._targets[target]
         link = self._links.get(target)
         if link is not None and not link.is_accepted:
-            # Nothing more was said; whoever opened a link also ends it.
+            # The link is idle; the side that opened a link also closes it.
             self._close(link)
 
     def _send_waiting(self, link: _Link, outbox: Outbox[_EncodedMessage]) -> None:
@@ -154,8 +153,8 @@
         queued = outbox.pop(BATCH_LIMIT)
         if not queued:
             return
-        batch = [one for _, one in queued]
-        frame = encode_frame([one.body for one in batch])
+        batch = [message for _, message in queued]
+        frame = encode_frame([message.body for message in batch])
         self._count_sent(batch, frame)
         try:
             with gevent.Timeout(SEND_TIMEOUT_S, TimeoutError()):
@@ -164,14 +163,14 @@
             self.traffic.dropped_messages += len(batch)
             self._close(link)
         now = time.monotonic()
-        for queued_at, one in queued:
-            self.traffic.record_wait(one.kind, now - queued_at)
+        for queued_at, message in queued:
+            self.traffic.record_wait(message.kind, now - queued_at)
 
     def _count_sent(self, batch: list[_EncodedMessage], frame: bytes) -> None:
         self.traffic.sent_batches += 1
         self.traffic.sent_bytes += len(frame) + FRAME_OVERHEAD_BYTES
-        for one in batch:
-            self.traffic.sent_by_kind[one.kind] += len(one.body)
+        for message in batch:
+            self.traffic.sent_by_kind[message.kind] += len(message.body)
 
     def _connect(self, target: str) -> _Link | None:
         host, _, port = target.rpartition(":")
@@ -204,14 +203,14 @@
         self._read(link)
 
     def _register(self, link: _Link, peer: str) -> None:
-        """Use a link for what goes to ``peer`` from now on."""
+        """Use a link for all messages to ``peer`` from now on."""
         link.peer = peer
-        before = self._links.get(peer)
+        previous = self._links.get(peer)
         self._links[peer] = link
-        if before is not None and before.is_accepted and link.is_accepted:
-            # The other side connects again only once its own end of the older one is dead.
-            # Without a reset on the way, this end would wait for nothing.
-            before.close()
+        if previous is not None and previous.is_accepted and link.is_accepted:
+            # The other side connects again only once its end of the previous link is closed. If
+            # the reset was lost, this end would stay open without ever receiving anything.
+            previous.close()
 
     def _read(self, link: _Link) -> None:
         reader = FrameReader()
@@ -224,7 +223,7 @@
         except FrameError as error:
             self._on_error(f"bad frame from {link.peer or 'an unnamed instance'}: {error}")
         except OSError:
-            pass  # The link is dead; whoever has something to say opens another.
+            pass  # The link is closed; the next message opens another one.
         finally:
             self._close(link)
 
@@ -232,7 +231,7 @@
         try:
             message = decode(kind, payload)
         except DecodeError as error:
-            # One that can't be read does not hide the others.
+            # A message that can't be decoded does not affect the others.
             self._on_error(f"bad message from {link.peer}: {error}")
             return
         if isinstance(message, Hello):
@@ -249,11 +248,11 @@
 
 
 def _set_options(opened: gevent_socket.socket) -> None:
-    """Have a connection carry small messages at once, and end when the other side is gone.
+    """Set a connection to send small messages at once and to close when the other side is gone.
 
-    Behind a cut, or after a reset that was lost, nothing arrives and nothing is refused.
-    The kernel ends a connection whose bytes or probes are not acknowledged, so an idle one
-    costs this process nothing.
+    Behind a network cut, or after a lost reset, no data and no error arrives. The kernel closes a
+    connection whose bytes or keepalive probes are not acknowledged, so an idle connection costs
+    this process nothing.
     """
     opened.settimeout(None)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/chivetrack/components/peers/outbox.py
+++ b/chivetrack/components/peers/outbox.py
@@ -1,4 +1,4 @@
-"""What waits to be sent to one instance, oldest first; old messages are dropped."""
+"""Messages that wait to be sent to one instance, oldest first; old messages are dropped."""
 
 import time
 from collections import Counter, deque
@@ -14,25 +14,25 @@
 
 @dataclass(slots=True, kw_only=True)
 class TrafficCount:
-    """What a transport has sent and received since its start."""
+    """Counts of what a transport has sent and received since its start."""
 
     sent_bytes: int = 0
     sent_batches: int = 0
     received_bytes: int = 0
     dropped_messages: int = 0
     sent_by_kind: Counter[str] = field(default_factory=Counter)
-    """Bytes of the messages themselves, by their name on the wire."""
+    """Bytes of the messages without frame overhead, by message kind."""
     received_by_kind: Counter[str] = field(default_factory=Counter)
-    """Bytes of the messages themselves, by their name on the wire."""
+    """Bytes of the messages without frame overhead, by message kind."""
     _longest_waits: dict[str, float] = field(default_factory=dict)
 
     def record_wait(self, kind: str, wait_s: float) -> None:
-        """Note how long a message waited until the kernel had taken all of it."""
+        """Record how long a message waited until the kernel had accepted all of it."""
         if wait_s > self._longest_waits.get(kind, 0.0):
             self._longest_waits[kind] = wait_s
 
     def pop_longest_waits(self) -> dict[str, float]:
-        """Return the longest wait (s) by kind since the last call."""
+        """Return and clear the longest wait in seconds by message kind."""
         waits, self._longest_waits = self._longest_waits, {}
         return waits
 
@@ -48,21 +48,21 @@
     )
 
     def put(self, item: ItemT) -> None:
-        """Queue an item; the oldest gives way when too many wait."""
+        """Queue an item; drop the oldest one if the queue is full."""
         if len(self._waiting) == QUEUE_LIMIT:
             self.traffic.dropped_messages += 1
         self._waiting.append((time.monotonic(), item))
         self.ready.set()
 
     def pop(self, limit: int) -> list[tuple[float, ItemT]]:
-        """Remove and return the oldest items, at most ``limit``, with when they were queued."""
+        """Remove and return up to ``limit`` oldest items, each with the time when it was queued."""
         count = min(len(self._waiting), limit)
         items = [self._waiting.popleft() for _ in range(count)]
         self._clear_ready()
         return items
 
     def drop_expired(self, *, max_wait_s: float) -> None:
-        """Drop what has waited for ``max_wait_s`` or longer."""
+        """Drop items that have waited for ``max_wait_s`` or longer."""
         oldest = time.monotonic() - max_wait_s
         while self._waiting and self._waiting[0][0] <= oldest:
             self._waiting.popleft()
--- a/chivetrack/components/peers/transport.py
+++ b/chivetrack/components/peers/transport.py
@@ -1,4 +1,4 @@
-"""The gRPC edge between instances: one-way messages in batches per target."""
+"""gRPC transport between instances: one-way messages in batches for each target."""
 
 from collections.abc import Callable, Iterator
 from concurrent.futures import ThreadPoolExecutor
@@ -29,8 +29,8 @@
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
 ]
-# A connection whose other side is behind a cut shows no sign of it; a ping without an answer
-# ends it.
+# A connection to the other side of a network cut reports no error; an unanswered ping closes
+# it.
 _PING_OPTIONS = [
     ("grpc.keepalive_time_ms", KEEPALIVE_MS),
     ("grpc.keepalive_timeout_ms", PING_TIMEOUT_MS),
@@ -41,13 +41,13 @@
     ("grpc.max_reconnect_backoff_ms", RECONNECT_MAX_MS),
     ("grpc.http2.max_pings_without_data", 0),
     ("grpc.enable_http_proxy", 0),
-    # Channels of two transports in one process must not share a connection: a test that
-    # stops one of them would see the other's traffic.
+    # Channels of two transports in one process must not share a connection, or a test that
+    # stops one transport would see the traffic of the other.
     ("grpc.use_local_subchannel_pool", 1),
     *_PING_OPTIONS,
     *_SIZE_OPTIONS,
 ]
-# The side that accepts must not take pings for abuse.
+# The server must not treat pings as abuse.
 _SERVER_OPTIONS = [
     ("grpc.so_reuseport", 0),
     ("grpc.http2.min_ping_interval_without_data_ms", KEEPALIVE_MS // 2),
@@ -59,14 +59,14 @@
 
 @dataclass(slots=True)
 class _Stream:
-    """One stream to a target; the library may still read from a dead one."""
+    """One stream to a target; the library may still read from a closed one."""
 
     address: str
     is_open: bool = True
 
 
 class _Servicer(peer_pb2_grpc.PeerServicer):
-    """Hands the messages of each batch to the transport's owner."""
+    """Passes the messages of each batch to the transport."""
 
     def __init__(self, *, transport: "PeerTransport") -> None:
         self._transport = transport
@@ -74,12 +74,12 @@
     def Deliver(  # noqa: N802
         self, request_iterator: Iterator[peer_pb2.Batch], context: grpc.ServicerContext
     ) -> peer_pb2.Receipt:
-        """Take batches until the other side ends the stream."""
+        """Receive batches until the other side ends the stream."""
         try:
             for batch in request_iterator:
                 self._transport.receive_batch(batch)
         except grpc.RpcError:
-            # The other side died or was cut off; whatever it had sent is taken in.
+            # The other side died or was cut off; the batches received before are processed.
             return peer_pb2.Receipt()
         return peer_pb2.Receipt()
 
@@ -87,9 +87,9 @@
 class PeerTransport:
     """Sends messages to other instances and receives theirs, at ``advertised``.
 
-    Delivery is best effort: a message may be lost, late or doubled, and never waits
-    for more than ``QUEUE_LIMIT`` others. ``resolve`` gives the ``host:port`` of an
-    instance id; ``on_message`` gets the sender's id and the message.
+    Delivery is best effort: a message may be lost, late or duplicated, and never waits for more
+    than ``QUEUE_LIMIT`` others. ``resolve`` returns the ``host:port`` of an instance id;
+    ``on_message`` gets the sender's id and the message.
     """
 
     def __init__(
@@ -126,18 +126,18 @@
         return self._server.add_secure_port(listen, credentials)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop serving and drop what waits."""
+        """Stop serving and drop waiting messages."""
         gevent.killall(self._senders)
         for channel in self._channels.values():
             channel.close()
         self._server.stop(STOP_GRACE_S).wait()
 
     def send(self, target: str, message: Message) -> None:
-        """Queue a message; returns at once, the oldest is dropped when too many wait."""
+        """Queue a message and return at once; the oldest is dropped if the queue is full."""
         outbox = self._outboxes.get(target)
         if outbox is None:
             outbox = self._outboxes[target] = Outbox(self.traffic)
@@ -157,8 +157,8 @@
             except grpc.RpcError:
                 gevent.sleep(STREAM_RETRY_DELAY_S)
             finally:
-                # The library may be waiting inside the batches of a stream that has
-                # failed. Woken later, it would take a batch and send it nowhere.
+                # The library may still wait in the batch iterator of a failed stream. If it
+                # woke up later, it would remove a batch from the outbox and lose it.
                 stream.is_open = False
                 outbox.ready.set()
                 gevent.sleep(0)
@@ -169,7 +169,7 @@
     def _make_batches(
         self, target: str, outbox: Outbox[peer_pb2.Envelope], stream: _Stream
     ) -> Iterator[peer_pb2.Batch]:
-        """Yield batches until the stream has failed, is idle or the target has moved."""
+        """Yield batches until the stream fails, is idle or the target's address changes."""
         while stream.is_open:
             if not outbox.ready.wait(STREAM_IDLE_TIMEOUT_S) or not stream.is_open:
                 return
@@ -207,13 +207,13 @@
         )
 
     def reopen_channels(self) -> None:
-        """Open channels anew, with the credentials of now, at the next message."""
+        """Close all channels, so that the next message opens one with the current credentials."""
         channels, self._channels = self._channels, {}
         for channel in channels.values():
             channel.close()
 
     def receive_batch(self, batch: peer_pb2.Batch) -> None:
-        """Hand on the messages of a batch; one bad message does not hide the others."""
+        """Deliver the messages of a batch; report and skip those that can't be decoded."""
         self.traffic.received_bytes += batch.ByteSize()
         self._learned_addresses[batch.source] = batch.source_address
         for envelope in batch.envelopes:
--- a/tests/components/peers/program.py
+++ b/tests/components/peers/program.py
@@ -1,4 +1,4 @@
-"""Drives transports under the patched library; run by ``test_transport`` as a process."""
+"""Checks of transports under the patched library; run by ``test_transport`` in a process."""
 
 from gevent import monkey
 
@@ -25,7 +25,7 @@
 
 
 class Side:
-    """One transport and what it has received."""
+    """One transport and the messages that it has received."""
 
     def __init__(
         self,
@@ -57,51 +57,51 @@
 
 
 def check_order(host: str) -> None:
-    """Messages to one target arrive once, in order, from the right source."""
+    """Messages to one target arrive once, in order and with the right source."""
     addresses = {"b": f"{host}:18101"}
     a = Side("a", f"{host}:18100", addresses)
     b = Side("b", f"{host}:18101", {})
     for number in range(200):
         a.transport.send("b", ForwardRead(number))
-    wait_for(lambda: len(b.received) == 200, "not all arrived")
+    wait_for(lambda: len(b.received) == 200, "not all messages arrived")
     assert b.numbers == list(range(200)), b.numbers
     assert {source for source, _ in b.received} == {"a"}
-    # The answer finds the sender before anybody has told where it is.
+    # The answer reaches the sender although its address was never configured.
     b.transport.send("a", ForwardRead(7))
-    wait_for(lambda: a.numbers == [7], "the sender's address was not learnt")
+    wait_for(lambda: a.numbers == [7], "the address of the sender was not learned")
     a.transport.stop()
     b.transport.stop()
 
 
 def check_restart(host: str) -> None:
-    """The receiver dies and comes back; what is sent then arrives, old messages do not."""
+    """After a restart of the receiver, new messages arrive and outdated ones do not."""
     addresses = {"b": f"{host}:18111"}
     a = Side("a", f"{host}:18110", addresses)
     b = Side("b", f"{host}:18111", {})
     a.transport.send("b", ForwardRead(1))
-    wait_for(lambda: b.numbers == [1], "the first did not arrive")
+    wait_for(lambda: b.numbers == [1], "the first message did not arrive")
     b.transport.stop()
     transport_module.MAX_WAIT_S = 0.2
     for number in range(2, 3 * QUEUE_LIMIT):
         a.transport.send("b", ForwardRead(number))
     gevent.sleep(1.0)
     transport_module.MAX_WAIT_S = 2.0
-    again = Side("b", f"{host}:18111", {})
+    restarted = Side("b", f"{host}:18111", {})
 
     def arrived() -> bool:
         a.transport.send("b", ForwardRead(9999))
         gevent.sleep(0.1)
-        return 9999 in again.numbers
+        return 9999 in restarted.numbers
 
-    wait_for(arrived, "nothing arrived after the restart")
-    assert set(again.numbers) == {9999}, again.numbers[:5]
+    wait_for(arrived, "no message arrived after the restart")
+    assert set(restarted.numbers) == {9999}, restarted.numbers[:5]
     assert a.transport.traffic.dropped_messages >= QUEUE_LIMIT
     a.transport.stop()
-    again.transport.stop()
+    restarted.transport.stop()
 
 
 def check_bad_messages(host: str) -> None:
-    """A message that can't be read is reported and does not hide those beside it."""
+    """A message that can't be decoded is reported and does not affect others in its batch."""
     b = Side("b", f"{host}:18121", {})
     kind = "proposals.read"
     envelopes = [
@@ -118,14 +118,17 @@
 
 
 def check_unknown_target(host: str) -> None:
-    """Messages to an instance that nobody knows are dropped and hold up nothing."""
+    """Messages to an unknown instance are dropped and delay no others."""
     addresses: dict[str, str] = {"b": f"{host}:18131"}
     a = Side("a", f"{host}:18130", addresses)
     b = Side("b", f"{host}:18131", {})
     a.transport.send("nobody", ForwardRead(1))
     a.transport.send("b", ForwardRead(2))
-    wait_for(lambda: b.numbers == [2], "held up by the unknown target")
-    wait_for(lambda: a.transport.traffic.dropped_messages == 1, "not dropped")
+    wait_for(lambda: b.numbers == [2], "delayed by the unknown target")
+    wait_for(
+        lambda: a.transport.traffic.dropped_messages == 1,
+        "the message to the unknown target was not dropped",
+    )
     a.transport.stop()
     b.transport.stop()
 
--- a/tests/components/peers/test_frames.py
+++ b/tests/components/peers/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between instances, from bytes that arrive in any pieces."""
+"""Frames between instances, decoded from any split of the byte stream."""
 
 import struct
 import unittest
@@ -24,26 +24,26 @@
 
 class FramesTest(unittest.TestCase):
     @given(st.lists(st.integers(1, 4000), max_size=12), st.integers(0, 90))
-    def test_any_pieces_give_the_same_messages(self, cuts: list[int], endpoints: int) -> None:
-        """A frame may arrive in pieces, and the end of one with the start of the next."""
+    def test_any_split_gives_the_same_messages(self, cuts: list[int], endpoints: int) -> None:
+        """A frame may arrive in pieces, and its end together with the start of the next one."""
         sent = [ForwardRead(1), make_exchange(endpoints), ForwardRead(2)]
         data = encode_frame([pack(sent[0]), pack(sent[1])]) + encode_frame([pack(sent[2])])
         reader = FrameReader()
-        read = []
+        received = []
         for start, end in zip([0, *sorted(cuts)], [*sorted(cuts), len(data)], strict=True):
-            read += reader.feed(data[start:end])
-        self.assertEqual([decode(kind, payload) for kind, payload in read], sent)
+            received += reader.feed(data[start:end])
+        self.assertEqual([decode(kind, payload) for kind, payload in received], sent)
 
-    def test_what_many_endpoints_are_used_for_takes_half_of_the_link(self) -> None:
-        """Replicas on 4 Mbit/s tell hundreds of routers what all of them use."""
+    def test_loads_of_many_endpoints_compress_to_half(self) -> None:
+        """Guards against links of 4 Mbit/s filled by loads sent to hundreds of routers."""
         exchange = make_exchange(50)
         self.assertLess(len(encode_frame([pack(exchange)])), len(pack(exchange)) / 2)
 
-    def test_bytes_of_no_frame_are_refused(self) -> None:
-        """Something else connects to the port, or a sender is broken.
+    def test_invalid_frames_are_rejected(self) -> None:
+        """Guards against memory exhaustion by another protocol on the port or a faulty sender.
 
-        Its length would have the reader gather memory for ever, or a few of its bytes
-        unpack to gigabytes.
+        A huge length would make the reader buffer without limit, and a few bytes may decompress to
+        gigabytes.
         """
         body = zlib.compress(bytes(MAX_FRAME_BYTES + 1), 9)
         bad = (
--- a/tests/components/peers/test_links.py
+++ b/tests/components/peers/test_links.py
@@ -20,7 +20,7 @@
 
 
 class Side:
-    """One transport and what it has received."""
+    """One transport and the messages that it has received."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -61,11 +61,11 @@
         self.assertEqual(b.numbers, list(range(200)))
         self.assertEqual({source for source, _ in b.received}, {a.address})
 
-    def test_answers_take_the_link_of_the_question(self) -> None:
-        """Hundreds of routers ask a replica that has half of a core.
+    def test_answers_use_the_link_of_the_request(self) -> None:
+        """Guards against a connection and a thread for each answer to hundreds of routers.
 
-        With a connection of its own for each answer, and a thread for each, all of them
-        starting at once kept the replica from electing a leader for seconds.
+        When all routers started at once, these kept a replica with half a core from electing a
+        leader for seconds.
         """
         replica = self.open_side(18710)
         routers = [self.open_side(18711 + number) for number in range(40)]
@@ -83,10 +83,11 @@
             [router.numbers for router in routers], [[number] for number in range(len(routers))]
         )
 
-    def test_answer_to_an_instance_that_is_gone_opens_nothing(self) -> None:
-        """A third of the routers lose power while endpoints change.
+    def test_answer_to_a_closed_link_opens_no_connection(self) -> None:
+        """Guards against connection attempts to instances that are down.
 
-        Each change would have the replica connect to all of them, in vain, for seconds.
+        When a third of the routers lose power while endpoints change, each change would make the
+        replica try to connect to all of them for seconds.
         """
         a, b = self.open_side(18760), self.open_side(18761)
         a.transport.send(b.address, ForwardRead(1))
@@ -99,11 +100,11 @@
         connect.assert_not_called()
         self.assertEqual(b.transport.traffic.dropped_messages, 1)
 
-    def test_restarted_receiver_gets_what_is_new(self) -> None:
-        """An instance dies and comes back; the others went on sending meanwhile.
+    def test_restarted_receiver_gets_only_new_messages(self) -> None:
+        """Guards against outdated or lost messages when an instance restarts.
 
-        The first message after that must arrive without anybody's help, and none of
-        those that had waited for seconds: what they say is old.
+        The first message after the restart must arrive without intervention, and none of the
+        messages that have waited for seconds, because their content is outdated.
         """
         a, b = self.open_side(18770), self.open_side(18771)
         a.transport.send(b.address, ForwardRead(1))
@@ -113,16 +114,16 @@
             for number in range(2, 3 * QUEUE_LIMIT):
                 a.transport.send(b.address, ForwardRead(number))
             gevent.sleep(1.0)
-        again = self.open_side(18771)
+        restarted = self.open_side(18771)
         a.transport.send(b.address, ForwardRead(9999))
-        self.wait_for(lambda: 9999 in again.numbers)
-        self.assertEqual(again.numbers, [9999])
+        self.wait_for(lambda: 9999 in restarted.numbers)
+        self.assertEqual(restarted.numbers, [9999])
         self.assertGreaterEqual(a.transport.traffic.dropped_messages, QUEUE_LIMIT)
 
     def test_returned_instance_is_answered_on_its_new_link(self) -> None:
-        """An instance loses power without a reset, and connects anew after its start.
+        """Guards against answers sent on a dead link after an instance lost power without a reset.
 
-        The older connection shows no sign of its end. Answers sent there are lost.
+        The instance connects again after its start, and the older connection shows no error.
         """
         b = self.open_side(18780)
         hello = encode_frame([pack(Hello("10.0.0.1:1")), pack(ForwardRead(1))])
@@ -138,8 +139,8 @@
             self.assertEqual(after.recv(1000), expected)
             self.assertEqual(before.recv(1000), b"")
 
-    def test_bad_message_does_not_hide_the_others(self) -> None:
-        """An instance of another version sends a message that this one can't read."""
+    def test_bad_message_does_not_affect_the_others(self) -> None:
+        """An instance of another version sends a message that this one can't decode."""
         b = self.open_side(18790)
         unknown = pack(ForwardRead(4)).replace(b"proposals.read", b"proposals.none")
         with socket.create_connection((self.host, 18790)) as sender:
@@ -148,7 +149,7 @@
             self.wait_for(lambda: b.numbers == [5])
         self.assertEqual(len(b.errors), 1)
 
-    def test_sender_without_a_name_is_cut_off(self) -> None:
+    def test_sender_without_hello_is_disconnected(self) -> None:
         b = self.open_side(18795)
         with socket.create_connection((self.host, 18795)) as sender:
             sender.sendall(encode_frame([pack(ForwardRead(5))]))
@@ -157,16 +158,16 @@
         self.assertEqual(b.received, [])
         self.assertEqual(len(b.errors), 1)
 
-    def test_reader_that_stalls_holds_up_nobody_else(self) -> None:
-        """A machine freezes: its kernel takes bytes until its buffers are full, then none.
+    def test_stalled_reader_does_not_delay_others(self) -> None:
+        """Guards against a frozen machine that delays messages to others.
 
-        Messages for others go on, and the link is given up, so that the frozen instance
-        gets what is new once it wakes and connects.
+        Its kernel accepts bytes until its buffers are full, and then none. The link is closed after
+        a timeout, so that the frozen instance gets new messages once it resumes and connects.
         """
         a, b = self.open_side(18800), self.open_side(18801)
         frozen = socket.create_server((self.host, 18802))
         target = f"{self.host}:18802"
-        with mock.patch.object(links_module, "SEND_STALL_S", 0.3):
+        with mock.patch.object(links_module, "SEND_TIMEOUT_S", 0.3):
             for number in range(60):
                 a.transport.send(target, Hello(os.urandom(200_000).hex()))
                 a.transport.send(b.address, ForwardRead(number))
@@ -174,7 +175,7 @@
             self.wait_for(lambda: a.transport.traffic.dropped_messages > 0)
         frozen.close()
 
-    def test_target_that_nobody_listens_at_holds_up_nothing(self) -> None:
+    def test_target_without_listener_does_not_delay_others(self) -> None:
         a, b = self.open_side(18810), self.open_side(18811)
         a.transport.send(f"{self.host}:18812", ForwardRead(1))
         a.transport.send(b.address, ForwardRead(2))
