--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -24,7 +24,7 @@
 from chivetrack.components.drains.observation import FleetObserver
 from chivetrack.components.endpoints.models import OutcomeKind
 from chivetrack.components.endpoints.registry import EndpointRegistry
-from chivetrack.components.fleet.leader import LeaderNews
+from chivetrack.components.fleet.leader import LeaderGossip
 from chivetrack.components.fleet.roster import Roster
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.limits.exchange import DemandExchange
@@ -254,7 +254,7 @@
         ),
         to_wall_ms=to_wall_ms,
     )
-    leader_news = LeaderNews(
+    leader_news = LeaderGossip(
         instance_id=identity.instance_id,
         gossip=gossip,
         configuration=configuration,
--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -10,7 +10,7 @@
 from chivetrack.helpers.codec import DecodeError, decode_as, encode
 
 
-class LeaderNews:
+class LeaderGossip:
     """Publishes the own lead, and follows the news of the highest term."""
 
     def __init__(
