--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -2,7 +2,7 @@
 
 from chivetrack.components.configuration.configuration import Configuration
 from chivetrack.components.configuration.models import RevisionHeard
-from chivetrack.components.fleet.models import TOPIC_LEADER, LeaderRecord, LeadershipSeen
+from chivetrack.components.fleet.models import TOPIC_LEADER, LeaderRecord, LeadershipStatus
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.gossip.models import Urgency, ValueUpdate
 from chivetrack.components.proposals.client import ProposalClient
@@ -34,7 +34,7 @@
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Take what the own replica knows; publish and pass on what is new."""
-        if isinstance(event, LeadershipSeen):
+        if isinstance(event, LeadershipStatus):
             self._take_own(event)
         self._publish(now)
         effects: list[Effect] = []
@@ -43,7 +43,7 @@
             effects.extend(self._configuration.handle(each, now=now))
         return effects
 
-    def _take_own(self, seen: LeadershipSeen) -> None:
+    def _take_own(self, seen: LeadershipStatus) -> None:
         self._own = LeaderRecord(seen.term, 0) if seen.leads else None
         if seen.term >= self._term and seen.leader:
             self._term = seen.term
--- a/chivetrack/components/fleet/models.py
+++ b/chivetrack/components/fleet/models.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LeadershipSeen(Event):
+class LeadershipStatus(Event):
     """What the replica of this instance knows of the lead; ``leads`` means itself."""
 
     term: int
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -19,7 +19,7 @@
     Timing,
     TransferRefused,
 )
-from chivetrack.components.fleet.models import LeadershipSeen
+from chivetrack.components.fleet.models import LeadershipStatus
 from chivetrack.components.proposals.models import ForwardProposal, ForwardRead
 from chivetrack.components.replica import Replica
 from chivetrack.components.replica.formation import Formation, Hello
@@ -201,7 +201,7 @@
                 now=time.monotonic(),
             )
         self.is_leader = leads
-        seen = LeadershipSeen(term=notice.term, leader=notice.leader_instance, leads=leads)
+        seen = LeadershipStatus(term=notice.term, leader=notice.leader_instance, leads=leads)
         gevent.spawn(self._post, seen)
 
     def _note_update(self, update: TableUpdate) -> None:
