--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -35,7 +35,7 @@
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Take what the own replica knows; publish and pass on what is new."""
         if isinstance(event, LeadershipStatus):
-            self._take_own(event)
+            self._handle_own_status(event)
         self._publish(now)
         effects: list[Effect] = []
         heard, self._heard = self._heard, []
@@ -43,7 +43,7 @@
             effects.extend(self._configuration.handle(each, now=now))
         return effects
 
-    def _take_own(self, seen: LeadershipStatus) -> None:
+    def _handle_own_status(self, seen: LeadershipStatus) -> None:
         self._own = LeaderRecord(seen.term, 0) if seen.leads else None
         if seen.term >= self._term and seen.leader:
             self._term = seen.term
