--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -30,7 +30,7 @@
         self._published: LeaderRecord | None = None
         self._term = 0
         self._heard: list[RevisionHeard] = []
-        gossip.subscribe(TOPIC_LEADER, self._take_news)
+        gossip.subscribe(TOPIC_LEADER, self._handle_update)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Take what the own replica knows; publish and pass on what is new."""
@@ -62,7 +62,7 @@
         self._published = record
         self._gossip.publish(TOPIC_LEADER, "", encode(record), Urgency.CONFIGURATION, now=now)
 
-    def _take_news(self, news: ValueUpdate) -> None:
+    def _handle_update(self, news: ValueUpdate) -> None:
         if news.payload is None:
             return
         try:
