--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -29,7 +29,7 @@
         self._own: LeaderRecord | None = None
         self._published: LeaderRecord | None = None
         self._term = 0
-        self._heard: list[RevisionHeard] = []
+        self._pending_revisions: list[RevisionHeard] = []
         gossip.subscribe(TOPIC_LEADER, self._handle_update)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
@@ -38,7 +38,7 @@
             self._handle_own_status(event)
         self._publish(now)
         effects: list[Effect] = []
-        heard, self._heard = self._heard, []
+        heard, self._pending_revisions = self._pending_revisions, []
         for each in heard:
             effects.extend(self._configuration.handle(each, now=now))
         return effects
@@ -74,4 +74,4 @@
             return
         self._term = record.term
         self._proposals.note_leader(news.origin)
-        self._heard.append(RevisionHeard(peer=news.origin, revision=record.revision))
+        self._pending_revisions.append(RevisionHeard(peer=news.origin, revision=record.revision))
