--- a/chivetrack/components/fleet/roster.py
+++ b/chivetrack/components/fleet/roster.py
@@ -40,9 +40,9 @@
         self._load = load
         self._changed = True
         self._leader = ""
-        membership.subscribe(self._note_change)
+        membership.subscribe(self._handle_instance_change)
 
-    def _note_change(self, instance: Instance) -> None:
+    def _handle_instance_change(self, instance: Instance) -> None:
         self._changed = True
         if instance.status not in _LIVING:
             self._load.drop_router(instance.instance_id, instance.life.incarnation)
