--- a/chivetrack/components/fleet/roster.py
+++ b/chivetrack/components/fleet/roster.py
@@ -33,7 +33,7 @@
     ) -> None:
         """Listen to the membership."""
         self._own = own
-        self._initial = tuple(replicas)
+        self._initial_replicas = tuple(replicas)
         self._membership = membership
         self._configuration = configuration
         self._proposals = proposals
@@ -65,4 +65,4 @@
 
     def _find_replicas(self, living: Sequence[Instance]) -> tuple[str, ...]:
         found = [each.instance_id for each in living if ROLE_REPLICA in each.roles]
-        return tuple(found) or self._initial
+        return tuple(found) or self._initial_replicas
