--- a/chivetrack/components/fleet/roster.py
+++ b/chivetrack/components/fleet/roster.py
@@ -11,7 +11,7 @@
 from chivetrack.components.proposals.client import ProposalClient
 from chivetrack.core import Effect, Event
 
-_LIVING = frozenset({InstanceStatus.ALIVE, InstanceStatus.SUSPECT})
+_LIVE_STATUSES = frozenset({InstanceStatus.ALIVE, InstanceStatus.SUSPECT})
 
 
 class Roster:
@@ -44,7 +44,7 @@
 
     def _handle_instance_change(self, instance: Instance) -> None:
         self._changed = True
-        if instance.status not in _LIVING:
+        if instance.status not in _LIVE_STATUSES:
             self._load.drop_router(instance.instance_id, instance.life.incarnation)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
@@ -53,7 +53,9 @@
             return []
         self._changed = False
         self._leader = self._proposals.leader
-        living = [each for each in self._membership.list_instances() if each.status in _LIVING]
+        living = [
+            each for each in self._membership.list_instances() if each.status in _LIVE_STATUSES
+        ]
         replicas = self._find_replicas(living)
         self._proposals.set_replicas(replicas)
         peers = PeersChanged(
