--- a/chivetrack/components/fleet/models.py
+++ b/chivetrack/components/fleet/models.py
@@ -23,4 +23,4 @@
 
     term: int
     leader: str
-    leads: bool
+    is_leader: bool
