--- a/chivetrack/components/fleet/models.py
+++ b/chivetrack/components/fleet/models.py
@@ -23,4 +23,4 @@
 
     term: int
     leader: str
-    is_leader: bool
+    leads: bool
