--- a/chivetrack/components/fleet/__init__.py
+++ b/chivetrack/components/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Tells the other components who is alive and who leads."""
+"""Informs the other components of live instances and of the leader of the log."""
--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -1,4 +1,4 @@
-"""Spreads who leads the log, and up to which revision."""
+"""Gossips which instance leads the log, and up to which revision."""
 
 from chivetrack.components.configuration.configuration import Configuration
 from chivetrack.components.configuration.models import RevisionHeard
@@ -11,7 +11,7 @@
 
 
 class LeaderGossip:
-    """Publishes the own lead, and follows the news of the highest term."""
+    """Publishes that this instance leads, and follows the leader record of the highest term."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         configuration: Configuration,
         proposals: ProposalClient,
     ) -> None:
-        """Listen to gossip."""
+        """Subscribe to leader records."""
         self._instance_id = instance_id
         self._gossip = gossip
         self._configuration = configuration
@@ -33,21 +33,21 @@
         gossip.subscribe(TOPIC_LEADER, self._handle_update)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take what the own replica knows; publish and pass on what is new."""
+        """Handle the status of the own replica; publish changes and report received revisions."""
         if isinstance(event, LeadershipStatus):
             self._handle_own_status(event)
         self._publish(now)
         effects: list[Effect] = []
-        heard, self._pending_revisions = self._pending_revisions, []
-        for each in heard:
-            effects.extend(self._configuration.handle(each, now=now))
+        revisions, self._pending_revisions = self._pending_revisions, []
+        for revision in revisions:
+            effects.extend(self._configuration.handle(revision, now=now))
         return effects
 
-    def _handle_own_status(self, seen: LeadershipStatus) -> None:
-        self._own = LeaderRecord(seen.term, 0) if seen.leads else None
-        if seen.term >= self._term and seen.leader:
-            self._term = seen.term
-            self._proposals.note_leader(seen.leader)
+    def _handle_own_status(self, status: LeadershipStatus) -> None:
+        self._own = LeaderRecord(status.term, 0) if status.leads else None
+        if status.term >= self._term and status.leader:
+            self._term = status.term
+            self._proposals.note_leader(status.leader)
 
     def _publish(self, now: float) -> None:
         if self._own is None:
@@ -62,16 +62,16 @@
         self._published = record
         self._gossip.publish(TOPIC_LEADER, "", encode(record), Urgency.CONFIGURATION, now=now)
 
-    def _handle_update(self, news: ValueUpdate) -> None:
-        if news.payload is None:
+    def _handle_update(self, update: ValueUpdate) -> None:
+        if update.payload is None:
             return
         try:
-            record = decode_as(LeaderRecord, news.payload)
+            record = decode_as(LeaderRecord, update.payload)
         except DecodeError:
             return
-        # A leader that was deposed behind a cut goes on saying that it leads.
+        # A leader that was deposed during a network cut still publishes that it leads.
         if record.term < self._term:
             return
         self._term = record.term
-        self._proposals.note_leader(news.origin)
-        self._pending_revisions.append(RevisionHeard(peer=news.origin, revision=record.revision))
+        self._proposals.note_leader(update.origin)
+        self._pending_revisions.append(RevisionHeard(peer=update.origin, revision=record.revision))
--- a/chivetrack/components/fleet/models.py
+++ b/chivetrack/components/fleet/models.py
@@ -1,4 +1,4 @@
-"""What instances tell each other about the leader of the log."""
+"""Messages and events about the leader of the log."""
 
 from dataclasses import dataclass
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeadershipStatus(Event):
-    """What the replica of this instance knows of the lead; ``leads`` means itself."""
+    """Leader and term as known to the replica of this instance; ``leads``: it is the leader."""
 
     term: int
     leader: str
--- a/chivetrack/components/fleet/roster.py
+++ b/chivetrack/components/fleet/roster.py
@@ -1,4 +1,4 @@
-"""Tells configuration, proposals and the load book which instances live."""
+"""Informs configuration, proposals and the load tracker of the live instances."""
 
 from collections.abc import Sequence
 
@@ -15,10 +15,10 @@
 
 
 class Roster:
-    """Looks at the membership when it has changed, or when the leader has.
+    """Reports live instances when the membership or the leader has changed.
 
-    ``replicas`` are known from the settings; they are asked until membership knows
-    better, so that the first start does not wait for gossip.
+    ``replicas`` are the replicas from the settings. They are used until membership knows of any, so
+    that the first start does not wait for gossip.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         proposals: ProposalClient,
         load: LoadBook,
     ) -> None:
-        """Listen to the membership."""
+        """Subscribe to the membership."""
         self._own = own
         self._initial_replicas = tuple(replicas)
         self._membership = membership
@@ -48,23 +48,27 @@
             self._load.drop_router(instance.instance_id, instance.life.incarnation)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Pass on what has changed; cheap when nothing has."""
+        """Report changes to the other components; returns at once if there are none."""
         if not self._changed and self._proposals.leader == self._leader:
             return []
         self._changed = False
         self._leader = self._proposals.leader
-        living = [
-            each for each in self._membership.list_instances() if each.status in _LIVE_STATUSES
+        live = [
+            instance
+            for instance in self._membership.list_instances()
+            if instance.status in _LIVE_STATUSES
         ]
-        replicas = self._find_replicas(living)
+        replicas = self._find_replicas(live)
         self._proposals.set_replicas(replicas)
         peers = PeersChanged(
             leader=self._leader,
             replicas=replicas,
-            zone_peers=tuple(each.instance_id for each in living if each.zone == self._own.zone),
+            zone_peers=tuple(
+                instance.instance_id for instance in live if instance.zone == self._own.zone
+            ),
         )
         return self._configuration.handle(peers, now=now)
 
-    def _find_replicas(self, living: Sequence[Instance]) -> tuple[str, ...]:
-        found = [each.instance_id for each in living if ROLE_REPLICA in each.roles]
+    def _find_replicas(self, live: Sequence[Instance]) -> tuple[str, ...]:
+        found = [instance.instance_id for instance in live if ROLE_REPLICA in instance.roles]
         return tuple(found) or self._initial_replicas
