--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -169,8 +169,8 @@
     def send_round(self, *, now: float) -> list[SendMessage]:
         """Return the messages that are due, as far as the rate limit allows.
 
-        Changes go first, then whole tables. Of the whole tables, complete ones go before
-        departures.
+        Changes go first, then whole tables, because routers without a table refuse all requests.
+        Then follow the lists of silent endpoints.
         """
         if now < self._next_round_at:
             return []
@@ -218,9 +218,9 @@
         to reach the router that forwards to it.
         """
         names = sorted(routers)
-        turn = int(now / RELAY_ORDER_S) % max(1, len(names))
-        turned = names[turn:] + names[:turn]
-        return sorted(turned, key=lambda router: self._is_unreliable(router, now))
+        offset = int(now / RELAY_ORDER_S) % max(1, len(names))
+        rotated = names[offset:] + names[:offset]
+        return sorted(rotated, key=lambda router: self._is_unreliable(router, now))
 
     def _is_unreliable(self, router: str, now: float) -> bool:
         progress = self._progress[router]
@@ -285,9 +285,9 @@
             yield SendMessage(target=delivery.first, message=update)
 
     def _pack(self, group: _Group, now: float) -> _PackedRecords:
-        known = self._packed.get(group)
-        if known is not None and self._is_fresh(group, known, now):
-            return known
+        cached = self._packed.get(group)
+        if cached is not None and self._is_fresh(group, cached, now):
+            return cached
         self._prune_packed(now)
         records = self.table.list_changes(group.base)
         if group.is_partial:
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -72,7 +72,7 @@
             return
         is_first = self.change == 0
         if is_partial and not (is_first or self.is_partial):
-            # A late update with departures only lacks other changes made since the whole table.
+            # An update with departures only lacks the other changes made since the whole table.
             return
         if base == 0 and self.is_partial and not is_partial:
             # The table may be older than the departures: the changes in between are still missing.
@@ -132,12 +132,13 @@
     ) -> None:
         """Set the router's own addresses, the seed replicas and the callbacks.
 
-        ``apply_document`` gets the version and the document as the operator sent it,
+        ``take_document`` gets the version and the document as the operator sent it,
         ``on_unreadable`` the version and a description of the fault in a received document, and
         ``on_bad_update`` the replica and a description of the fault in packed endpoints.
+        ``get_news`` returns this router's report.
         """
         self._router = router
-        self._reads_at = document_address
+        self._document_address = document_address
         self._seeds = tuple(seeds)
         self._table = table
         self._apply_document = take_document
@@ -218,7 +219,7 @@
             placed=report.placed,
             is_assigned=True,
             placed_change=replica.placed_change,
-            document_address=self._reads_at,
+            document_address=self._document_address,
             crash_reports=report.crash_reports,
             quarantine_revision=report.quarantine_revision,
             is_partial=replica.is_partial,
