--- a/chivetrack/components/distribution/document_feed.py
+++ b/chivetrack/components/distribution/document_feed.py
@@ -1,11 +1,11 @@
-"""Decides how documents reach routers: as patches, paced, from each other; free of I/O."""
+"""Decides how documents reach routers: as patches, rate-limited, via other routers; free of I/O."""
 
 from dataclasses import dataclass, field
 
 from chivetrack.components.distribution.const import (
     BULK_BYTES_PER_S,
-    DOCUMENT_AGAIN_S,
-    RELAY_AFTER_S,
+    DOCUMENT_RESEND_S,
+    MAX_DIRECT_DELAY_S,
 )
 from chivetrack.components.distribution.messages import (
     DocumentSent,
@@ -13,13 +13,13 @@
     FetchElsewhere,
 )
 from chivetrack.components.distribution.pacing import Pacer
-from chivetrack.components.distribution.relays import Relays
+from chivetrack.components.distribution.relays import RelaySelector
 from chivetrack.components.document.history import DocumentHistory, DocumentUpdate
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PacedDocument:
-    """A document, or who has it, that goes to a router after ``delay_s`` seconds."""
+    """A document, or a redirect to a router that holds it, to be sent after ``delay_s`` seconds."""
 
     target: str
     message: DocumentSent | FetchElsewhere
@@ -27,52 +27,58 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _DueDocument:
-    """Which version a router is being sent, and until when asking again brings nothing."""
+class _ScheduledDocument:
+    """Version last sent to a router, and from when on it is sent again on request."""
 
     version: int
-    again_at: float
+    resend_at: float
 
 
 @dataclass(slots=True, kw_only=True)
 class DocumentFeed:
-    """Answers routers that ask for the newest document."""
+    """Answers routers that request the newest document."""
 
     history: DocumentHistory
     pacer: Pacer
-    _due: dict[str, _DueDocument] = field(default_factory=dict)
-    _relays: Relays = field(default_factory=Relays)
+    _scheduled: dict[str, _ScheduledDocument] = field(default_factory=dict)
+    _relays: RelaySelector = field(default_factory=RelaySelector)
 
-    def note_version(self, router: str, version: int, *, is_stopping: bool, now: float) -> None:
-        """Note which version a router has, 0 if none, and whether it can hand it on."""
+    def record_version(self, router: str, version: int, *, is_stopping: bool, now: float) -> None:
+        """Record which version a router has, 0 if none, and whether it can relay it."""
         if is_stopping or version < self.history.version:
-            self._relays.drop_holder(router, now=now)
+            self._relays.remove_holder(router, now=now)
         else:
-            self._relays.note_holder(router, version, since=now)
+            self._relays.record_holder(router, version, since=now)
 
-    def forget(self, router: str) -> None:
-        """Drop a router that has gone."""
-        self._due.pop(router, None)
+    def remove_router(self, router: str) -> None:
+        """Remove a router that has not polled for a long time."""
+        self._scheduled.pop(router, None)
 
-    def take_fetch(
+    def handle_fetch(
         self, source: str, fetch: FetchDocument, *, now: float
     ) -> tuple[PacedDocument, ...]:
-        """Send the newest document to a router that lacks it, when it is its turn."""
+        """Return the newest document, or a redirect, for a router that lacks it.
+
+        Returns nothing if the router is up to date, or if the document was sent to it so recently
+        that it may still be in flight.
+        """
         update = self.history.make_update(fetch.held_version)
         if update is None:
             return ()
-        due = self._due.get(source)
-        is_again = due is not None and due.version == update.version
-        if due is not None and is_again and now < due.again_at:
+        scheduled = self._scheduled.get(source)
+        is_repeated = scheduled is not None and scheduled.version == update.version
+        if scheduled is not None and is_repeated and now < scheduled.resend_at:
             return ()
-        paced = None if is_again else self._refer(source, update, now)
+        paced = None if is_repeated else self._redirect(source, update, now)
         paced = paced or self._send_update(source, update, now)
-        self._due[source] = _DueDocument(update.version, now + paced.delay_s + DOCUMENT_AGAIN_S)
+        self._scheduled[source] = _ScheduledDocument(
+            update.version, now + paced.delay_s + DOCUMENT_RESEND_S
+        )
         return (paced,)
 
-    def _refer(self, source: str, update: DocumentUpdate, now: float) -> PacedDocument | None:
-        """Name a router that hands the document on; one that asks again is not referred."""
-        if self.pacer.find_delay(now=now) <= RELAY_AFTER_S:
+    def _redirect(self, source: str, update: DocumentUpdate, now: float) -> PacedDocument | None:
+        """Return a redirect to a holder of the document, ``None`` to send it directly."""
+        if self.pacer.find_delay(now=now) <= MAX_DIRECT_DELAY_S:
             return None
         size = len(update.payload)
         relay = self._relays.choose(source, update.version, size=size, now=now)
@@ -85,7 +91,7 @@
         size = len(update.payload)
         delay_s = self.pacer.reserve(size, now=now)
         since = now + delay_s + size / BULK_BYTES_PER_S
-        self._relays.note_holder(source, update.version, since=since)
+        self._relays.record_holder(source, update.version, since=since)
         sent = DocumentSent(
             version=update.version, payload=update.payload, base_version=update.base_version
         )
--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -1,4 +1,4 @@
-"""A router's side: which replicas it follows, and what it holds from them."""
+"""Router side of the distribution: which replicas a router polls and what it holds from them."""
 
 import zlib
 from collections.abc import Callable, Sequence
@@ -11,19 +11,19 @@
 from chivetrack.components.announcements.packing import unpack_records
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.const import (
-    CLOSE_EVERY_S,
-    CLOSE_SILENT_S,
-    FETCH_AGAIN_MAX_S,
-    FETCH_AGAIN_S,
-    FOLLOW_EVERY_S,
-    FOLLOW_MAX_S,
-    FOLLOW_PER_ROUTER_S,
-    MANY_ROUTERS,
-    PROBE_SILENT_S,
-    REPLICA_FORGET_S,
-    START_REPLICAS,
-    START_S,
-    WATCH_SILENT_S,
+    ASSIGNED_REPLICA_TIMEOUT_S,
+    FETCH_RETRY_S,
+    FOLLOW_INTERVAL_PER_ROUTER_S,
+    FOLLOW_INTERVAL_S,
+    LARGE_FLEET_ROUTERS,
+    LOAD_REPORT_INTERVAL_S,
+    MAX_FETCH_RETRY_S,
+    MAX_FOLLOW_INTERVAL_S,
+    PROBE_INTERVAL_S,
+    REPLICA_EXPIRY_S,
+    REPLICA_SILENT_S,
+    STARTUP_REPLICAS,
+    STARTUP_S,
 )
 from chivetrack.components.distribution.messages import (
     DocumentSent,
@@ -45,10 +45,10 @@
 
 @dataclass(slots=True)
 class _Replica:
-    """What a replica has told so far."""
+    """State of the exchange with one replica."""
 
-    named_at: float
-    heard_at: float = float("-inf")
+    last_named_at: float
+    last_seen_at: float = float("-inf")
     unanswered_since: float = float("inf")
     run: str = ""
     change: int = 0
@@ -56,45 +56,48 @@
     placed_change: int = 0
     silent_revision: int = 0
 
-    def note_run(self, run: str) -> None:
-        """Note which process of the replica speaks; each one numbers its changes anew."""
+    def record_run(self, run: str) -> None:
+        """Record which process of the replica answers; each process numbers its changes anew."""
         if run != self.run:
             self.run, self.change, self.placed_change = run, 0, 0
             self.is_partial = False
             self.silent_revision = 0
 
-    def note_changes(self, base: int, change: int, *, is_partial: bool = False) -> None:
-        """Note what came after change ``base``; after one that was lost it has to come again."""
+    def record_changes(self, base: int, change: int, *, is_partial: bool = False) -> None:
+        """Record the changes after ``base`` up to ``change``, unless an earlier update was lost.
+
+        After a loss nothing is recorded, so that the replica sends the lost changes again.
+        """
         if base > self.change or base == change:
             return
         is_first = self.change == 0
         if is_partial and not (is_first or self.is_partial):
-            # Departures that come late say nothing of the others since the whole table.
+            # An update with departures only lacks the other changes made since the whole table.
             return
         if base == 0 and self.is_partial and not is_partial:
-            # The table may be older than the departures; what changed between is still lacked.
+            # The table may be older than the departures: the changes in between are still missing.
             self.change, self.is_partial = change, False
             return
         self.is_partial = self.is_partial or is_partial
         self.change = max(self.change, change)
 
-    def note_asked(self, now: float) -> None:
-        """Note a question to it."""
+    def record_request(self, now: float) -> None:
+        """Record that a request was sent to the replica."""
         self.unanswered_since = min(self.unanswered_since, now)
 
-    def note_heard(self, now: float) -> None:
-        """Note its word."""
-        self.heard_at = now
+    def record_answer(self, now: float) -> None:
+        """Record that the replica has answered."""
+        self.last_seen_at = now
         self.unanswered_since = float("inf")
 
     def is_silent(self, now: float) -> bool:
-        """Return whether it has left questions unanswered for long."""
-        return now - self.unanswered_since > WATCH_SILENT_S
+        """Return whether requests have been unanswered for more than ``REPLICA_SILENT_S``."""
+        return now - self.unanswered_since > REPLICA_SILENT_S
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class OwnNews:
-    """What this router tells the others through the replicas."""
+class RouterReport:
+    """What this router reports about itself to its assigned replica."""
 
     loads: tuple[EndpointLoad, ...]
     placed: tuple[PlacedPart, ...]
@@ -104,163 +107,168 @@
 
 
 class Subscriber:
-    """Follows several replicas, so that no single one of them can keep news from a router.
+    """Polls several replicas, so that no single replica can withhold state from a router.
 
-    A few routers follow all replicas. Many follow a majority each: a departure is
-    acknowledged once a majority of replicas knows it, and two majorities meet. Asked by
-    all of some hundred routers, a replica with half a core would be late for its own log.
+    A few routers poll all replicas. In a large fleet, each router polls a majority of them: a
+    departure is acknowledged once a majority of replicas knows it, and any two majorities overlap.
+    If all of about a hundred routers polled it, a replica with half a core would be late with its
+    own log.
 
-    A document is taken only if its version is higher than the one held: a replica that
-    lags, or has been cut off, can't take a router back.
+    A document is applied only if its version is higher than the one held, so a replica that lags or
+    has been cut off can't set a router back to an old version.
     """
 
     def __init__(
         self,
         *,
         router: str,
-        reads_at: str,
+        document_address: str,
         seeds: Sequence[str],
         table: EndpointTable,
         take_document: Callable[[int, bytes], None],
-        note_unreadable: Callable[[int, str], None],
-        note_bad_update: Callable[[str, str], None],
-        get_news: Callable[[], OwnNews],
+        on_unreadable: Callable[[int, str], None],
+        on_bad_update: Callable[[str, str], None],
+        get_news: Callable[[], RouterReport],
     ) -> None:
-        """Take the own addresses, those of the first replicas and the ways out.
+        """Set the router's own addresses, the seed replicas and the callbacks.
 
         ``take_document`` gets the version and the document as the operator sent it,
-        ``note_unreadable`` the version and what was wrong with what a replica sent, and
-        ``note_bad_update`` the replica and what was wrong with packed endpoints.
+        ``on_unreadable`` the version and a description of the fault in a received document, and
+        ``on_bad_update`` the replica and a description of the fault in packed endpoints.
+        ``get_news`` returns this router's report.
         """
         self._router = router
-        self._reads_at = reads_at
+        self._document_address = document_address
         self._seeds = tuple(seeds)
         self._table = table
-        self._take_document = take_document
-        self._note_unreadable = note_unreadable
-        self._note_bad_update = note_bad_update
-        self._get_news = get_news
+        self._apply_document = take_document
+        self._on_unreadable = on_unreadable
+        self._on_bad_update = on_bad_update
+        self._get_report = get_news
         self._replicas: dict[str, _Replica] = {}
         self._next_follow = float("-inf")
-        self._next_close = float("-inf")
-        self._close = ""
-        self._turn = -1
+        self._next_report = float("-inf")
+        self._assigned = ""
+        self._next_fallback = -1
         self._next_probe = float("-inf")
-        self._probes = 0
-        self._routers = 1
+        self._probe_count = 0
+        self._router_count = 1
         self._next_fetch = float("-inf")
-        self._fetch_wait = FETCH_AGAIN_S
+        self._fetch_backoff_s = FETCH_RETRY_S
         self._body = b""
-        self._last: DocumentSent | None = None
+        self._last_received: DocumentSent | None = None
         self._started_at = float("inf")
         self.version = 0
         self._quarantine_revision = 0
 
     @property
-    def close_replica(self) -> str:
-        """Return the replica that is told of this router's load, empty before the first."""
-        return self._close
+    def assigned_replica(self) -> str:
+        """Return the replica to which this router reports its load, empty before the first one."""
+        return self._assigned
 
     def wake(self, *, now: float) -> list[Effect]:
-        """Ask the replicas when it is time to."""
+        """Poll the replicas that are due."""
         effects: list[Effect] = []
         self._started_at = min(self._started_at, now)
-        if now >= self._next_close:
-            self._next_close = now + CLOSE_EVERY_S
-            effects += self._follow_close(now)
+        if now >= self._next_report:
+            self._next_report = now + LOAD_REPORT_INTERVAL_S
+            effects += self._report_to_assigned(now)
         if now >= self._next_follow:
             self._next_follow = now + self._find_interval()
-            effects += self._follow_others(now)
-        effects.append(WakeAt(at=min(self._next_follow, self._next_close)))
+            effects += self._poll_others(now)
+        effects.append(WakeAt(at=min(self._next_follow, self._next_report)))
         return effects
 
     def _find_interval(self) -> float:
-        return min(FOLLOW_MAX_S, max(FOLLOW_EVERY_S, self._routers * FOLLOW_PER_ROUTER_S))
+        return min(
+            MAX_FOLLOW_INTERVAL_S,
+            max(FOLLOW_INTERVAL_S, self._router_count * FOLLOW_INTERVAL_PER_ROUTER_S),
+        )
 
     def _list_order(self) -> list[str]:
-        """Return the replicas in an order of this router's own; it spreads routers evenly."""
+        """Return the replicas in an order specific to this router, which spreads routers evenly."""
         names = sorted(self._replicas)
         return Random(self._router).sample(names, len(names))
 
-    def _choose_close(self, now: float) -> str:
-        """Return the first replica that answers; while none does, each in turn."""
+    def _choose_assigned(self, now: float) -> str:
+        """Return the first replica that answers; while none answers, each replica in turn."""
         order = self._list_order()
         for name in order:
-            if now - self._replicas[name].heard_at <= CLOSE_SILENT_S:
+            if now - self._replicas[name].last_seen_at <= ASSIGNED_REPLICA_TIMEOUT_S:
                 return name
-        self._turn += 1
-        return order[self._turn % len(order)]
+        self._next_fallback += 1
+        return order[self._next_fallback % len(order)]
 
-    def _follow_close(self, now: float) -> list[Effect]:
-        self._refresh_names(now)
-        name = self._choose_close(now)
-        news = self._get_news()
+    def _report_to_assigned(self, now: float) -> list[Effect]:
+        self._refresh_replicas(now)
+        name = self._choose_assigned(now)
+        report = self._get_report()
         replica = self._replicas[name]
-        if name != self._close:
-            # The list held now is that of the replica before.
+        if name != self._assigned:
+            # The list held so far is from the previously assigned replica.
             replica.silent_revision = 0
-        self._close = name
-        replica.note_asked(now)
-        self._quarantine_revision = news.quarantine_revision
+        self._assigned = name
+        replica.record_request(now)
+        self._quarantine_revision = report.quarantine_revision
         follow = Follow(
             router=self._router,
             run=replica.run,
             change=replica.change,
             version=self.version,
-            loads=news.loads,
-            placed=news.placed,
-            is_close=True,
+            loads=report.loads,
+            placed=report.placed,
+            is_assigned=True,
             placed_change=replica.placed_change,
-            reads_at=self._reads_at,
-            crash_reports=news.crash_reports,
-            quarantine_revision=news.quarantine_revision,
+            document_address=self._document_address,
+            crash_reports=report.crash_reports,
+            quarantine_revision=report.quarantine_revision,
             is_partial=replica.is_partial,
             silent_revision=replica.silent_revision,
-            is_stopping=news.is_stopping,
+            is_stopping=report.is_stopping,
         )
         return [SendMessage(target=name, message=follow)]
 
-    def report_now(self, *, now: float) -> list[Effect]:
-        """Send this router's news to the close replica without waiting for the next interval."""
-        return self._follow_close(now)
+    def report_load(self, *, now: float) -> list[Effect]:
+        """Report to the assigned replica without waiting for the next interval."""
+        return self._report_to_assigned(now)
 
-    def _follow_others(self, now: float) -> list[Effect]:
+    def _poll_others(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        for name in self._list_watched(now):
+        for name in self._list_polled(now):
             replica = self._replicas[name]
-            replica.note_asked(now)
+            replica.record_request(now)
             effects.append(SendMessage(target=name, message=self._make_follow(replica)))
         return effects
 
-    def _list_watched(self, now: float) -> list[str]:
-        """Return the replicas to ask beside the close one."""
+    def _list_polled(self, now: float) -> list[str]:
+        """Return the replicas to poll besides the assigned one."""
         order = self._list_order()
-        if now - self._started_at < START_S:
-            order = order[:START_REPLICAS]
-        others = [name for name in order if name != self._close]
-        if self._routers <= MANY_ROUTERS:
+        if now - self._started_at < STARTUP_S:
+            order = order[:STARTUP_REPLICAS]
+        others = [name for name in order if name != self._assigned]
+        if self._router_count <= LARGE_FLEET_ROUTERS:
             return others
-        # With the close one, a majority of all that are known, the silent ones among them.
+        # Together with the assigned one: a majority of all known replicas, silent ones included.
         needed = len(self._replicas) // 2
         silent = [name for name in others if self._replicas[name].is_silent(now)]
-        heard = [name for name in others if name not in silent]
-        if len(heard) < needed:
+        answering = [name for name in others if name not in silent]
+        if len(answering) < needed:
             return others
-        return heard[:needed] + self._choose_probe(silent, now)
+        return answering[:needed] + self._choose_probe(silent, now)
 
     def _choose_probe(self, silent: list[str], now: float) -> list[str]:
-        """Return a silent replica to ask, now and then, so that a returned one is found."""
+        """Return a silent replica every ``PROBE_INTERVAL_S``, to detect that it has recovered."""
         if not silent or now < self._next_probe:
             return []
-        self._next_probe = now + PROBE_SILENT_S
-        self._probes += 1
-        return [silent[self._probes % len(silent)]]
+        self._next_probe = now + PROBE_INTERVAL_S
+        self._probe_count += 1
+        return [silent[self._probe_count % len(silent)]]
 
-    def _refresh_names(self, now: float) -> None:
+    def _refresh_replicas(self, now: float) -> None:
         for seed in self._seeds:
-            self._name(seed, now)
+            self._record_named(seed, now)
         for name, replica in list(self._replicas.items()):
-            if now - replica.named_at > REPLICA_FORGET_S:
+            if now - replica.last_named_at > REPLICA_EXPIRY_S:
                 del self._replicas[name]
 
     def _make_follow(self, replica: _Replica) -> Follow:
@@ -273,101 +281,103 @@
             is_partial=replica.is_partial,
         )
 
-    def _name(self, name: str, now: float) -> _Replica:
+    def _record_named(self, name: str, now: float) -> _Replica:
         replica = self._replicas.get(name)
         if replica is None:
-            replica = self._replicas[name] = _Replica(named_at=now)
-        replica.named_at = now
+            replica = self._replicas[name] = _Replica(last_named_at=now)
+        replica.last_named_at = now
         return replica
 
-    def take_view(self, source: str, view: View, *, now: float) -> list[Effect]:
-        """Merge what a replica tells; ask for its document if it is newer."""
-        replica = self._name(source, now)
-        replica.note_heard(now)
+    def handle_view(self, source: str, view: View, *, now: float) -> list[Effect]:
+        """Merge the state sent by a replica; request its document if that is newer."""
+        replica = self._record_named(source, now)
+        replica.record_answer(now)
         for record in view.records:
             self._table.merge(record, now=now)
-        replica.note_run(view.run)
+        replica.record_run(view.run)
         if view.has_loads:
-            self._routers = view.routers
+            self._router_count = view.routers
             replica.placed_change = view.placed_change
             replica.silent_revision = view.silent_revision
-        replica.note_changes(view.base, view.change)
+        replica.record_changes(view.base, view.change)
         for name in view.replicas:
-            self._name(name, now)
+            self._record_named(name, now)
         return self._fetch(source, view.version, now)
 
-    def take_endpoints(self, update: EndpointUpdate, *, now: float) -> list[Effect]:
-        """Merge what a replica has packed and hand it on as it wishes."""
-        read = unpack_records(update.payload)
-        if read.is_error():
-            self._note_bad_update(update.replica, read.error)
+    def handle_endpoints(self, update: EndpointUpdate, *, now: float) -> list[Effect]:
+        """Merge the packed endpoints of a replica and forward the update."""
+        unpacked = unpack_records(update.payload)
+        if unpacked.is_error():
+            self._on_bad_update(update.replica, unpacked.error)
             return []
-        for record in read.ok:
+        for record in unpacked.ok:
             self._table.merge(record, now=now)
-        replica = self._name(update.replica, now)
-        replica.note_run(update.run)
-        replica.note_changes(update.base, update.change, is_partial=update.is_partial)
-        return self.hand_on(update)
+        replica = self._record_named(update.replica, now)
+        replica.record_run(update.run)
+        replica.record_changes(update.base, update.change, is_partial=update.is_partial)
+        return self.forward_update(update)
 
-    def take_silent(self, update: SilentUpdate) -> list[Effect]:
-        """Note which list of silent endpoints is held from a replica and hand it on."""
+    def handle_silent(self, update: SilentUpdate) -> list[Effect]:
+        """Record the revision of the list of silent endpoints and forward the update."""
         replica = self._replicas.get(update.replica)
         if replica is not None and replica.run == update.run:
             replica.silent_revision = update.revision
-        return self.hand_on(update)
+        return self.forward_update(update)
 
-    def hand_on(self, update: EndpointUpdate | SilentUpdate | LoadUpdate) -> list[Effect]:
-        """Send an update on to the routers that it names."""
-        passed_on = msgspec.structs.replace(update, forward_to=())
-        return [SendMessage(target=one, message=passed_on) for one in update.forward_to]
+    def forward_update(self, update: EndpointUpdate | SilentUpdate | LoadUpdate) -> list[Effect]:
+        """Forward an update to the routers listed in it."""
+        forwarded = msgspec.structs.replace(update, forward_to=())
+        return [SendMessage(target=router, message=forwarded) for router in update.forward_to]
 
     def _fetch(self, source: str, version: int, now: float) -> list[Effect]:
         if version <= self.version or now < self._next_fetch:
             return []
-        self._next_fetch = now + self._fetch_wait
-        self._fetch_wait = min(FETCH_AGAIN_MAX_S, 2 * self._fetch_wait)
+        self._next_fetch = now + self._fetch_backoff_s
+        self._fetch_backoff_s = min(MAX_FETCH_RETRY_S, 2 * self._fetch_backoff_s)
         return [SendMessage(target=source, message=self._make_fetch())]
 
     def _make_fetch(self) -> FetchDocument:
         return FetchDocument(held_version=self.version if self._body else 0)
 
-    def take_document(self, sent: DocumentSent) -> None:
-        """Put a newer document in force; an older one is dropped."""
+    def handle_document(self, sent: DocumentSent) -> None:
+        """Apply a newer document; drop an older one."""
         if sent.version <= self.version:
             return
         if sent.base_version and sent.base_version != self.version:
-            # A patch of what was held when it was asked for; a newer one has come since.
+            # The patch was made for the version held at the time of the request, since replaced.
             return
-        read = self._read(sent)
+        body = self._read(sent)
         self._next_fetch = float("-inf")
-        self._fetch_wait = FETCH_AGAIN_S
-        if read.is_error():
-            # Without the body the next question is for the whole document.
+        self._fetch_backoff_s = FETCH_RETRY_S
+        if body.is_error():
+            # Without the body, the next request is for the whole document.
             self._body = b""
-            self._note_unreadable(sent.version, str(read.error))
+            self._on_unreadable(sent.version, str(body.error))
             return
         self.version = sent.version
-        self._body = read.ok
-        self._last = sent
-        self._take_document(sent.version, read.ok)
+        self._body = body.ok
+        self._last_received = sent
+        self._apply_document(sent.version, body.ok)
 
-    def take_referral(self, referral: FetchElsewhere) -> list[Effect]:
-        """Ask another router for a document that a replica has no time to send."""
-        if referral.version <= self.version:
+    def handle_redirect(self, redirect: FetchElsewhere) -> list[Effect]:
+        """Request the document from another router, to which a replica has redirected."""
+        if redirect.version <= self.version:
             return []
-        return [SendMessage(target=referral.holder, message=self._make_fetch())]
+        return [SendMessage(target=redirect.holder, message=self._make_fetch())]
 
-    def answer_fetch(self, source: str, fetch: FetchDocument) -> list[Effect]:
-        """Hand the document on to another router that holds an older one."""
-        if self._last is None or fetch.held_version >= self.version:
+    def handle_fetch_from_router(self, source: str, fetch: FetchDocument) -> list[Effect]:
+        """Send the document to another router that holds an older one."""
+        if self._last_received is None or fetch.held_version >= self.version:
             return []
-        if self._last.base_version not in (0, fetch.held_version):
-            # The patch that came here does not fit there.
-            self._last = DocumentSent(version=self.version, payload=pack_document(self._body))
-        return [SendMessage(target=source, message=self._last)]
+        if self._last_received.base_version not in (0, fetch.held_version):
+            # The patch received here does not apply to the version held by the other router.
+            self._last_received = DocumentSent(
+                version=self.version, payload=pack_document(self._body)
+            )
+        return [SendMessage(target=source, message=self._last_received)]
 
     def find_body(self, min_version: int) -> bytes | None:
-        """Return the document held, as the operator sent it, if it is new enough."""
+        """Return the document held, as the operator sent it, if its version is high enough."""
         return self._body if self._body and self.version >= min_version else None
 
     def _read(self, sent: DocumentSent) -> Result[bytes, PatchError]:
--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -1,17 +1,17 @@
-"""Spreads who leads the log, and up to which revision."""
+"""Gossips which instance leads the log, and up to which revision."""
 
 from chivetrack.components.configuration.configuration import Configuration
 from chivetrack.components.configuration.models import RevisionHeard
-from chivetrack.components.fleet.models import TOPIC_LEADER, LeaderRecord, LeadershipSeen
+from chivetrack.components.fleet.models import TOPIC_LEADER, LeaderRecord, LeadershipStatus
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News, Urgency
+from chivetrack.components.gossip.models import Urgency, ValueUpdate
 from chivetrack.components.proposals.client import ProposalClient
 from chivetrack.core import Effect, Event
 from chivetrack.helpers.codec import DecodeError, decode_as, encode
 
 
-class LeaderNews:
-    """Publishes the own lead, and follows the news of the highest term."""
+class LeaderGossip:
+    """Publishes that this instance leads, and follows the leader record of the highest term."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         configuration: Configuration,
         proposals: ProposalClient,
     ) -> None:
-        """Listen to gossip."""
+        """Subscribe to leader records."""
         self._instance_id = instance_id
         self._gossip = gossip
         self._configuration = configuration
@@ -29,25 +29,25 @@
         self._own: LeaderRecord | None = None
         self._published: LeaderRecord | None = None
         self._term = 0
-        self._heard: list[RevisionHeard] = []
-        gossip.subscribe(TOPIC_LEADER, self._take_news)
+        self._pending_revisions: list[RevisionHeard] = []
+        gossip.subscribe(TOPIC_LEADER, self._handle_update)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take what the own replica knows; publish and pass on what is new."""
-        if isinstance(event, LeadershipSeen):
-            self._take_own(event)
+        """Handle the status of the own replica; publish changes and report received revisions."""
+        if isinstance(event, LeadershipStatus):
+            self._handle_own_status(event)
         self._publish(now)
         effects: list[Effect] = []
-        heard, self._heard = self._heard, []
-        for each in heard:
-            effects.extend(self._configuration.handle(each, now=now))
+        revisions, self._pending_revisions = self._pending_revisions, []
+        for revision in revisions:
+            effects.extend(self._configuration.handle(revision, now=now))
         return effects
 
-    def _take_own(self, seen: LeadershipSeen) -> None:
-        self._own = LeaderRecord(seen.term, 0) if seen.leads else None
-        if seen.term >= self._term and seen.leader:
-            self._term = seen.term
-            self._proposals.note_leader(seen.leader)
+    def _handle_own_status(self, status: LeadershipStatus) -> None:
+        self._own = LeaderRecord(status.term, 0) if status.leads else None
+        if status.term >= self._term and status.leader:
+            self._term = status.term
+            self._proposals.note_leader(status.leader)
 
     def _publish(self, now: float) -> None:
         if self._own is None:
@@ -62,16 +62,16 @@
         self._published = record
         self._gossip.publish(TOPIC_LEADER, "", encode(record), Urgency.CONFIGURATION, now=now)
 
-    def _take_news(self, news: News) -> None:
-        if news.payload is None:
+    def _handle_update(self, update: ValueUpdate) -> None:
+        if update.payload is None:
             return
         try:
-            record = decode_as(LeaderRecord, news.payload)
+            record = decode_as(LeaderRecord, update.payload)
         except DecodeError:
             return
-        # A leader that was deposed behind a cut goes on saying that it leads.
+        # A leader that was deposed during a network cut still publishes that it leads.
         if record.term < self._term:
             return
         self._term = record.term
-        self._proposals.note_leader(news.origin)
-        self._heard.append(RevisionHeard(peer=news.origin, revision=record.revision))
+        self._proposals.note_leader(update.origin)
+        self._pending_revisions.append(RevisionHeard(peer=update.origin, revision=record.revision))
--- a/chivetrack/components/gossip/budget.py
+++ b/chivetrack/components/gossip/budget.py
@@ -1,4 +1,4 @@
-"""Token buckets: bytes and messages a second that control traffic may take."""
+"""Byte budget and token buckets that limit control traffic."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -6,8 +6,8 @@
 from chivetrack.components.gossip.const import (
     MAX_BUDGET_BYTES_PER_S,
     MIN_BUDGET_BYTES_PER_S,
-    PACED_BURST_SHARE,
-    PACED_SHARE,
+    NON_URGENT_BURST_SHARE,
+    NON_URGENT_SHARE,
     PROBE_BURST_S,
     PROBE_SHARE,
     TRANSPORT_OVERHEAD_BYTES,
@@ -16,7 +16,7 @@
 
 
 class TokenBucket:
-    """Fills by ``rate`` a second up to ``capacity``; starts full."""
+    """Token bucket that refills at ``rate`` a second up to ``capacity``; starts full."""
 
     def __init__(self, *, rate: float, capacity: float) -> None:
         """Create a full bucket."""
@@ -26,15 +26,15 @@
         self._filled_at: float | None = None
 
     def get_level(self, now: float) -> float:
-        """Return what may be taken at ``now``."""
+        """Return how many tokens are available at ``now``."""
         if self._filled_at is not None and now > self._filled_at:
             gained = (now - self._filled_at) * self._rate
             self._level = min(self.capacity, self._level + gained)
         self._filled_at = now if self._filled_at is None else max(now, self._filled_at)
         return self._level
 
-    def take(self, amount: float, now: float) -> bool:
-        """Take ``amount`` if it is there; otherwise take nothing."""
+    def try_consume(self, amount: float, now: float) -> bool:
+        """Consume ``amount`` tokens and return ``True``, or nothing if fewer are available."""
         if self.get_level(now) < amount:
             return False
         self._level -= amount
@@ -42,22 +42,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Payment:
+class _Charge:
     at: float
     amount: int
 
 
 class ByteBudget:
-    """The bytes that this instance's control messages may take, shared by their senders.
+    """Byte budget for this instance's control messages, shared by their senders.
 
-    Two limits hold. Any window of one second, wherever it starts, sees at most
-    ``bytes_per_s``: payments of the last second are remembered and summed. Ordinary
-    news is also paced by a token bucket of a smaller rate, so that it never uses up
-    the second and urgent news and probes find room at once.
+    Two limits apply. Any window of one second, wherever it starts, contains at most
+    ``bytes_per_s``: the charges of the last second are remembered and summed. Updates that are not
+    urgent are also limited by a token bucket of a lower rate, so that they never use up the second,
+    and urgent updates and probes can be sent at once.
     """
 
     def __init__(self, *, bytes_per_s: int, overhead_bytes: int = TRANSPORT_OVERHEAD_BYTES) -> None:
-        """Create a budget; raise ``ValueError`` for a rate outside of the allowance."""
+        """Create a budget; raise ``ValueError`` for a rate outside of the allowed range."""
         if not MIN_BUDGET_BYTES_PER_S <= bytes_per_s <= MAX_BUDGET_BYTES_PER_S:
             raise ValueError(
                 f"budget of {bytes_per_s} bytes/s is not within"
@@ -65,51 +65,53 @@
             )
         self.bytes_per_s = bytes_per_s
         self.overhead_bytes = overhead_bytes
-        self._pace = TokenBucket(
-            rate=bytes_per_s * PACED_SHARE, capacity=bytes_per_s * PACED_BURST_SHARE
+        self._non_urgent_bucket = TokenBucket(
+            rate=bytes_per_s * NON_URGENT_SHARE, capacity=bytes_per_s * NON_URGENT_BURST_SHARE
         )
-        self._probes = TokenBucket(
+        self._probe_bucket = TokenBucket(
             rate=bytes_per_s * PROBE_SHARE, capacity=bytes_per_s * PROBE_SHARE * PROBE_BURST_S
         )
-        self._payments: deque[_Payment] = deque()
-        self._paid = 0
+        self._charges: deque[_Charge] = deque()
+        self._charged_bytes = 0
 
     @property
     def largest_message(self) -> int:
-        """Return the encoded size of the largest message that pacing ever lets through."""
-        return int(self._pace.capacity) - self.overhead_bytes
+        """Return the encoded size of the largest message that the token bucket can ever admit."""
+        return int(self._non_urgent_bucket.capacity) - self.overhead_bytes
 
     def get_room(self, now: float) -> int:
         """Return the encoded size of the largest message that may be sent now."""
         self._expire(now)
-        return self.bytes_per_s - self._paid - self.overhead_bytes
+        return self.bytes_per_s - self._charged_bytes - self.overhead_bytes
 
-    def get_paced_room(self, now: float) -> int:
-        """Return the same for ordinary news."""
-        paced = int(self._pace.get_level(now)) - self.overhead_bytes
-        return min(paced, self.get_room(now))
+    def get_non_urgent_room(self, now: float) -> int:
+        """Return the same for updates that are not urgent."""
+        bucket_room = int(self._non_urgent_bucket.get_level(now)) - self.overhead_bytes
+        return min(bucket_room, self.get_room(now))
 
-    def is_pace_full(self, now: float) -> bool:
-        """Return whether waiting longer would give ordinary news no more room."""
-        return self._pace.get_level(now) >= self._pace.capacity
+    def is_non_urgent_full(self, now: float) -> bool:
+        """Return whether waiting longer gives updates that are not urgent no more room."""
+        return self._non_urgent_bucket.get_level(now) >= self._non_urgent_bucket.capacity
 
     def charge_probe(self, encoded_bytes: int, now: float) -> bool:
-        """Pay for a probe or an answer to one, within their own share."""
+        """Charge a probe or its answer, within the probe share; ``False`` means: don't send."""
         amount = encoded_bytes + self.overhead_bytes
-        if self._probes.get_level(now) < amount or not self.charge(encoded_bytes, now):
+        if self._probe_bucket.get_level(now) < amount or not self.charge(encoded_bytes, now):
             return False
-        return self._probes.take(amount, now)
+        return self._probe_bucket.try_consume(amount, now)
 
     def charge(self, encoded_bytes: int, now: float) -> bool:
-        """Pay for one message; ``False`` means that it must not be sent."""
+        """Charge one message; ``False`` means that it must not be sent."""
         if encoded_bytes > self.get_room(now):
             return False
         amount = encoded_bytes + self.overhead_bytes
-        self._pace.take(min(amount, self._pace.get_level(now)), now)
-        self._payments.append(_Payment(now, amount))
-        self._paid += amount
+        self._non_urgent_bucket.try_consume(
+            min(amount, self._non_urgent_bucket.get_level(now)), now
+        )
+        self._charges.append(_Charge(now, amount))
+        self._charged_bytes += amount
         return True
 
     def _expire(self, now: float) -> None:
-        while self._payments and self._payments[0].at <= now - WINDOW_S:
-            self._paid -= self._payments.popleft().amount
+        while self._charges and self._charges[0].at <= now - WINDOW_S:
+            self._charged_bytes -= self._charges.popleft().amount
--- a/chivetrack/components/gossip/rotation.py
+++ b/chivetrack/components/gossip/rotation.py
@@ -3,16 +3,16 @@
 import random as random_module
 from collections.abc import Iterable
 
-from chivetrack.components.gossip.const import RANDOM_VISIT_EVERY, RING_BASE
+from chivetrack.components.gossip.const import RING_BASE, VISITS_PER_RANDOM_VISIT
 
 
 class Rotation:
     """Visits peers at fixed distances on the ring of sorted ids, and some at random.
 
-    The distances are the multiples of the powers of a small base, so news gets from
-    anyone to anyone in as many hops as a number below the ring's size has digits, and
-    nobody waits for a lucky draw. The random visits get round bad links and instances
-    whose views of the ring differ.
+    The distances are the multiples of the powers of a small base, so an update reaches every
+    instance in as many hops as a number below the ring's size has digits, and does not depend on
+    random choice. The random visits work around bad links and instances whose views of the ring
+    differ.
     """
 
     def __init__(self, *, own_id: str, random: random_module.Random) -> None:
@@ -35,18 +35,18 @@
         self._ring = ring[start:] + ring[:start]
         self._distances = list_distances(len(ring))
 
-    def take(self, count: int) -> list[str]:
+    def choose(self, count: int) -> list[str]:
         """Return the next ``count`` distinct members, or all if there are fewer."""
-        taken: dict[str, None] = {}
-        while len(taken) < min(count, len(self.members)):
-            taken[self._take_one(bool(taken))] = None
-        return list(taken)
+        chosen: dict[str, None] = {}
+        while len(chosen) < min(count, len(self.members)):
+            chosen[self._choose_member(bool(chosen))] = None
+        return list(chosen)
 
-    def _take_one(self, at_random: bool) -> str:
+    def _choose_member(self, at_random: bool) -> str:
         self._visits += 1
-        if at_random or self._visits % RANDOM_VISIT_EVERY == 0:
+        if at_random or self._visits % VISITS_PER_RANDOM_VISIT == 0:
             return self._random.choice(self.members)
-        regular = self._visits - self._visits // RANDOM_VISIT_EVERY
+        regular = self._visits - self._visits // VISITS_PER_RANDOM_VISIT
         return self._ring[self._distances[regular % len(self._distances)]]
 
 
--- a/chivetrack/components/gossip/selection.py
+++ b/chivetrack/components/gossip/selection.py
@@ -1,4 +1,4 @@
-"""Chooses the values of a frame: most urgent first, none waiting for ever."""
+"""Selects the values of a frame: most urgent first, without starving any."""
 
 import math
 from collections.abc import Callable, Iterable, Iterator
@@ -8,7 +8,7 @@
 from chivetrack.components.gossip.const import (
     DELTA_HEADER_BYTES,
     LARGE_VALUE_BYTES,
-    MIN_GAIN_S,
+    MIN_AGE_GAIN_S,
     ORDINARY_SENDS,
     PROMOTION_S,
     SHORT_ENTRY_BYTES,
@@ -19,7 +19,7 @@
 
 
 class LoadName(NamedTuple):
-    """Names a load count among those of all origins."""
+    """Identifies a load count among those of all origins."""
 
     origin: str
     key: ValueKey
@@ -27,28 +27,28 @@
 
 @dataclass(slots=True)
 class KnownLoad:
-    """How young a load count a peer has, under which name."""
+    """When the load count that a peer has was published, and its name hash."""
 
-    born: float
+    published_at: float
     name_hash: int
 
 
 class Rank(NamedTuple):
-    """The place of a value in the order of sending; the smallest goes first."""
+    """Sort key in the order of sending; the smallest is sent first."""
 
     urgency: int
     order: float
 
 
 class Ranked(NamedTuple):
-    """A value and its place."""
+    """A value and its rank."""
 
     rank: Rank
     value: Value
 
 
-def limit_sends(urgency: int, peers: int) -> int:
-    """Return how many copies of a value each holder sends on of its own accord."""
+def get_send_limit(urgency: int, peers: int) -> int:
+    """Return how many copies of a value each holder forwards unless a peer lacks it."""
     if urgency > Urgency.LOAD:
         return ORDINARY_SENDS
     rounds = math.ceil(math.log2(peers + 2))
@@ -56,15 +56,15 @@
 
 
 @dataclass(slots=True)
-class Wanted:
-    """What a peer should get, by kind and each in the order of sending."""
+class PendingValues:
+    """Values to send to a peer, by kind, each in the order of sending."""
 
     urgent: list[Value] = field(default_factory=list)
     loads: list[Value] = field(default_factory=list)
     ordinary: list[Value] = field(default_factory=list)
 
     def add(self, rank: Rank, value: Value) -> None:
-        """Enter a value."""
+        """Add a value."""
         if value.urgency == Urgency.LOAD:
             self.loads.append(value)
         elif rank.urgency < Urgency.LOAD:
@@ -74,47 +74,47 @@
 
 
 class Outbox:
-    """The values that have still to be sent on.
+    """The values that have yet to be sent.
 
-    Hot values go to any peer that is not known to have them, a limited number of
-    times. Owed values go to one peer that was seen to lack them. Load counts are
-    never done: a peer gets those by which its own become younger the most for a byte.
+    Pending values are sent a limited number of times to any peer that is not known to have them.
+    Missing values are sent to one peer that was found to lack them. Load counts are sent without
+    limit: a peer first gets those that reduce the age of its own counts most per byte.
     """
 
     def __init__(self) -> None:
-        """Start with nothing to send."""
-        self._hot: dict[Value, None] = {}
+        """Start without values to send."""
+        self._pending: dict[Value, None] = {}
         self._loads: dict[LoadName, Value] = {}
-        self._owed: dict[str, dict[Value, None]] = {}
+        self._missing_at: dict[str, dict[Value, None]] = {}
         self._known_loads: dict[str, dict[LoadName, KnownLoad]] = {}
         self._full_sends: dict[int, int] = {}
         self._full_limit = 1
-        self._unknown_to: dict[str, set[int]] = {}
+        self._unknown_names: dict[str, set[int]] = {}
 
     def add(self, value: Value) -> None:
-        """Send a new value on."""
+        """Queue a new value."""
         if value.urgency == Urgency.LOAD:
             self._loads[LoadName(value.origin, value.key)] = value
         else:
-            self._hot[value] = None
+            self._pending[value] = None
 
-    def owe(self, peer: str, value: Value) -> None:
-        """Send a value to a peer that lacks it."""
-        value.known.discard(peer)
-        self._owed.setdefault(peer, {})[value] = None
+    def add_missing(self, peer: str, value: Value) -> None:
+        """Queue a value for a peer that lacks it."""
+        value.known_by.discard(peer)
+        self._missing_at.setdefault(peer, {})[value] = None
 
-    def owes(self, peer: str) -> bool:
-        """Return whether a peer was seen to lack something."""
-        return any(value.current for value in self._owed.get(peer, ()))
+    def has_missing(self, peer: str) -> bool:
+        """Return whether a peer was found to lack a value."""
+        return any(value.is_current for value in self._missing_at.get(peer, ()))
 
     def drop_peer(self, peer: str) -> None:
-        """Forget what was owed to a peer that is gone, and what it knows."""
-        self._owed.pop(peer, None)
+        """Remove all state of a peer that was removed or has restarted."""
+        self._missing_at.pop(peer, None)
         self._known_loads.pop(peer, None)
-        self._unknown_to.pop(peer, None)
+        self._unknown_names.pop(peer, None)
 
     def drop_origin(self, origin: str) -> None:
-        """Send nothing more of an origin that is gone."""
+        """Stop sending the load counts of an origin that was removed."""
         for name in [name for name in self._loads if name.origin == origin]:
             self._full_sends.pop(self._loads[name].name_hash, None)
             del self._loads[name]
@@ -122,95 +122,101 @@
             for name in [name for name in loads if name.origin == origin]:
                 del loads[name]
 
-    def note_known(self, peer: str, value: Value) -> None:
-        """Note that a peer has a value as young as this."""
+    def record_known(self, peer: str, value: Value) -> None:
+        """Record that a peer has a load count as recent as this."""
         if value.urgency != Urgency.LOAD:
             return
         loads = self._known_loads.setdefault(peer, {})
         name = LoadName(value.origin, value.key)
         known = loads.get(name)
         if known is None or known.name_hash != value.name_hash:
-            loads[name] = KnownLoad(value.born, value.name_hash)
+            loads[name] = KnownLoad(value.published_at, value.name_hash)
             return
-        known.born = max(known.born, value.born)
-
-    def list_wanted(self, peer: str, topics: frozenset[str] | None, now: float) -> Wanted:
-        """Return what a peer should get, the most urgent first."""
-        owed = self._owed.get(peer, {})
-        for value in [value for value in owed if not value.current]:
-            del owed[value]
-        for value in [value for value in self._hot if not value.current]:
-            del self._hot[value]
-        news = {**owed, **dict.fromkeys(v for v in self._hot if peer not in v.known)}
-        ranked = [Ranked(rank_value(value, now), value) for value in news]
+        known.published_at = max(known.published_at, value.published_at)
+
+    def list_pending(self, peer: str, topics: frozenset[str] | None, now: float) -> PendingValues:
+        """Return the values to send to a peer, the most urgent first."""
+        missing = self._missing_at.get(peer, {})
+        for value in [value for value in missing if not value.is_current]:
+            del missing[value]
+        for value in [value for value in self._pending if not value.is_current]:
+            del self._pending[value]
+        candidates = {
+            **missing,
+            **dict.fromkeys(v for v in self._pending if peer not in v.known_by),
+        }
+        ranked = [Ranked(rank_value(value, now), value) for value in candidates]
         ranked.extend(self._rank_loads(peer))
         ranked.sort(key=lambda entry: entry.rank)
-        wanted = Wanted()
+        pending = PendingValues()
         for rank, value in ranked:
             if topics is None or value.key.topic in topics:
-                wanted.add(rank, value)
-        return wanted
+                pending.add(rank, value)
+        return pending
 
     def list_topics(self) -> frozenset[str]:
-        """Return the topics of the hot values."""
-        return frozenset(value.key.topic for value in self._hot)
+        """Return the topics of the pending values."""
+        return frozenset(value.key.topic for value in self._pending)
 
     def drop_known(self, peers: frozenset[str], *, topics: frozenset[str] | None) -> None:
-        """Stop sending on what all ``peers``, who are told of ``topics``, are known to have."""
-        known = [value for value in self._hot if peers <= value.known]
+        """Stop forwarding values of ``topics``, or of all, that all ``peers`` are known to have."""
+        known = [value for value in self._pending if peers <= value.known_by]
         for value in known:
             if topics is None or value.key.topic in topics:
-                del self._hot[value]
+                del self._pending[value]
 
     def count_ordinary(self) -> int:
-        """Return how many values of ordinary urgency are still being sent on."""
-        return sum(1 for v in self._hot if v.current and v.urgency > Urgency.LOAD)
+        """Return how many values of ordinary urgency are still being forwarded."""
+        return sum(1 for v in self._pending if v.is_current and v.urgency > Urgency.LOAD)
 
     def count_urgent(self) -> int:
-        """Return how many hot values of the highest urgency nobody was sent yet."""
+        """Return how many values of the highest urgency were not sent to any peer yet."""
         return sum(
-            1 for value in self._hot if value.urgency == Urgency.LEAVING and value.sends == 0
+            1
+            for value in self._pending
+            if value.urgency == Urgency.LEAVING and value.send_count == 0
         )
 
-    def takes_short(self, peer: str, value: Value) -> bool:
-        """Return whether a peer should understand the short form of a value.
+    def accepts_short(self, peer: str, value: Value) -> bool:
+        """Return whether a peer is expected to know the short name of a value.
 
-        The full form goes out as often as other news, which reaches nearly everyone; who
-        missed it says so. Each holder naming everything to each peer would take minutes.
+        The full form is sent as often as other values, which reaches nearly every peer; a peer that
+        missed it reports the name as unknown. If each holder sent the full name to each peer, it
+        would take minutes.
         """
         if value.urgency != Urgency.LOAD:
             return False
-        if value.name_hash in self._unknown_to.get(peer, ()):
+        if value.name_hash in self._unknown_names.get(peer, ()):
             return False
         known = self._known_loads.get(peer, {}).get(LoadName(value.origin, value.key))
         if known is not None and known.name_hash == value.name_hash:
             return True
         return self._full_sends.get(value.name_hash, 0) >= self._full_limit
 
-    def note_unknown(self, peer: str, name_hash: int) -> None:
-        """Note that a peer can't read a short name."""
-        self._unknown_to.setdefault(peer, set()).add(name_hash)
+    def record_unknown_name(self, peer: str, name_hash: int) -> None:
+        """Record that a peer does not know a short name."""
+        self._unknown_names.setdefault(peer, set()).add(name_hash)
         for known in self._known_loads.get(peer, {}).values():
             if known.name_hash == name_hash:
-                known.born = -math.inf
+                known.published_at = -math.inf
 
     def mark_sent(self, peer: str, values: Iterable[Value], *, peers: int, now: float) -> None:
-        """Note that values went to a peer."""
-        owed = self._owed.get(peer, {})
-        unknown = self._unknown_to.get(peer, set())
-        self._full_limit = limit_sends(Urgency.LOAD, peers)
+        """Record that values were sent to a peer."""
+        missing = self._missing_at.get(peer, {})
+        unknown = self._unknown_names.get(peer, set())
+        self._full_limit = get_send_limit(Urgency.LOAD, peers)
         for value in values:
-            if value.urgency == Urgency.LOAD and not self.takes_short(peer, value):
+            if value.urgency == Urgency.LOAD and not self.accepts_short(peer, value):
                 unknown.discard(value.name_hash)
-                sends = self._full_sends.get(value.name_hash, 0)
-                self._full_sends[value.name_hash] = sends + 1
-            owed.pop(value, None)
-            value.known.add(peer)
-            value.sends += 1
+                send_count = self._full_sends.get(value.name_hash, 0)
+                self._full_sends[value.name_hash] = send_count + 1
+            missing.pop(value, None)
+            value.known_by.add(peer)
+            value.send_count += 1
             value.waiting_since = now
-            self.note_known(peer, value)
-            if value.sends >= limit_sends(value.urgency, peers):
-                self._hot.pop(value, None)
+            self.record_known(peer, value)
+            if value.send_count >= get_send_limit(value.urgency, peers):
+                self._pending.pop(value, None)
 
     def _rank_loads(self, peer: str) -> Iterator[Ranked]:
         loads = self._known_loads.get(peer, {})
@@ -218,16 +224,16 @@
             if peer == name.origin:
                 continue
             known = loads.get(name)
-            gain = math.inf if known is None else value.born - known.born
-            if gain >= MIN_GAIN_S:
+            gain = math.inf if known is None else value.published_at - known.published_at
+            if gain >= MIN_AGE_GAIN_S:
                 yield Ranked(Rank(Urgency.LOAD, -gain / value.size_bound), value)
 
 
 def rank_value(value: Value, now: float) -> Rank:
-    """Return the place of a value in the order of sending.
+    """Return the rank of a value in the order of sending.
 
-    Without promotion a steady stream of urgent news would keep the rest from ever
-    being sent; waiting raises a value by a level every few seconds, without end.
+    A value rises by one level of urgency for each ``PROMOTION_S`` of waiting, without limit.
+    Otherwise a steady stream of urgent values would starve all others.
     """
     promotion = math.floor(max(0.0, now - value.waiting_since) / PROMOTION_S)
     return Rank(value.urgency - promotion, value.waiting_since)
@@ -236,13 +242,13 @@
 class Selection:
     """The values of one frame, in full and in short form."""
 
-    def __init__(self, *, room: int, largest: int, takes_short: Callable[[Value], bool]) -> None:
-        """Start an empty frame with ``room`` bytes; no frame ever has over ``largest``."""
+    def __init__(self, *, room: int, largest: int, accepts_short: Callable[[Value], bool]) -> None:
+        """Start an empty frame of ``room`` bytes; no frame ever exceeds ``largest`` bytes."""
         self.full: list[Value] = []
         self.short: list[Value] = []
         self._room = room
         self._largest = largest
-        self._takes_short = takes_short
+        self._accepts_short = accepts_short
         self._origins: set[str] = set()
         self.is_waiting = False
 
@@ -251,29 +257,31 @@
         """Return all values."""
         return self.full + self.short
 
-    def fill(self, values: Iterable[Value], *, share: float = 1.0, waits: bool = True) -> bool:
+    def fill(
+        self, values: Iterable[Value], *, share: float = 1.0, stops_when_full: bool = True
+    ) -> bool:
         """Add values in their order, up to a share of the room.
 
-        With ``waits`` one that does not fit now stops the rest and ``False`` is returned:
-        others must not use up the budget that it waits for. One that will never fit,
-        since it came from an instance with a larger budget, is passed over.
+        With ``stops_when_full``, a value that does not fit now ends the filling and ``False`` is
+        returned, because others must not use up the budget that it waits for. A value that can
+        never fit, because it came from an instance with a larger budget, is skipped.
 
-        ``is_waiting`` is then set if it is large: small values that were chosen before it
-        should wait too, since at every tick they use up what it needs.
+        If that value is large, ``is_waiting`` is set: small values chosen before it should wait
+        too, because they would use up the budget that it needs at every tick.
         """
-        kept = self._room * (1 - share)
+        reserved = self._room * (1 - share)
         for value in values:
             if not self._can_ever_hold(value):
                 continue
-            short = self._takes_short(value)
-            need = self._measure(value, short=short)
-            if need > self._room - kept:
-                if waits:
+            is_short = self._accepts_short(value)
+            size = self._measure(value, short=is_short)
+            if size > self._room - reserved:
+                if stops_when_full:
                     self.is_waiting = value.size_bound > LARGE_VALUE_BYTES
                     return False
                 continue
-            self._room -= need
-            self._put(value, short=short)
+            self._room -= size
+            self._put(value, short=is_short)
         return True
 
     def _can_ever_hold(self, value: Value) -> bool:
@@ -295,24 +303,24 @@
         self.full.append(value)
 
 
-def fill_frame(selection: Selection, wanted: Wanted, *, loads_first: bool) -> None:
-    """Fill a frame: urgent news, then load counts and ordinary news in turns.
+def fill_frame(selection: Selection, pending: PendingValues, *, loads_first: bool) -> None:
+    """Fill a frame: urgent values, then load counts and ordinary values in turns.
 
-    Load counts never end and ordinary news may come in bulk; whichever always went
-    first would keep the other from being sent.
+    Load counts never end and there may be many ordinary values, so the kind that always went first
+    would starve the other.
     """
-    share = URGENT_SHARE if wanted.loads else 1.0
-    selection.fill(wanted.urgent[:1])
-    selection.fill(wanted.urgent[1:], share=share)
-    first, second = wanted.loads, wanted.ordinary
+    share = URGENT_SHARE if pending.loads else 1.0
+    selection.fill(pending.urgent[:1])
+    selection.fill(pending.urgent[1:], share=share)
+    first, second = pending.loads, pending.ordinary
     if not loads_first:
         first, second = second, first
     if selection.fill(first):
-        selection.fill(second, waits=False)
+        selection.fill(second, stops_when_full=False)
 
 
 def make_deltas(values: Iterable[Value], state: GossipState, now: float) -> tuple[Delta, ...]:
-    """Return the values in their form on the wire."""
+    """Return the values in their wire format."""
     entries: dict[str, list[Entry]] = {}
     for value in values:
         entries.setdefault(value.origin, []).append(value.get_entry(now))
--- a/chivetrack/components/gossip/state.py
+++ b/chivetrack/components/gossip/state.py
@@ -15,7 +15,7 @@
 
 
 class ValueKey(NamedTuple):
-    """What names a value within its origin."""
+    """Identifies a value within its origin."""
 
     topic: str
     key: str
@@ -25,10 +25,9 @@
 class Value:
     """The latest value of a key.
 
-    ``born`` is the local time at which the origin published it, ``waiting_since``
-    the local time since which something has waited to be sent for this key.
-    ``known`` are the peers that surely have it or were sent it, ``sends`` counts
-    the latter.
+    ``published_at`` is the local time at which the origin published it, ``waiting_since`` the local
+    time since which a value of this key has waited to be sent. ``known_by`` are the peers that have
+    it or to which it was sent, ``send_count`` counts the latter.
     """
 
     origin: str
@@ -36,38 +35,38 @@
     version: int
     urgency: int
     payload: bytes | None
-    born: float
+    published_at: float
     waiting_since: float
     key_hash: int
-    known: set[str]
+    known_by: set[str]
     size_bound: int
-    sends: int = 0
-    current: bool = True
+    send_count: int = 0
+    is_current: bool = True
     name_hash: int = 0
 
     @property
-    def is_repaired(self) -> bool:
-        """Return whether digests cover it."""
+    def is_in_digests(self) -> bool:
+        """Return whether digests cover this value."""
         return self.urgency != Urgency.LOAD
 
     @property
     def checksum(self) -> int:
-        """Return its share of the origin's checksum.
+        """Return this value's share of the origin's checksum.
 
-        The shares are combined by exclusive or, under which a cyclic redundancy check is
-        linear: different versions of two keys would often cancel out, and what a peer
-        lacks would never be found.
+        The shares are combined by exclusive or. A cyclic redundancy check is linear under exclusive
+        or, so different versions of two keys would often cancel out, and a value that a peer lacks
+        would never be found. A non-linear hash avoids this.
         """
         return xxhash.xxh32_intdigest(self.version.to_bytes(8, "big"), self.key_hash)
 
     def get_short_entry(self, now: float) -> ShortEntry:
-        """Return its short form in a frame that is sent at ``now``."""
-        age_ms = max(0, round((now - self.born) * 1000))
+        """Return the short form for a frame that is sent at ``now``."""
+        age_ms = max(0, round((now - self.published_at) * 1000))
         return ShortEntry(self.name_hash, self.version, age_ms, self.payload)
 
     def get_entry(self, now: float) -> Entry:
-        """Return its form in a frame that is sent at ``now``."""
-        age_ms = max(0, round((now - self.born) * 1000))
+        """Return the full form for a frame that is sent at ``now``."""
+        age_ms = max(0, round((now - self.published_at) * 1000))
         topic, key = self.key
         return Entry(topic, key, self.version, self.urgency, age_ms, self.payload)
 
@@ -79,58 +78,58 @@
 
 
 def hash_key(key: ValueKey) -> int:
-    """Return the 32-bit hash by which summaries name a key."""
+    """Return the 32-bit hash that identifies a key in summaries."""
     return zlib.crc32(f"{key.topic}\0{key.key}".encode())
 
 
 def hash_name(origin: str, incarnation: int, key: ValueKey) -> int:
-    """Return the 32-bit hash by which short entries name a load count."""
+    """Return the 32-bit hash that identifies a load count in short entries."""
     return zlib.crc32(f"{origin}\0{incarnation}\0{key.topic}\0{key.key}".encode())
 
 
 @dataclass(slots=True)
 class OriginState:
-    """All values of one origin; ``heard_at`` is when it last certainly lived."""
+    """All values of one origin; ``last_seen_at`` is when it was last certainly alive."""
 
     origin: str
     incarnation: int
     floor: int = 0
-    heard_at: float = float("-inf")
+    last_seen_at: float = float("-inf")
     values: dict[ValueKey, Value] = field(default_factory=dict)
 
-    def list_repaired(self, topics: frozenset[str] | None) -> Iterator[Value]:
+    def list_in_digests(self, topics: frozenset[str] | None) -> Iterator[Value]:
         """Yield the values that digests cover, of ``topics`` or of all."""
         for value in self.values.values():
-            if value.is_repaired and (topics is None or value.key.topic in topics):
+            if value.is_in_digests and (topics is None or value.key.topic in topics):
                 yield value
 
     def get_checksum(self, topics: frozenset[str] | None) -> int:
         """Return a checksum over the keys and versions that digests cover."""
         checksum = 0
-        for value in self.list_repaired(topics):
+        for value in self.list_in_digests(topics):
             checksum ^= value.checksum
         return checksum
 
     def put(self, value: Value) -> None:
-        """Hold a newer value in place of the one before it."""
+        """Store a newer value in place of the previous one."""
         old = self.values.get(value.key)
         if old is not None:
-            old.current = False
+            old.is_current = False
         self.values[value.key] = value
 
     def drop_below_floor(self, floor: int) -> list[Value]:
-        """Raise the floor and return the values that it voids."""
+        """Raise the floor, and remove and return the values that it voids."""
         self.floor = max(self.floor, floor)
         void = [value for value in self.values.values() if value.version <= self.floor]
         for value in void:
-            value.current = False
+            value.is_current = False
             del self.values[value.key]
         return void
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Merged:
-    """What a delta changed."""
+class MergeResult:
+    """Values that a delta stored, repeated and dropped."""
 
     put: tuple[Value, ...] = ()
     repeated: tuple[Value, ...] = ()
@@ -138,35 +137,35 @@
 
 
 class GossipState:
-    """Everything held of all origins; refuses what is older than what it has."""
+    """State of all origins; rejects values older than the ones held."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start without origins."""
         self.origins: dict[str, OriginState] = {}
-        self._least_incarnations: dict[str, int] = {}
-        self._forgotten: set[str] = set()
+        self._min_incarnations: dict[str, int] = {}
+        self._removed: set[str] = set()
         self._short_names: dict[int, Value] = {}
 
     def open_origin(self, origin: str, incarnation: int) -> OriginState:
-        """Return the state of an origin, created if need be."""
+        """Return the state of an origin, created if needed."""
         state = self.origins.get(origin)
         if state is None:
             state = OriginState(origin=origin, incarnation=incarnation)
             self.origins[origin] = state
-        self._least_incarnations[origin] = state.incarnation
-        self._forgotten.discard(origin)
+        self._min_incarnations[origin] = state.incarnation
+        self._removed.discard(origin)
         return state
 
-    def forget(self, origin: str) -> None:
-        """Drop all values of an origin that is gone; its incarnation is remembered."""
+    def remove_instance(self, origin: str) -> None:
+        """Remove all values of an origin; its incarnation is remembered."""
         state = self.origins.pop(origin, None)
         if state is None:
             return
         self._drop_names(state)
-        self._forgotten.add(origin)
+        self._removed.add(origin)
 
     def expand(self, short: ShortEntry) -> Delta | None:
-        """Return a short entry in full, or ``None`` if its name was never seen."""
+        """Return a short entry in full form, or ``None`` if its name is unknown."""
         named = self._short_names.get(short.name_hash)
         held = None if named is None else self.origins.get(named.origin)
         if named is None or held is None:
@@ -177,16 +176,16 @@
         entry = Entry(topic, key, short.version, named.urgency, short.age_ms, short.payload)
         return Delta(held.origin, held.incarnation, held.floor, (entry,))
 
-    def is_forgotten(self, origin: str) -> bool:
-        """Return whether the origin was dropped and has shown no life since."""
-        return origin in self._forgotten
+    def is_removed(self, origin: str) -> bool:
+        """Return whether the origin was removed and has not been seen alive since."""
+        return origin in self._removed
 
-    def merge(self, delta: Delta, *, source: str, extra_age_s: float, now: float) -> Merged:
-        """Take in the newer values of a delta."""
-        # A restarted origin would be overwritten by relays that still hold what it
-        # said before; an older incarnation is refused whoever brings it.
-        if delta.incarnation < self._least_incarnations.get(delta.origin, 0):
-            return Merged()
+    def merge(self, delta: Delta, *, source: str, extra_age_s: float, now: float) -> MergeResult:
+        """Store the newer values of a delta."""
+        # Peers that still hold values from before a restart would overwrite the new ones, so
+        # an older incarnation is rejected from any source.
+        if delta.incarnation < self._min_incarnations.get(delta.origin, 0):
+            return MergeResult()
         state = self.open_origin(delta.origin, delta.incarnation)
         dropped: list[Value] = []
         if delta.incarnation > state.incarnation:
@@ -195,9 +194,9 @@
         put: list[Value] = []
         repeated: list[Value] = []
         for entry in delta.entries:
-            born = now - entry.age_ms / 1000 - extra_age_s
-            state.heard_at = max(state.heard_at, born)
-            value = self._take(state, entry, born, now)
+            published_at = now - entry.age_ms / 1000 - extra_age_s
+            state.last_seen_at = max(state.last_seen_at, published_at)
+            value = self._store_newer(state, entry, published_at, now)
             if value is not None:
                 put.append(value)
                 continue
@@ -205,12 +204,12 @@
             if held is not None and held.version == entry.version:
                 repeated.append(held)
         for value in (*put, *repeated):
-            value.known.add(source)
-        return Merged(put=tuple(put), repeated=tuple(repeated), dropped=tuple(dropped))
+            value.known_by.add(source)
+        return MergeResult(put=tuple(put), repeated=tuple(repeated), dropped=tuple(dropped))
 
     def _drop_names(self, state: OriginState) -> None:
         for value in state.values.values():
-            value.current = False
+            value.is_current = False
             self._short_names.pop(value.name_hash, None)
 
     def _replace(self, state: OriginState, incarnation: int) -> list[Value]:
@@ -219,10 +218,12 @@
         state.values.clear()
         state.incarnation = incarnation
         state.floor = 0
-        self._least_incarnations[state.origin] = incarnation
+        self._min_incarnations[state.origin] = incarnation
         return dropped
 
-    def _take(self, state: OriginState, entry: Entry, born: float, now: float) -> Value | None:
+    def _store_newer(
+        self, state: OriginState, entry: Entry, published_at: float, now: float
+    ) -> Value | None:
         key = ValueKey(entry.topic, entry.key)
         held = state.values.get(key)
         if entry.version <= state.floor or (held is not None and held.version >= entry.version):
@@ -233,17 +234,17 @@
             version=entry.version,
             urgency=entry.urgency,
             payload=entry.payload,
-            born=born,
-            waiting_since=now if held is None or held.sends else held.waiting_since,
+            published_at=published_at,
+            waiting_since=now if held is None or held.send_count else held.waiting_since,
             key_hash=hash_key(key) if held is None else held.key_hash,
-            known={state.origin},
+            known_by={state.origin},
             size_bound=bound_size(key, entry.payload),
         )
         state.put(value)
-        self._note_short_name(state, value, held)
+        self._record_short_name(state, value, held)
         return value
 
-    def _note_short_name(self, state: OriginState, value: Value, held: Value | None) -> None:
+    def _record_short_name(self, state: OriginState, value: Value, held: Value | None) -> None:
         if value.urgency != Urgency.LOAD:
             return
         known = held is not None and held.name_hash != 0
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.gossip.models import News, Peer, Urgency
+from chivetrack.components.gossip.models import Peer, Urgency, ValueUpdate
 from chivetrack.components.membership.const import (
     ALIVE_EVERY_S,
     FORGET_AFTER_S,
@@ -162,7 +162,7 @@
         if self._joined_at is None:
             self._joined_at = now
             self._publish_own(now, Urgency.ANNOUNCEMENT)
-        if now >= self._gossip.get_last_load() + ALIVE_EVERY_S and not self._leaving:
+        if now >= self._gossip.get_last_load_at() + ALIVE_EVERY_S and not self._leaving:
             self._gossip.publish(TOPIC_ALIVE, "", b"", Urgency.LOAD, now=now)
         self._take_signs_of_life(now)
         self._isolated = is_isolated(self._members.values(), now)
@@ -175,7 +175,7 @@
 
     def _take_signs_of_life(self, now: float) -> None:
         for member in self._members.values():
-            heard_at = self._gossip.get_life(member.instance_id)
+            heard_at = self._gossip.get_last_seen(member.instance_id)
             if heard_at is None:
                 continue
             member.hear(heard_at)
@@ -218,12 +218,12 @@
         if now < member.since + FORGET_AFTER_S:
             return
         self._gossip.retract(TOPIC_VERDICT, member.instance_id, Urgency.REST, now=now)
-        self._gossip.forget(member.instance_id)
+        self._gossip.remove_instance(member.instance_id)
         del self._members[member.instance_id]
 
     def _notice_the_dead(self, member: Member, now: float) -> None:
         """Tell an instance that counts as dead and yet shows life, so that it refutes."""
-        heard_at = self._gossip.get_life(member.instance_id)
+        heard_at = self._gossip.get_last_seen(member.instance_id)
         if member.status is not InstanceStatus.DEAD or heard_at is None:
             return
         if heard_at <= member.since or now < member.noticed_at + NOTICE_EVERY_S:
@@ -293,7 +293,7 @@
 
     # News
 
-    def _receive_record(self, news: News) -> None:
+    def _receive_record(self, news: ValueUpdate) -> None:
         record = _decode_record(news.payload)
         if record is None:
             return
@@ -315,7 +315,7 @@
         elif is_new_life:
             self._change(member, InstanceStatus.ALIVE, "showed a new life", news.now)
 
-    def _add_member(self, news: News, record: InstanceRecord, heard_at: float) -> None:
+    def _add_member(self, news: ValueUpdate, record: InstanceRecord, heard_at: float) -> None:
         # The record may be old; whether it lives shows from now on.
         status = InstanceStatus.LEFT if record.leaving else InstanceStatus.ALIVE
         member = Member(
@@ -328,7 +328,7 @@
         self._members[news.origin] = member
         self._tell(member)
 
-    def _receive_verdict(self, news: News) -> None:
+    def _receive_verdict(self, news: ValueUpdate) -> None:
         if news.payload is None:
             return
         try:
@@ -343,11 +343,11 @@
             return
         self._accept_verdict(verdict, life, news)
 
-    def _accept_verdict(self, verdict: Verdict, life: Life, news: News) -> None:
+    def _accept_verdict(self, verdict: Verdict, life: Life, news: ValueUpdate) -> None:
         member = self._members.get(verdict.target)
         if member is None or not member.is_counted or life < member.life:
             return
-        heard_at = self._gossip.get_life(verdict.target)
+        heard_at = self._gossip.get_last_seen(verdict.target)
         latest = max(member.heard_at, heard_at if heard_at is not None else member.heard_at)
         # Whoever has a sign of life from after the verdict knows better than its judges.
         if latest > news.now - news.age_s:
--- a/chivetrack/components/placement/placement.py
+++ b/chivetrack/components/placement/placement.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Iterable, Iterator, Sequence
 from dataclasses import dataclass
 
-from chivetrack.components.distribution.const import MANY_ROUTERS
+from chivetrack.components.distribution.const import LARGE_FLEET_ROUTERS
 from chivetrack.components.distribution.messages import EndpointLoad, PlacedPart
 from chivetrack.components.observation.silence import SilenceTable, find_wait_limit
 from chivetrack.components.observation.speeds import ServiceSpeeds
@@ -108,7 +108,7 @@
         endpoint_id = choice.record.endpoint_id
         new_parts: tuple[PromptPart, ...] = ()
         if facts.parts:
-            is_expected = choice.is_home and routers > MANY_ROUTERS
+            is_expected = choice.is_home and routers > LARGE_FLEET_ROUTERS
             new_parts = self.parts.record_sent(
                 endpoint_id,
                 facts.shared_parts,
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -13,13 +13,13 @@
     EndpointState,
 )
 from chivetrack.components.announcements.table import EndpointTable
+from chivetrack.components.distribution.broadcast import EndpointBroadcaster
 from chivetrack.components.distribution.messages import (
-    AskRecords,
-    RecordsTaken,
-    SpreadHeartbeats,
-    SpreadRecords,
+    BroadcastHeartbeats,
+    BroadcastRecords,
+    RecordsAck,
+    RecordsRequest,
 )
-from chivetrack.components.distribution.spreading import Spreading
 from chivetrack.components.document.store import StoredDocument
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.quarantine.models import Quarantine
@@ -73,7 +73,7 @@
         self._send = send
         self._push = push
         self._events = events
-        self._spreading = Spreading(table=table)
+        self._spreading = EndpointBroadcaster(table=table)
         self._numbers = itertools.count(1)
         self._spreads: dict[int, _Spread] = {}
 
@@ -116,9 +116,9 @@
         if known is not None and known.state is not EndpointState.READY and is_change:
             return self._spread_for_sure(known)
         if is_change:
-            self._spreading.note_change(record)
+            self._spreading.record_change(record)
         elif known is record:
-            self._spreading.note_heartbeat(record.endpoint_id)
+            self._spreading.record_heartbeat(record.endpoint_id)
         return Ok(None)
 
     def leave(self, endpoint_id: str, born: int | None) -> Result[None, Fault]:
@@ -146,7 +146,7 @@
     def _pass_on_lost(self, lost: Iterable[EndpointRecord]) -> None:
         for record in lost:
             self._log(record)
-            self._spreading.note_change(record)
+            self._spreading.record_change(record)
 
     def _log(self, record: EndpointRecord) -> None:
         self._events.write("endpoint_said", **record.describe())
@@ -171,7 +171,7 @@
         spread = _Spread((len(others) + 1) // 2)
         self._spreads[number] = spread
         for target in others:
-            self._send(target, SpreadRecords(number=number, records=(record,)))
+            self._send(target, BroadcastRecords(number=number, records=(record,)))
         is_known = spread.needed == 0 or spread.done.wait(SPREAD_WAIT_S)
         del self._spreads[number]
         if is_known:
@@ -183,20 +183,20 @@
         """Take a message of another replica; return whether it was for the desk."""
         if self._documents.take(source, message):
             return True
-        if isinstance(message, RecordsTaken):
+        if isinstance(message, RecordsAck):
             spread = self._spreads.get(message.number)
             if spread is not None:
                 spread.take(source)
             return True
-        if isinstance(message, SpreadHeartbeats):
+        if isinstance(message, BroadcastHeartbeats):
             self._send_if_any(
-                source, self._spreading.take_heartbeats(message, now=time.monotonic())
+                source, self._spreading.handle_heartbeats(message, now=time.monotonic())
             )
             return True
-        if isinstance(message, AskRecords):
-            self._send_if_any(source, self._spreading.answer(message))
+        if isinstance(message, RecordsRequest):
+            self._send_if_any(source, self._spreading.make_records(message))
             return True
-        if not isinstance(message, SpreadRecords):
+        if not isinstance(message, BroadcastRecords):
             return False
         self._take_records(source, message)
         return True
@@ -205,14 +205,14 @@
         if message is not None:
             self._send(target, message)
 
-    def _take_records(self, source: str, message: SpreadRecords) -> None:
+    def _take_records(self, source: str, message: BroadcastRecords) -> None:
         now = time.monotonic()
         changes = [self._table.merge(record, now=now) for record in message.records]
         changes += [self._table.refute_lost(record) for record in message.records]
         if any(changes):
             self._push()
         if message.number:
-            self._send(source, RecordsTaken(number=message.number))
+            self._send(source, RecordsAck(number=message.number))
 
 
 def _make_unknown_zone(zone: str, zones: Collection[str]) -> Fault:
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -13,9 +13,9 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.deployment.settings import DeploymentSettings
 from chivetrack.components.distribution.const import (
-    CLOSE_EVERY_S,
-    ROUND_EVERY_S,
-    SPREAD_EVERY_S,
+    BROADCAST_INTERVAL_S,
+    LOAD_REPORT_INTERVAL_S,
+    ROUND_INTERVAL_S,
 )
 from chivetrack.components.distribution.messages import Exchange, FetchDocument, Follow
 from chivetrack.components.distribution.publisher import Publisher
@@ -85,7 +85,7 @@
             host=self.host,
             store=self._store,
             send=self.transport.send,
-            list_readers=lambda version: self._publisher.list_readers(
+            list_readers=lambda version: self._publisher.list_document_addresses(
                 version, now=time.monotonic()
             ),
             events=events,
@@ -200,7 +200,7 @@
 
     def _take_message(self, source: str, message: Message) -> None:
         if isinstance(message, Follow):
-            effects = self._publisher.take_follow(
+            effects = self._publisher.handle_follow(
                 message, now=time.monotonic(), knows_leader=self.host.knows_leader
             )
             send_all(self.transport.answer, effects)
@@ -211,7 +211,7 @@
         elif isinstance(message, AskPermit):
             self._answer_permit(source, message)
         elif isinstance(message, Exchange):
-            self._publisher.take_exchange(source, message, now=time.monotonic())
+            self._publisher.handle_exchange(source, message, now=time.monotonic())
             if message.crash_reports:
                 self._order_due_quarantines()
         elif self.host.takes(message):
@@ -221,12 +221,12 @@
 
     def _answer_permit(self, source: str, asked: AskPermit) -> None:
         now = time.monotonic()
-        share = self._publisher.find_share(now=now)
+        share = self._publisher.get_fleet_share(now=now)
         wait_s = self._permits.ask(asked.endpoint_id, per_s=asked.per_s, share=share, now=now)
         self.transport.answer(source, PermitAnswer(number=asked.number, wait_s=wait_s))
 
     def _send_documents(self, source: str, fetch: FetchDocument) -> None:
-        for one in self._publisher.take_fetch(source, fetch, now=time.monotonic()):
+        for one in self._publisher.handle_fetch(source, fetch, now=time.monotonic()):
             gevent.spawn_later(one.delay_s, self.transport.answer, one.target, one.message)
 
     def run(self) -> int:
@@ -267,7 +267,7 @@
             if number % TRAFFIC_EVERY == 0:
                 traffic.write()
                 self.host.write_contacts()
-                self._events.write("distribution_sent", **self._publisher.take_counts())
+                self._events.write("distribution_sent", **self._publisher.pop_counts())
             now = time.monotonic()
             for record in self._table.forget_old(now):
                 self._events.write("endpoint_forgotten", **record.describe())
@@ -283,7 +283,7 @@
         """Tell the other replicas what the routers close to this one use."""
         own = str(self._settings.listeners.peer)
         while True:
-            gevent.sleep(CLOSE_EVERY_S)
+            gevent.sleep(LOAD_REPORT_INTERVAL_S)
             exchange = self._publisher.make_exchange(now=time.monotonic())
             for target in self.host.list_instances():
                 if target != own:
@@ -292,13 +292,13 @@
     def _send_endpoints(self) -> None:
         """Send routers in rounds what has changed at many endpoints."""
         while True:
-            gevent.sleep(ROUND_EVERY_S / 2)
+            gevent.sleep(ROUND_INTERVAL_S / 2)
             send_all(self.transport.answer, self._publisher.send_round(now=time.monotonic()))
 
     def _spread(self) -> None:
         """Tell the other replicas what endpoints say here."""
         while True:
-            gevent.sleep(SPREAD_EVERY_S)
+            gevent.sleep(BROADCAST_INTERVAL_S)
             self._desk.spread()
 
     @contextmanager
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -95,19 +95,19 @@
         self._metrics.add_gauges(*self._list_gauges())
         self.subscriber = Subscriber(
             router=str(settings.listeners.peer),
-            reads_at=str(settings.listeners.ready),
+            document_address=str(settings.listeners.ready),
             seeds=list_seed_peers(settings),
             table=self.view.directory.table,
             take_document=self.view.take_document,
-            note_unreadable=self._note_unreadable,
-            note_bad_update=self._note_bad_update,
+            on_unreadable=self._note_unreadable,
+            on_bad_update=self._note_bad_update,
             get_news=self.view.get_news,
         )
         self._takers = dict(self._list_takers())
         self.transport = make_transport(settings, events=events, take=self._take_message)
         self._permits = PermitDesk(
             view=self.view,
-            find_replica=lambda: self.subscriber.close_replica,
+            find_replica=lambda: self.subscriber.assigned_replica,
             send=self.transport.send,
             events=events,
         )
@@ -189,7 +189,7 @@
         self._metrics.count_crash()
         now = time.monotonic()
         self.view.crashes.note_crash(reports, now=now)
-        send_all(self.transport.send, self.subscriber.report_now(now=now))
+        send_all(self.transport.send, self.subscriber.report_load(now=now))
 
     def _take_limits(self, document: Document) -> None:
         limits = document.limits
@@ -216,17 +216,17 @@
         yield SilentUpdate, self._take_silent
         yield LoadUpdate, self._take_loads
         yield PermitAnswer, lambda source, answer: self._permits.take(answer)
-        yield DocumentSent, lambda source, sent: self.subscriber.take_document(sent)
+        yield DocumentSent, lambda source, sent: self.subscriber.handle_document(sent)
         yield FetchElsewhere, self._take_referral
         yield FetchDocument, self._answer_fetch
 
     def _take_view(self, source: str, view: View) -> None:
-        effects = self.subscriber.take_view(source, view, now=time.monotonic())
+        effects = self.subscriber.handle_view(source, view, now=time.monotonic())
         self.view.take_view(view)
         send_all(self.transport.send, effects)
 
     def _take_endpoints(self, _source: str, update: EndpointUpdate) -> None:
-        effects = self.subscriber.take_endpoints(update, now=time.monotonic())
+        effects = self.subscriber.handle_endpoints(update, now=time.monotonic())
         self.view.take_endpoints(is_partial=update.is_partial)
         self._events.write(
             "endpoints_taken",
@@ -240,30 +240,30 @@
         send_all(self.transport.send, effects)
 
     def _take_silent(self, _source: str, update: SilentUpdate) -> None:
-        if update.replica == self.subscriber.close_replica:
+        if update.replica == self.subscriber.assigned_replica:
             self.view.take_silent_endpoints(update.endpoint_ids)
-        send_all(self.transport.send, self.subscriber.take_silent(update))
+        send_all(self.transport.send, self.subscriber.handle_silent(update))
 
     def _take_loads(self, _source: str, update: LoadUpdate) -> None:
-        if update.replica == self.subscriber.close_replica:
+        if update.replica == self.subscriber.assigned_replica:
             self.view.take_loads(update.payload)
-        send_all(self.transport.send, self.subscriber.hand_on(update))
+        send_all(self.transport.send, self.subscriber.forward_update(update))
 
     def _take_referral(self, _source: str, referral: FetchElsewhere) -> None:
         self._events.write(
             "configuration_asked_elsewhere", version=referral.version, holder=referral.holder
         )
-        send_all(self.transport.send, self.subscriber.take_referral(referral))
+        send_all(self.transport.send, self.subscriber.handle_redirect(referral))
 
     def _answer_fetch(self, source: str, fetch: FetchDocument) -> None:
-        send_all(self.transport.answer, self.subscriber.answer_fetch(source, fetch))
+        send_all(self.transport.answer, self.subscriber.handle_fetch_from_router(source, fetch))
 
     def _follow(self, now: float) -> None:
-        before = self.subscriber.close_replica
+        before = self.subscriber.assigned_replica
         effects = self.subscriber.wake(now=now)
-        if self.subscriber.close_replica != before:
+        if self.subscriber.assigned_replica != before:
             self._events.write(
-                "replica_followed", replica=self.subscriber.close_replica, before=before
+                "replica_followed", replica=self.subscriber.assigned_replica, before=before
             )
         send_all(self.transport.send, effects)
         for effect in effects:
@@ -299,7 +299,7 @@
         ends_at = began + self._settings.bounds.stop_within_s - STOP_MARGIN_S
         window = StopWindow(accepts_until=min(began + STOP_ACCEPT_S, ends_at), exits_at=ends_at)
         self.desk.begin_stop(window, now=began)
-        send_all(self.transport.send, self.subscriber.report_now(now=began))
+        send_all(self.transport.send, self.subscriber.report_load(now=began))
         self._events.write("stopping", open=self.desk.open_count)
         for at in (began + STOP_IDLE_AFTER_S, window.accepts_until):
             gevent.sleep(max(0.0, min(at, ends_at) - time.monotonic()))
