--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -29,7 +29,7 @@
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.limits.exchange import DemandExchange
 from chivetrack.components.limits.limiter import Limiter
-from chivetrack.components.limits.shares import ShareBook
+from chivetrack.components.limits.shares import ShareTracker
 from chivetrack.components.load.book import LoadBook
 from chivetrack.components.load.exchange import LoadExchange
 from chivetrack.components.membership.const import FLEET_TOPICS
@@ -212,7 +212,7 @@
     )
     placer = Placer(view=registry, load=load, random=random_source)
     exchange = LoadExchange(book=load, gossip=gossip)
-    shares = ShareBook(router_id=identity.instance_id, incarnation=identity.incarnation)
+    shares = ShareTracker(router_id=identity.instance_id, incarnation=identity.incarnation)
     limiter = Limiter(shares=shares, random=random_source, capacity=options.max_requests)
     admission = AdmissionControl(limiter=limiter, limits=ConfiguredLimits(view=configuration.view))
     demands = DemandExchange(shares=shares, gossip=gossip, list_routers=membership.list_living)
--- a/chivetrack/components/limits/exchange.py
+++ b/chivetrack/components/limits/exchange.py
@@ -6,7 +6,7 @@
 from chivetrack.components.gossip.models import News, Urgency
 from chivetrack.components.limits.const import DEMAND_INTERVAL_S
 from chivetrack.components.limits.models import DemandReport
-from chivetrack.components.limits.shares import ShareBook
+from chivetrack.components.limits.shares import ShareTracker
 from chivetrack.core import Effect, Event, TimeReached, WakeAt
 from chivetrack.helpers.codec import DecodeError, decode_as, encode
 
@@ -19,7 +19,7 @@
     def __init__(
         self,
         *,
-        shares: ShareBook,
+        shares: ShareTracker,
         gossip: Gossip,
         list_routers: Callable[[], Collection[str]],
     ) -> None:
--- a/chivetrack/components/limits/gate.py
+++ b/chivetrack/components/limits/gate.py
@@ -3,14 +3,14 @@
 from chivetrack.components.limits.bucket import TokenBucket
 from chivetrack.components.limits.const import SHARE_WAIT_S
 from chivetrack.components.limits.models import Cause, WaitEstimate, WorkspaceLimit
-from chivetrack.components.limits.shares import ShareBook
+from chivetrack.components.limits.shares import ShareTracker
 
 
 class WorkspaceGate:
     """Counts a workspace's requests against this router's share of its limits."""
 
     def __init__(
-        self, *, workspace: str, limit: WorkspaceLimit, shares: ShareBook, now: float
+        self, *, workspace: str, limit: WorkspaceLimit, shares: ShareTracker, now: float
     ) -> None:
         """Start with no request running and a full bucket."""
         self.limit = limit
--- a/chivetrack/components/limits/limiter.py
+++ b/chivetrack/components/limits/limiter.py
@@ -15,7 +15,7 @@
 )
 from chivetrack.components.limits.queue import FairQueue
 from chivetrack.components.limits.service import ServiceTimes
-from chivetrack.components.limits.shares import ShareBook
+from chivetrack.components.limits.shares import ShareTracker
 from chivetrack.core import Effect
 
 _NO_LIMIT = WorkspaceLimit()
@@ -38,7 +38,7 @@
     def __init__(
         self,
         *,
-        shares: ShareBook,
+        shares: ShareTracker,
         random: Random,
         capacity: int,
         queue_capacity: int = MAX_QUEUED,
--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -30,7 +30,7 @@
 _ROUND = 0.5
 
 
-class ShareBook:
+class ShareTracker:
     """This router's demands and those that the others told."""
 
     def __init__(self, *, router_id: str, incarnation: int = 0) -> None:
--- a/tests/components/claims/test_claims.py
+++ b/tests/components/claims/test_claims.py
@@ -7,7 +7,7 @@
 from chivetrack.components.claims.keeper import ClaimKeeper
 from chivetrack.components.controllers.host import ControllerHost
 from chivetrack.components.limits.limiter import Limiter
-from chivetrack.components.limits.shares import ShareBook
+from chivetrack.components.limits.shares import ShareTracker
 from chivetrack.components.pipeline.admission import AdmissionControl
 from chivetrack.components.pipeline.models import (
     AnswerEnded,
@@ -75,7 +75,7 @@
 
     @staticmethod
     def make_admission(rng: random.Random) -> AdmissionControl:
-        limiter = Limiter(shares=ShareBook(router_id="r"), random=rng, capacity=100)
+        limiter = Limiter(shares=ShareTracker(router_id="r"), random=rng, capacity=100)
         return AdmissionControl(limiter=limiter, limits=NoLimits())
 
 
--- a/tests/components/limits/test_limiter.py
+++ b/tests/components/limits/test_limiter.py
@@ -17,14 +17,14 @@
     Wait,
     WorkspaceLimit,
 )
-from chivetrack.components.limits.shares import ShareBook
+from chivetrack.components.limits.shares import ShareTracker
 from chivetrack.exceptions import Ran
 from tests.components.limits.test_shares import FakeFleet
 
 
 def make_limiter(*, capacity: int = 4, queue_capacity: int = 100, seed: int = 1) -> Limiter:
     return Limiter(
-        shares=ShareBook(router_id="me"),
+        shares=ShareTracker(router_id="me"),
         random=Random(seed),
         capacity=capacity,
         queue_capacity=queue_capacity,
--- a/tests/components/limits/test_shares.py
+++ b/tests/components/limits/test_shares.py
@@ -5,7 +5,7 @@
 
 from chivetrack.components.limits.const import DEMAND_INTERVAL_S, SHARE_GROWTH_DELAY_S
 from chivetrack.components.limits.models import DemandReport
-from chivetrack.components.limits.shares import ShareBook
+from chivetrack.components.limits.shares import ShareTracker
 from chivetrack.helpers.codec import pack, unpack
 
 STEP_S = 0.1
@@ -18,7 +18,7 @@
     def __init__(self, *, routers: int, seed: int) -> None:
         self.random = Random(seed)
         names = [f"r{number}" for number in range(routers)]
-        self.books = {name: ShareBook(router_id=name) for name in names}
+        self.books = {name: ShareTracker(router_id=name) for name in names}
         for book in self.books.values():
             book.set_routers(names)
         self.rates = dict.fromkeys(names, 0.0)
@@ -53,7 +53,7 @@
         if self.random.random() < 0.01:
             name = self.random.choice(list(self.books))
             self.incarnation += 1
-            self.books[name] = ShareBook(router_id=name, incarnation=self.incarnation)
+            self.books[name] = ShareTracker(router_id=name, incarnation=self.incarnation)
             self.books[name].set_routers(self.books)
 
     def surge(self) -> None:
@@ -118,7 +118,7 @@
 
     def test_fault_table_of_reports(self) -> None:
         """Old demands, demands of routers that are gone, and one's own, are not news."""
-        book = ShareBook(router_id="me")
+        book = ShareTracker(router_id="me")
         book.set_routers(["r2"])
 
         def make(sequence: int, incarnation: int = 1) -> DemandReport:
@@ -142,7 +142,7 @@
         self.assertEqual(book.get_share("gallery"), 1.0)
 
     def test_demand_of_a_router_that_was_gone_is_forgotten(self) -> None:
-        book = ShareBook(router_id="me")
+        book = ShareTracker(router_id="me")
         book.set_routers(["r2"])
         report = DemandReport(incarnation=1, sequence=1, demands={"gallery": 99.0})
         book.merge_demands("r2", report)
--- a/tests/components/pipeline/test_admission.py
+++ b/tests/components/pipeline/test_admission.py
@@ -8,7 +8,7 @@
 from chivetrack.components.controllers.host import ControllerHost
 from chivetrack.components.limits.limiter import Limiter
 from chivetrack.components.limits.models import WorkspaceLimit
-from chivetrack.components.limits.shares import ShareBook
+from chivetrack.components.limits.shares import ShareTracker
 from chivetrack.components.pipeline.admission import AdmissionControl
 from chivetrack.components.pipeline.models import (
     AnswerEnded,
@@ -33,7 +33,7 @@
 class AdmissionTest(unittest.TestCase):
     def setUp(self) -> None:
         rng = random.Random(1)
-        limiter = Limiter(shares=ShareBook(router_id="r"), random=rng, capacity=10)
+        limiter = Limiter(shares=ShareTracker(router_id="r"), random=rng, capacity=10)
         self.admission = AdmissionControl(limiter=limiter, limits=OneAtATime())
         self.bench = FlowBench(limiter=self.admission)
         proposals = ProposalClient(instance_id="r", replicas=["a"], random=rng)
