--- a/chivetrack/components/limits/hopeless.py
+++ b/chivetrack/components/limits/hopeless.py
@@ -11,7 +11,7 @@
 SURE_SHARE = 0.5
 
 
-def judge_hope(
+def refuse_infeasible(
     *, expected_s: float, left_s: float, target_s: float, random: Random
 ) -> Fault | None:
     """Return the refusal of a request that its best endpoint can't begin in time, or ``None``.
--- a/chivetrack/daemon/fleet/refusals.py
+++ b/chivetrack/daemon/fleet/refusals.py
@@ -3,7 +3,7 @@
 import time
 from random import Random
 
-from chivetrack.components.limits.hopeless import judge_hope
+from chivetrack.components.limits.hopeless import refuse_infeasible
 from chivetrack.components.limits.stopping import StopWindow, make_stopping_fault
 from chivetrack.components.placement.choice import Choice
 from chivetrack.components.quarantine.faults import make_fault
@@ -30,7 +30,7 @@
     def refuse_hopeless(self, call: Call, choice: Choice) -> bool:
         """Refuse a request that even the best endpoint can't begin to answer in time."""
         left_s = call.ends_at - time.monotonic()
-        fault = judge_hope(
+        fault = refuse_infeasible(
             expected_s=choice.certain_ms / 1000,
             left_s=left_s,
             target_s=call.route.target_s,
--- a/tests/components/limits/test_hopeless.py
+++ b/tests/components/limits/test_hopeless.py
@@ -3,13 +3,15 @@
 import unittest
 from random import Random
 
-from chivetrack.components.limits.hopeless import judge_hope
+from chivetrack.components.limits.hopeless import refuse_infeasible
 from chivetrack.exceptions import Ran
 
 
 class HopelessTest(unittest.TestCase):
     def judge(self, expected_s: float, left_s: float, seed: int = 1) -> float | None:
-        fault = judge_hope(expected_s=expected_s, left_s=left_s, target_s=0.5, random=Random(seed))
+        fault = refuse_infeasible(
+            expected_s=expected_s, left_s=left_s, target_s=0.5, random=Random(seed)
+        )
         if fault is None:
             return None
         self.assertEqual((fault.status, fault.ran), (503, Ran.NO))
