--- a/chivetrack/daemon/fleet/refusals.py
+++ b/chivetrack/daemon/fleet/refusals.py
@@ -3,7 +3,7 @@
 import time
 from random import Random
 
-from chivetrack.components.limits.hopeless import refuse_infeasible
+from chivetrack.components.limits.infeasible import refuse_infeasible
 from chivetrack.components.limits.stopping import StopWindow, make_stopping_fault
 from chivetrack.components.placement.choice import Choice
 from chivetrack.components.quarantine.faults import make_fault
--- a/tests/components/limits/test_hopeless.py
+++ b/tests/components/limits/test_hopeless.py
@@ -3,7 +3,7 @@
 import unittest
 from random import Random
 
-from chivetrack.components.limits.hopeless import refuse_infeasible
+from chivetrack.components.limits.infeasible import refuse_infeasible
 from chivetrack.exceptions import Ran
 
 
