--- a/chivetrack/components/limits/infeasible.py
+++ b/chivetrack/components/limits/infeasible.py
@@ -8,7 +8,7 @@
 
 # What is expected of an endpoint is wrong by a half either way, at lag; a request is refused
 # only where even half of the expected time is too long.
-SURE_SHARE = 0.5
+EXPECTED_TIME_LOWER_BOUND = 0.5
 
 
 def refuse_infeasible(
@@ -21,7 +21,7 @@
     from it. ``Retry-After`` is the time in which the queue drains to what can be answered
     within the route's target, spread, so that the callers don't come back together.
     """
-    if expected_s * SURE_SHARE <= left_s:
+    if expected_s * EXPECTED_TIME_LOWER_BOUND <= left_s:
         return None
     drain_s = max(0.0, expected_s - target_s)
     return make_fault(WaitEstimate(drain_s, Cause.CAPACITY), random)
