--- a/chivetrack/components/limits/limiter.py
+++ b/chivetrack/components/limits/limiter.py
@@ -77,7 +77,7 @@
         """Decide on a new request."""
         # Demands are told to all routers, so only those that share out a limit are.
         if request.workspace in self._limits:
-            self._shares.note_request(request.workspace, now)
+            self._shares.record_request(request.workspace, now)
         effects = self.advance(now)
         estimate = self._estimate(request, now)
         if estimate.cause is Cause.NOTHING:
--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -52,7 +52,7 @@
             if source not in router_ids:
                 del self._others[source]
 
-    def note_request(self, workspace: str, now: float) -> None:
+    def record_request(self, workspace: str, now: float) -> None:
         """Count a request of a workspace, also one that is refused."""
         self._meter.note(workspace, now)
 
--- a/chivetrack/components/retries/window.py
+++ b/chivetrack/components/retries/window.py
@@ -23,7 +23,7 @@
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a caller's request."""
         self._requests.append(now)
 
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -179,7 +179,7 @@
         return workspace
 
     def _see_through(self, call: Call) -> None:
-        self._view.budgets[call.service].note_request(time.monotonic())
+        self._view.budgets[call.service].record_request(time.monotonic())
         try:
             with gevent.Timeout(max(0.001, call.ends_at - time.monotonic()), RouteTimeoutError):
                 self._try_endpoints(call)
--- a/tests/components/limits/test_shares.py
+++ b/tests/components/limits/test_shares.py
@@ -33,7 +33,7 @@
         self.now = self.step * STEP_S
         for name, book in self.books.items():
             for _ in range(int(self.rates[name] * STEP_S + self.random.random())):
-                book.note_request("gallery", self.now)
+                book.record_request("gallery", self.now)
             if self.step % 5 == self.offsets[name]:
                 self.send(name, book.collect_demands(self.now))
         self.random.shuffle(self.wire)
--- a/tests/components/retries/test_sending.py
+++ b/tests/components/retries/test_sending.py
@@ -98,7 +98,7 @@
         for step in range(3000):
             now = step * 0.01
             window = windows[step % 9]
-            window.note_request(now)
+            window.record_request(now)
             requests.append(now)
             if window.may_repeat(now, routers=9):
                 window.note_repeat(now)
@@ -111,7 +111,7 @@
 
     def test_quiet_service(self) -> None:
         window = RetryWindow(ratio=0.2, slack=9.0, window_s=10.0)
-        window.note_request(0.0)
+        window.record_request(0.0)
         granted = 0
         while window.may_repeat(0.0, routers=3):
             window.note_repeat(0.0)
