--- a/chivetrack/components/limits/demand.py
+++ b/chivetrack/components/limits/demand.py
@@ -19,7 +19,7 @@
         self._rates: dict[str, tuple[float, float]] = {}
         self._told: dict[str, float] = {}
 
-    def note(self, workspace: str, now: float) -> None:
+    def record(self, workspace: str, now: float) -> None:
         """Count a request, also one that is refused."""
         rate = self.get(workspace, now)
         self._rates[workspace] = (rate + 1.0 / _get_decay(rate), now)
--- a/chivetrack/components/limits/limiter.py
+++ b/chivetrack/components/limits/limiter.py
@@ -100,7 +100,7 @@
         if running is None:
             return []
         self._gates[running.workspace].running -= 1
-        self._service.note(now - running.started_at)
+        self._service.record(now - running.started_at)
         return self.advance(now)
 
     def cancel(self, request_id: str) -> None:
--- a/chivetrack/components/limits/service.py
+++ b/chivetrack/components/limits/service.py
@@ -10,6 +10,6 @@
         """Start with an assumption."""
         self.mean_s = INITIAL_SERVICE_S
 
-    def note(self, service_s: float) -> None:
+    def record(self, service_s: float) -> None:
         """Take in the time of one answer."""
         self.mean_s += SERVICE_WEIGHT * (service_s - self.mean_s)
--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -54,7 +54,7 @@
 
     def record_request(self, workspace: str, now: float) -> None:
         """Count a request of a workspace, also one that is refused."""
-        self._meter.note(workspace, now)
+        self._meter.record(workspace, now)
 
     def collect_demands(self, now: float) -> DemandReport:
         """Return this router's demands as a message, each ``DEMAND_INTERVAL_S``."""
