--- a/chivetrack/components/limits/demand.py
+++ b/chivetrack/components/limits/demand.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         """Start with no demand."""
         self._rates: dict[str, tuple[float, float]] = {}
-        self._told: dict[str, float] = {}
+        self._reported: dict[str, float] = {}
 
     def record(self, workspace: str, now: float) -> None:
         """Count a request, also one that is refused."""
@@ -39,11 +39,13 @@
         rates = {workspace: self.get(workspace, now) for workspace in self._rates}
         kept = {workspace: rate for workspace, rate in rates.items() if rate >= MIN_DEMAND}
         self._rates = {workspace: (rate, now) for workspace, rate in kept.items()}
-        self._told = {workspace: self._steady(workspace, rate) for workspace, rate in kept.items()}
-        return self._told
+        self._reported = {
+            workspace: self._steady(workspace, rate) for workspace, rate in kept.items()
+        }
+        return self._reported
 
     def _steady(self, workspace: str, rate: float) -> float:
-        told = self._told.get(workspace, 0.0)
+        told = self._reported.get(workspace, 0.0)
         least_change = DEMAND_DEAD_BAND * max(told, rate)
         return rate if told <= 0.0 or abs(rate - told) > least_change else told
 
--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -39,7 +39,7 @@
         self._incarnation = incarnation
         self._sequence = 0
         self._meter = DemandMeter()
-        self._told: deque[tuple[float, dict[str, float]]] = deque()
+        self._reported: deque[tuple[float, dict[str, float]]] = deque()
         self._used: dict[str, float] = {}
         self._others: dict[str, DemandReport] = {}
         self._routers = [router_id]
@@ -60,10 +60,10 @@
         """Return this router's demands as a message, each ``DEMAND_INTERVAL_S``."""
         self._sequence += 1
         demands = self._meter.collect(now)
-        self._told.append((now, demands))
-        while len(self._told) > 1 and self._told[1][0] <= now - SHARE_GROWTH_DELAY_S:
-            self._told.popleft()
-        self._listened = self._told[0][0] <= now - SHARE_GROWTH_DELAY_S
+        self._reported.append((now, demands))
+        while len(self._reported) > 1 and self._reported[1][0] <= now - SHARE_GROWTH_DELAY_S:
+            self._reported.popleft()
+        self._listened = self._reported[0][0] <= now - SHARE_GROWTH_DELAY_S
         self._used = self._find_used()
         return DemandReport(incarnation=self._incarnation, sequence=self._sequence, demands=demands)
 
@@ -124,9 +124,9 @@
 
     def _find_used(self) -> dict[str, float]:
         """Return, by workspace, the least demand told within the delay."""
-        newest = self._told[-1][1]
+        newest = self._reported[-1][1]
         return {
-            workspace: min(demands.get(workspace, 0.0) for _, demands in self._told)
+            workspace: min(demands.get(workspace, 0.0) for _, demands in self._reported)
             for workspace in newest
         }
 
