--- a/chivetrack/components/limits/demand.py
+++ b/chivetrack/components/limits/demand.py
@@ -45,9 +45,9 @@
         return self._reported
 
     def _steady(self, workspace: str, rate: float) -> float:
-        told = self._reported.get(workspace, 0.0)
-        least_change = DEMAND_DEAD_BAND * max(told, rate)
-        return rate if told <= 0.0 or abs(rate - told) > least_change else told
+        reported = self._reported.get(workspace, 0.0)
+        least_change = DEMAND_DEAD_BAND * max(reported, rate)
+        return rate if reported <= 0.0 or abs(rate - reported) > least_change else reported
 
 
 def _get_decay(rate: float) -> float:
