--- a/chivetrack/components/limits/demand.py
+++ b/chivetrack/components/limits/demand.py
@@ -26,8 +26,8 @@
 
     def get(self, workspace: str, now: float) -> float:
         """Return the requests a second of a workspace."""
-        rate, noted_at = self._rates.get(workspace, (0.0, now))
-        return rate * exp((noted_at - now) / _get_decay(rate))
+        rate, updated_at = self._rates.get(workspace, (0.0, now))
+        return rate * exp((updated_at - now) / _get_decay(rate))
 
     def collect(self, now: float) -> dict[str, float]:
         """Return all demands to tell and forget those that have died down.
