--- a/chivetrack/components/limits/demand.py
+++ b/chivetrack/components/limits/demand.py
@@ -40,11 +40,11 @@
         kept = {workspace: rate for workspace, rate in rates.items() if rate >= MIN_DEMAND}
         self._rates = {workspace: (rate, now) for workspace, rate in kept.items()}
         self._reported = {
-            workspace: self._steady(workspace, rate) for workspace, rate in kept.items()
+            workspace: self._apply_dead_band(workspace, rate) for workspace, rate in kept.items()
         }
         return self._reported
 
-    def _steady(self, workspace: str, rate: float) -> float:
+    def _apply_dead_band(self, workspace: str, rate: float) -> float:
         reported = self._reported.get(workspace, 0.0)
         least_change = DEMAND_DEAD_BAND * max(reported, rate)
         return rate if reported <= 0.0 or abs(rate - reported) > least_change else reported
