--- a/chivetrack/components/limits/demand.py
+++ b/chivetrack/components/limits/demand.py
@@ -22,12 +22,12 @@
     def record(self, workspace: str, now: float) -> None:
         """Count a request, also one that is refused."""
         rate = self.get(workspace, now)
-        self._rates[workspace] = (rate + 1.0 / _get_decay(rate), now)
+        self._rates[workspace] = (rate + 1.0 / _get_time_constant(rate), now)
 
     def get(self, workspace: str, now: float) -> float:
         """Return the requests a second of a workspace."""
         rate, updated_at = self._rates.get(workspace, (0.0, now))
-        return rate * exp((updated_at - now) / _get_decay(rate))
+        return rate * exp((updated_at - now) / _get_time_constant(rate))
 
     def collect(self, now: float) -> dict[str, float]:
         """Return all demands to tell and forget those that have died down.
@@ -50,7 +50,7 @@
         return rate if reported <= 0.0 or abs(rate - reported) > least_change else reported
 
 
-def _get_decay(rate: float) -> float:
+def _get_time_constant(rate: float) -> float:
     """Return the time constant: long enough for some requests, and no longer.
 
     A busy workspace that moves to other routers is told within a second; one that sends
