--- a/chivetrack/components/limits/const.py
+++ b/chivetrack/components/limits/const.py
@@ -11,7 +11,7 @@
 Must exceed the interval and the delay of demands; see ``shares``.
 """
 
-PRIOR_DEMAND: Final = 3.0
+PRIOR_DEMAND_PER_S: Final = 3.0
 """Requests a second that are taken for granted, equally split over the routers.
 
 Sparse demand is measured badly; with this its parts are nearly equal.
--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -23,7 +23,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from chivetrack.components.limits.const import PRIOR_DEMAND, SHARE_GROWTH_DELAY_S
+from chivetrack.components.limits.const import PRIOR_DEMAND_PER_S, SHARE_GROWTH_DELAY_S
 from chivetrack.components.limits.demand import DemandMeter
 from chivetrack.components.limits.models import DemandReport
 
@@ -119,8 +119,8 @@
         return sum(self._get_demand(router_id, workspace) for router_id in self._routers)
 
     def _weigh(self, router_id: str, workspace: str, total: float) -> float:
-        prior = PRIOR_DEMAND / len(self._routers)
-        return (self._get_demand(router_id, workspace) + prior) / (total + PRIOR_DEMAND)
+        prior = PRIOR_DEMAND_PER_S / len(self._routers)
+        return (self._get_demand(router_id, workspace) + prior) / (total + PRIOR_DEMAND_PER_S)
 
     def _find_used(self) -> dict[str, float]:
         """Return, by workspace, the least demand told within the delay."""
