--- a/chivetrack/components/limits/const.py
+++ b/chivetrack/components/limits/const.py
@@ -40,7 +40,7 @@
 MIN_RETRY_AFTER_S: Final = 1.0
 MAX_RETRY_AFTER_S: Final = 60.0
 
-RETRY_SPREAD: Final = 1.0
+RETRY_AFTER_JITTER: Final = 1.0
 """``Retry-After`` is drawn between the wait and the wait times one plus this."""
 
 TICK_S: Final = 0.1
--- a/chivetrack/components/limits/faults.py
+++ b/chivetrack/components/limits/faults.py
@@ -5,7 +5,7 @@
 from chivetrack.components.limits.const import (
     MAX_RETRY_AFTER_S,
     MIN_RETRY_AFTER_S,
-    RETRY_SPREAD,
+    RETRY_AFTER_JITTER,
     STATUS_OVERLOADED,
     STATUS_TOO_MANY,
 )
@@ -40,5 +40,5 @@
         message=_MESSAGES[estimate.cause],
         status=STATUS_TOO_MANY if limited else STATUS_OVERLOADED,
         ran=Ran.NO,
-        retry_after_s=random.uniform(base, base * (1.0 + RETRY_SPREAD)),
+        retry_after_s=random.uniform(base, base * (1.0 + RETRY_AFTER_JITTER)),
     )
