--- a/chivetrack/components/limits/const.py
+++ b/chivetrack/components/limits/const.py
@@ -34,7 +34,7 @@
 INITIAL_SERVICE_S: Final = 1.0
 """Service time assumed before the first answer."""
 
-SERVICE_WEIGHT: Final = 0.1
+SERVICE_TIME_WEIGHT: Final = 0.1
 """Weight of the newest service time in the running mean."""
 
 MIN_RETRY_AFTER_S: Final = 1.0
--- a/chivetrack/components/limits/service.py
+++ b/chivetrack/components/limits/service.py
@@ -1,6 +1,6 @@
 """How long requests take, for estimates of the wait."""
 
-from chivetrack.components.limits.const import INITIAL_SERVICE_S, SERVICE_WEIGHT
+from chivetrack.components.limits.const import INITIAL_SERVICE_S, SERVICE_TIME_WEIGHT
 
 
 class ServiceTimes:
@@ -12,4 +12,4 @@
 
     def record(self, service_s: float) -> None:
         """Take in the time of one answer."""
-        self.mean_s += SERVICE_WEIGHT * (service_s - self.mean_s)
+        self.mean_s += SERVICE_TIME_WEIGHT * (service_s - self.mean_s)
