--- a/chivetrack/components/limits/const.py
+++ b/chivetrack/components/limits/const.py
@@ -52,5 +52,5 @@
 STATUS_TOO_MANY: Final = 429
 STATUS_OVERLOADED: Final = 503
 
-MIN_GATES: Final = 256
+MIN_GATES_TO_PRUNE: Final = 256
 """Workspaces whose counts are kept before idle ones are looked for."""
--- a/chivetrack/components/limits/limiter.py
+++ b/chivetrack/components/limits/limiter.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from chivetrack.components.limits.const import MAX_QUEUED, MIN_GATES, TICK_S
+from chivetrack.components.limits.const import MAX_QUEUED, MIN_GATES_TO_PRUNE, TICK_S
 from chivetrack.components.limits.faults import make_fault
 from chivetrack.components.limits.gate import Cause, WaitEstimate, WorkspaceGate
 from chivetrack.components.limits.models import (
@@ -50,7 +50,7 @@
         self._queue = FairQueue(capacity=queue_capacity)
         self._service = ServiceTimes()
         self._gates: dict[str, WorkspaceGate] = {}
-        self._prune_above = MIN_GATES
+        self._prune_above = MIN_GATES_TO_PRUNE
         self._limits: dict[str, WorkspaceLimit] = {}
         self._running: dict[str, _Running] = {}
 
@@ -159,7 +159,7 @@
         if len(self._gates) < self._prune_above:
             return
         self._gates = {name: g for name, g in self._gates.items() if not g.is_idle(now)}
-        self._prune_above = max(MIN_GATES, 2 * len(self._gates))
+        self._prune_above = max(MIN_GATES_TO_PRUNE, 2 * len(self._gates))
 
     def _admit(self, request: LimitedRequest, now: float) -> Admit:
         self._find_gate(request.workspace, now).start(now)
--- a/tests/components/limits/test_limiter.py
+++ b/tests/components/limits/test_limiter.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from chivetrack.components.limits.const import MAX_RETRY_AFTER_S, MIN_GATES
+from chivetrack.components.limits.const import MAX_RETRY_AFTER_S, MIN_GATES_TO_PRUNE
 from chivetrack.components.limits.limiter import Limiter
 from chivetrack.components.limits.models import (
     Admit,
@@ -180,10 +180,10 @@
 
     def test_idle_workspaces_leave_nothing_behind(self) -> None:
         self.limiter = make_limiter(capacity=10)
-        for number in range(5 * MIN_GATES):
+        for number in range(5 * MIN_GATES_TO_PRUNE):
             (effect,) = self.submit(f"w{number}", now=float(number))
             self.limiter.finish(effect.request_id, float(number))
-        self.assertLessEqual(len(self.limiter._gates), 2 * MIN_GATES)
+        self.assertLessEqual(len(self.limiter._gates), 2 * MIN_GATES_TO_PRUNE)
 
     def run_fleet(self, steps: int, count_requests) -> list[float]:
         """Return when requests were admitted; the limit is 20 a second."""
