--- a/chivetrack/components/limits/exchange.py
+++ b/chivetrack/components/limits/exchange.py
@@ -29,7 +29,7 @@
         self._list_routers = list_routers
         self._next = float("-inf")
         self._published: dict[str, float] | None = None
-        gossip.subscribe(TOPIC_DEMAND, self._take_news)
+        gossip.subscribe(TOPIC_DEMAND, self._handle_update)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Publish when it is due."""
@@ -48,7 +48,7 @@
         self._published = report.demands
         self._gossip.publish(TOPIC_DEMAND, "", encode(report), Urgency.OVERLOAD, now=now)
 
-    def _take_news(self, news: News) -> None:
+    def _handle_update(self, news: News) -> None:
         if news.payload is None:
             return
         try:
