--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -43,7 +43,7 @@
         self._used: dict[str, float] = {}
         self._others: dict[str, DemandReport] = {}
         self._routers = [router_id]
-        self._listened = False
+        self._growth_delay_passed = False
 
     def set_routers(self, router_ids: Collection[str]) -> None:
         """Take over the routers that membership knows of; forget all others."""
@@ -63,7 +63,7 @@
         self._reported.append((now, demands))
         while len(self._reported) > 1 and self._reported[1][0] <= now - SHARE_GROWTH_DELAY_S:
             self._reported.popleft()
-        self._listened = self._reported[0][0] <= now - SHARE_GROWTH_DELAY_S
+        self._growth_delay_passed = self._reported[0][0] <= now - SHARE_GROWTH_DELAY_S
         self._used = self._find_used()
         return DemandReport(incarnation=self._incarnation, sequence=self._sequence, demands=demands)
 
@@ -102,7 +102,7 @@
 
     @property
     def _has_listened(self) -> bool:
-        return self._listened or len(self._routers) == 1
+        return self._growth_delay_passed or len(self._routers) == 1
 
     def _order_routers(self, workspace: str) -> list[str]:
         """Return the routers from a place that differs by workspace."""
