--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -79,7 +79,7 @@
 
     def get_share(self, workspace: str) -> float:
         """Return the part of the workspace's rate that this router may use."""
-        if not self._has_listened:
+        if not self._may_use_share:
             return 0.0
         return self._weigh(self._router_id, workspace, self._sum_demands(workspace))
 
@@ -90,7 +90,7 @@
         four. So all parts are laid end to end in one order, and a router owns the units
         that begin in its stretch; what is rounded up for one is missing for the next.
         """
-        if not self._has_listened:
+        if not self._may_use_share:
             return 0
         total = self._sum_demands(workspace)
         before = sum(
@@ -101,7 +101,7 @@
         return floor(limit * (before + own) + _ROUND) - floor(limit * before + _ROUND)
 
     @property
-    def _has_listened(self) -> bool:
+    def _may_use_share(self) -> bool:
         return self._growth_delay_passed or len(self._routers) == 1
 
     def _order_routers(self, workspace: str) -> list[str]:
