--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -64,7 +64,7 @@
         while len(self._reported) > 1 and self._reported[1][0] <= now - SHARE_GROWTH_DELAY_S:
             self._reported.popleft()
         self._growth_delay_passed = self._reported[0][0] <= now - SHARE_GROWTH_DELAY_S
-        self._used = self._find_used()
+        self._used = self._compute_used_demands()
         return DemandReport(incarnation=self._incarnation, sequence=self._sequence, demands=demands)
 
     def merge_demands(self, source: str, report: DemandReport) -> bool:
@@ -122,7 +122,7 @@
         prior = PRIOR_DEMAND_PER_S / len(self._routers)
         return (self._get_demand(router_id, workspace) + prior) / (total + PRIOR_DEMAND_PER_S)
 
-    def _find_used(self) -> dict[str, float]:
+    def _compute_used_demands(self) -> dict[str, float]:
         """Return, by workspace, the least demand told within the delay."""
         newest = self._reported[-1][1]
         return {
