--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -40,7 +40,7 @@
         self._sequence = 0
         self._meter = DemandMeter()
         self._reported: deque[tuple[float, dict[str, float]]] = deque()
-        self._used: dict[str, float] = {}
+        self._used_demands: dict[str, float] = {}
         self._others: dict[str, DemandReport] = {}
         self._routers = [router_id]
         self._growth_delay_passed = False
@@ -64,7 +64,7 @@
         while len(self._reported) > 1 and self._reported[1][0] <= now - SHARE_GROWTH_DELAY_S:
             self._reported.popleft()
         self._growth_delay_passed = self._reported[0][0] <= now - SHARE_GROWTH_DELAY_S
-        self._used = self._compute_used_demands()
+        self._used_demands = self._compute_used_demands()
         return DemandReport(incarnation=self._incarnation, sequence=self._sequence, demands=demands)
 
     def merge_demands(self, source: str, report: DemandReport) -> bool:
@@ -111,7 +111,7 @@
 
     def _get_demand(self, router_id: str, workspace: str) -> float:
         if router_id == self._router_id:
-            return self._used.get(workspace, 0.0)
+            return self._used_demands.get(workspace, 0.0)
         report = self._others.get(router_id)
         return report.demands.get(workspace, 0.0) if report else 0.0
 
