--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -81,7 +81,7 @@
         """Return the part of the workspace's rate that this router may use."""
         if not self._may_use_share:
             return 0.0
-        return self._weigh(self._router_id, workspace, self._sum_demands(workspace))
+        return self._compute_share(self._router_id, workspace, self._sum_demands(workspace))
 
     def allot_units(self, workspace: str, limit: int) -> int:
         """Return how many of ``limit`` whole units this router may use.
@@ -94,10 +94,10 @@
             return 0
         total = self._sum_demands(workspace)
         before = sum(
-            self._weigh(router_id, workspace, total)
+            self._compute_share(router_id, workspace, total)
             for router_id in takewhile(self._router_id.__ne__, self._order_routers(workspace))
         )
-        own = self._weigh(self._router_id, workspace, total)
+        own = self._compute_share(self._router_id, workspace, total)
         return floor(limit * (before + own) + _ROUND) - floor(limit * before + _ROUND)
 
     @property
@@ -118,7 +118,7 @@
     def _sum_demands(self, workspace: str) -> float:
         return sum(self._get_demand(router_id, workspace) for router_id in self._routers)
 
-    def _weigh(self, router_id: str, workspace: str, total: float) -> float:
+    def _compute_share(self, router_id: str, workspace: str, total: float) -> float:
         prior = PRIOR_DEMAND_PER_S / len(self._routers)
         return (self._get_demand(router_id, workspace) + prior) / (total + PRIOR_DEMAND_PER_S)
 
