--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -72,7 +72,7 @@
         if source == self._router_id or source not in self._routers:
             return False
         old = self._others.get(source)
-        if old is not None and _order(report) <= _order(old):
+        if old is not None and _get_version(report) <= _get_version(old):
             return False
         self._others[source] = report
         return True
@@ -131,5 +131,5 @@
         }
 
 
-def _order(report: DemandReport) -> tuple[int, int]:
+def _get_version(report: DemandReport) -> tuple[int, int]:
     return (report.incarnation, report.sequence)
