--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -41,16 +41,16 @@
         self._meter = DemandMeter()
         self._reported: deque[tuple[float, dict[str, float]]] = deque()
         self._used_demands: dict[str, float] = {}
-        self._others: dict[str, DemandReport] = {}
+        self._peer_reports: dict[str, DemandReport] = {}
         self._routers = [router_id]
         self._growth_delay_passed = False
 
     def set_routers(self, router_ids: Collection[str]) -> None:
         """Take over the routers that membership knows of; forget all others."""
         self._routers = sorted({*router_ids, self._router_id})
-        for source in list(self._others):
+        for source in list(self._peer_reports):
             if source not in router_ids:
-                del self._others[source]
+                del self._peer_reports[source]
 
     def record_request(self, workspace: str, now: float) -> None:
         """Count a request of a workspace, also one that is refused."""
@@ -71,10 +71,10 @@
         """Take another router's demands; return whether they were news."""
         if source == self._router_id or source not in self._routers:
             return False
-        old = self._others.get(source)
+        old = self._peer_reports.get(source)
         if old is not None and _get_version(report) <= _get_version(old):
             return False
-        self._others[source] = report
+        self._peer_reports[source] = report
         return True
 
     def get_share(self, workspace: str) -> float:
@@ -112,7 +112,7 @@
     def _get_demand(self, router_id: str, workspace: str) -> float:
         if router_id == self._router_id:
             return self._used_demands.get(workspace, 0.0)
-        report = self._others.get(router_id)
+        report = self._peer_reports.get(router_id)
         return report.demands.get(workspace, 0.0) if report else 0.0
 
     def _sum_demands(self, workspace: str) -> float:
