--- a/chivetrack/components/limits/queue.py
+++ b/chivetrack/components/limits/queue.py
@@ -59,7 +59,7 @@
         lane = min(lanes, key=lambda each: (-each.priority, self._lanes[each][0].tag))
         waiting = self._lanes[lane].popleft()
         self._virtual_time = max(self._virtual_time, waiting.tag)
-        self._close(lane)
+        self._after_removal(lane)
         return waiting.request
 
     def pop_surplus(self, newcomer: LimitedRequest) -> LimitedRequest | None:
@@ -77,7 +77,7 @@
         if same and len(self._lanes[lane]) <= len(self._lanes.get(own, ())) + 1:
             return None
         waiting = self._lanes[lane].pop()
-        self._close(lane)
+        self._after_removal(lane)
         return waiting.request
 
     def pop_where(self, must_leave: Callable[[LimitedRequest], bool]) -> list[LimitedRequest]:
@@ -91,7 +91,7 @@
             names = {request.request_id for request in gone}
             self._lanes[lane] = deque(w for w in waiting if w.request.request_id not in names)
             self._length -= len(gone) - 1
-            self._close(lane)
+            self._after_removal(lane)
         return left
 
     def count_ahead(self, request: LimitedRequest, *, share: float) -> float:
@@ -112,7 +112,7 @@
         """Return how many requests of a workspace wait."""
         return sum(len(w) for lane, w in self._lanes.items() if lane.workspace == workspace)
 
-    def _close(self, lane: _Lane) -> None:
+    def _after_removal(self, lane: _Lane) -> None:
         self._length -= 1
         if self._lanes[lane]:
             return
