--- a/chivetrack/components/limits/limiter.py
+++ b/chivetrack/components/limits/limiter.py
@@ -135,11 +135,11 @@
         own = self._find_gate(request.workspace, now).estimate(queued, mean_s, now)
         if len(self._running) < self._capacity:
             return own
-        ahead = self._queue.count_ahead(request, share=self._find_turns(request.workspace, now))
+        ahead = self._queue.count_ahead(request, share=self._get_turn_share(request.workspace, now))
         wait = (ahead + 1.0) * mean_s / self._capacity
         return own if own.seconds >= wait else WaitEstimate(wait, Cause.CAPACITY)
 
-    def _find_turns(self, workspace: str, now: float) -> float:
+    def _get_turn_share(self, workspace: str, now: float) -> float:
         """Return the part of the turns that a workspace gets among those that wait."""
         waiting = self._queue.list_workspaces() | {workspace}
         weights = {name: self._find_gate(name, now).limit.weight for name in waiting}
