--- a/chivetrack/components/limits/bucket.py
+++ b/chivetrack/components/limits/bucket.py
@@ -18,7 +18,7 @@
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
-    def take(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         """Take one token, if there is one."""
         self._fill(now)
         if self._tokens < 1.0:
--- a/chivetrack/components/limits/gate.py
+++ b/chivetrack/components/limits/gate.py
@@ -34,7 +34,7 @@
         self.running += 1
         bucket = self._refill(now)
         if bucket is not None:
-            bucket.take(now)
+            bucket.try_consume(now)
 
     def estimate(self, queued: int, mean_s: float, now: float) -> WaitEstimate:
         """Return how long a request waits behind ``queued`` of its own workspace."""
