--- a/chivetrack/components/limits/stopping.py
+++ b/chivetrack/components/limits/stopping.py
@@ -21,7 +21,7 @@
     accepts_until: float
     exits_at: float
 
-    def takes(
+    def accepts(
         self, *, ends_at: float, expected_s: float, do_others_accept: bool, now: float
     ) -> bool:
         """Return whether a request is taken that must end by ``ends_at``.
--- a/tests/components/limits/test_stopping.py
+++ b/tests/components/limits/test_stopping.py
@@ -9,7 +9,7 @@
 
 
 def takes(*, ends_at: float, expected_s: float, now: float, do_others_accept: bool = True) -> bool:
-    return WINDOW.takes(
+    return WINDOW.accepts(
         ends_at=ends_at, expected_s=expected_s, do_others_accept=do_others_accept, now=now
     )
 
