--- a/chivetrack/components/limits/bucket.py
+++ b/chivetrack/components/limits/bucket.py
@@ -11,7 +11,7 @@
         self._tokens = burst
         self._filled_at = now
 
-    def change(self, *, rate_per_s: float, burst: float, now: float) -> None:
+    def set_rate(self, *, rate_per_s: float, burst: float, now: float) -> None:
         """Refill at another rate from now on."""
         self._fill(now)
         self._rate = rate_per_s
--- a/chivetrack/components/limits/gate.py
+++ b/chivetrack/components/limits/gate.py
@@ -64,7 +64,7 @@
     def _refill(self, now: float) -> TokenBucket | None:
         if self._bucket is not None and self.limit.rate_per_s is not None:
             rate, burst = self._share_rate(self.limit.rate_per_s)
-            self._bucket.change(rate_per_s=rate, burst=burst, now=now)
+            self._bucket.set_rate(rate_per_s=rate, burst=burst, now=now)
         return self._bucket
 
     def _share_rate(self, rate_per_s: float) -> tuple[float, float]:
