--- a/chivetrack/daemon/fleet/refusals.py
+++ b/chivetrack/daemon/fleet/refusals.py
@@ -58,7 +58,7 @@
         now = time.monotonic()
         expected_s = self._view.placement.expect_whole_s(choice, call.facts)
         do_others_accept = self._view.do_others_accept
-        if self.window.takes(
+        if self.window.accepts(
             ends_at=call.ends_at,
             expected_s=expected_s,
             do_others_accept=do_others_accept,
