--- a/chivetrack/components/limits/__init__.py
+++ b/chivetrack/components/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of workspaces: rate, concurrency, fair shares, a bounded queue."""
+"""Admission control: rate and concurrency limits, fair shares and a bounded queue."""
--- a/chivetrack/components/limits/const.py
+++ b/chivetrack/components/limits/const.py
@@ -3,36 +3,40 @@
 from typing import Final
 
 DEMAND_INTERVAL_S: Final = 0.5
-"""How often a router should send its demands to the others."""
+"""Interval at which a router publishes its demands to the other routers."""
 
 SHARE_GROWTH_DELAY_S: Final = 1.5
-"""How long a router waits after telling a greater demand before it uses it.
+"""Delay between publishing a higher demand and using the larger share it gives.
 
-Must exceed the interval and the delay of demands; see ``shares``.
+Must exceed ``DEMAND_INTERVAL_S`` plus the delivery delay of a demand report; see ``shares``.
 """
 
 PRIOR_DEMAND_PER_S: Final = 3.0
-"""Requests a second that are taken for granted, equally split over the routers.
+"""Requests per second added to the measured demand and split equally over the routers.
 
-Sparse demand is measured badly; with this its parts are nearly equal.
+The measured rate of sparse traffic is inaccurate; the prior makes the routers' shares
+of such a workspace nearly equal.
 """
 
 DECAY_REQUESTS: Final = 10.0
 MIN_DECAY_S: Final = 0.5
 MAX_DECAY_S: Final = 5.0
-"""Demand is a mean over about so many requests, within these time constants."""
+"""Demand is an exponentially decaying mean over about ``DECAY_REQUESTS`` requests.
+
+Its time constant stays between ``MIN_DECAY_S`` and ``MAX_DECAY_S``.
+"""
 
 DEMAND_DEAD_BAND: Final = 0.5
-"""The part by which a demand must change to be told anew."""
+"""Relative change of a demand below which the published value is kept."""
 
 MIN_DEMAND: Final = 0.01
-"""Requests a second below which a demand is not worth a message."""
+"""Requests per second below which a demand is not published."""
 
 MAX_QUEUED: Final = 512
-"""Requests that wait in one router, at most."""
+"""Maximum number of requests in one router's queue."""
 
 INITIAL_SERVICE_S: Final = 1.0
-"""Service time assumed before the first answer."""
+"""Service time assumed before the first request has finished."""
 
 SERVICE_TIME_WEIGHT: Final = 0.1
 """Weight of the newest service time in the running mean."""
@@ -41,16 +45,16 @@
 MAX_RETRY_AFTER_S: Final = 60.0
 
 RETRY_AFTER_JITTER: Final = 1.0
-"""``Retry-After`` is drawn between the wait and the wait times one plus this."""
+"""``Retry-After`` is drawn between ``wait`` and ``wait * (1 + RETRY_AFTER_JITTER)``."""
 
 TICK_S: Final = 0.1
-"""How often the limiter looks at its queue while something waits."""
+"""Interval at which the limiter processes its queue while requests wait."""
 
 SHARE_WAIT_S: Final = SHARE_GROWTH_DELAY_S + DEMAND_INTERVAL_S
-"""How long a workspace that is new to this router waits for its share, at most."""
+"""Longest time until this router gets a share of a workspace's limit."""
 
 STATUS_TOO_MANY: Final = 429
 STATUS_OVERLOADED: Final = 503
 
 MIN_GATES_TO_PRUNE: Final = 256
-"""Workspaces whose counts are kept before idle ones are looked for."""
+"""Number of workspace gates from which on idle ones are pruned."""
--- a/chivetrack/components/limits/demand.py
+++ b/chivetrack/components/limits/demand.py
@@ -1,4 +1,4 @@
-"""How much of a workspace's traffic comes through this router."""
+"""Measures the request rate of each workspace at this router."""
 
 from math import exp
 
@@ -12,29 +12,31 @@
 
 
 class DemandMeter:
-    """Requests a second by workspace, as a mean that forgets."""
+    """Measures requests per second by workspace as an exponentially decaying mean."""
 
     def __init__(self) -> None:
-        """Start with no demand."""
+        """Initialize with no demand."""
         self._rates: dict[str, tuple[float, float]] = {}
         self._reported: dict[str, float] = {}
 
     def record(self, workspace: str, now: float) -> None:
-        """Count a request, also one that is refused."""
+        """Count a request, whether it is admitted or refused."""
         rate = self.get(workspace, now)
         self._rates[workspace] = (rate + 1.0 / _get_time_constant(rate), now)
 
     def get(self, workspace: str, now: float) -> float:
-        """Return the requests a second of a workspace."""
+        """Return a workspace's demand in requests per second."""
         rate, updated_at = self._rates.get(workspace, (0.0, now))
         return rate * exp((updated_at - now) / _get_time_constant(rate))
 
     def collect(self, now: float) -> dict[str, float]:
-        """Return all demands to tell and forget those that have died down.
+        """Return the demands to publish and prune those below ``MIN_DEMAND``.
 
-        A demand is told anew only when it has clearly changed. Parts are computed from
-        the least demand told of late, so each wobble would leave some of the limit to
-        nobody: a workspace would be refused well below its limit.
+        A published value changes only when the demand moves by more than
+        ``DEMAND_DEAD_BAND``. A router uses the least demand that it published within
+        ``SHARE_GROWTH_DELAY_S``; with every small fluctuation published, the shares of all
+        routers would add up to much less than one, and requests would be refused well
+        below the workspace's limit.
         """
         rates = {workspace: self.get(workspace, now) for workspace in self._rates}
         kept = {workspace: rate for workspace, rate in rates.items() if rate >= MIN_DEMAND}
@@ -51,10 +53,11 @@
 
 
 def _get_time_constant(rate: float) -> float:
-    """Return the time constant: long enough for some requests, and no longer.
+    """Return the time constant in seconds, in which ``DECAY_REQUESTS`` requests arrive.
 
-    A busy workspace that moves to other routers is told within a second; one that sends
-    a request now and then is not taken for gone in between.
+    It is short at high rates, so that other routers learn within a second that a busy
+    workspace has moved to them. It is long at low rates, so that the demand of a workspace
+    with sparse requests does not decay to zero between two of them.
     """
     if rate <= 0.0:
         return MAX_DECAY_S
--- a/chivetrack/components/limits/exchange.py
+++ b/chivetrack/components/limits/exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges workspaces' demands between routers by gossip."""
+"""Exchanges the demands of workspaces between routers by gossip."""
 
 from collections.abc import Callable, Collection
 
@@ -14,7 +14,7 @@
 
 
 class DemandExchange:
-    """Publishes this router's demands when they change, and takes in the others'."""
+    """Publishes this router's demands when they change and merges those of other routers."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         gossip: Gossip,
         list_routers: Callable[[], Collection[str]],
     ) -> None:
-        """Connect a share book with gossip; ``list_routers`` returns the living ones."""
+        """Subscribe to demand reports; ``list_routers`` returns the ids of live routers."""
         self._shares = shares
         self._gossip = gossip
         self._list_routers = list_routers
@@ -32,7 +32,7 @@
         gossip.subscribe(TOPIC_DEMAND, self._handle_update)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Publish when it is due."""
+        """Publish the demands every ``DEMAND_INTERVAL_S``."""
         if not isinstance(event, TimeReached):
             return []
         if now >= self._next:
--- a/chivetrack/components/limits/faults.py
+++ b/chivetrack/components/limits/faults.py
@@ -1,4 +1,4 @@
-"""The faults of requests that were not let in; none of them ran."""
+"""Faults of requests that were not admitted; none of these requests ran."""
 
 from random import Random
 
@@ -30,8 +30,8 @@
 def make_fault(estimate: WaitEstimate, random: Random) -> Fault:
     """Return the fault for a shed request.
 
-    ``Retry-After`` is spread out: callers that were shed together would come back
-    together and be shed again.
+    ``Retry-After`` gets random jitter: callers that were shed together would otherwise
+    retry together and be shed again.
     """
     base = min(max(estimate.seconds, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
     limited = estimate.cause in (Cause.RATE, Cause.CONCURRENCY)
--- a/chivetrack/components/limits/gate.py
+++ b/chivetrack/components/limits/gate.py
@@ -1,4 +1,4 @@
-"""The limits of one workspace, as far as this router may use them."""
+"""Enforces this router's share of one workspace's limits."""
 
 from chivetrack.components.limits.bucket import TokenBucket
 from chivetrack.components.limits.const import SHARE_WAIT_S
@@ -12,7 +12,7 @@
     def __init__(
         self, *, workspace: str, limit: WorkspaceLimit, shares: ShareTracker, now: float
     ) -> None:
-        """Start with no request running and a full bucket."""
+        """Initialize with no running request and a full bucket."""
         self.limit = limit
         self.running = 0
         self._workspace = workspace
@@ -21,7 +21,7 @@
         self.configure(limit, now)
 
     def configure(self, limit: WorkspaceLimit, now: float) -> None:
-        """Take over changed limits; what runs goes on."""
+        """Apply changed limits; running requests are not affected."""
         self.limit = limit
         if limit.rate_per_s is None:
             self._bucket = None
@@ -30,14 +30,17 @@
             self._bucket = TokenBucket(rate_per_s=rate, burst=burst, now=now)
 
     def start(self, now: float) -> None:
-        """Count a request as running."""
+        """Count a request as running and consume a token."""
         self.running += 1
         bucket = self._refill(now)
         if bucket is not None:
             bucket.try_consume(now)
 
     def estimate(self, queued: int, mean_s: float, now: float) -> WaitEstimate:
-        """Return how long a request waits behind ``queued`` of its own workspace."""
+        """Return the wait of a request behind ``queued`` requests of its workspace.
+
+        ``mean_s`` is the mean service time of a request in seconds.
+        """
         bucket = self._refill(now)
         rate_wait = bucket.get_wait(now, tokens=queued + 1.0) if bucket else 0.0
         slot_wait = self._estimate_slot(queued, mean_s)
@@ -48,7 +51,7 @@
         return WaitEstimate(0.0, Cause.NOTHING)
 
     def is_idle(self, now: float) -> bool:
-        """Return whether nothing runs and the bucket is full."""
+        """Return whether no request is running and the bucket is full."""
         bucket = self._refill(now)
         return self.running == 0 and (bucket is None or bucket.is_full(now))
 
--- a/chivetrack/components/limits/infeasible.py
+++ b/chivetrack/components/limits/infeasible.py
@@ -1,4 +1,4 @@
-"""Requests that can't be answered in their time are refused before they are sent."""
+"""Refuses infeasible requests, which cannot start before their deadline."""
 
 from random import Random
 
@@ -6,20 +6,24 @@
 from chivetrack.components.limits.models import Cause, WaitEstimate
 from chivetrack.exceptions import Fault
 
-# What is expected of an endpoint is wrong by a half either way, at lag; a request is refused
-# only where even half of the expected time is too long.
+# While reports lag, the expected time is off by up to a half in either direction. A request is
+# refused only if even half of the expected time is longer than the time left.
 EXPECTED_TIME_LOWER_BOUND = 0.5
 
 
 def refuse_infeasible(
     *, expected_s: float, left_s: float, target_s: float, random: Random
 ) -> Fault | None:
-    """Return the refusal of a request that its best endpoint can't begin in time, or ``None``.
+    """Return the fault for a request that its best endpoint can't begin in time, or ``None``.
 
-    It answers a load of several times what the endpoints can do: they queue by rank, and
-    the last in the queue would be held until the caller's deadline passes, to learn nothing
-    from it. ``Retry-After`` is the time in which the queue drains to what can be answered
-    within the route's target, spread, so that the callers don't come back together.
+    ``expected_s`` is the expected time until the endpoint begins, ``left_s`` the time until
+    the deadline and ``target_s`` the latency target of the route.
+
+    This matters when the load is several times the capacity of the endpoints: they queue by
+    priority, and without a refusal the caller of a request at the end of the queue would wait
+    until its deadline and get nothing. ``Retry-After`` is the time in which the queue drains
+    to what can be answered within ``target_s``, with jitter so that callers do not retry
+    together.
     """
     if expected_s * EXPECTED_TIME_LOWER_BOUND <= left_s:
         return None
--- a/chivetrack/components/limits/limiter.py
+++ b/chivetrack/components/limits/limiter.py
@@ -1,4 +1,4 @@
-"""The limiter: lets requests in, holds them in a bounded queue, or sheds them at once."""
+"""The limiter admits requests, holds them in a bounded queue or sheds them at once."""
 
 from dataclasses import dataclass
 from random import Random
@@ -28,11 +28,11 @@
 
 
 class Limiter:
-    """Admission of one router.
+    """Admission control of one router.
 
     Every request gets exactly one ``Admit`` or ``Shed``, with at most one ``Wait`` before
-    it. A request that can't be done by its deadline is shed when that is known and
-    not when the deadline has passed.
+    it. An infeasible request (it cannot finish before its deadline) is shed as soon as
+    that is known, not when the deadline has passed.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         capacity: int,
         queue_capacity: int = MAX_QUEUED,
     ) -> None:
-        """Let ``capacity`` requests run at once; ``random`` spreads ``Retry-After``."""
+        """Allow ``capacity`` requests at once; ``random`` is used for ``Retry-After`` jitter."""
         self._shares = shares
         self._random = random
         self._capacity = capacity
@@ -56,7 +56,7 @@
 
     @property
     def queued(self) -> int:
-        """Return how many requests wait."""
+        """Return how many requests are queued."""
         return len(self._queue)
 
     def configure(self, workspace: str, limit: WorkspaceLimit | None, now: float) -> None:
@@ -75,15 +75,14 @@
 
     def submit(self, request: LimitedRequest, now: float) -> list[Effect]:
         """Decide on a new request."""
-        # Demands are told to all routers, so only those that share out a limit are.
+        # Demands are broadcast to all routers, so only workspaces with limits are counted.
         if request.workspace in self._limits:
             self._shares.record_request(request.workspace, now)
         effects = self.advance(now)
         estimate = self._estimate(request, now)
         if estimate.cause is Cause.NOTHING:
             return [*effects, self._admit(request, now)]
-        # Held until the deadline, the caller would learn nothing it couldn't know now
-        # and would have no time left to turn elsewhere.
+        # Shed now, while the caller still has time to send the request elsewhere.
         if now + estimate.seconds + self._service.mean_s > request.deadline:
             return [*effects, self._shed(request, estimate)]
         if self._queue.is_full:
@@ -95,7 +94,7 @@
         return [*effects, Wait(request_id=request.request_id, estimate_s=estimate.seconds)]
 
     def finish(self, request_id: str, now: float) -> list[Effect]:
-        """Take in that an admitted request is over, whatever its end."""
+        """Count an admitted request as ended, whatever its outcome."""
         running = self._running.pop(request_id, None)
         if running is None:
             return []
@@ -104,11 +103,11 @@
         return self.advance(now)
 
     def cancel(self, request_id: str) -> None:
-        """Forget a waiting request whose caller has gone."""
+        """Remove a queued request whose caller has disconnected."""
         self._queue.pop_where(lambda request: request.request_id == request_id)
 
     def advance(self, now: float) -> list[Effect]:
-        """Shed what has become hopeless and admit what has become possible."""
+        """Shed queued requests that have become infeasible and admit those that may run."""
         if not len(self._queue):
             return []
         late = self._queue.pop_where(lambda request: now + self._service.mean_s > request.deadline)
@@ -122,7 +121,7 @@
         return effects
 
     def find_due(self, now: float) -> float | None:
-        """Return when to call ``advance`` next, ``None`` while nothing waits."""
+        """Return when to call ``advance`` next, or ``None`` if the queue is empty."""
         return now + TICK_S if len(self._queue) else None
 
     def _is_eligible(self, workspace: str, now: float) -> bool:
@@ -140,7 +139,7 @@
         return own if own.seconds >= wait else WaitEstimate(wait, Cause.CAPACITY)
 
     def _get_turn_share(self, workspace: str, now: float) -> float:
-        """Return the part of the turns that a workspace gets among those that wait."""
+        """Return a workspace's weight as a fraction of the weights of all that wait."""
         waiting = self._queue.list_workspaces() | {workspace}
         weights = {name: self._find_gate(name, now).limit.weight for name in waiting}
         return weights[workspace] / sum(weights.values())
@@ -155,7 +154,7 @@
         return gate
 
     def _prune(self, now: float) -> None:
-        """Drop gates that say no more than fresh ones would, now and then."""
+        """Drop the gates of idle workspaces, which equal new ones, to bound memory."""
         if len(self._gates) < self._prune_above:
             return
         self._gates = {name: g for name, g in self._gates.items() if not g.is_idle(now)}
--- a/chivetrack/components/limits/models.py
+++ b/chivetrack/components/limits/models.py
@@ -1,4 +1,4 @@
-"""Shapes of the limits component."""
+"""Models of the limits component."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,10 +10,10 @@
 
 @message("limits.demands")
 class DemandReport(Message, frozen=True, array_like=True):
-    """All demands of one router in requests a second, by workspace.
+    """All demands of one router in requests per second, by workspace.
 
-    Always complete; an absent workspace has none. ``incarnation`` and ``sequence``
-    order the messages of one router.
+    The report is always complete: an absent workspace has no demand. ``incarnation`` and
+    ``sequence`` order the reports of one router.
     """
 
     incarnation: int
@@ -25,7 +25,8 @@
 class WorkspaceLimit:
     """A workspace's limits over the whole fleet; ``None`` means no limit.
 
-    ``weight`` is its fair share of a router's capacity while there is not enough.
+    ``weight`` sets its share of a router's capacity, relative to the weights of the other
+    workspaces, while requests queue for capacity.
     """
 
     rate_per_s: float | None = None
@@ -36,9 +37,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LimitedRequest:
-    """A request that asks to be let in; a higher ``priority`` goes first.
+    """A request to be admitted; a higher ``priority`` is admitted first.
 
-    ``deadline`` is a time on the clock of ``now``, by which the answer must be whole.
+    ``deadline`` is the time, on the clock of ``now``, by which the answer must be complete.
     """
 
     request_id: str
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Admit(Effect):
-    """Let the request go on to routing."""
+    """Admit the request: it continues with routing."""
 
     request_id: str
 
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Shed(Effect):
-    """Answer the request with the fault at once; it did not run."""
+    """Refuse the request with the fault at once; it did not run."""
 
     request_id: str
     fault: Fault
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitEstimate:
-    """How long a request would wait, and for what."""
+    """How long a request would wait and what it would wait for."""
 
     seconds: float
     cause: Cause
--- a/chivetrack/components/limits/queue.py
+++ b/chivetrack/components/limits/queue.py
@@ -1,4 +1,4 @@
-"""The bounded queue: priorities first, then fair shares of the workspaces."""
+"""The bounded queue: ordered by priority, then by weighted fair queueing."""
 
 from collections import deque
 from collections.abc import Callable
@@ -20,14 +20,15 @@
 
 
 class FairQueue:
-    """Requests that wait; of equal priority, workspaces take turns by their weights.
+    """Queued requests; at equal priority, workspaces are served in proportion to weight.
 
-    A turn costs ``1 / weight`` of virtual time, so a workspace that surges tenfold waits
-    behind its own requests and not in front of everybody else's.
+    Each request advances its workspace's virtual finish time (its tag) by ``1 / weight``,
+    and the lowest tag is served first. A surge of one workspace therefore delays its own
+    requests and not those of other workspaces.
     """
 
     def __init__(self, *, capacity: int) -> None:
-        """Hold at most ``capacity`` requests."""
+        """Initialize an empty queue for at most ``capacity`` requests."""
         self._capacity = capacity
         self._lanes: dict[_Lane, deque[_Waiting]] = {}
         self._last_tags: dict[_Lane, float] = {}
@@ -39,7 +40,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Return whether something must leave before more can come."""
+        """Return whether the queue holds ``capacity`` requests."""
         return self._length >= self._capacity
 
     def push(self, request: LimitedRequest, *, weight: float) -> None:
@@ -52,7 +53,7 @@
         self._length += 1
 
     def pop(self, is_eligible: Callable[[str], bool]) -> LimitedRequest | None:
-        """Take the next request whose workspace is eligible."""
+        """Remove and return the next request whose workspace is eligible."""
         lanes = [lane for lane in self._lanes if is_eligible(lane.workspace)]
         if not lanes:
             return None
@@ -63,10 +64,11 @@
         return waiting.request
 
     def pop_surplus(self, newcomer: LimitedRequest) -> LimitedRequest | None:
-        """Take the newest request of the lane that holds most, to make room.
+        """Remove and return the request to drop so that ``newcomer`` can be queued.
 
-        Lanes of a higher priority than the newcomer's are spared. Returns ``None`` when
-        the newcomer's own lane is the longest: then it is the surplus.
+        It is the newest of the longest lane of the lowest priority; lanes of a higher
+        priority than the newcomer's are never chosen. Return ``None`` if the newcomer's own
+        lane would be the longest: the newcomer itself is then the one to drop.
         """
         own = _Lane(newcomer.priority, newcomer.workspace)
         lanes = [lane for lane in self._lanes if lane.priority <= newcomer.priority]
@@ -81,23 +83,23 @@
         return waiting.request
 
     def pop_where(self, must_leave: Callable[[LimitedRequest], bool]) -> list[LimitedRequest]:
-        """Take all requests that a condition is true of."""
-        left = []
+        """Remove and return all requests for which ``must_leave`` is true."""
+        removed = []
         for lane, waiting in list(self._lanes.items()):
-            gone = [each.request for each in waiting if must_leave(each.request)]
-            if not gone:
+            leaving = [each.request for each in waiting if must_leave(each.request)]
+            if not leaving:
                 continue
-            left.extend(gone)
-            names = {request.request_id for request in gone}
-            self._lanes[lane] = deque(w for w in waiting if w.request.request_id not in names)
-            self._length -= len(gone) - 1
+            removed.extend(leaving)
+            ids = {request.request_id for request in leaving}
+            self._lanes[lane] = deque(w for w in waiting if w.request.request_id not in ids)
+            self._length -= len(leaving) - 1
             self._after_removal(lane)
-        return left
+        return removed
 
     def count_ahead(self, request: LimitedRequest, *, share: float) -> float:
-        """Return about how many requests would be admitted before this one.
+        """Return an estimate of how many requests would be admitted before this one.
 
-        ``share`` is the part of the turns that its workspace gets.
+        ``share`` is the workspace's fraction of the total weight.
         """
         own = len(self._lanes.get(_Lane(request.priority, request.workspace), ()))
         higher = sum(len(w) for lane, w in self._lanes.items() if lane.priority > request.priority)
@@ -105,11 +107,11 @@
         return higher + min(float(equal), own / share)
 
     def list_workspaces(self) -> set[str]:
-        """Return the workspaces that wait."""
+        """Return the workspaces that have queued requests."""
         return {lane.workspace for lane in self._lanes}
 
     def count(self, workspace: str) -> int:
-        """Return how many requests of a workspace wait."""
+        """Return how many requests of a workspace are queued."""
         return sum(len(w) for lane, w in self._lanes.items() if lane.workspace == workspace)
 
     def _after_removal(self, lane: _Lane) -> None:
--- a/chivetrack/components/limits/service.py
+++ b/chivetrack/components/limits/service.py
@@ -1,15 +1,15 @@
-"""How long requests take, for estimates of the wait."""
+"""Measures service times to estimate waits."""
 
 from chivetrack.components.limits.const import INITIAL_SERVICE_S, SERVICE_TIME_WEIGHT
 
 
 class ServiceTimes:
-    """A running mean of service times in seconds."""
+    """An exponentially weighted mean of service times in seconds."""
 
     def __init__(self) -> None:
-        """Start with an assumption."""
+        """Initialize the mean with ``INITIAL_SERVICE_S``."""
         self.mean_s = INITIAL_SERVICE_S
 
     def record(self, service_s: float) -> None:
-        """Take in the time of one answer."""
+        """Add the service time of one finished request."""
         self.mean_s += SERVICE_TIME_WEIGHT * (service_s - self.mean_s)
--- a/chivetrack/components/limits/shares.py
+++ b/chivetrack/components/limits/shares.py
@@ -1,19 +1,22 @@
-"""Which part of a fleet-wide limit this router may use.
-
-Each router's part is its demand over all demands it knows of, each with a small prior
-added, so that a router where a workspace turns up can admit something at once. Were a
-router to use a greater demand as soon as it sees it, it would take a greater part before
-the others have given up theirs, and together they would exceed the limit. So it tells
-the greater demand first and uses it ``SHARE_GROWTH_DELAY_S`` later, when the others have
-heard; a smaller one it uses at once. What router i believes of j is then never less than
-what j uses, hence the parts
-
-    used_i / (used_i + sum of what i believes of the others)
-
-add up to at most one, as long as messages arrive within the delay. A router that has
-just started has heard nobody and takes no part until the delay has passed. Routers cut
-off from each other keep each other's last demand until membership declares the others
-dead; from then on each side of the cut holds the limit for itself.
+"""Computes the share of a fleet-wide limit that this router may use.
+
+A router's share is its demand divided by the sum of the demands of all routers. A small
+prior is added to each demand, so that a router that gets the first requests of a workspace
+can admit some at once.
+
+If a router used a higher demand at once, its share would grow before the shares of the
+other routers shrink, and together they would exceed the limit. Therefore it publishes a
+higher demand first and uses it ``SHARE_GROWTH_DELAY_S`` later, when the other routers have
+received it. It uses a lower demand at once. The demand of router j that router i has
+received is then never less than the demand that j uses, so the shares
+
+    used_i / (used_i + sum of the demands that i received from other routers)
+
+add up to at most one, as long as reports arrive within the delay. A router that has just
+started has received no reports and has a share of zero until the delay has passed.
+
+Routers on the two sides of a network partition keep each other's last demands until
+membership declares the other side dead. From then on each side uses the whole limit.
 """
 
 from collections import deque
@@ -31,10 +34,13 @@
 
 
 class ShareTracker:
-    """This router's demands and those that the others told."""
+    """Tracks the demands of this router and those reported by other routers."""
 
     def __init__(self, *, router_id: str, incarnation: int = 0) -> None:
-        """Start alone; ``incarnation`` must rise when this router restarts."""
+        """Initialize with no other router.
+
+        ``incarnation`` must be higher after each restart of this router.
+        """
         self._router_id = router_id
         self._incarnation = incarnation
         self._sequence = 0
@@ -46,18 +52,18 @@
         self._growth_delay_passed = False
 
     def set_routers(self, router_ids: Collection[str]) -> None:
-        """Take over the routers that membership knows of; forget all others."""
+        """Set the routers known to membership and drop the reports of all others."""
         self._routers = sorted({*router_ids, self._router_id})
         for source in list(self._peer_reports):
             if source not in router_ids:
                 del self._peer_reports[source]
 
     def record_request(self, workspace: str, now: float) -> None:
-        """Count a request of a workspace, also one that is refused."""
+        """Count a request of a workspace, whether it is admitted or refused."""
         self._meter.record(workspace, now)
 
     def collect_demands(self, now: float) -> DemandReport:
-        """Return this router's demands as a message, each ``DEMAND_INTERVAL_S``."""
+        """Return this router's demands to publish; called every ``DEMAND_INTERVAL_S``."""
         self._sequence += 1
         demands = self._meter.collect(now)
         self._reported.append((now, demands))
@@ -68,7 +74,7 @@
         return DemandReport(incarnation=self._incarnation, sequence=self._sequence, demands=demands)
 
     def merge_demands(self, source: str, report: DemandReport) -> bool:
-        """Take another router's demands; return whether they were news."""
+        """Merge another router's report and return whether it was newer."""
         if source == self._router_id or source not in self._routers:
             return False
         old = self._peer_reports.get(source)
@@ -78,17 +84,18 @@
         return True
 
     def get_share(self, workspace: str) -> float:
-        """Return the part of the workspace's rate that this router may use."""
+        """Return the fraction of the workspace's rate that this router may use."""
         if not self._may_use_share:
             return 0.0
         return self._compute_share(self._router_id, workspace, self._sum_demands(workspace))
 
     def allot_units(self, workspace: str, limit: int) -> int:
-        """Return how many of ``limit`` whole units this router may use.
+        """Return how many of ``limit`` concurrent requests this router may run.
 
-        Rounding each router's part up would let 380 routers use 380 units of a limit of
-        four. So all parts are laid end to end in one order, and a router owns the units
-        that begin in its stretch; what is rounded up for one is missing for the next.
+        Rounding up each router's share would let 380 routers run 380 requests at a limit
+        of four. Instead each router rounds the sum of the shares up to and including its
+        own, in an order that all routers agree on, and subtracts the rounded sum before
+        it. The results add up to ``limit`` once all routers know the same demands.
         """
         if not self._may_use_share:
             return 0
@@ -105,7 +112,7 @@
         return self._growth_delay_passed or len(self._routers) == 1
 
     def _order_routers(self, workspace: str) -> list[str]:
-        """Return the routers from a place that differs by workspace."""
+        """Return the routers, rotated to a start that depends on the workspace."""
         first = xxh3_64_intdigest(workspace.encode()) % len(self._routers)
         return self._routers[first:] + self._routers[:first]
 
@@ -123,7 +130,7 @@
         return (self._get_demand(router_id, workspace) + prior) / (total + PRIOR_DEMAND_PER_S)
 
     def _compute_used_demands(self) -> dict[str, float]:
-        """Return, by workspace, the least demand told within the delay."""
+        """Return, by workspace, the least demand published within the growth delay."""
         newest = self._reported[-1][1]
         return {
             workspace: min(demands.get(workspace, 0.0) for _, demands in self._reported)
--- a/chivetrack/components/limits/stopping.py
+++ b/chivetrack/components/limits/stopping.py
@@ -1,21 +1,21 @@
-"""Requests that come to an instance that is stopping: which it still takes, free of I/O."""
+"""Decides, without I/O, which requests a stopping instance still accepts."""
 
 from dataclasses import dataclass
 
 from chivetrack.exceptions import Fault, Ran
 
-# Another instance can take the request at once.
+# Another instance can accept the request at once.
 RETRY_AFTER_S = 0.05
-# From an exit until the instance is back.
+# Time from the exit of an instance until it accepts requests again.
 RESTART_S = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StopWindow:
-    """The phases of a stop; times are of the steady clock in seconds.
+    """The phases of a stop; times are seconds on the monotonic clock.
 
-    Until ``accepts_until`` the balancer may still choose this instance; at ``exits_at``
-    what still runs is cut.
+    Until ``accepts_until`` the balancer may still choose this instance. At ``exits_at``
+    the requests that are still running are aborted.
     """
 
     accepts_until: float
@@ -24,12 +24,13 @@
     def accepts(
         self, *, ends_at: float, expected_s: float, do_others_accept: bool, now: float
     ) -> bool:
-        """Return whether a request is taken that must end by ``ends_at``.
+        """Return whether to accept a request that times out at ``ends_at``.
 
-        Whatever its own timeout ends before the exit can't be cut. Other requests are
-        taken while the balancer sends them here, if they are expected to end in time or
-        would only be turned away elsewhere too. Afterwards they come only because the
-        balancer has no better choice or on a connection that was open before.
+        A request that times out before the exit cannot be aborted by it and is always
+        accepted. Until ``accepts_until`` other requests are accepted if they are expected
+        to end before the exit or if other instances would refuse them as well. After
+        ``accepts_until`` they are refused: they arrive only because the balancer has no
+        better choice or over a connection that was open before.
         """
         if ends_at <= self.exits_at:
             return True
@@ -39,9 +40,10 @@
 
 
 def make_stopping_fault(*, do_others_accept: bool, left_s: float) -> Fault:
-    """Return the answer to a request that an instance does not take ``left_s`` before its exit.
+    """Return the fault for a request that is refused ``left_s`` seconds before the exit.
 
-    Where most instances stop, a caller that came back earlier would only meet another of them.
+    If other instances do not accept requests either, most of them are stopping: a caller that
+    retried before this instance is back would only reach another stopping one.
     """
     retry_after_s = RETRY_AFTER_S if do_others_accept else max(0.0, left_s) + RESTART_S
     return Fault(
--- a/tests/components/limits/test_hopeless.py
+++ b/tests/components/limits/test_hopeless.py
@@ -1,4 +1,4 @@
-"""Requests that can't be answered in their time."""
+"""Tests for the refusal of infeasible requests."""
 
 import unittest
 from random import Random
@@ -8,7 +8,7 @@
 
 
 class HopelessTest(unittest.TestCase):
-    def judge(self, expected_s: float, left_s: float, seed: int = 1) -> float | None:
+    def get_retry_after(self, expected_s: float, left_s: float, seed: int = 1) -> float | None:
         fault = refuse_infeasible(
             expected_s=expected_s, left_s=left_s, target_s=0.5, random=Random(seed)
         )
@@ -18,22 +18,23 @@
         assert fault.retry_after_s is not None
         return fault.retry_after_s
 
-    def test_queue_longer_than_the_callers_patience(self) -> None:
-        """Four times the usual load; the engines' queues are nine seconds long.
+    def test_queue_longer_than_time_left_refuses(self) -> None:
+        """Guards against holding a request until its deadline without an answer.
 
-        A caller that waits four seconds would be held until its deadline and get nothing.
-        It is told at once, and when the queue will have drained.
+        At four times the usual load the engines' queues take nine seconds, and the caller
+        has four seconds left. It is refused at once, with the time until the queue has
+        drained.
         """
-        retry_after_s = self.judge(expected_s=9.0, left_s=4.0)
+        retry_after_s = self.get_retry_after(expected_s=9.0, left_s=4.0)
         assert retry_after_s is not None
         self.assertGreater(retry_after_s, 2.0)
 
-    def test_doubt_is_in_favour_of_the_request(self) -> None:
+    def test_request_that_may_be_feasible_is_not_refused(self) -> None:
         for expected_s, left_s in ((0.1, 4.0), (4.0, 4.0), (7.9, 4.0)):
-            self.assertIsNone(self.judge(expected_s, left_s))
+            self.assertIsNone(self.get_retry_after(expected_s, left_s))
 
-    def test_callers_do_not_come_back_together(self) -> None:
-        times = {self.judge(20.0, 4.0, seed) for seed in range(20)}
+    def test_retry_after_has_jitter(self) -> None:
+        times = {self.get_retry_after(20.0, 4.0, seed) for seed in range(20)}
         self.assertGreater(len(times), 15)
 
 
--- a/tests/components/limits/test_limiter.py
+++ b/tests/components/limits/test_limiter.py
@@ -1,4 +1,4 @@
-"""Admission: limits, the queue, fair turns, shedding at once."""
+"""Tests for the limiter: limits, the queue, fair queueing and load shedding."""
 
 import unittest
 from collections import Counter
@@ -51,11 +51,12 @@
         self.assertEqual({type(effect) for effect in effects}, {Admit})
         return [effect.request_id for effect in effects]
 
-    def test_what_cannot_meet_its_deadline_is_shed_at_once(self) -> None:
-        """All slots are taken for a second each and a caller has 1.2 s left.
+    def test_request_that_cannot_meet_its_deadline_is_shed_at_once(self) -> None:
+        """Guards against queueing an infeasible request until its deadline.
 
-        Held in the queue it would hear nothing until the deadline and could not turn
-        elsewhere in time. It must be told now that it did not run and when to return.
+        All slots are busy for one second each and the caller has 1.2 s left. In the queue
+        it would get no answer until the deadline, with no time left to use another
+        router. It must learn now that the request did not run and when to retry.
         """
         self.fill()
         self.assertIsInstance(self.submit(deadline=3.0)[-1], Wait)
@@ -65,8 +66,8 @@
         self.assertIs(effect.fault.ran, Ran.NO)
         self.assertGreaterEqual(effect.fault.retry_after_s or 0.0, 1.0)
 
-    def test_waiting_request_is_shed_when_it_becomes_hopeless(self) -> None:
-        """An engine slows down after the request was queued; no slot comes free."""
+    def test_waiting_request_is_shed_when_it_becomes_infeasible(self) -> None:
+        """An engine slows down after the request was queued, and no slot becomes free."""
         self.fill()
         waiting = self.submit(deadline=3.0)[-1]
         self.assertEqual(self.limiter.advance(1.9), [])
@@ -74,7 +75,7 @@
         self.assertIsInstance(effect, Shed)
         self.assertEqual(effect.request_id, waiting.request_id)
 
-    def test_retry_after_is_spread_and_seeded(self) -> None:
+    def test_retry_after_has_jitter_and_is_seeded(self) -> None:
         def shed_many(seed: int) -> list[float | None]:
             self.limiter = make_limiter(seed=seed)
             self.fill()
@@ -87,7 +88,7 @@
         self.assertLessEqual(max(first), 2 * MAX_RETRY_AFTER_S)
 
     def test_higher_priority_goes_first(self) -> None:
-        """A dispatch note arrives behind drafts that wait; the train won't."""
+        """An urgent request arrives behind queued requests of a lower priority."""
         running = self.fill()
         for _ in range(3):
             self.submit("drafts")
@@ -96,10 +97,10 @@
             self.limiter.finish(running[0], 1.0), [Admit(request_id=urgent.request_id)]
         )
 
-    def test_surging_workspace_waits_behind_itself(self) -> None:
+    def test_surge_does_not_delay_other_workspaces(self) -> None:
         """One workspace sends fifty requests at once, then another sends five.
 
-        First come, first served would make the second wait for all fifty.
+        In a first-in, first-out queue the second would wait for all fifty.
         """
         running = self.fill()
         for _ in range(50):
@@ -113,10 +114,11 @@
             admitted.append(effect.request_id.split("-")[0])
         self.assertEqual(Counter(admitted), {"surge": 5, "calm": 5})
 
-    def test_idle_time_earns_no_turns(self) -> None:
-        """A workspace that was idle for forty turns sends forty requests at once.
+    def test_idle_time_earns_no_credit(self) -> None:
+        """A workspace sends forty requests after being idle for 34 admissions.
 
-        Counting its turns from where it left off would let all of them go first.
+        If its virtual time continued from its last request, all forty would be admitted
+        before the requests of the other workspace.
         """
         running = self.fill()
         for _ in range(50):
@@ -131,7 +133,7 @@
             admitted.append(effect.request_id.split("-")[0])
         self.assertEqual(Counter(admitted[34:]), {"surge": 5, "idle": 5})
 
-    def test_weights_set_the_turns(self) -> None:
+    def test_admissions_are_proportional_to_weights(self) -> None:
         self.limiter.configure("heavy", WorkspaceLimit(weight=3.0), 0.0)
         running = self.fill()
         for _ in range(40):
@@ -144,8 +146,8 @@
             admitted.append(effect.request_id.split("-")[0])
         self.assertEqual(Counter(admitted), {"heavy": 15, "light": 5})
 
-    def test_full_queue_drops_of_whoever_fills_it(self) -> None:
-        """The queue is full of one workspace's requests when another's first one comes."""
+    def test_full_queue_drops_request_of_workspace_that_fills_it(self) -> None:
+        """The queue is full of one workspace's requests when another sends its first."""
         self.limiter = make_limiter(queue_capacity=10)
         self.fill()
         waiting = [self.submit("surge")[-1].request_id for _ in range(10)]
@@ -178,7 +180,7 @@
         self.assertEqual(self.limiter.advance(0.9), [])
         self.assertEqual(self.limiter.advance(1.0), [Admit(request_id=waiting.request_id)])
 
-    def test_idle_workspaces_leave_nothing_behind(self) -> None:
+    def test_gates_of_idle_workspaces_are_pruned(self) -> None:
         self.limiter = make_limiter(capacity=10)
         for number in range(5 * MIN_GATES_TO_PRUNE):
             (effect,) = self.submit(f"w{number}", now=float(number))
@@ -186,11 +188,11 @@
         self.assertLessEqual(len(self.limiter._gates), 2 * MIN_GATES_TO_PRUNE)
 
     def run_fleet(self, steps: int, count_requests) -> list[float]:
-        """Return when requests were admitted; the limit is 20 a second."""
+        """Return the times of admissions; the limit is 20 requests per second."""
         fleet = FakeFleet(routers=9, seed=3)
         limiters = {
-            name: Limiter(shares=book, random=Random(1), capacity=1000)
-            for name, book in fleet.books.items()
+            name: Limiter(shares=tracker, random=Random(1), capacity=1000)
+            for name, tracker in fleet.trackers.items()
         }
         for limiter in limiters.values():
             limiter.configure("gallery", WorkspaceLimit(rate_per_s=20.0, burst=18.0), 0.0)
@@ -214,10 +216,11 @@
         return admitted
 
     def test_fleet_wide_rate_holds_within_its_margin(self) -> None:
-        """A workspace surges tenfold on some routers, then on others, every 10 s.
+        """The traffic of a workspace moves to other routers every 10 s.
 
-        Stated margin: in any time, the rate, one burst and one request for each router. While
-        traffic moves, two thirds of the limit stay usable; once it rests, nearly all.
+        In any interval the fleet may admit at most the rate, one burst and one request for
+        each router. While traffic moves, at least two thirds of the limit must be usable;
+        once it is steady, nearly all.
         """
         admitted = self.run_fleet(600, lambda step, r: 4 * ((r < 2) == (step % 200 < 100)))
         for start in range(50):
@@ -228,10 +231,10 @@
         self.assertGreater(sum(1 for at in rested if at >= 10.0), 0.95 * 20 * 30)
 
     def test_sparse_traffic_reaches_nearly_the_whole_limit(self) -> None:
-        """Three requests a second come to each of nine routers, at random times.
+        """Three requests per second arrive at each of nine routers, at random times.
 
-        Were each wobble of the demand told, most of the limit's parts would add up to
-        well below one, and the workspace would be refused below its limit.
+        If every fluctuation of the demand were published, the shares would add up to much
+        less than one, and requests would be refused below the workspace's limit.
         """
         random = Random(5)
         admitted = self.run_fleet(900, lambda step, r: int(random.random() < 0.3))
@@ -239,10 +242,11 @@
 
 
 class LimiterMachine(RuleBasedStateMachine):
-    """Requests come, end, give up and wait, with limits changing in between.
+    """Requests arrive, wait, finish and are cancelled in random order.
 
-    Oracle: each request is admitted or shed once, never more run than the capacity or
-    the workspace's concurrency allow, and a shed request says that it did not run.
+    Checks that each request is admitted or shed once, that running requests never exceed
+    the capacity or the workspace's concurrency, and that a shed request is reported as
+    not run.
     """
 
     def __init__(self) -> None:
@@ -257,7 +261,7 @@
         self.running: list[str] = []
         self.deadlines: dict[str, float] = {}
 
-    def take(self, effects) -> None:
+    def apply_effects(self, effects) -> None:
         for effect in effects:
             assert effect.request_id not in self.running
             if isinstance(effect, Wait):
@@ -288,13 +292,13 @@
         )
         effects = self.limiter.submit(request, self.now)
         assert [e.request_id for e in effects].count(name) == 1
-        self.take(effects)
+        self.apply_effects(effects)
 
     @rule(pick=st.integers(0, 9))
     def finish(self, pick: int) -> None:
         if self.running:
             name = self.running.pop(pick % len(self.running))
-            self.take(self.limiter.finish(name, self.now))
+            self.apply_effects(self.limiter.finish(name, self.now))
             assert self.limiter.finish(name, self.now) == []
 
     @rule(pick=st.integers(0, 9))
@@ -307,10 +311,10 @@
     @rule(step=st.floats(0.0, 3.0))
     def pass_time(self, step: float) -> None:
         self.now += step
-        self.take(self.limiter.advance(self.now))
+        self.apply_effects(self.limiter.advance(self.now))
 
     @invariant()
-    def agrees_with_the_oracle(self) -> None:
+    def limits_and_deadlines_hold(self) -> None:
         assert self.limiter.queued == len(self.waiting) <= 5
         assert len(self.running) <= 3
         counts = Counter(name[0] for name in self.running)
--- a/tests/components/limits/test_shares.py
+++ b/tests/components/limits/test_shares.py
@@ -1,4 +1,4 @@
-"""The fleet-wide margin of limits, with demands late, lost, doubled and reordered."""
+"""Tests for shares of fleet-wide limits with late, duplicated and reordered reports."""
 
 import unittest
 from random import Random
@@ -13,14 +13,14 @@
 
 
 class FakeFleet:
-    """Share books of several routers and a network with delays below the limit."""
+    """Share trackers of several routers and a network with delays below the growth delay."""
 
     def __init__(self, *, routers: int, seed: int) -> None:
         self.random = Random(seed)
         names = [f"r{number}" for number in range(routers)]
-        self.books = {name: ShareTracker(router_id=name) for name in names}
-        for book in self.books.values():
-            book.set_routers(names)
+        self.trackers = {name: ShareTracker(router_id=name) for name in names}
+        for tracker in self.trackers.values():
+            tracker.set_routers(names)
         self.rates = dict.fromkeys(names, 0.0)
         self.wire: list[tuple[float, str, str, DemandReport]] = []
         self.offsets = {name: self.random.randrange(5) for name in names}
@@ -31,46 +31,46 @@
     def advance(self) -> None:
         self.step += 1
         self.now = self.step * STEP_S
-        for name, book in self.books.items():
+        for name, tracker in self.trackers.items():
             for _ in range(int(self.rates[name] * STEP_S + self.random.random())):
-                book.record_request("gallery", self.now)
+                tracker.record_request("gallery", self.now)
             if self.step % 5 == self.offsets[name]:
-                self.send(name, book.collect_demands(self.now))
+                self.send(name, tracker.collect_demands(self.now))
         self.random.shuffle(self.wire)
         due = [entry for entry in self.wire if entry[0] <= self.now]
         self.wire = [entry for entry in self.wire if entry[0] > self.now]
         for _, source, target, report in due:
-            self.books[target].merge_demands(source, report)
+            self.trackers[target].merge_demands(source, report)
 
     def send(self, source: str, report: DemandReport) -> None:
-        for target in self.books:
+        for target in self.trackers:
             for _ in range(self.random.choice((1, 1, 2))):
                 at = self.now + self.random.uniform(0.0, MAX_DELAY_S)
                 self.wire.append((at, source, target, report))
 
     def restart(self) -> None:
-        """Now and then a router starts anew and has heard of nobody."""
+        """Restart a random router, with a probability of 1 %; it has no reports yet."""
         if self.random.random() < 0.01:
-            name = self.random.choice(list(self.books))
+            name = self.random.choice(list(self.trackers))
             self.incarnation += 1
-            self.books[name] = ShareTracker(router_id=name, incarnation=self.incarnation)
-            self.books[name].set_routers(self.books)
+            self.trackers[name] = ShareTracker(router_id=name, incarnation=self.incarnation)
+            self.trackers[name].set_routers(self.trackers)
 
     def surge(self) -> None:
-        """Change who gets the traffic, as a balancer or a surge may."""
+        """Change the traffic of a random router, with a probability of 3 %."""
         if self.random.random() < 0.03:
             name = self.random.choice(list(self.rates))
             self.rates[name] = self.random.choice((0.0, 0.0, 1.0, 20.0, 200.0))
 
 
 class ShareBookTest(unittest.TestCase):
-    def test_parts_never_add_up_to_more_than_the_limit(self) -> None:
-        """A surge jumps from router to router while demands are up to 1 s late.
+    def test_shares_never_add_up_to_more_than_the_limit(self) -> None:
+        """A surge moves between routers while reports are up to 1 s late.
 
-        Routers restart meanwhile, and the traffic goes on at once.
+        Routers restart meanwhile, and their traffic continues at once.
 
-        A router that used its new demand at once would take a large part while the
-        others still hold theirs, and the workspace would run far above its limit.
+        A router that used its new demand at once would get a large share while the other
+        routers still use theirs, and the workspace would run far above its limit.
         """
         for seed in range(12):
             fleet = FakeFleet(routers=9, seed=seed)
@@ -78,11 +78,11 @@
                 fleet.surge()
                 fleet.restart()
                 fleet.advance()
-                total = sum(book.get_share("gallery") for book in fleet.books.values())
+                total = sum(tracker.get_share("gallery") for tracker in fleet.trackers.values())
                 self.assertLessEqual(total, 1.0 + 1e-9)
 
-    def test_whole_units_stay_within_one_tenth_or_two(self) -> None:
-        """The same with a concurrency limit in whole requests, also a very small one."""
+    def test_concurrency_exceeds_limit_by_at_most_a_tenth_or_two(self) -> None:
+        """The same for concurrency limits in whole requests, including very small ones."""
         for limit in (1, 4, 50, 400):
             worst = 0
             for seed in range(8):
@@ -90,12 +90,14 @@
                 for _ in range(400):
                     fleet.surge()
                     fleet.advance()
-                    units = [book.allot_units("gallery", limit) for book in fleet.books.values()]
+                    units = [
+                        tracker.allot_units("gallery", limit) for tracker in fleet.trackers.values()
+                    ]
                     worst = max(worst, sum(units))
             with self.subTest(limit=limit):
                 self.assertLessEqual(worst, limit + max(2, limit // 10))
 
-    def test_units_add_up_exactly_once_all_agree(self) -> None:
+    def test_units_add_up_to_limit_when_all_reports_have_arrived(self) -> None:
         fleet = FakeFleet(routers=30, seed=1)
         fleet.rates = {name: float(number % 7) for number, name in enumerate(fleet.rates)}
         for _ in range(300):
@@ -104,22 +106,22 @@
         for _ in range(2000):
             fleet.advance()
         for limit in (0, 1, 4, 29, 1000):
-            units = [book.allot_units("gallery", limit) for book in fleet.books.values()]
+            units = [tracker.allot_units("gallery", limit) for tracker in fleet.trackers.values()]
             self.assertEqual(sum(units), limit)
 
-    def test_part_follows_demand(self) -> None:
+    def test_share_follows_demand(self) -> None:
         fleet = FakeFleet(routers=3, seed=1)
         fleet.rates = {"r0": 60.0, "r1": 20.0, "r2": 0.0}
         for _ in range(300):
             fleet.advance()
-        parts = [book.get_share("gallery") for book in fleet.books.values()]
-        for part, expected in zip(parts, (0.70, 0.26, 0.03), strict=True):
-            self.assertAlmostEqual(part, expected, delta=0.07)
+        shares = [tracker.get_share("gallery") for tracker in fleet.trackers.values()]
+        for share, expected in zip(shares, (0.70, 0.26, 0.03), strict=True):
+            self.assertAlmostEqual(share, expected, delta=0.07)
 
     def test_fault_table_of_reports(self) -> None:
-        """Old demands, demands of routers that are gone, and one's own, are not news."""
-        book = ShareTracker(router_id="me")
-        book.set_routers(["r2"])
+        """Old reports, reports of unknown routers and the router's own are ignored."""
+        tracker = ShareTracker(router_id="me")
+        tracker.set_routers(["r2"])
 
         def make(sequence: int, incarnation: int = 1) -> DemandReport:
             return DemandReport(
@@ -137,17 +139,17 @@
         ]
         for name, source, report, expected in cases:
             with self.subTest(name):
-                self.assertIs(book.merge_demands(source, unpack(pack(report))), expected)
-        book.set_routers([])
-        self.assertEqual(book.get_share("gallery"), 1.0)
+                self.assertIs(tracker.merge_demands(source, unpack(pack(report))), expected)
+        tracker.set_routers([])
+        self.assertEqual(tracker.get_share("gallery"), 1.0)
 
-    def test_demand_of_a_router_that_was_gone_is_forgotten(self) -> None:
-        book = ShareTracker(router_id="me")
-        book.set_routers(["r2"])
+    def test_demand_of_a_removed_router_is_dropped(self) -> None:
+        tracker = ShareTracker(router_id="me")
+        tracker.set_routers(["r2"])
         report = DemandReport(incarnation=1, sequence=1, demands={"gallery": 99.0})
-        book.merge_demands("r2", report)
-        book.set_routers([])
-        book.set_routers(["r2"])
+        tracker.merge_demands("r2", report)
+        tracker.set_routers([])
+        tracker.set_routers(["r2"])
         for now in (0.0, SHARE_GROWTH_DELAY_S):
-            book.collect_demands(now)
-        self.assertEqual(book.get_share("gallery"), 0.5)
+            tracker.collect_demands(now)
+        self.assertEqual(tracker.get_share("gallery"), 0.5)
