--- a/chivetrack/components/pipeline/admission.py
+++ b/chivetrack/components/pipeline/admission.py
@@ -22,7 +22,7 @@
     """Asks the limiter for each request, and gives the turns of those that waited.
 
     What the limiter decides about others while one request is looked at is kept until
-    ``take_turns``: the chain is in the middle of that one request.
+    ``pop_queue_exits``: the chain is in the middle of that one request.
     """
 
     def __init__(self, *, limiter: Limiter, limits: LimitSource) -> None:
@@ -81,7 +81,7 @@
         for effect in effects:
             self._note(effect)
 
-    def take_turns(self) -> list[QueueLeft]:
+    def pop_queue_exits(self) -> list[QueueLeft]:
         """Return whose turn has come, or who was given up, since the last call."""
         turns, self._turns = self._turns, []
         return turns
--- a/chivetrack/node.py
+++ b/chivetrack/node.py
@@ -81,7 +81,7 @@
 
     def _give_turns(self, waiting: deque[Effect], now: float) -> bool:
         """Let requests on whose turn in the queue has come; tell whether anything follows."""
-        for turn in self._admission.take_turns():
+        for turn in self._admission.pop_queue_exits():
             waiting.extend(self._flow.handle(turn, now=now))
         return bool(waiting)
 
