--- a/chivetrack/components/pipeline/admission.py
+++ b/chivetrack/components/pipeline/admission.py
@@ -31,7 +31,7 @@
         self._limits = limits
         self._configured: dict[str, WorkspaceLimit | None] = {}
         self._waiting: set[str] = set()
-        self._turns: list[QueueLeft] = []
+        self._queue_exits: list[QueueLeft] = []
 
     def admit(self, exchange: Exchange, *, now: float) -> Fault | bool:
         """Let a request in, have it wait, or refuse it at once."""
@@ -66,7 +66,7 @@
             return
         self._waiting.remove(effect.request_id)
         fault = effect.fault if isinstance(effect, Shed) else None
-        self._turns.append(QueueLeft(request_id=effect.request_id, fault=fault))
+        self._queue_exits.append(QueueLeft(request_id=effect.request_id, fault=fault))
 
     def release(self, exchange: Exchange, *, now: float) -> None:
         """Take in that a request is over, or has left the queue."""
@@ -83,7 +83,7 @@
 
     def pop_queue_exits(self) -> list[QueueLeft]:
         """Return whose turn has come, or who was given up, since the last call."""
-        turns, self._turns = self._turns, []
+        turns, self._queue_exits = self._queue_exits, []
         return turns
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
