--- a/chivetrack/components/pipeline/admission.py
+++ b/chivetrack/components/pipeline/admission.py
@@ -75,9 +75,9 @@
             self._waiting.remove(request_id)
             self._limiter.cancel(request_id)
             return
-        self._note_all(self._limiter.finish(request_id, now))
+        self._handle_decisions(self._limiter.finish(request_id, now))
 
-    def _note_all(self, effects: Sequence[Effect]) -> None:
+    def _handle_decisions(self, effects: Sequence[Effect]) -> None:
         for effect in effects:
             self._note(effect)
 
@@ -89,7 +89,7 @@
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Look at the queue; when to look next is ``find_due``'s to say."""
         if isinstance(event, TimeReached):
-            self._note_all(self._limiter.advance(now))
+            self._handle_decisions(self._limiter.advance(now))
         return []
 
     def find_due(self, now: float) -> float | None:
