--- a/chivetrack/components/pipeline/admission.py
+++ b/chivetrack/components/pipeline/admission.py
@@ -48,7 +48,7 @@
         for effect in self._limiter.submit(request, now):
             own = _find_own(effect, exchange.request_id)
             if own is None:
-                self._note(effect)
+                self._handle_decision(effect)
             else:
                 decision = own
         if decision is False:
@@ -61,7 +61,7 @@
             self._configured[workspace.name] = limit
             self._limiter.configure(workspace.name, limit, now)
 
-    def _note(self, effect: Effect) -> None:
+    def _handle_decision(self, effect: Effect) -> None:
         if not isinstance(effect, Admit | Shed) or effect.request_id not in self._waiting:
             return
         self._waiting.remove(effect.request_id)
@@ -79,7 +79,7 @@
 
     def _handle_decisions(self, effects: Sequence[Effect]) -> None:
         for effect in effects:
-            self._note(effect)
+            self._handle_decision(effect)
 
     def pop_queue_exits(self) -> list[QueueLeft]:
         """Return whose turn has come, or who was given up, since the last call."""
