--- a/chivetrack/components/pipeline/admission.py
+++ b/chivetrack/components/pipeline/admission.py
@@ -46,7 +46,7 @@
         )
         decision: Fault | bool = False
         for effect in self._limiter.submit(request, now):
-            own = _find_own(effect, exchange.request_id)
+            own = _get_decision(effect, exchange.request_id)
             if own is None:
                 self._handle_decision(effect)
             else:
@@ -97,7 +97,7 @@
         return self._limiter.find_due(now)
 
 
-def _find_own(effect: Effect, request_id: str) -> Fault | bool | None:
+def _get_decision(effect: Effect, request_id: str) -> Fault | bool | None:
     if isinstance(effect, Admit) and effect.request_id == request_id:
         return True
     if isinstance(effect, Shed) and effect.request_id == request_id:
