--- a/chivetrack/components/claims/keeper.py
+++ b/chivetrack/components/claims/keeper.py
@@ -9,7 +9,12 @@
     REPORT_TIMEOUT_S,
 )
 from chivetrack.components.claims.faults import claim_unavailable, find_claim_fault
-from chivetrack.components.pipeline.models import AskClaim, ClaimAnswered, EndClaim, StoredAnswer
+from chivetrack.components.pipeline.models import (
+    AcquireClaim,
+    ClaimAnswered,
+    EndClaim,
+    StoredAnswer,
+)
 from chivetrack.components.proposals.models import SubmissionEnded, Submit
 from chivetrack.components.store.commands import (
     AbandonClaim,
@@ -33,7 +38,7 @@
 class _Asked:
     """A claim that was asked for; ``data`` is its command."""
 
-    ask: AskClaim
+    ask: AcquireClaim
     data: bytes
 
 
@@ -53,7 +58,7 @@
         self._asked: dict[str, _Asked] = {}
         self._grants: dict[str, int] = {}
 
-    def ask(self, effect: AskClaim, *, now: float) -> Submit:
+    def ask(self, effect: AcquireClaim, *, now: float) -> Submit:
         """Return the submission that asks for a claim."""
         holder = self._make_holder(effect.request_id)
         run_ms = int((effect.lifetime_s + CLAIM_MARGIN_S) * MILLISECONDS_PER_SECOND)
--- a/chivetrack/components/pipeline/filters/claim.py
+++ b/chivetrack/components/pipeline/filters/claim.py
@@ -9,7 +9,7 @@
     Step,
     Suspended,
 )
-from chivetrack.components.pipeline.models import AskClaim, Exchange
+from chivetrack.components.pipeline.models import AcquireClaim, Exchange
 
 
 def make_fingerprint(exchange: Exchange) -> str:
@@ -35,7 +35,7 @@
         if not exchange.idempotency_key:
             return PROCEED
         assert exchange.workspace is not None
-        ask = AskClaim(
+        ask = AcquireClaim(
             request_id=exchange.request_id,
             workspace=exchange.workspace.name,
             key=exchange.idempotency_key,
--- a/chivetrack/components/pipeline/models.py
+++ b/chivetrack/components/pipeline/models.py
@@ -201,7 +201,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimAnswered(RequestEvent):
-    """The log's answer to ``AskClaim``; to be handed in once for each.
+    """The log's answer to ``AcquireClaim``; to be handed in once for each.
 
     Neither ``fault`` nor ``stored``: the claim is granted.
     """
@@ -300,7 +300,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AskClaim(RequestEffect):
+class AcquireClaim(RequestEffect):
     """Ask the replicated log for the claim on an idempotency key."""
 
     workspace: str
--- a/chivetrack/node.py
+++ b/chivetrack/node.py
@@ -13,7 +13,7 @@
 from chivetrack.components.controllers.host import ControllerHost
 from chivetrack.components.pipeline.admission import AdmissionControl
 from chivetrack.components.pipeline.flow import RequestFlow
-from chivetrack.components.pipeline.models import AskClaim, EndClaim, RequestEvent
+from chivetrack.components.pipeline.models import AcquireClaim, EndClaim, RequestEvent
 from chivetrack.components.proposals.client import ProposalClient
 from chivetrack.components.proposals.models import SubmissionEnded, Submit, SubmitRead
 from chivetrack.core import Component, Effect, Event, TimeReached, WakeAt
@@ -67,7 +67,7 @@
             effect = waiting.popleft()
             if isinstance(effect, WakeAt):
                 wake_at = min(wake_at, effect.at)
-            elif isinstance(effect, AskClaim | EndClaim | SubmissionEnded):
+            elif isinstance(effect, AcquireClaim | EndClaim | SubmissionEnded):
                 waiting.extend(self._follow(effect, now))
                 if isinstance(effect, SubmissionEnded):
                     effects.append(effect)
@@ -96,7 +96,7 @@
         return effects
 
     def _follow(self, effect: Effect, now: float) -> list[Effect]:
-        if isinstance(effect, AskClaim):
+        if isinstance(effect, AcquireClaim):
             return self._proposals.handle(self._claims.ask(effect, now=now), now=now)
         if isinstance(effect, EndClaim):
             report = self._claims.end(effect, now=now)
--- a/tests/components/pipeline/test_flow.py
+++ b/tests/components/pipeline/test_flow.py
@@ -5,8 +5,8 @@
 
 import chivetrack.components.pipeline.filters  # noqa: F401
 from chivetrack.components.pipeline.models import (
+    AcquireClaim,
     AnswerEnded,
-    AskClaim,
     AttemptAnswered,
     AttemptFailed,
     CallerGone,
@@ -101,7 +101,7 @@
 
     def test_nothing_is_dispatched_before_the_claim(self) -> None:
         (ask,) = self.arrive(**KEYED)
-        self.assertIsInstance(ask, AskClaim)
+        self.assertIsInstance(ask, AcquireClaim)
         self.assertEqual(sum(self.bench.load.counts.values()), 0)
         (start,) = self.answer_claim()
         self.assertIsInstance(start, StartAttempt)
