--- a/chivetrack/components/pipeline/attempts.py
+++ b/chivetrack/components/pipeline/attempts.py
@@ -1,6 +1,6 @@
 """Asks the retry policy what follows a failed attempt."""
 
-from chivetrack.components.pipeline.flow import GiveUp, TryAgain
+from chivetrack.components.pipeline.flow import Abandon, TryAgain
 from chivetrack.components.pipeline.models import AttemptFailed, Exchange
 from chivetrack.components.retries import models as retries
 from chivetrack.components.retries.budget import RetryBudgets
@@ -30,16 +30,16 @@
 
     def decide(
         self, exchange: Exchange, failure: AttemptFailed, *, now: float
-    ) -> TryAgain | GiveUp:
+    ) -> TryAgain | Abandon:
         """Return what comes after a failed attempt."""
         assert exchange.policy is not None
         attempts = _list_attempts(exchange)
         traits = _describe(exchange)
         if len(attempts) >= exchange.policy.max_attempts:
-            return GiveUp(fault=make_final_fault(attempts, traits))
+            return Abandon(fault=make_final_fault(attempts, traits))
         decision = decide_retry(attempts, traits, budgets=self._budgets, now=now)
-        if isinstance(decision, retries.GiveUp):
-            return GiveUp(fault=decision.fault)
+        if isinstance(decision, retries.Abandon):
+            return Abandon(fault=decision.fault)
         return TryAgain()
 
 
--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class GiveUp:
+class Abandon:
     """No other attempt; the caller gets this fault."""
 
     fault: Fault
@@ -50,7 +50,7 @@
 
     def decide(
         self, exchange: Exchange, failure: AttemptFailed, *, now: float
-    ) -> TryAgain | GiveUp:
+    ) -> TryAgain | Abandon:
         """Return what comes after a failed attempt."""
         ...
 
@@ -188,7 +188,7 @@
         exchange.excluded.add(exchange.attempt.endpoint_id)
         self._chain.unwind(exchange, now=now, to=self._route_position)
         decision = self._retries.decide(exchange, event, now=now)
-        if isinstance(decision, GiveUp):
+        if isinstance(decision, Abandon):
             return self._refuse(exchange, decision.fault, now)
         return self._advance(exchange, now)
 
--- a/chivetrack/components/retries/decision.py
+++ b/chivetrack/components/retries/decision.py
@@ -5,8 +5,8 @@
 from chivetrack.components.retries.budget import RetryBudgets
 from chivetrack.components.retries.const import MAX_ATTEMPTS, MIN_REMAINING_S, RETRY_AFTER_S
 from chivetrack.components.retries.models import (
+    Abandon,
     Attempt,
-    GiveUp,
     Outcome,
     RequestTraits,
     Resume,
@@ -46,13 +46,13 @@
     """Decide what follows after the last of ``attempts``; spends budget on a retry."""
     refusal = _find_refusal(attempts, traits)
     if refusal:
-        return GiveUp(fault=make_fault(refusal, attempts, traits))
+        return Abandon(fault=make_fault(refusal, attempts, traits))
     if traits.deadline - now < MIN_REMAINING_S:
-        return GiveUp(fault=make_fault("deadline_exceeded", attempts, traits))
+        return Abandon(fault=make_fault("deadline_exceeded", attempts, traits))
     if len(attempts) >= MAX_ATTEMPTS:
-        return GiveUp(fault=make_fault("attempts_exhausted", attempts, traits))
+        return Abandon(fault=make_fault("attempts_exhausted", attempts, traits))
     if not budgets.spend(traits.workspace):
-        return GiveUp(fault=make_fault("retry_budget_exhausted", attempts, traits))
+        return Abandon(fault=make_fault("retry_budget_exhausted", attempts, traits))
     excluded = frozenset(attempt.endpoint_id for attempt in attempts)
     if traits.caller_bytes:
         return Resume(offset=traits.caller_bytes, excluded=excluded)
--- a/chivetrack/components/retries/models.py
+++ b/chivetrack/components/retries/models.py
@@ -61,10 +61,10 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class GiveUp:
+class Abandon:
     """Answer the caller with the fault, at once."""
 
     fault: Fault
 
 
-RetryDecision = Retry | Resume | GiveUp
+RetryDecision = Retry | Resume | Abandon
--- a/tests/components/retries/test_decision.py
+++ b/tests/components/retries/test_decision.py
@@ -7,8 +7,8 @@
 from chivetrack.components.retries.const import BUDGET_RATIO, BUDGET_START, MAX_ATTEMPTS
 from chivetrack.components.retries.decision import decide_retry
 from chivetrack.components.retries.models import (
+    Abandon,
     Attempt,
-    GiveUp,
     Outcome,
     RequestTraits,
     Resume,
@@ -59,8 +59,8 @@
                     and deadline > 5.0
                     and len(outcomes) < MAX_ATTEMPTS
                 )
-                self.assertEqual(not isinstance(decision, GiveUp), again)
-                if isinstance(decision, GiveUp):
+                self.assertEqual(not isinstance(decision, Abandon), again)
+                if isinstance(decision, Abandon):
                     ran = Ran.YES if Outcome.RAN in outcomes else Ran.MAYBE
                     ran = Ran.NO if clean and not caller_bytes else ran
                     self.assertEqual(decision.fault.ran, ran)
@@ -87,7 +87,7 @@
                 decision = decide_retry(
                     make_attempts(outcomes), make_traits(**changes), budgets=RetryBudgets(), now=now
                 )
-                assert isinstance(decision, GiveUp)
+                assert isinstance(decision, Abandon)
                 self.assertEqual((decision.fault.code, decision.fault.status), (code, status))
 
     def decide(self, budgets: RetryBudgets, workspace: str) -> bool:
@@ -95,7 +95,7 @@
         decision = decide_retry(
             attempts, make_traits(workspace=workspace), budgets=budgets, now=0.0
         )
-        if isinstance(decision, GiveUp):
+        if isinstance(decision, Abandon):
             self.assertEqual(decision.fault.code, "retry_budget_exhausted")
         return isinstance(decision, Retry)
 
