--- a/chivetrack/components/pipeline/attempts.py
+++ b/chivetrack/components/pipeline/attempts.py
@@ -1,6 +1,6 @@
 """Asks the retry policy what follows a failed attempt."""
 
-from chivetrack.components.pipeline.flow import Abandon, TryAgain
+from chivetrack.components.pipeline.flow import Abandon, SendAgain
 from chivetrack.components.pipeline.models import AttemptFailed, Exchange
 from chivetrack.components.retries import models as retries
 from chivetrack.components.retries.budget import RetryBudgets
@@ -30,7 +30,7 @@
 
     def decide(
         self, exchange: Exchange, failure: AttemptFailed, *, now: float
-    ) -> TryAgain | Abandon:
+    ) -> SendAgain | Abandon:
         """Return what comes after a failed attempt."""
         assert exchange.policy is not None
         attempts = _list_attempts(exchange)
@@ -40,7 +40,7 @@
         decision = decide_retry(attempts, traits, budgets=self._budgets, now=now)
         if isinstance(decision, retries.Abandon):
             return Abandon(fault=decision.fault)
-        return TryAgain()
+        return SendAgain()
 
 
 def _list_attempts(exchange: Exchange) -> list[retries.Attempt]:
--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TryAgain:
+class SendAgain:
     """Another attempt, at an endpoint that is not excluded."""
 
 
@@ -50,7 +50,7 @@
 
     def decide(
         self, exchange: Exchange, failure: AttemptFailed, *, now: float
-    ) -> TryAgain | Abandon:
+    ) -> SendAgain | Abandon:
         """Return what comes after a failed attempt."""
         ...
 
--- a/tests/components/pipeline/fakes.py
+++ b/tests/components/pipeline/fakes.py
@@ -9,7 +9,7 @@
 from chivetrack.components.pipeline import faults
 from chivetrack.components.pipeline.chain import FILTERS, FilterChain
 from chivetrack.components.pipeline.const import FILTER_ORDER
-from chivetrack.components.pipeline.flow import Abandon, RequestFlow, TryAgain
+from chivetrack.components.pipeline.flow import Abandon, RequestFlow, SendAgain
 from chivetrack.components.pipeline.models import (
     AttemptFailed,
     CallerRequest,
@@ -116,10 +116,10 @@
 
     def decide(
         self, exchange: Exchange, failure: AttemptFailed, *, now: float
-    ) -> TryAgain | Abandon:
+    ) -> SendAgain | Abandon:
         safe = failure.outcome in (AttemptOutcome.NOT_SENT, AttemptOutcome.REFUSED)
         if (safe or exchange.idempotent) and len(exchange.attempts) < 3:
-            return TryAgain()
+            return SendAgain()
         return Abandon(
             fault=faults.upstream_failed(failure.message, ran=exchange.ran, retry_after_s=1.0)
         )
