--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -157,7 +157,7 @@
     def _leave_queue(self, exchange: Exchange, event: QueueLeft, now: float) -> list[Effect]:
         if event.fault is not None:
             return self._refuse(exchange, event.fault, now)
-        return self._go_on(exchange, now)
+        return self._continue(exchange, now)
 
     def _take_claim(self, exchange: Exchange, event: ClaimAnswered, now: float) -> list[Effect]:
         if event.stored is not None:
@@ -166,9 +166,9 @@
         if event.fault is not None:
             return self._refuse(exchange, event.fault, now)
         exchange.claimed = True
-        return self._go_on(exchange, now)
+        return self._continue(exchange, now)
 
-    def _go_on(self, exchange: Exchange, now: float) -> list[Effect]:
+    def _continue(self, exchange: Exchange, now: float) -> list[Effect]:
         if now >= exchange.deadline:
             return self._expire(exchange, None, now)
         return self._advance(exchange, now)
