--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -86,7 +86,7 @@
         self._exchanges: dict[str, Exchange] = {}
         self._handlers: dict[type[RequestEvent], Callable[[Exchange, Any, float], list[Effect]]] = {
             QueueLeft: self._leave_queue,
-            ClaimAnswered: self._take_claim,
+            ClaimAnswered: self._handle_claim,
             AttemptFailed: self._fail_attempt,
             AttemptAnswered: self._take_answer,
             AnswerEnded: self._end_answer,
@@ -159,7 +159,7 @@
             return self._refuse(exchange, event.fault, now)
         return self._continue(exchange, now)
 
-    def _take_claim(self, exchange: Exchange, event: ClaimAnswered, now: float) -> list[Effect]:
+    def _handle_claim(self, exchange: Exchange, event: ClaimAnswered, now: float) -> list[Effect]:
         if event.stored is not None:
             self._close(exchange, None, now)
             return [ReplayAnswer(request_id=exchange.request_id, answer=event.stored)]
