--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -88,7 +88,7 @@
             QueueLeft: self._leave_queue,
             ClaimAnswered: self._handle_claim,
             AttemptFailed: self._fail_attempt,
-            AttemptAnswered: self._take_answer,
+            AttemptAnswered: self._handle_answer,
             AnswerEnded: self._end_answer,
             CallerGone: self._abandon,
             DeadlineReached: self._expire,
@@ -192,7 +192,9 @@
             return self._refuse(exchange, decision.fault, now)
         return self._advance(exchange, now)
 
-    def _take_answer(self, exchange: Exchange, event: AttemptAnswered, now: float) -> list[Effect]:
+    def _handle_answer(
+        self, exchange: Exchange, event: AttemptAnswered, now: float
+    ) -> list[Effect]:
         if event.status in RETRYABLE_STATUSES and exchange.idempotent:
             return self._retry_status(exchange, event, now)
         exchange.answered = True
