--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -85,7 +85,7 @@
         self._on_end = on_end
         self._exchanges: dict[str, Exchange] = {}
         self._handlers: dict[type[RequestEvent], Callable[[Exchange, Any, float], list[Effect]]] = {
-            QueueLeft: self._leave_queue,
+            QueueLeft: self._handle_queue_left,
             ClaimAnswered: self._handle_claim,
             AttemptFailed: self._fail_attempt,
             AttemptAnswered: self._handle_answer,
@@ -154,7 +154,7 @@
             raise RuntimeError("the last filter must not proceed")
         return list(step.effects)
 
-    def _leave_queue(self, exchange: Exchange, event: QueueLeft, now: float) -> list[Effect]:
+    def _handle_queue_left(self, exchange: Exchange, event: QueueLeft, now: float) -> list[Effect]:
         if event.fault is not None:
             return self._refuse(exchange, event.fault, now)
         return self._continue(exchange, now)
