--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -87,7 +87,7 @@
         self._handlers: dict[type[RequestEvent], Callable[[Exchange, Any, float], list[Effect]]] = {
             QueueLeft: self._handle_queue_left,
             ClaimAnswered: self._handle_claim,
-            AttemptFailed: self._fail_attempt,
+            AttemptFailed: self._handle_failure,
             AttemptAnswered: self._handle_answer,
             AnswerEnded: self._end_answer,
             CallerGone: self._abandon,
@@ -178,7 +178,7 @@
     ) -> list[Effect]:
         return self._refuse(exchange, faults.deadline_exceeded(ran=exchange.ran), now)
 
-    def _fail_attempt(self, exchange: Exchange, event: AttemptFailed, now: float) -> list[Effect]:
+    def _handle_failure(self, exchange: Exchange, event: AttemptFailed, now: float) -> list[Effect]:
         # An endpoint whose head has arrived did begin, whatever ended it.
         if exchange.answered:
             event = replace(event, outcome=AttemptOutcome.MAYBE_RAN)
@@ -207,7 +207,7 @@
             outcome=AttemptOutcome.MAYBE_RAN,
             message=f"the endpoint answered with status {event.status}",
         )
-        return self._fail_attempt(exchange, failure, now)
+        return self._handle_failure(exchange, failure, now)
 
     def _end_answer(self, exchange: Exchange, event: AnswerEnded, now: float) -> list[Effect]:
         outcome = AttemptOutcome.RAN if event.whole else AttemptOutcome.MAYBE_RAN
