--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -89,7 +89,7 @@
             ClaimAnswered: self._handle_claim,
             AttemptFailed: self._handle_failure,
             AttemptAnswered: self._handle_answer,
-            AnswerEnded: self._end_answer,
+            AnswerEnded: self._handle_answer_end,
             CallerGone: self._abandon,
             DeadlineReached: self._expire,
         }
@@ -209,7 +209,9 @@
         )
         return self._handle_failure(exchange, failure, now)
 
-    def _end_answer(self, exchange: Exchange, event: AnswerEnded, now: float) -> list[Effect]:
+    def _handle_answer_end(
+        self, exchange: Exchange, event: AnswerEnded, now: float
+    ) -> list[Effect]:
         outcome = AttemptOutcome.RAN if event.whole else AttemptOutcome.MAYBE_RAN
         self._on_outcome(exchange.attempt, outcome, now)
         exchange.outcomes.append(outcome)
