--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -90,7 +90,7 @@
             AttemptFailed: self._handle_failure,
             AttemptAnswered: self._handle_answer,
             AnswerEnded: self._handle_answer_end,
-            CallerGone: self._abandon,
+            CallerGone: self._handle_caller_gone,
             DeadlineReached: self._expire,
         }
 
@@ -249,7 +249,9 @@
         refuse: RequestEffect = Refuse(request_id=exchange.request_id, fault=fault)
         return [refuse, *claims]
 
-    def _abandon(self, exchange: Exchange, event: CallerGone, now: float) -> list[Effect]:
+    def _handle_caller_gone(
+        self, exchange: Exchange, event: CallerGone, now: float
+    ) -> list[Effect]:
         effects = self._end_claim(exchange, None)
         self._close(exchange, faults.caller_gone(exchange.ran), now)
         return effects
