--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -91,7 +91,7 @@
             AttemptAnswered: self._handle_answer,
             AnswerEnded: self._handle_answer_end,
             CallerGone: self._handle_caller_gone,
-            DeadlineReached: self._expire,
+            DeadlineReached: self._handle_deadline,
         }
 
     @property
@@ -170,10 +170,10 @@
 
     def _continue(self, exchange: Exchange, now: float) -> list[Effect]:
         if now >= exchange.deadline:
-            return self._expire(exchange, None, now)
+            return self._handle_deadline(exchange, None, now)
         return self._advance(exchange, now)
 
-    def _expire(
+    def _handle_deadline(
         self, exchange: Exchange, event: DeadlineReached | None, now: float
     ) -> list[Effect]:
         return self._refuse(exchange, faults.deadline_exceeded(ran=exchange.ran), now)
