--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -145,9 +145,9 @@
 
     def _advance(self, exchange: Exchange, now: float) -> list[Effect]:
         step = self._chain.advance(exchange, now=now)
-        return self._follow(exchange, step, now)
+        return self._execute_step(exchange, step, now)
 
-    def _follow(self, exchange: Exchange, step: Step, now: float) -> list[Effect]:
+    def _execute_step(self, exchange: Exchange, step: Step, now: float) -> list[Effect]:
         if isinstance(step, Refused):
             return self._refuse(exchange, step.fault, now)
         if isinstance(step, Proceed):
