--- a/chivetrack/components/pipeline/attempts.py
+++ b/chivetrack/components/pipeline/attempts.py
@@ -34,7 +34,7 @@
         """Return what comes after a failed attempt."""
         assert exchange.policy is not None
         attempts = _list_attempts(exchange)
-        traits = _describe(exchange)
+        traits = _get_traits(exchange)
         if len(attempts) >= exchange.policy.max_attempts:
             return Abandon(fault=make_final_fault(attempts, traits))
         decision = decide_retry(attempts, traits, budgets=self._budgets, now=now)
@@ -50,7 +50,7 @@
     ]
 
 
-def _describe(exchange: Exchange) -> retries.RequestTraits:
+def _get_traits(exchange: Exchange) -> retries.RequestTraits:
     assert exchange.workspace is not None
     return retries.RequestTraits(
         workspace=exchange.workspace.name,
