--- a/chivetrack/components/pipeline/chain.py
+++ b/chivetrack/components/pipeline/chain.py
@@ -56,7 +56,7 @@
 FILTERS: Registry[Callable[..., Filter]] = Registry(name="filter")
 
 # What a filter reads from the exchange must have been filled in by then.
-_NEEDS = {
+_REQUIRED_FILTERS = {
     "classify": ("identify",),
     "deadline": ("classify",),
     "limit": ("identify", "deadline"),
@@ -77,7 +77,7 @@
         count = order.count(name)
         if count != 1:
             findings.add(place, f"filter {name!r} must appear once, not {count} times")
-    for name, needed in _NEEDS.items():
+    for name, needed in _REQUIRED_FILTERS.items():
         _check_needs(order, name, needed, findings, place)
 
 
