--- a/chivetrack/components/pipeline/chain.py
+++ b/chivetrack/components/pipeline/chain.py
@@ -78,10 +78,10 @@
         if count != 1:
             findings.add(place, f"filter {name!r} must appear once, not {count} times")
     for name, needed in _REQUIRED_FILTERS.items():
-        _check_needs(order, name, needed, findings, place)
+        _check_required(order, name, needed, findings, place)
 
 
-def _check_needs(
+def _check_required(
     order: Sequence[str], name: str, needed: Sequence[str], findings: Findings, place: str
 ) -> None:
     if name not in order:
