--- a/chivetrack/components/pipeline/filters/route.py
+++ b/chivetrack/components/pipeline/filters/route.py
@@ -41,7 +41,7 @@
         self._load = load
         self._region = region
         self._zone = zone
-        self._open: dict[str, str] = {}
+        self._in_flight: dict[str, str] = {}
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
         """Place the request, or refuse it when nothing fits."""
@@ -51,7 +51,7 @@
         if endpoint is None:
             return Refused(faults.no_endpoint(placement.reason, placement.retry_after_s))
         self._load.start(endpoint.endpoint_id, now)
-        self._open[exchange.request_id] = endpoint.endpoint_id
+        self._in_flight[exchange.request_id] = endpoint.endpoint_id
         attempt = Attempt(
             number=len(exchange.attempts) + 1,
             endpoint_id=endpoint.endpoint_id,
@@ -78,6 +78,6 @@
 
     def leave(self, exchange: Exchange, *, now: float) -> None:
         """Count the request as no longer in flight."""
-        endpoint_id = self._open.pop(exchange.request_id, None)
+        endpoint_id = self._in_flight.pop(exchange.request_id, None)
         if endpoint_id is not None:
             self._load.finish(endpoint_id, now)
