--- a/chivetrack/components/pipeline/filters/identify.py
+++ b/chivetrack/components/pipeline/filters/identify.py
@@ -9,7 +9,7 @@
 )
 from chivetrack.components.pipeline.models import Directory, Exchange
 
-CONFIRM_RETRY_S = 1.0
+CONFIRM_RETRY_AFTER_S = 1.0
 
 
 @FILTERS.register("identify")
@@ -25,7 +25,7 @@
         if not self._directory.is_confirmed(now):
             # A router that is cut off can't know that a workspace was closed or an
             # endpoint drained; serving on would bring the old configuration back.
-            return Refused(faults.unconfirmed_configuration(CONFIRM_RETRY_S))
+            return Refused(faults.unconfirmed_configuration(CONFIRM_RETRY_AFTER_S))
         given = exchange.request.headers.get(HEADER_AUTHORIZATION, "")
         if not given.startswith(BEARER_PREFIX):
             return Refused(faults.missing_key())
