--- a/chivetrack/components/pipeline/__init__.py
+++ b/chivetrack/components/pipeline/__init__.py
@@ -1,1 +1,1 @@
-"""Carries a request through the filter chain, its attempts and its end."""
+"""Processes a request: the filter chain, the attempts at endpoints and the final answer."""
--- a/chivetrack/components/pipeline/admission.py
+++ b/chivetrack/components/pipeline/admission.py
@@ -19,14 +19,15 @@
 
 
 class AdmissionControl:
-    """Asks the limiter for each request, and gives the turns of those that waited.
+    """Submits requests to the limiter and reports when queued requests leave its queue.
 
-    What the limiter decides about others while one request is looked at is kept until
-    ``pop_queue_exits``: the chain is in the middle of that one request.
+    A call to the limiter for one request may also decide on queued ones. Those decisions are
+    kept until ``pop_queue_exits``, because the filter chain is still processing the first
+    request.
     """
 
     def __init__(self, *, limiter: Limiter, limits: LimitSource) -> None:
-        """Take the limiter and the configured limits."""
+        """Initialize with the limiter and the configured limits."""
         self._limiter = limiter
         self._limits = limits
         self._configured: dict[str, WorkspaceLimit | None] = {}
@@ -34,14 +35,14 @@
         self._queue_exits: list[QueueLeft] = []
 
     def admit(self, exchange: Exchange, *, now: float) -> Fault | bool:
-        """Let a request in, have it wait, or refuse it at once."""
+        """Return ``True`` if a request is admitted, ``False`` if queued, or the refusal."""
         assert exchange.workspace is not None
         self._configure(exchange.workspace, now)
         request = LimitedRequest(
             request_id=exchange.request_id,
             workspace=exchange.workspace.name,
             deadline=exchange.deadline,
-            # Engines take the lower number first, the limiter's queue the higher one.
+            # Engines serve the lowest number first, the limiter's queue the highest.
             priority=-exchange.priority,
         )
         decision: Fault | bool = False
@@ -69,7 +70,7 @@
         self._queue_exits.append(QueueLeft(request_id=effect.request_id, fault=fault))
 
     def release(self, exchange: Exchange, *, now: float) -> None:
-        """Take in that a request is over, or has left the queue."""
+        """Release the slot of a request that has ended, or remove it from the queue."""
         request_id = exchange.request_id
         if request_id in self._waiting:
             self._waiting.remove(request_id)
@@ -82,18 +83,18 @@
             self._handle_decision(effect)
 
     def pop_queue_exits(self) -> list[QueueLeft]:
-        """Return whose turn has come, or who was given up, since the last call."""
-        turns, self._queue_exits = self._queue_exits, []
-        return turns
+        """Return the requests that were admitted from the queue or shed since the last call."""
+        exits, self._queue_exits = self._queue_exits, []
+        return exits
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Look at the queue; when to look next is ``find_due``'s to say."""
+        """Process the queue on ``TimeReached``; ``find_due`` returns when that is next due."""
         if isinstance(event, TimeReached):
             self._handle_decisions(self._limiter.advance(now))
         return []
 
     def find_due(self, now: float) -> float | None:
-        """Return when to look at the queue next."""
+        """Return when to process the queue next, or ``None`` if it is empty."""
         return self._limiter.find_due(now)
 
 
--- a/chivetrack/components/pipeline/attempts.py
+++ b/chivetrack/components/pipeline/attempts.py
@@ -1,4 +1,4 @@
-"""Asks the retry policy what follows a failed attempt."""
+"""Applies the retry policy and the retry budgets to failed attempts."""
 
 from chivetrack.components.pipeline.flow import Abandon, SendAgain
 from chivetrack.components.pipeline.models import AttemptFailed, Exchange
@@ -17,21 +17,21 @@
 
 
 class AttemptRetries:
-    """Keeps the retry budgets; every request earns for them once."""
+    """Decides on retries within the retry budgets, to which every request adds once."""
 
     def __init__(self) -> None:
-        """Start with fresh budgets."""
+        """Initialize with new budgets."""
         self._budgets = RetryBudgets()
 
     def earn(self, exchange: Exchange, fault: Fault | None, now: float) -> None:
-        """Count a request that has ended, if it was sent at all."""
+        """Add a request that has ended to the budgets if an attempt was made."""
         if exchange.workspace is not None and exchange.attempts:
             self._budgets.earn(exchange.workspace.name)
 
     def decide(
         self, exchange: Exchange, failure: AttemptFailed, *, now: float
     ) -> SendAgain | Abandon:
-        """Return what comes after a failed attempt."""
+        """Return whether to send the request again or to abandon it."""
         assert exchange.policy is not None
         attempts = _list_attempts(exchange)
         traits = _get_traits(exchange)
--- a/chivetrack/components/pipeline/chain.py
+++ b/chivetrack/components/pipeline/chain.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proceed:
-    """Go on with the next filter."""
+    """Continue with the next filter."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspended:
-    """Wait until the request is resumed; the effects ask for what it waits for."""
+    """Wait until the request is resumed; the effects start what it waits for."""
 
     effects: tuple[RequestEffect, ...] = ()
 
@@ -38,24 +38,24 @@
     """One step of the chain."""
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
-        """Look at a request, fill in its part of the exchange and decide."""
+        """Process a request: fill in fields of the exchange and return the next step."""
         ...
 
     def leave(self, exchange: Exchange, *, now: float) -> None:
-        """Undo what ``enter`` holds for the request; called once, in reverse order."""
+        """Release what ``enter`` acquired; called once per ``enter``, in reverse order."""
         ...
 
 
 class PassingFilter:
-    """Base of the filters that hold nothing."""
+    """Base of the filters that acquire nothing."""
 
     def leave(self, exchange: Exchange, *, now: float) -> None:
-        """Hold nothing, so undo nothing."""
+        """Do nothing: there is nothing to release."""
 
 
 FILTERS: Registry[Callable[..., Filter]] = Registry(name="filter")
 
-# What a filter reads from the exchange must have been filled in by then.
+# For each filter, the filters that fill in the exchange fields that it reads.
 _REQUIRED_FILTERS = {
     "classify": ("identify",),
     "deadline": ("classify",),
@@ -67,7 +67,7 @@
 
 
 def check_order(order: Sequence[str], findings: Findings, *, place: str) -> None:
-    """Report every fault of a filter order: unknown, missing, doubled or too early."""
+    """Report every unknown, missing, duplicate or misplaced filter of an order."""
     for name in order:
         if name not in FILTER_ORDER:
             findings.add(
@@ -96,7 +96,7 @@
     """Runs exchanges through the filters in order."""
 
     def __init__(self, *, filters: Sequence[Filter]) -> None:
-        """Take the filters in their order; the last ones are entered again on a retry."""
+        """Initialize with the filters in order; a retry enters the last ones again."""
         self._filters = tuple(filters)
 
     def advance(self, exchange: Exchange, *, now: float) -> Step:
@@ -110,7 +110,7 @@
         return PROCEED
 
     def unwind(self, exchange: Exchange, *, now: float, to: int = 0) -> None:
-        """Leave the entered filters in reverse order, down to a position."""
+        """Leave the entered filters in reverse order, down to position ``to``."""
         while exchange.position > to:
             exchange.position -= 1
             self._filters[exchange.position].leave(exchange, now=now)
--- a/chivetrack/components/pipeline/const.py
+++ b/chivetrack/components/pipeline/const.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-# The chain that the daemon runs; see ``check_order`` for what may be moved.
+# The order in which the daemon runs the filters; ``check_order`` checks other orders.
 FILTER_ORDER: Final = (
     "trace",
     "identify",
--- a/chivetrack/components/pipeline/faults.py
+++ b/chivetrack/components/pipeline/faults.py
@@ -1,4 +1,4 @@
-"""The faults that the pipeline itself answers with."""
+"""The faults that the pipeline itself returns to callers."""
 
 from chivetrack.exceptions import Fault, Ran
 
@@ -11,7 +11,7 @@
 
 
 def bad_key() -> Fault:
-    """Return the fault for a key that fits no workspace, or not this one."""
+    """Return the fault for a key of no workspace or of another workspace."""
     return Fault(code="bad_key", message="The key is not valid here.", status=401, ran=Ran.NO)
 
 
@@ -34,17 +34,17 @@
 
 
 def malformed_body(detail: str) -> Fault:
-    """Return the fault for a body that is not a request of this interface."""
+    """Return the fault for a body that is not a valid request of the interface."""
     return Fault(code="malformed_body", message=detail, status=400, ran=Ran.NO)
 
 
 def malformed_header(name: str, detail: str) -> Fault:
-    """Return the fault for a header whose value can't be understood."""
+    """Return the fault for a header with an invalid value."""
     return Fault(code="malformed_header", message=f"{name}: {detail}", status=400, ran=Ran.NO)
 
 
 def deadline_exceeded(*, ran: Ran) -> Fault:
-    """Return the fault for a request whose time is up."""
+    """Return the fault for a request whose deadline has passed."""
     message = "The deadline passed before there was an answer."
     return Fault(code="deadline_exceeded", message=message, status=504, ran=ran)
 
@@ -61,26 +61,26 @@
 
 
 def no_endpoint(reason: str, retry_after_s: float | None) -> Fault:
-    """Return the fault for a request that no endpoint fits now."""
+    """Return the fault for a request for which no endpoint is available now."""
     return Fault(
         code="no_endpoint", message=reason, status=503, ran=Ran.NO, retry_after_s=retry_after_s
     )
 
 
 def upstream_failed(message: str, *, ran: Ran, retry_after_s: float | None) -> Fault:
-    """Return the fault for a request whose attempts are used up."""
+    """Return the fault for a request whose last attempt failed."""
     return Fault(
         code="upstream_failed", message=message, status=502, ran=ran, retry_after_s=retry_after_s
     )
 
 
 def caller_gone(ran: Ran) -> Fault:
-    """Return the fault that is logged when a caller left without its answer."""
+    """Return the fault to log when a caller disconnects before it has its answer."""
     return Fault(code="caller_gone", message="The caller has gone.", status=499, ran=ran)
 
 
 def answer_cut() -> Fault:
-    """Return the fault for an answer that ended before it was whole."""
+    """Return the fault for an answer that ended before it was complete."""
     message = "The answer was cut off; what arrived is not the whole answer."
     return Fault(code="answer_cut", message=message, status=502, ran=Ran.MAYBE)
 
@@ -116,18 +116,18 @@
 
 
 def bad_request() -> Fault:
-    """Return the fault for what is not an HTTP request."""
+    """Return the fault for input that is not a valid HTTP request."""
     message = "This is not an HTTP request that can be understood."
     return Fault(code="bad_request", message=message, status=400, ran=Ran.NO)
 
 
 def internal_error() -> Fault:
-    """Return the fault for a request on which this router itself failed."""
+    """Return the fault for a request that failed by an error in this router."""
     return Fault(code="internal_error", message="The request failed.", status=500, ran=Ran.MAYBE)
 
 
 def too_many_requests(limit: int, retry_after_s: float) -> Fault:
-    """Return the fault of an instance that has as many requests open as it may."""
+    """Return the fault of an instance at its limit of open requests."""
     return Fault(
         code="instance_full",
         message=f"This instance has {limit} requests open, which is its limit.",
@@ -138,7 +138,7 @@
 
 
 def not_ready() -> Fault:
-    """Return the answer to the balancer while this instance takes no requests."""
+    """Return the fault that tells the balancer that this instance accepts no requests."""
     return Fault(
         code="not_ready",
         message="This instance is not ready.",
@@ -149,7 +149,7 @@
 
 
 def from_status(status: int, path: str) -> Fault:
-    """Return the fault for what the HTTP library itself refuses."""
+    """Return the fault for a request that the HTTP library itself refuses."""
     if status == 404:
         message = f"There is nothing at {path}."
         return Fault(code="unknown_path", message=message, status=404, ran=Ran.NO)
--- a/chivetrack/components/pipeline/filters/claim.py
+++ b/chivetrack/components/pipeline/filters/claim.py
@@ -1,4 +1,4 @@
-"""Claims an idempotency key before anything is dispatched under it."""
+"""Claims the idempotency key of a request before the request is sent to an endpoint."""
 
 import xxhash
 
@@ -13,7 +13,7 @@
 
 
 def make_fingerprint(exchange: Exchange) -> str:
-    """Return what must be equal for two requests to count as the same one."""
+    """Return a digest of the method, path and body, which a resend must repeat unchanged."""
     digest = xxhash.xxh3_128()
     digest.update(exchange.request.method.encode())
     digest.update(exchange.request.path.encode())
@@ -25,21 +25,21 @@
 class ClaimFilter(PassingFilter):
     """Suspends a request with a key until the replicated log has granted its claim.
 
-    The balancer may hand a resend to any router, so only a place where every router
-    looks can tell that the first one is still running. The log keeps claims through
-    restarts of all that hold them.
+    The balancer may send a resend to any router, so a router can detect that the first
+    request is still running only in state that all routers share. Claims in the log survive
+    restarts of the routers that hold them.
     """
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
-        """Ask for the claim; the flow resumes the request when it is granted."""
+        """Request the claim; the flow resumes the request when it is granted."""
         if not exchange.idempotency_key:
             return PROCEED
         assert exchange.workspace is not None
-        ask = AcquireClaim(
+        claim = AcquireClaim(
             request_id=exchange.request_id,
             workspace=exchange.workspace.name,
             key=exchange.idempotency_key,
             fingerprint=make_fingerprint(exchange),
             lifetime_s=exchange.deadline - now,
         )
-        return Suspended(effects=(ask,))
+        return Suspended(effects=(claim,))
--- a/chivetrack/components/pipeline/filters/classify.py
+++ b/chivetrack/components/pipeline/filters/classify.py
@@ -1,4 +1,4 @@
-"""Reads from a request what the later filters need."""
+"""Reads the service, model, affinity and idempotence of a request."""
 
 import msgspec
 import xxhash
@@ -18,7 +18,7 @@
 
 
 class ChatBody(msgspec.Struct):
-    """The part of a chat completion request that routing reads; the rest passes."""
+    """The fields of a chat completion request that routing reads; others are ignored."""
 
     model: str
     messages: list[msgspec.Raw]
@@ -32,14 +32,14 @@
 
 @FILTERS.register("classify")
 class ClassifyFilter(PassingFilter):
-    """Fills in service, model, affinity and whether the request may run twice."""
+    """Fills in the service, model, affinity and whether the request may run twice."""
 
     def __init__(self, *, directory: Directory) -> None:
-        """Take the configuration in force."""
+        """Initialize with the configuration in force."""
         self._directory = directory
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
-        """Refuse what can't be understood."""
+        """Classify a request; refuse a malformed or forbidden one."""
         if exchange.request.kind is RequestKind.CHAT:
             refused = self._read_chat(exchange)
         else:
@@ -74,8 +74,8 @@
         given = headers.get(HEADER_DOSSIER) or headers.get(HEADER_CHAT) or body.prompt_cache_key
         if given:
             return given
-        # Without a name the chat's first messages name it: they come back unchanged
-        # with every turn, and chats that share them share the engine's prefix too.
+        # A chat without an id is identified by its first messages: every turn of the chat
+        # repeats them, and chats with equal first messages share the engine's prefix cache.
         digest = xxhash.xxh3_128()
         for raw in body.messages[:AFFINITY_MESSAGES]:
             digest.update(bytes(raw))
--- a/chivetrack/components/pipeline/filters/deadline.py
+++ b/chivetrack/components/pipeline/filters/deadline.py
@@ -1,4 +1,4 @@
-"""Works out until when a request's answer is of use."""
+"""Computes the deadline of a request."""
 
 from chivetrack.components.pipeline import faults
 from chivetrack.components.pipeline.chain import FILTERS, PROCEED, PassingFilter, Refused, Step
@@ -10,10 +10,10 @@
 
 @FILTERS.register("deadline")
 class DeadlineFilter(PassingFilter):
-    """Fills in the deadline: the caller's, or the policy's if that is sooner."""
+    """Fills in the deadline: the caller's or the policy's, whichever is earlier."""
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
-        """Refuse a request whose time is already up."""
+        """Set the deadline; refuse a request whose deadline has already passed."""
         assert exchange.policy is not None
         timeout_s = exchange.policy.timeout_s
         given = exchange.request.headers.get(HEADER_TIMEOUT_MS)
--- a/chivetrack/components/pipeline/filters/forward.py
+++ b/chivetrack/components/pipeline/filters/forward.py
@@ -1,4 +1,4 @@
-"""Has the request sent to the endpoint that was chosen."""
+"""Starts an attempt at the endpoint that was chosen."""
 
 from chivetrack.components.pipeline.chain import FILTERS, PassingFilter, Step, Suspended
 from chivetrack.components.pipeline.models import Exchange, StartAttempt
@@ -6,10 +6,10 @@
 
 @FILTERS.register("forward")
 class ForwardFilter(PassingFilter):
-    """Ends the chain: the request waits for its answer."""
+    """Suspends the request until its attempt ends; the last filter of the chain."""
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
-        """Start the attempt with the time that is left."""
+        """Start the attempt; its timeout is the time left until the deadline."""
         start = StartAttempt(
             request_id=exchange.request_id,
             exchange=exchange,
--- a/chivetrack/components/pipeline/filters/identify.py
+++ b/chivetrack/components/pipeline/filters/identify.py
@@ -14,17 +14,17 @@
 
 @FILTERS.register("identify")
 class IdentifyFilter(PassingFilter):
-    """Checks the caller's key and fills in workspace and policy."""
+    """Checks the caller's key and fills in the workspace, its policy and its priority."""
 
     def __init__(self, *, directory: Directory) -> None:
-        """Take the configuration in force."""
+        """Initialize with the configuration in force."""
         self._directory = directory
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
-        """Refuse unknown workspaces and wrong keys."""
+        """Identify the workspace; refuse unknown workspaces and wrong keys."""
         if not self._directory.is_confirmed(now):
-            # A router that is cut off can't know that a workspace was closed or an
-            # endpoint drained; serving on would bring the old configuration back.
+            # A router without contact to the replicas can't know whether a workspace was
+            # closed or an endpoint drained, and would apply an outdated configuration.
             return Refused(faults.unconfirmed_configuration(CONFIRM_RETRY_AFTER_S))
         given = exchange.request.headers.get(HEADER_AUTHORIZATION, "")
         if not given.startswith(BEARER_PREFIX):
--- a/chivetrack/components/pipeline/filters/limit.py
+++ b/chivetrack/components/pipeline/filters/limit.py
@@ -1,4 +1,4 @@
-"""Holds each workspace to its limits."""
+"""Enforces the limits of each workspace."""
 
 from typing import Protocol
 
@@ -8,28 +8,28 @@
 
 
 class Limiter(Protocol):
-    """Decides whether a request may go on now."""
+    """Decides whether a request is admitted now."""
 
     def admit(self, exchange: Exchange, *, now: float) -> "Fault | bool":
-        """Return ``True`` to go on, ``False`` to wait in the queue, or the refusal."""
+        """Return ``True`` if admitted, ``False`` if queued, or the refusal."""
         ...
 
     def release(self, exchange: Exchange, *, now: float) -> None:
-        """Give back what ``admit`` took, or leave the queue."""
+        """Release the slot that ``admit`` granted, or remove the request from the queue."""
         ...
 
 
 @FILTERS.register("limit")
 class LimitFilter:
-    """Asks the limiter, and gives back what it granted."""
+    """Requests a slot from the limiter and releases it when the request ends."""
 
     def __init__(self, *, limiter: Limiter) -> None:
-        """Take the limiter."""
+        """Initialize with the limiter."""
         self._limiter = limiter
         self._held: set[str] = set()
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
-        """Let the request on, have it wait, or refuse it at once."""
+        """Let the request proceed, suspend it while queued, or refuse it at once."""
         decision = self._limiter.admit(exchange, now=now)
         if isinstance(decision, Fault):
             return Refused(decision)
@@ -37,7 +37,7 @@
         return PROCEED if decision else Suspended()
 
     def leave(self, exchange: Exchange, *, now: float) -> None:
-        """Give back what the request held."""
+        """Release the request's slot or its place in the queue."""
         if exchange.request_id not in self._held:
             return
         self._held.remove(exchange.request_id)
--- a/chivetrack/components/pipeline/filters/route.py
+++ b/chivetrack/components/pipeline/filters/route.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint and counts the request as in flight there."""
+"""Chooses the endpoint and counts the request as in flight at it."""
 
 from typing import Protocol
 
@@ -21,11 +21,11 @@
     """Counts requests in flight; see ``load``."""
 
     def start(self, endpoint_id: str, now: float) -> None:
-        """Count one more."""
+        """Increment the endpoint's count."""
         ...
 
     def finish(self, endpoint_id: str, now: float) -> None:
-        """Count one less."""
+        """Decrement the endpoint's count."""
         ...
 
 
@@ -36,7 +36,7 @@
     def __init__(
         self, *, placer: PlacementDecision, load: LoadCount, region: str, zone: str
     ) -> None:
-        """Take the placer and this router's own region and availability zone."""
+        """Initialize with the placer, the counts and this router's region and zone."""
         self._placer = placer
         self._load = load
         self._region = region
@@ -44,7 +44,7 @@
         self._in_flight: dict[str, str] = {}
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
-        """Place the request, or refuse it when nothing fits."""
+        """Place the request, or refuse it if no endpoint is available."""
         placement = self._placer.place(self._make_demand(exchange), now=now)
         exchange.placement = placement
         endpoint = placement.endpoint
--- a/chivetrack/components/pipeline/filters/trace.py
+++ b/chivetrack/components/pipeline/filters/trace.py
@@ -1,4 +1,4 @@
-"""Gives every request a trace context."""
+"""Sets the trace context of every request."""
 
 import random
 import re
@@ -15,7 +15,7 @@
     """Keeps the caller's trace context, or starts a new one (W3C Trace Context)."""
 
     def __init__(self, *, random_source: random.Random) -> None:
-        """Take the source of new trace ids."""
+        """Initialize with the random source for new trace ids."""
         self._random = random_source
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -1,4 +1,4 @@
-"""The life of a request as decisions: events in, effects out."""
+"""The state machine of requests: takes events and returns effects, without I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SendAgain:
-    """Another attempt, at an endpoint that is not excluded."""
+    """Make another attempt, at an endpoint that is not excluded."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Abandon:
-    """No other attempt; the caller gets this fault."""
+    """Make no other attempt; the caller gets ``fault``."""
 
     fault: Fault
 
@@ -51,7 +51,7 @@
     def decide(
         self, exchange: Exchange, failure: AttemptFailed, *, now: float
     ) -> SendAgain | Abandon:
-        """Return what comes after a failed attempt."""
+        """Return whether to send the request again or to abandon it."""
         ...
 
 
@@ -62,10 +62,10 @@
 class RequestFlow:
     """Owns the open exchanges; one object per router.
 
-    Drive it with ``handle``. Each request begins with ``RequestArrived`` and ends
-    with ``Refuse``, ``ReplayAnswer`` or, after ``RelayAnswer``, with the driver's
-    ``AnswerEnded``. Events of a request that has ended are ignored: a late answer
-    finds nobody to go to.
+    The driver passes events to ``handle`` and executes the effects. Each request begins with
+    ``RequestArrived`` and ends with ``Refuse``, ``ReplayAnswer`` or, after ``RelayAnswer``,
+    with the driver's ``AnswerEnded``. Late events of a request that has ended are ignored,
+    except that a claim granted late is released.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         on_outcome: OutcomeListener,
         on_end: EndListener,
     ) -> None:
-        """Take the chain; a retry enters it again at ``route_position``."""
+        """Initialize with the chain; a retry enters it again at ``route_position``."""
         self._chain = chain
         self._retries = retries
         self._route_position = route_position
@@ -100,11 +100,11 @@
         return len(self._exchanges)
 
     def find_exchange(self, request_id: str) -> Exchange | None:
-        """Return an open exchange."""
+        """Return an open exchange, or ``None`` if the request has ended."""
         return self._exchanges.get(request_id)
 
     def handle(self, event: RequestEvent, *, now: float) -> list[Effect]:
-        """Take an event of a request."""
+        """Process an event of a request and return the effects to execute."""
         if isinstance(event, RequestArrived):
             return self._open(event, now)
         exchange = self._exchanges.get(event.request_id)
@@ -117,16 +117,16 @@
 
     @staticmethod
     def _is_current(exchange: Exchange, event: AttemptEvent) -> bool:
-        # An attempt that was given up may still report. Its end counted as that of
-        # the attempt after it would send a request on that is running.
+        # An abandoned attempt may still report its end. If that counted as the end of the
+        # next attempt, the request would be sent again while it is running.
         is_open = len(exchange.attempts) > len(exchange.outcomes)
         return is_open and event.attempt == exchange.attempt.number
 
     @staticmethod
     def _handle_late(event: RequestEvent) -> list[Effect]:
-        # The caller left while the log was asked. Nobody will use the claim, and no
-        # attempt was made under it: freed, so that the resend is not told for the
-        # claim's whole lifetime that the request is in progress.
+        # The caller disconnected while the claim was pending. No attempt was made, so the
+        # claim is released. Otherwise a resend would be refused as in progress until the
+        # claim expires.
         if not isinstance(event, ClaimAnswered) or event.fault or event.stored:
             return []
         return [
@@ -179,7 +179,8 @@
         return self._refuse(exchange, faults.deadline_exceeded(ran=exchange.ran), now)
 
     def _handle_failure(self, exchange: Exchange, event: AttemptFailed, now: float) -> list[Effect]:
-        # An endpoint whose head has arrived did begin, whatever ended it.
+        # If the head of an answer has arrived, the endpoint has started the request, whatever
+        # outcome the failure reports.
         if exchange.answered:
             event = replace(event, outcome=AttemptOutcome.MAYBE_RAN)
         exchange.answered = False
@@ -240,8 +241,8 @@
         ]
 
     def _refuse(self, exchange: Exchange, fault: Fault, now: float) -> list[Effect]:
-        # A filter that is entered again for a retry speaks of that attempt only. "Did
-        # not run" would be a lie about the one before it.
+        # The fault of a filter that is entered again for a retry covers that retry only;
+        # an earlier attempt may have run.
         if fault.ran is Ran.NO:
             fault = replace(fault, ran=exchange.ran)
         claims = self._end_claim(exchange, None)
--- a/chivetrack/components/pipeline/models.py
+++ b/chivetrack/components/pipeline/models.py
@@ -1,4 +1,4 @@
-"""A request on its way through the pipeline."""
+"""Models of the pipeline: requests, their events and effects, and the views it reads."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -41,27 +41,27 @@
 
     @property
     def max_attempts(self) -> int:
-        """Return how many endpoints a request may be tried at."""
+        """Return the maximum number of attempts of a request."""
         ...
 
     @property
     def timeout_s(self) -> float:
-        """Return how long a request may take in all."""
+        """Return the time limit of a request, including all attempts."""
         ...
 
     @property
     def stall_timeout_s(self) -> float:
-        """Return how long a stream may be silent."""
+        """Return the maximum time between two parts of a streamed answer."""
         ...
 
     @property
     def locality(self) -> Locality:
-        """Return how near its endpoint a request wants to stay."""
+        """Return whether endpoints must be in the router's zone, in its region or anywhere."""
         ...
 
     @property
     def idempotent(self) -> bool | None:
-        """Return whether requests may run twice; ``None`` leaves it to the method."""
+        """Return whether requests may run twice; ``None`` decides by kind and method."""
         ...
 
 
@@ -75,17 +75,17 @@
 
     @property
     def priority(self) -> int:
-        """Return the priority that engines are told; lower is more urgent."""
+        """Return the priority that is sent to engines; lower is more urgent."""
         ...
 
     @property
     def rate(self) -> float | None:
-        """Return how many requests a second it may send, ``None`` without a limit."""
+        """Return the limit in requests per second, ``None`` without a limit."""
         ...
 
     @property
     def concurrency(self) -> int | None:
-        """Return how many requests it may have running, ``None`` without a limit."""
+        """Return the limit of concurrent requests, ``None`` without a limit."""
         ...
 
     def allows(self, service: str) -> bool:
@@ -117,7 +117,7 @@
         ...
 
     def is_confirmed(self, now: float) -> bool:
-        """Return whether the configuration is known to be the one in force."""
+        """Return whether the configuration is confirmed to be in force at ``now``."""
         ...
 
 
@@ -133,10 +133,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class Exchange:
-    """A request with all that the filters found out; owned by the request flow.
+    """A request and the state that the filters fill in; owned by the request flow.
 
-    Times are seconds on the clock of ``now``. ``bytes_sent`` counts what has gone
-    to the caller of the answer's body.
+    Times are seconds on the clock of ``now``. ``position`` is the number of filters entered.
+    ``outcomes`` holds the outcomes of the attempts that have ended. ``answered`` means that
+    the head of an answer has arrived. ``bytes_sent`` is how many bytes of the answer's body
+    were sent to the caller.
     """
 
     request_id: str
@@ -169,7 +171,7 @@
 
     @property
     def ran(self) -> Ran:
-        """Return what is known of all attempts together."""
+        """Return whether any attempt ran or may have run."""
         if AttemptOutcome.RAN in self.outcomes:
             return Ran.YES
         is_open = len(self.attempts) > len(self.outcomes)
@@ -187,23 +189,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestArrived(RequestEvent):
-    """A caller's whole request has been read."""
+    """A caller's request has been read completely."""
 
     request: CallerRequest
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QueueLeft(RequestEvent):
-    """The request's turn has come, or the queue gave it up with a fault."""
+    """The request was admitted from the queue, or shed with a fault."""
 
     fault: Fault | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimAnswered(RequestEvent):
-    """The log's answer to ``AcquireClaim``; to be handed in once for each.
+    """The log's answer to ``AcquireClaim``, exactly one for each.
 
-    Neither ``fault`` nor ``stored``: the claim is granted.
+    The claim is granted if both ``fault`` and ``stored`` are ``None``.
     """
 
     workspace: str
@@ -214,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DeadlineReached(RequestEvent):
-    """The request's deadline has passed while it waited."""
+    """The request's deadline has passed before its answer."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -226,7 +228,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptFailed(AttemptEvent):
-    """An attempt ended without an answer that could be passed on."""
+    """An attempt ended without an answer that can be relayed to the caller."""
 
     outcome: AttemptOutcome
     message: str
@@ -242,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AnswerEnded(AttemptEvent):
-    """The answer has gone to the caller, or was cut; ``whole`` tells which."""
+    """The relay of an answer ended; ``whole`` is true if the complete answer was sent."""
 
     whole: bool
     status: int = 0
@@ -252,12 +254,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerGone(RequestEvent):
-    """The caller closed its connection before it had its answer."""
+    """The caller closed its connection before it had its complete answer."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoredAnswer:
-    """The first outcome of an idempotency key, given again to a resend."""
+    """The first answer under an idempotency key, which is replayed to a resend."""
 
     status: int
     content_type: str
@@ -273,7 +275,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartAttempt(RequestEffect):
-    """Send the request to this endpoint; an earlier attempt's answer is dropped."""
+    """Send the request to the attempt's endpoint and ignore earlier attempts' answers."""
 
     exchange: Exchange
     attempt: Attempt
@@ -282,26 +284,26 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RelayAnswer(RequestEffect):
-    """Pass the answer whose head has arrived on to the caller."""
+    """Relay the answer whose head has arrived to the caller."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refuse(RequestEffect):
-    """Give the caller its final answer, now: there will be no other."""
+    """Send the fault to the caller as its final answer."""
 
     fault: Fault
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReplayAnswer(RequestEffect):
-    """Give the caller the stored first outcome of its idempotency key."""
+    """Send the caller the stored first answer under its idempotency key."""
 
     answer: StoredAnswer
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AcquireClaim(RequestEffect):
-    """Ask the replicated log for the claim on an idempotency key."""
+    """Request the claim on an idempotency key from the replicated log."""
 
     workspace: str
     key: str
@@ -313,8 +315,8 @@
 class EndClaim(RequestEffect):
     """Record how a claimed request ended.
 
-    ``answer`` is its whole answer. Without one, ``did_not_run`` frees the key for a
-    resend; otherwise the outcome is recorded as unknown.
+    ``answer`` is its complete answer. Without an answer, ``did_not_run`` releases the key
+    for a resend; otherwise the outcome is recorded as unknown.
     """
 
     workspace: str
--- a/tests/components/pipeline/fakes.py
+++ b/tests/components/pipeline/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of the pipeline."""
+"""Fakes of the interfaces that the pipeline uses."""
 
 import random
 from collections import Counter
@@ -73,7 +73,7 @@
 
 
 class FakeLimiter:
-    """Lets all on; ``queue_next`` makes the next request wait."""
+    """Admits every request, except that ``queue_next`` queues the next one."""
 
     def __init__(self) -> None:
         self.held: set[str] = set()
@@ -81,8 +81,8 @@
 
     def admit(self, exchange: Exchange, *, now: float) -> Fault | bool:
         self.held.add(exchange.request_id)
-        waits, self.queue_next = self.queue_next, False
-        return not waits
+        is_queued, self.queue_next = self.queue_next, False
+        return not is_queued
 
     def release(self, exchange: Exchange, *, now: float) -> None:
         self.held.remove(exchange.request_id)
@@ -112,7 +112,7 @@
 
 
 class SimpleRetries:
-    """Another attempt whenever that is safe, three at most."""
+    """Allows up to three attempts, as long as another one is safe."""
 
     def decide(
         self, exchange: Exchange, failure: AttemptFailed, *, now: float
@@ -139,7 +139,7 @@
 
 
 class FlowBench:
-    """A request flow on fakes."""
+    """A request flow that runs on fakes."""
 
     def __init__(self, *, limiter: Any = None) -> None:
         self.directory = FakeDirectory()
--- a/tests/components/pipeline/test_admission.py
+++ b/tests/components/pipeline/test_admission.py
@@ -1,4 +1,4 @@
-"""Requests that wait for their turn, driven through a whole router node."""
+"""Tests for queued requests, driven through a complete router node."""
 
 import random
 import unittest
@@ -25,7 +25,7 @@
 from tests.components.pipeline.fakes import FlowBench, make_request
 
 
-class OneAtATime:
+class OneRequestLimits:
     def find_limit(self, workspace: object) -> WorkspaceLimit:
         return WorkspaceLimit(concurrency=1)
 
@@ -34,7 +34,7 @@
     def setUp(self) -> None:
         rng = random.Random(1)
         limiter = Limiter(shares=ShareTracker(router_id="r"), random=rng, capacity=10)
-        self.admission = AdmissionControl(limiter=limiter, limits=OneAtATime())
+        self.admission = AdmissionControl(limiter=limiter, limits=OneRequestLimits())
         self.bench = FlowBench(limiter=self.admission)
         proposals = ProposalClient(instance_id="r", replicas=["a"], random=rng)
         self.node = RouterNode(
@@ -57,7 +57,7 @@
         self.send(AttemptAnswered(request_id=request_id, attempt=1, status=200), now)
         return self.send(AnswerEnded(request_id=request_id, attempt=1, whole=True), now)
 
-    def test_the_next_one_starts_when_the_first_is_over(self) -> None:
+    def test_queued_request_starts_when_the_running_one_ends(self) -> None:
         (first,) = self.arrive("one")
         self.assertIsInstance(first, StartAttempt)
         self.assertEqual(self.arrive("two"), [])
@@ -65,11 +65,11 @@
         assert isinstance(second, StartAttempt)
         self.assertEqual(second.request_id, "two")
 
-    def test_hopeless_one_is_refused_at_once(self) -> None:
-        """A request comes whose turn can't come before its deadline.
+    def test_infeasible_request_is_refused_at_once(self) -> None:
+        """Guards against queueing a request that can't be admitted before its deadline.
 
-        It is told so now, with when to come back; held until the deadline its caller
-        would learn nothing more and have no time left.
+        It is refused now, with a time to retry. Queued until the deadline, its caller would
+        get the same refusal with no time left.
         """
         self.arrive("one")
         (refused,) = self.arrive("two", x_request_timeout_ms="100")
@@ -77,15 +77,15 @@
         self.assertIs(refused.fault.ran, Ran.NO)
         self.assertIsNotNone(refused.fault.retry_after_s)
 
-    def test_waiting_one_whose_time_runs_out_is_refused(self) -> None:
+    def test_queued_request_that_becomes_infeasible_is_refused(self) -> None:
         self.arrive("one")
         self.assertEqual(self.arrive("two", x_request_timeout_ms="5000"), [])
         (refused,) = self.send(TimeReached(), now=5.5)
         assert isinstance(refused, Refuse)
         self.assertEqual(refused.request_id, "two")
 
-    def test_caller_that_leaves_the_queue_takes_no_turn(self) -> None:
-        """A caller leaves while it waits; its turn must go to the one behind it."""
+    def test_caller_that_leaves_the_queue_is_skipped(self) -> None:
+        """A caller disconnects while queued; the request behind it must be admitted."""
         self.arrive("one")
         self.arrive("two")
         self.arrive("three")
--- a/tests/components/pipeline/test_filters.py
+++ b/tests/components/pipeline/test_filters.py
@@ -1,4 +1,4 @@
-"""The chain's refusals, as a table."""
+"""Tests for the filters: refusals, classification and the filter order."""
 
 import unittest
 
@@ -46,10 +46,10 @@
 
 class RefusalTest(unittest.TestCase):
     def test_each_refusal_is_typed_and_did_not_run(self) -> None:
-        """The caller sends something wrong and must learn what, at once.
+        """A caller sends an invalid request and must learn at once what is wrong.
 
-        Every refusal before the dispatch carries its code and says that nothing ran;
-        nothing stays held for it.
+        Every refusal before an attempt carries its code and says that the request did not
+        run, and it releases everything that the filters acquired.
         """
         for name, request, code, status in REFUSALS:
             with self.subTest(name):
@@ -63,10 +63,10 @@
                 self.assertEqual(bench.limiter.held, set())
 
     def test_unconfirmed_configuration_refuses(self) -> None:
-        """A caller reaches a router that is cut off from the replicas.
+        """Guards against serving with an outdated configuration.
 
-        The router can't know whether its configuration is still in force, so it
-        refuses, with the time after which to try again, rather than use an old one.
+        A router without contact to the replicas can't know whether its configuration is
+        still in force, so it refuses requests, with a time to retry.
         """
         bench = FlowBench()
         bench.directory.confirmed = False
@@ -116,7 +116,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_faults_of_an_order_are_reported_together(self) -> None:
+    def test_all_findings_of_an_order_are_reported_together(self) -> None:
         findings = Findings()
         order = ["identify", "trace", "deadline", "classify", "limitt", "route", "forward"]
         check_order(order, findings, place="filters.order")
@@ -125,7 +125,7 @@
         self.assertIn("'claim' must appear once", text)
         self.assertIn("'deadline' must come after 'classify'", text)
 
-    def test_default_order_is_right(self) -> None:
+    def test_default_order_is_valid(self) -> None:
         findings = Findings()
         check_order(list(FILTER_ORDER), findings, place="filters.order")
         self.assertEqual(len(findings), 0)
--- a/tests/components/pipeline/test_flow.py
+++ b/tests/components/pipeline/test_flow.py
@@ -1,4 +1,4 @@
-"""The life of a request: retries, claims, and one final answer whatever happens."""
+"""Tests for the request flow: retries, claims and exactly one final answer."""
 
 import random
 import unittest
@@ -63,10 +63,11 @@
         self.assertEqual(sum(self.bench.load.counts.values()), 1)
 
     def test_non_idempotent_is_sent_again_only_if_it_did_not_run(self) -> None:
-        """A premium quote is sent to an engine and the connection breaks.
+        """Guards against running a non-idempotent request twice.
 
-        If no byte left, or the engine said that it did not run, another engine gets
-        it. If it may have run, the caller learns just that and decides itself.
+        The connection to an engine breaks. If no byte was sent, or the engine states that
+        the request did not run, another engine gets it. If it may have run, the caller is
+        told so and decides itself.
         """
         table = [
             (AttemptOutcome.NOT_SENT, True),
@@ -83,15 +84,16 @@
                     self.assertIs(effect.fault.ran, Ran.MAYBE)
                     self.assert_idle()
 
-    def test_bad_status_of_a_non_idempotent_request_is_passed_on(self) -> None:
+    def test_bad_status_of_a_non_idempotent_request_is_relayed(self) -> None:
         self.arrive(**NOT_IDEMPOTENT)
         (effect,) = self.send(AttemptAnswered(request_id="r", attempt=1, status=503))
         self.assertIsInstance(effect, RelayAnswer)
 
-    def test_no_endpoint_left_does_not_hide_that_one_may_have_run(self) -> None:
-        """The only engine dies in an answer, and there is no other to try.
+    def test_no_endpoint_left_does_not_hide_that_request_may_have_run(self) -> None:
+        """The only engine crashes during its answer, and there is no other endpoint.
 
-        "No endpoint, did not run" would have the caller send again what may have run.
+        If the fault said that the request did not run, the caller would send a request
+        again that may have run.
         """
         self.bench.placer.names = ("engine-1",)
         self.arrive()
@@ -99,9 +101,9 @@
         assert isinstance(refuse, Refuse)
         self.assertEqual((refuse.fault.code, refuse.fault.ran), ("no_endpoint", Ran.MAYBE))
 
-    def test_nothing_is_dispatched_before_the_claim(self) -> None:
-        (ask,) = self.arrive(**KEYED)
-        self.assertIsInstance(ask, AcquireClaim)
+    def test_no_attempt_is_made_before_the_claim(self) -> None:
+        (claim,) = self.arrive(**KEYED)
+        self.assertIsInstance(claim, AcquireClaim)
         self.assertEqual(sum(self.bench.load.counts.values()), 0)
         (start,) = self.answer_claim()
         self.assertIsInstance(start, StartAttempt)
@@ -114,11 +116,11 @@
         self.assertEqual(effect.answer, stored)
         self.assert_idle()
 
-    def test_claim_is_freed_only_if_nothing_ran(self) -> None:
-        """A keyed request fails; its caller will send it again through another router.
+    def test_claim_is_released_only_if_no_attempt_ran(self) -> None:
+        """A request with a key fails, and its caller sends it again to another router.
 
-        The key may be freed only if no attempt can have run. In every other case the
-        outcome is recorded as unknown, or the resend would run it a second time.
+        The key may be released only if no attempt can have run. Otherwise the outcome must
+        be recorded as unknown, or the resend would run the request a second time.
         """
         table = [
             ([AttemptOutcome.NOT_SENT] * 3, True),
@@ -140,10 +142,10 @@
                 self.assertIs(refuse.fault.ran, Ran.NO if freed else Ran.MAYBE)
 
     def test_caller_gone_while_an_attempt_runs_leaves_the_claim_unknown(self) -> None:
-        """A caller drops its connection while the engine works on its quote.
+        """A caller disconnects while an engine runs its request.
 
-        Nobody can tell whether the quote was made, so the key must not become free:
-        the caller's resend would then bill twice.
+        Whether the request completes is unknown, so the key must not be released: a resend
+        would run the request, and bill it, a second time.
         """
         self.arrive(**KEYED)
         self.answer_claim()
@@ -152,11 +154,11 @@
         self.assertFalse(end.did_not_run)
         self.assert_idle()
 
-    def test_claim_granted_after_the_caller_left_is_freed(self) -> None:
-        """A caller leaves while the log is asked; the grant comes for nobody.
+    def test_claim_granted_after_the_caller_left_is_released(self) -> None:
+        """A caller disconnects while its claim is pending, and the claim is granted late.
 
-        Nothing was sent, so the key is freed; else its resend would hear "in
-        progress" for the claim's whole lifetime.
+        No attempt was made, so the key is released. Otherwise a resend would be refused as
+        in progress until the claim expires.
         """
         self.arrive(**KEYED)
         self.send(CallerGone(request_id="r"))
@@ -171,7 +173,7 @@
         self.assertEqual(refuse.fault.code, "deadline_exceeded")
         self.assertIs(refuse.fault.ran, Ran.NO)
 
-    def test_turn_after_the_deadline_is_refused(self) -> None:
+    def test_admission_after_the_deadline_is_refused(self) -> None:
         self.bench.limiter.queue_next = True
         self.assertEqual(self.arrive(), [])
         (refuse,) = self.send(QueueLeft(request_id="r"), now=99.0)
@@ -179,9 +181,9 @@
         self.assert_idle()
 
     def test_late_end_of_an_earlier_attempt_does_nothing(self) -> None:
-        """The first attempt is given up, the second runs, and the first reports again.
+        """The first attempt fails, the second runs, and the first reports its end again.
 
-        Taken for the end of the second it would start a third beside it.
+        If that counted as the end of the second attempt, a third would run concurrently.
         """
         self.arrive()
         self.send(fail(AttemptOutcome.NOT_SENT))
@@ -189,10 +191,10 @@
         self.assertEqual(self.bench.load.counts["engine-2"], 1)
 
     def test_late_events_of_an_ended_request_do_nothing(self) -> None:
-        """An engine answers after its request was given up on.
+        """An engine answers after its request was abandoned.
 
-        The answer finds no open request, so it can't reach another caller, and the
-        load is not counted down twice.
+        The answer must not reach another caller, and the request must not be subtracted
+        from the endpoint's load twice.
         """
         self.arrive()
         self.send(DeadlineReached(request_id="r"), now=99.0)
@@ -208,7 +210,7 @@
 
 
 class Oracle:
-    """What must hold for one request, whatever its events are."""
+    """Checks the invariants of one request over any sequence of events."""
 
     def __init__(self, test: unittest.TestCase, keyed: bool, idempotent: bool) -> None:
         self.test = test
@@ -223,28 +225,32 @@
         for effect in effects:
             if isinstance(effect, StartAttempt):
                 self.test.assertEqual(self.finals, 0, "an attempt after the final answer")
-                self.test.assertTrue(self.granted or not self.keyed, "dispatched without a claim")
+                self.test.assertTrue(self.granted or not self.keyed, "an attempt without a claim")
                 second = self.may_have_run and not self.idempotent
                 self.test.assertFalse(second, "a second run of a non-idempotent request")
             elif isinstance(effect, Refuse | ReplayAnswer):
                 self.finals += 1
                 if isinstance(effect, Refuse) and effect.fault.ran is Ran.NO:
-                    self.test.assertFalse(self.may_have_run, "said not run, but may have")
+                    self.test.assertFalse(
+                        self.may_have_run, "reported as not run, but may have run"
+                    )
             elif isinstance(effect, EndClaim):
                 self.claim_ends += 1
                 if effect.did_not_run:
-                    self.test.assertFalse(self.may_have_run, "freed a key that may have run")
+                    self.test.assertFalse(
+                        self.may_have_run, "released the key of a request that may have run"
+                    )
         self.test.assertLessEqual(self.finals, 1)
         self.test.assertLessEqual(self.claim_ends, 1)
 
 
 class FlowFuzzTest(unittest.TestCase):
     def test_any_order_of_events(self) -> None:
-        """Seeded requests get random events, also doubled, late and out of order.
+        """Requests get seeded random events, some of them duplicated, late or out of order.
 
-        An oracle checks each effect: one final answer, no second run of what must
-        not run twice, "did not run" only when true, no key freed wrongly; at the
-        end nothing is held.
+        An oracle checks after each event: one final answer, no second run of a
+        non-idempotent request, "did not run" only if true, and no key released of a request
+        that may have run. At the end all resources must be released.
         """
         for seed in range(1500):
             with self.subTest(seed=seed):
