--- a/chivetrack/components/retries/budgets.py
+++ b/chivetrack/components/retries/budgets.py
@@ -3,7 +3,7 @@
 from chivetrack.components.retries.window import RetryWindow
 
 
-class RetryBudgets:
+class ServiceRetryBudgets:
     """One window a service, opened when its first request comes."""
 
     def __init__(self, *, ratio: float, slack: float, window_s: float) -> None:
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -17,7 +17,7 @@
 from chivetrack.components.placement.placement import Placed, Placement
 from chivetrack.components.quarantine.crash_reports import RecentCrashes
 from chivetrack.components.quarantine.models import Quarantine, QuarantinedRequest
-from chivetrack.components.retries.budgets import RetryBudgets
+from chivetrack.components.retries.budgets import ServiceRetryBudgets
 from chivetrack.components.traffic.models import Document
 from chivetrack.components.traffic.requests import AnswerFacts
 from chivetrack.components.traffic.table import RouteTable
@@ -62,7 +62,7 @@
         self.directory = EndpointDirectory()
         self.placement = Placement(zone=zone)
         self.health = EndpointHealth(events=events, is_silent=self.placement.is_silent)
-        self.budgets = RetryBudgets(
+        self.budgets = ServiceRetryBudgets(
             ratio=bounds.retry_ratio, slack=bounds.retry_slack, window_s=bounds.retry_window_s
         )
         self.crashes = RecentCrashes()
