--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -17,7 +17,7 @@
 from chivetrack.components.placement.placement import Placed, Placement
 from chivetrack.components.quarantine.crash_reports import RecentCrashes
 from chivetrack.components.quarantine.models import Quarantine, QuarantinedRequest
-from chivetrack.components.retries.budgets import ServiceRetryBudgets
+from chivetrack.components.retries.service_budgets import ServiceRetryBudgets
 from chivetrack.components.traffic.models import Document
 from chivetrack.components.traffic.requests import AnswerFacts
 from chivetrack.components.traffic.table import RouteTable
