--- a/chivetrack/components/retries/window.py
+++ b/chivetrack/components/retries/window.py
@@ -27,7 +27,7 @@
         """Count a caller's request."""
         self._requests.append(now)
 
-    def note_repeat(self, now: float) -> None:
+    def record_retry(self, now: float) -> None:
         """Count a request that was sent once more."""
         self._repeats.append(now)
 
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -246,7 +246,7 @@
         endpoint_id = choice.record.endpoint_id
         reached = any(one.end is not SendEnd.NOT_SENT for one in call.tries)
         if reached:
-            self._view.budgets[call.service].note_repeat(time.monotonic())
+            self._view.budgets[call.service].record_retry(time.monotonic())
         may_repeat = allows_another(
             call.route, count_runs(call.tries) + 1
         ) and self._view.has_budget(call.service)
--- a/tests/components/retries/test_sending.py
+++ b/tests/components/retries/test_sending.py
@@ -101,7 +101,7 @@
             window.record_request(now)
             requests.append(now)
             if window.may_repeat(now, routers=9):
-                window.note_repeat(now)
+                window.record_retry(now)
                 repeats.append(now)
         self.assertGreater(len(repeats), 500)
         for end in range(10, 31):
@@ -114,7 +114,7 @@
         window.record_request(0.0)
         granted = 0
         while window.may_repeat(0.0, routers=3):
-            window.note_repeat(0.0)
+            window.record_retry(0.0)
             granted += 1
         self.assertEqual(granted, int(SAFETY * 3.2))
         self.assertTrue(window.may_repeat(20.0, routers=3))
