--- a/chivetrack/components/retries/window.py
+++ b/chivetrack/components/retries/window.py
@@ -31,7 +31,7 @@
         """Count a request that was sent once more."""
         self._repeats.append(now)
 
-    def may_repeat(self, now: float, *, routers: int) -> bool:
+    def may_retry(self, now: float, *, routers: int) -> bool:
         """Return whether another repeat keeps the fleet within its budget."""
         for times in (self._requests, self._repeats):
             while times and times[0] <= now - self._window_s:
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -386,4 +386,4 @@
 
     def has_budget(self, service: str) -> bool:
         """Return whether the fleet's budget leaves room for another repeat."""
-        return self.budgets[service].may_repeat(time.monotonic(), routers=round(self._routers))
+        return self.budgets[service].may_retry(time.monotonic(), routers=round(self._routers))
--- a/tests/components/retries/test_sending.py
+++ b/tests/components/retries/test_sending.py
@@ -100,7 +100,7 @@
             window = windows[step % 9]
             window.record_request(now)
             requests.append(now)
-            if window.may_repeat(now, routers=9):
+            if window.may_retry(now, routers=9):
                 window.record_retry(now)
                 repeats.append(now)
         self.assertGreater(len(repeats), 500)
@@ -113,11 +113,11 @@
         window = RetryWindow(ratio=0.2, slack=9.0, window_s=10.0)
         window.record_request(0.0)
         granted = 0
-        while window.may_repeat(0.0, routers=3):
+        while window.may_retry(0.0, routers=3):
             window.record_retry(0.0)
             granted += 1
         self.assertEqual(granted, int(SAFETY * 3.2))
-        self.assertTrue(window.may_repeat(20.0, routers=3))
+        self.assertTrue(window.may_retry(20.0, routers=3))
 
 
 if __name__ == "__main__":
