--- a/chivetrack/components/retries/window.py
+++ b/chivetrack/components/retries/window.py
@@ -21,7 +21,7 @@
         self._slack = slack
         self._window_s = window_s
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
         """Count a caller's request."""
@@ -29,12 +29,12 @@
 
     def record_retry(self, now: float) -> None:
         """Count a request that was sent once more."""
-        self._repeats.append(now)
+        self._retries.append(now)
 
     def may_retry(self, now: float, *, routers: int) -> bool:
         """Return whether another repeat keeps the fleet within its budget."""
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] <= now - self._window_s:
                 times.popleft()
         allowed = self._ratio * len(self._requests) + self._slack / max(1, routers)
-        return len(self._repeats) + 1 <= SAFETY * allowed
+        return len(self._retries) + 1 <= SAFETY * allowed
