--- a/chivetrack/components/retries/window.py
+++ b/chivetrack/components/retries/window.py
@@ -5,7 +5,7 @@
 # The budget is one of the fleet: each router takes an equal part of the fixed slack and
 # its own share of the ratio, so that the parts add up without a message for a retry.
 # Nine tenths, since routers may count each other a moment late.
-SAFETY = 0.9
+SAFETY_FACTOR = 0.9
 
 
 class RetryWindow:
@@ -37,4 +37,4 @@
             while times and times[0] <= now - self._window_s:
                 times.popleft()
         allowed = self._ratio * len(self._requests) + self._slack / max(1, routers)
-        return len(self._retries) + 1 <= SAFETY * allowed
+        return len(self._retries) + 1 <= SAFETY_FACTOR * allowed
--- a/tests/components/retries/test_sending.py
+++ b/tests/components/retries/test_sending.py
@@ -9,7 +9,7 @@
     make_final_fault,
     may_send_again,
 )
-from chivetrack.components.retries.window import SAFETY, RetryWindow
+from chivetrack.components.retries.window import SAFETY_FACTOR, RetryWindow
 from chivetrack.components.traffic.models import RouteKind
 from chivetrack.exceptions import Ran
 from tests.components.traffic.documents import make_route
@@ -116,7 +116,7 @@
         while window.may_retry(0.0, routers=3):
             window.record_retry(0.0)
             granted += 1
-        self.assertEqual(granted, int(SAFETY * 3.2))
+        self.assertEqual(granted, int(SAFETY_FACTOR * 3.2))
         self.assertTrue(window.may_retry(20.0, routers=3))
 
 
