--- a/chivetrack/components/retries/sending.py
+++ b/chivetrack/components/retries/sending.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Tried:
+class SendAttempt:
     """One try."""
 
     endpoint_id: str
@@ -34,12 +34,12 @@
     retry_after_s: float | None = None
 
 
-def count_runs(tries: Sequence[Tried]) -> int:
+def count_runs(tries: Sequence[SendAttempt]) -> int:
     """Return how many of the tries may have run."""
     return sum(1 for one in tries if one.end in (SendEnd.MAYBE_RAN, SendEnd.FAILED))
 
 
-def may_have_run(tries: Sequence[Tried]) -> bool:
+def may_have_run(tries: Sequence[SendAttempt]) -> bool:
     """Return whether any endpoint may have run the request."""
     return count_runs(tries) > 0
 
@@ -50,7 +50,7 @@
 
 
 def may_send_again(
-    route: Route, tries: Sequence[Tried], *, left_s: float, has_budget: bool
+    route: Route, tries: Sequence[SendAttempt], *, left_s: float, has_budget: bool
 ) -> bool:
     """Return whether a request may go to another endpoint after these tries.
 
@@ -69,7 +69,7 @@
     return has_budget or not reached
 
 
-def make_final_fault(tries: Sequence[Tried], *, retry_after_s: float) -> Fault:
+def make_final_fault(tries: Sequence[SendAttempt], *, retry_after_s: float) -> Fault:
     """Return the caller's answer after the last try.
 
     Only if every try is known not to have run, the caller is told so: it may then come
--- a/chivetrack/daemon/fleet/calls.py
+++ b/chivetrack/daemon/fleet/calls.py
@@ -10,7 +10,7 @@
 from chivetrack.components.placement.placement import Placed
 from chivetrack.components.quarantine.const import MAX_PATH_LENGTH
 from chivetrack.components.quarantine.models import CrashReport
-from chivetrack.components.retries.sending import Tried
+from chivetrack.components.retries.sending import SendAttempt
 from chivetrack.components.traffic.models import Route, Workspace
 from chivetrack.components.traffic.requests import RequestFacts
 from chivetrack.exceptions import Fault
@@ -100,7 +100,7 @@
     service: str
     connected_at: float = 0.0
     fingerprint: bytes = b""
-    tries: list[Tried] = field(default_factory=list)
+    tries: list[SendAttempt] = field(default_factory=list)
     last_event_id: str = ""
     first_event_at: float | None = None
     placed: Placed | None = None
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -6,7 +6,7 @@
 
 from chivetrack.components.announcements.models import EndpointRecord
 from chivetrack.components.placement.choice import Choice
-from chivetrack.components.retries.sending import SendEnd, Tried
+from chivetrack.components.retries.sending import SendAttempt, SendEnd
 from chivetrack.components.traffic.models import RouteKind
 from chivetrack.components.traffic.requests import AnswerFacts
 from chivetrack.components.upstream.connection import (
@@ -259,10 +259,10 @@
             call.reply.start(answer.status, list_answer_headers(answer.headers.items()))
 
 
-def make_tried(choice: Choice, result: SendResult) -> Tried:
+def make_tried(choice: Choice, result: SendResult) -> SendAttempt:
     """Return what the decision about another try has to know."""
     assert result.end is not None
-    return Tried(
+    return SendAttempt(
         endpoint_id=choice.record.endpoint_id,
         end=result.end,
         retry_after_s=result.retry_after_s,
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -14,8 +14,8 @@
 from chivetrack.components.placement.choice import Choice
 from chivetrack.components.quarantine.fingerprint import make_fingerprint
 from chivetrack.components.retries.sending import (
+    SendAttempt,
     SendEnd,
-    Tried,
     allows_another,
     count_runs,
     make_final_fault,
@@ -253,7 +253,7 @@
         self._log.write_placed(call, choice)
         with self._view.use(call, choice) as placed:
             # If the time is up or the caller leaves, this try may have run.
-            call.tries.append(Tried(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
+            call.tries.append(SendAttempt(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
             result = self._forwarder.send(call, choice, may_repeat=may_repeat)
             call.tries.pop()
             placed.is_whole = result.is_answered and result.status < 500
--- a/tests/components/retries/test_sending.py
+++ b/tests/components/retries/test_sending.py
@@ -4,8 +4,8 @@
 import unittest
 
 from chivetrack.components.retries.sending import (
+    SendAttempt,
     SendEnd,
-    Tried,
     make_final_fault,
     may_send_again,
 )
@@ -20,8 +20,8 @@
 RESUMABLE = make_route(kind=RouteKind.STREAM, max_attempts=2, is_resumable=True)
 
 
-def try_all(*ends: SendEnd) -> list[Tried]:
-    return [Tried(endpoint_id=f"e{number}", end=end) for number, end in enumerate(ends)]
+def try_all(*ends: SendEnd) -> list[SendAttempt]:
+    return [SendAttempt(endpoint_id=f"e{number}", end=end) for number, end in enumerate(ends)]
 
 
 class MaySendAgainTest(unittest.TestCase):
@@ -81,7 +81,7 @@
                 self.assertEqual(fault.ran is Ran.NO, is_safe, ends)
 
     def test_endpoint_says_when_to_come_back(self) -> None:
-        tried = Tried(endpoint_id="e", end=SendEnd.REFUSED, retry_after_s=2.0)
+        tried = SendAttempt(endpoint_id="e", end=SendEnd.REFUSED, retry_after_s=2.0)
         self.assertEqual(make_final_fault([tried], retry_after_s=0.5).retry_after_s, 2.0)
 
 
