--- a/chivetrack/components/retries/sending.py
+++ b/chivetrack/components/retries/sending.py
@@ -34,14 +34,14 @@
     retry_after_s: float | None = None
 
 
-def count_runs(tries: Sequence[SendAttempt]) -> int:
+def count_possible_runs(tries: Sequence[SendAttempt]) -> int:
     """Return how many of the tries may have run."""
     return sum(1 for one in tries if one.end in (SendEnd.MAYBE_RAN, SendEnd.FAILED))
 
 
 def may_have_run(tries: Sequence[SendAttempt]) -> bool:
     """Return whether any endpoint may have run the request."""
-    return count_runs(tries) > 0
+    return count_possible_runs(tries) > 0
 
 
 def allows_another(route: Route, runs: int) -> bool:
@@ -63,7 +63,7 @@
         return False
     if ends.count(SendEnd.REFUSED) >= MAX_REFUSALS:
         return False
-    if not allows_another(route, count_runs(tries)):
+    if not allows_another(route, count_possible_runs(tries)):
         return False
     reached = any(end is not SendEnd.NOT_SENT for end in ends)
     return has_budget or not reached
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -17,7 +17,7 @@
     SendAttempt,
     SendEnd,
     allows_another,
-    count_runs,
+    count_possible_runs,
     make_final_fault,
     may_have_run,
     may_send_again,
@@ -248,7 +248,7 @@
         if reached:
             self._view.budgets[call.service].record_retry(time.monotonic())
         may_repeat = allows_another(
-            call.route, count_runs(call.tries) + 1
+            call.route, count_possible_runs(call.tries) + 1
         ) and self._view.has_budget(call.service)
         self._log.write_placed(call, choice)
         with self._view.use(call, choice) as placed:
