--- a/chivetrack/components/retries/sending.py
+++ b/chivetrack/components/retries/sending.py
@@ -44,7 +44,7 @@
     return count_possible_runs(tries) > 0
 
 
-def allows_another(route: Route, runs: int) -> bool:
+def allows_retry(route: Route, runs: int) -> bool:
     """Return whether the route allows one more try after so many that may have run."""
     return not runs or (route.is_repeatable and runs < route.max_attempts)
 
@@ -63,7 +63,7 @@
         return False
     if ends.count(SendEnd.REFUSED) >= MAX_REFUSALS:
         return False
-    if not allows_another(route, count_possible_runs(tries)):
+    if not allows_retry(route, count_possible_runs(tries)):
         return False
     reached = any(end is not SendEnd.NOT_SENT for end in ends)
     return has_budget or not reached
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -16,7 +16,7 @@
 from chivetrack.components.retries.sending import (
     SendAttempt,
     SendEnd,
-    allows_another,
+    allows_retry,
     count_possible_runs,
     make_final_fault,
     may_have_run,
@@ -247,7 +247,7 @@
         reached = any(one.end is not SendEnd.NOT_SENT for one in call.tries)
         if reached:
             self._view.budgets[call.service].record_retry(time.monotonic())
-        may_repeat = allows_another(
+        may_repeat = allows_retry(
             call.route, count_possible_runs(call.tries) + 1
         ) and self._view.has_budget(call.service)
         self._log.write_placed(call, choice)
