--- a/chivetrack/components/retries/__init__.py
+++ b/chivetrack/components/retries/__init__.py
@@ -1,1 +1,1 @@
-"""Whether a request that failed on one endpoint may go to another."""
+"""Decides whether a request that failed at one endpoint may be sent to another."""
--- a/chivetrack/components/retries/budget.py
+++ b/chivetrack/components/retries/budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: retries may be only a share of the requests."""
+"""Retry budgets, which limit retries to a fraction of the requests."""
 
 from collections import OrderedDict
 
@@ -11,50 +11,51 @@
 
 
 class RetryBudget:
-    """Tokens that requests earn and retries spend."""
+    """A token count to which each request adds and from which each retry subtracts."""
 
     def __init__(
         self, *, ratio: float = BUDGET_RATIO, cap: float = BUDGET_CAP, start: float = BUDGET_START
     ) -> None:
-        """Earn ``ratio`` tokens a request, keep at most ``cap``."""
+        """Initialize with ``start`` tokens; a request adds ``ratio``, up to ``cap``."""
         self._ratio = ratio
         self._cap = cap
         self._tokens = start
 
     @property
     def has_token(self) -> bool:
-        """Return whether a retry can be paid for."""
+        """Return whether there is a token for a retry."""
         return self._tokens >= 1.0
 
     def earn(self) -> None:
-        """Count a request."""
+        """Add the tokens of one request."""
         self._tokens = min(self._cap, self._tokens + self._ratio)
 
     def spend(self) -> None:
-        """Pay for a retry."""
+        """Remove the token of one retry."""
         self._tokens -= 1.0
 
 
 class RetryBudgets:
-    """The budget of the router and one for each workspace; a retry is paid from both.
+    """The budgets of the router and of each workspace; a retry takes a token from both.
 
-    When a zone fails, every request fails once. Without a budget the retries double the
-    load on what is left, which then fails too; with one, the extra load stays a tenth.
-    The workspace's own keeps one workspace from spending the router's.
+    When an availability zone fails, every request fails once. Without a budget, the retries
+    would double the load on the remaining endpoints, which would then fail as well; with one,
+    the extra load stays at a tenth. The budget of a workspace prevents it from using up the
+    budget of the router.
     """
 
     def __init__(self) -> None:
-        """Start with fresh budgets."""
+        """Initialize with a new router budget and no workspaces."""
         self._router = RetryBudget()
         self._workspaces: OrderedDict[str, RetryBudget] = OrderedDict()
 
     def earn(self, workspace: str) -> None:
-        """Count a request of a workspace; once per request, not per attempt."""
+        """Add the tokens of a workspace's request; call once per request, not per attempt."""
         self._router.earn()
         self._find(workspace).earn()
 
     def spend(self, workspace: str) -> bool:
-        """Pay for a retry; return ``False`` when there is no budget for it."""
+        """Remove the tokens of a retry, or return ``False`` if a budget has no token."""
         own = self._find(workspace)
         if not (own.has_token and self._router.has_token):
             return False
--- a/chivetrack/components/retries/const.py
+++ b/chivetrack/components/retries/const.py
@@ -3,22 +3,22 @@
 from typing import Final
 
 MAX_ATTEMPTS: Final = 3
-"""Endpoints that one request is sent to, at most."""
+"""Maximum number of attempts per request, each at another endpoint."""
 
 BUDGET_RATIO: Final = 0.1
-"""Retries allowed for each request, in the long run."""
+"""Tokens that a request adds to a budget; a retry takes one token."""
 
 BUDGET_CAP: Final = 20.0
-"""Retries that may be saved up."""
+"""Maximum number of tokens in a budget."""
 
 BUDGET_START: Final = 3.0
-"""Retries that a fresh budget allows, so that the first failures are not final."""
+"""Tokens of a new budget, so that the first failures can be retried."""
 
 MAX_WORKSPACE_BUDGETS: Final = 4096
-"""Workspaces whose budgets are kept; the ones used longest ago start afresh."""
+"""Maximum number of workspace budgets; the least recently used ones are evicted."""
 
 MIN_REMAINING_S: Final = 0.05
-"""With less time left to the deadline no new attempt is made."""
+"""Time left until the deadline below which no new attempt is made."""
 
 RETRY_AFTER_S: Final = 1.0
-"""When a caller may come back with a request that certainly did not run."""
+"""``Retry-After`` for a failed request that the caller may send again."""
--- a/chivetrack/components/retries/decision.py
+++ b/chivetrack/components/retries/decision.py
@@ -1,4 +1,4 @@
-"""The decision after an attempt failed: again, go on at an offset, or give up."""
+"""Decides after a failed attempt whether to retry, resume at an offset or abandon."""
 
 from collections.abc import Sequence
 
@@ -43,7 +43,7 @@
 def decide_retry(
     attempts: Sequence[Attempt], traits: RequestTraits, *, budgets: RetryBudgets, now: float
 ) -> RetryDecision:
-    """Decide what follows after the last of ``attempts``; spends budget on a retry."""
+    """Decide what follows after the last of ``attempts``; a retry takes budget tokens."""
     refusal = _find_refusal(attempts, traits)
     if refusal:
         return Abandon(fault=make_fault(refusal, attempts, traits))
@@ -60,7 +60,7 @@
 
 
 def make_final_fault(attempts: Sequence[Attempt], traits: RequestTraits) -> Fault:
-    """Return the fault when a policy allows no attempt after these."""
+    """Return the fault for a request whose policy allows no attempt after these."""
     code = _find_refusal(attempts, traits) or "attempts_exhausted"
     return make_fault(code, attempts, traits)
 
@@ -70,19 +70,19 @@
     outcomes = {attempt.outcome for attempt in attempts}
     if Outcome.RAN in outcomes:
         return "already_ran"
-    # All attempts count, not only the last: a refusal by a second endpoint does not
-    # undo that the first one may have run a quote, which is then billed twice.
+    # All attempts count, not only the last: after a refusal by the second endpoint, the
+    # first may still have run the request, and a retry would run and bill it twice.
     if not traits.idempotent and not outcomes <= _DID_NOT_RUN:
         return "outcome_unknown"
-    # The caller holds the first bytes of one answer; bytes of another run would be
-    # spliced to them unless the engine goes on at that very offset.
+    # The caller has received the first bytes of an answer. Unless the engine resumes at
+    # exactly that offset, bytes of a different answer would be appended to them.
     if traits.caller_bytes and not (traits.idempotent and traits.resumable):
         return "answer_cut"
     return ""
 
 
 def find_ran(attempts: Sequence[Attempt], *, caller_bytes: int = 0) -> Ran:
-    """Return the strongest thing that is true of all attempts together."""
+    """Return whether any of the attempts ran or may have run."""
     outcomes = {attempt.outcome for attempt in attempts}
     if Outcome.RAN in outcomes:
         return Ran.YES
@@ -92,13 +92,13 @@
 
 
 def make_fault(code: str, attempts: Sequence[Attempt], traits: RequestTraits) -> Fault:
-    """Return the fault for giving up, with what is known of whether it ran."""
+    """Return the fault for an abandoned request, including whether it may have run."""
     ran = find_ran(attempts, caller_bytes=traits.caller_bytes)
-    may_return = ran is Ran.NO or (traits.idempotent and ran is Ran.MAYBE)
+    may_resend = ran is Ran.NO or (traits.idempotent and ran is Ran.MAYBE)
     return Fault(
         code=code,
         message=_MESSAGES[code],
         status=_STATUSES[code],
         ran=ran,
-        retry_after_s=RETRY_AFTER_S if may_return else None,
+        retry_after_s=RETRY_AFTER_S if may_resend else None,
     )
--- a/chivetrack/components/retries/models.py
+++ b/chivetrack/components/retries/models.py
@@ -1,4 +1,4 @@
-"""Shapes of the retries component."""
+"""Models of the retries component."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,12 +7,13 @@
 
 
 class Outcome(StrEnum):
-    """What is certain about one attempt.
+    """What is known about the execution of one attempt.
 
-    ``NOT_SENT``: no byte of the request left this router, say the connect failed.
-    ``REFUSED_NOT_RUN``: the endpoint said in so many words that it did not run it.
-    ``MAYBE_RAN``: a byte may have left and no whole answer came back.
-    ``RAN``: the endpoint ran it, whatever the result.
+    ``NOT_SENT``: this router sent no byte of the request, for example because it could not
+    connect.
+    ``REFUSED_NOT_RUN``: the endpoint stated explicitly that it did not run the request.
+    ``MAYBE_RAN``: a byte may have been sent, and no complete answer was received.
+    ``RAN``: the endpoint ran the request, whatever the result.
     """
 
     NOT_SENT = "not-sent"
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Attempt:
-    """One attempt that ended without a whole answer."""
+    """One attempt that ended without a complete answer."""
 
     endpoint_id: str
     outcome: Outcome
@@ -31,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestTraits:
-    """What decides whether a request may be sent again.
+    """The properties of a request that decide whether it may be sent again.
 
-    ``caller_bytes`` is how many bytes of the answer's body the caller has been sent, in
-    all attempts together; ``resumable`` says that the endpoint can go on at an offset.
-    ``deadline`` is a time on the clock of ``now``.
+    ``caller_bytes`` is how many bytes of the answer's body were sent to the caller, in all
+    attempts together. ``resumable`` means that an endpoint can resume the answer at an
+    offset. ``deadline`` is a time on the clock of ``now``.
     """
 
     workspace: str
@@ -47,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Retry:
-    """Send the whole request to an endpoint that was not tried, without delay."""
+    """Send the request at once to an endpoint that is not in ``excluded``."""
 
     excluded: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Resume:
-    """Ask for the answer from byte ``offset`` on and splice it to what was sent."""
+    """Request the answer from byte ``offset`` on and append it to the bytes already sent."""
 
     offset: int
     excluded: frozenset[str]
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Abandon:
-    """Answer the caller with the fault, at once."""
+    """Send the caller the fault at once; make no other attempt."""
 
     fault: Fault
 
--- a/chivetrack/components/retries/sending.py
+++ b/chivetrack/components/retries/sending.py
@@ -1,4 +1,4 @@
-"""What follows after a request was sent to an endpoint and did not succeed there."""
+"""Decides what follows when a request did not succeed at an endpoint."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,17 +7,22 @@
 from chivetrack.components.traffic.models import Route
 from chivetrack.exceptions import Fault, Ran
 
-# An endpoint that refuses has not run the request; yet each refusal costs its queue and
-# the caller time, so after this many the caller is told to come back.
+# A refusing endpoint has not run the request, but each refusal delays the endpoint's queue
+# and the caller. After this many refusals the caller gets a fault with ``Retry-After``.
 MAX_REFUSALS = 2
-# Connections that could not be made cost an endpoint nothing.
+# A failed connection puts no load on an endpoint, so more of these are allowed.
 MAX_UNREACHABLE = 3
-# Less time than this is not enough for another try.
+# Time left until the deadline below which no further attempt is made.
 MIN_LEFT_S = 0.05
 
 
 class SendEnd(StrEnum):
-    """How one try at an endpoint ended."""
+    """How one attempt at an endpoint ended.
+
+    ``NOT_SENT``: the endpoint could not be reached. ``REFUSED``: it refused the request
+    without running it. ``MAYBE_RAN``: it may have run the request. ``FAILED``: it answered
+    with an error.
+    """
 
     NOT_SENT = "not_sent"
     REFUSED = "refused"
@@ -27,56 +32,58 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SendAttempt:
-    """One try."""
+    """One attempt that did not succeed."""
 
     endpoint_id: str
     end: SendEnd
     retry_after_s: float | None = None
 
 
-def count_possible_runs(tries: Sequence[SendAttempt]) -> int:
-    """Return how many of the tries may have run."""
-    return sum(1 for one in tries if one.end in (SendEnd.MAYBE_RAN, SendEnd.FAILED))
+def count_possible_runs(attempts: Sequence[SendAttempt]) -> int:
+    """Return in how many attempts the endpoint may have run the request."""
+    return sum(1 for attempt in attempts if attempt.end in (SendEnd.MAYBE_RAN, SendEnd.FAILED))
 
 
-def may_have_run(tries: Sequence[SendAttempt]) -> bool:
+def may_have_run(attempts: Sequence[SendAttempt]) -> bool:
     """Return whether any endpoint may have run the request."""
-    return count_possible_runs(tries) > 0
+    return count_possible_runs(attempts) > 0
 
 
 def allows_retry(route: Route, runs: int) -> bool:
-    """Return whether the route allows one more try after so many that may have run."""
+    """Return whether the route allows an attempt after ``runs`` that may have run."""
     return not runs or (route.is_repeatable and runs < route.max_attempts)
 
 
 def may_send_again(
-    route: Route, tries: Sequence[SendAttempt], *, left_s: float, has_budget: bool
+    route: Route, attempts: Sequence[SendAttempt], *, left_s: float, has_budget: bool
 ) -> bool:
-    """Return whether a request may go to another endpoint after these tries.
+    """Return whether a request may be sent to another endpoint after these attempts.
 
-    What may have run is sent again only where the route says that it may run twice, and
-    to no more endpoints than the route allows. Only a try whose bytes reached an endpoint
-    draws on the budget.
+    A request that may have run is sent again only if the route allows it to run twice, and
+    to no more endpoints than the route allows. The retry budget is needed only if an attempt
+    has reached an endpoint.
     """
-    ends = [one.end for one in tries]
+    ends = [attempt.end for attempt in attempts]
     if left_s < MIN_LEFT_S or ends.count(SendEnd.NOT_SENT) >= MAX_UNREACHABLE:
         return False
     if ends.count(SendEnd.REFUSED) >= MAX_REFUSALS:
         return False
-    if not allows_retry(route, count_possible_runs(tries)):
+    if not allows_retry(route, count_possible_runs(attempts)):
         return False
     reached = any(end is not SendEnd.NOT_SENT for end in ends)
     return has_budget or not reached
 
 
-def make_final_fault(tries: Sequence[SendAttempt], *, retry_after_s: float) -> Fault:
-    """Return the caller's answer after the last try.
+def make_final_fault(attempts: Sequence[SendAttempt], *, retry_after_s: float) -> Fault:
+    """Return the fault for the caller after the last attempt.
 
-    Only if every try is known not to have run, the caller is told so: it may then come
-    back with what must not run twice.
+    The fault states that the request did not run only if this is known of every attempt:
+    the caller may then send even a non-idempotent request again.
     """
-    if not may_have_run(tries):
-        stated = [one.retry_after_s for one in tries if one.retry_after_s is not None]
+    if not may_have_run(attempts):
+        stated = [
+            attempt.retry_after_s for attempt in attempts if attempt.retry_after_s is not None
+        ]
         return Fault(
             code="no_endpoint",
             message="No endpoint could take the request; it has not run.",
--- a/chivetrack/components/retries/service_budgets.py
+++ b/chivetrack/components/retries/service_budgets.py
@@ -1,13 +1,13 @@
-"""The retry budgets of all services, as one router keeps its part of them."""
+"""One router's share of the fleet's retry budgets, by service."""
 
 from chivetrack.components.retries.window import RetryWindow
 
 
 class ServiceRetryBudgets:
-    """One window a service, opened when its first request comes."""
+    """Holds one ``RetryWindow`` per service, created on first use."""
 
     def __init__(self, *, ratio: float, slack: float, window_s: float) -> None:
-        """Take what ``RetryWindow`` takes."""
+        """Initialize with the arguments for each ``RetryWindow``."""
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
--- a/chivetrack/components/retries/window.py
+++ b/chivetrack/components/retries/window.py
@@ -1,22 +1,26 @@
-"""A router's part of the retry budget that all routers share."""
+"""A router's share of the retry budget of the fleet."""
 
 from collections import deque
 
-# The budget is one of the fleet: each router takes an equal part of the fixed slack and
-# its own share of the ratio, so that the parts add up without a message for a retry.
-# Nine tenths, since routers may count each other a moment late.
+# The budget belongs to the fleet. Each router uses an equal part of the fixed slack and the
+# ratio of its own requests, so that the parts add up to the budget without messages between
+# routers. The factor leaves a margin, since a router may learn late how many routers there are.
 SAFETY_FACTOR = 0.9
 
 
 class RetryWindow:
-    """Counts the requests and repeats of one service in a sliding window.
+    """Counts the requests and retries of one service in a sliding window.
 
-    It answers the load pattern in which endpoints fail many requests at once: repeats of
-    all of them would double the load that made them fail.
+    This protects endpoints that fail many requests because of overload: retries of all of
+    them would double the load.
     """
 
     def __init__(self, *, ratio: float, slack: float, window_s: float) -> None:
-        """Take the repeats a request allows, the repeats of the whole fleet, the window."""
+        """Initialize an empty window.
+
+        ``ratio`` is how many retries each request allows, ``slack`` how many the whole fleet
+        may make beyond that in ``window_s`` seconds.
+        """
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
@@ -24,15 +28,15 @@
         self._retries: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
-        """Count a caller's request."""
+        """Count a request of a caller."""
         self._requests.append(now)
 
     def record_retry(self, now: float) -> None:
-        """Count a request that was sent once more."""
+        """Count a retry."""
         self._retries.append(now)
 
     def may_retry(self, now: float, *, routers: int) -> bool:
-        """Return whether another repeat keeps the fleet within its budget."""
+        """Return whether the fleet, of ``routers`` routers, stays in budget with a retry."""
         for times in (self._requests, self._retries):
             while times and times[0] <= now - self._window_s:
                 times.popleft()
--- a/tests/components/retries/test_decision.py
+++ b/tests/components/retries/test_decision.py
@@ -1,4 +1,4 @@
-"""The retry decision, over every history, and the budgets."""
+"""Tests for the retry decision over every history of attempts, and for the budgets."""
 
 import itertools
 import unittest
@@ -30,11 +30,12 @@
 
 class DecisionTest(unittest.TestCase):
     def test_every_history_and_trait(self) -> None:
-        """An adjuster asks for a premium quote; the engine dies at some point.
+        """Guards against a second run of a request and against mixing two answers.
 
-        A second send of a quote that may have run is a second bill; a second answer
-        spliced to the first bytes of another is a false report. Every history of up to
-        four attempts is tried with every trait, and each rule is checked on its own.
+        A request that may have run would be billed twice if it were sent again, and the
+        bytes of a second answer must not be appended to those of the first. Every history
+        of up to four attempts is combined with every trait, and each rule is checked
+        separately.
         """
         histories = itertools.chain.from_iterable(
             itertools.product(Outcome, repeat=count) for count in range(1, 5)
@@ -51,36 +52,36 @@
                 )
                 attempts = make_attempts(outcomes)
                 decision = decide_retry(attempts, traits, budgets=RetryBudgets(), now=5.0)
-                clean = set(outcomes) <= DID_NOT_RUN
-                again = (
+                did_not_run = set(outcomes) <= DID_NOT_RUN
+                is_retried = (
                     Outcome.RAN not in outcomes
-                    and (idempotent or clean)
+                    and (idempotent or did_not_run)
                     and (not caller_bytes or (idempotent and resumable))
                     and deadline > 5.0
                     and len(outcomes) < MAX_ATTEMPTS
                 )
-                self.assertEqual(not isinstance(decision, Abandon), again)
+                self.assertEqual(not isinstance(decision, Abandon), is_retried)
                 if isinstance(decision, Abandon):
                     ran = Ran.YES if Outcome.RAN in outcomes else Ran.MAYBE
-                    ran = Ran.NO if clean and not caller_bytes else ran
+                    ran = Ran.NO if did_not_run and not caller_bytes else ran
                     self.assertEqual(decision.fault.ran, ran)
-                    comes_back = decision.fault.retry_after_s is not None
-                    self.assertEqual(comes_back, ran is Ran.NO or (ran is Ran.MAYBE and idempotent))
+                    may_resend = decision.fault.retry_after_s is not None
+                    self.assertEqual(may_resend, ran is Ran.NO or (ran is Ran.MAYBE and idempotent))
                     continue
-                tried = frozenset(attempt.endpoint_id for attempt in attempts)
-                expected = Retry(excluded=tried)
+                excluded = frozenset(attempt.endpoint_id for attempt in attempts)
+                expected = Retry(excluded=excluded)
                 if caller_bytes:
-                    expected = Resume(offset=caller_bytes, excluded=tried)
+                    expected = Resume(offset=caller_bytes, excluded=excluded)
                 self.assertEqual(decision, expected)
 
     def test_codes(self) -> None:
-        maybe, clean = (Outcome.MAYBE_RAN,), (Outcome.NOT_SENT,)
+        maybe, not_sent = (Outcome.MAYBE_RAN,), (Outcome.NOT_SENT,)
         cases = [
             ((Outcome.RAN,), {}, 5.0, "already_ran", 502),
             (maybe, {"idempotent": False}, 5.0, "outcome_unknown", 502),
             (maybe, {"caller_bytes": 3}, 5.0, "answer_cut", 502),
-            (clean, {}, 9.99, "deadline_exceeded", 504),
-            (clean * MAX_ATTEMPTS, {}, 5.0, "attempts_exhausted", 503),
+            (not_sent, {}, 9.99, "deadline_exceeded", 504),
+            (not_sent * MAX_ATTEMPTS, {}, 5.0, "attempts_exhausted", 503),
         ]
         for outcomes, changes, now, code, status in cases:
             with self.subTest(code):
@@ -100,9 +101,9 @@
         return isinstance(decision, Retry)
 
     def test_budget_bounds_the_extra_load(self) -> None:
-        """An availability zone fails and every request's first attempt with it.
+        """An availability zone fails, and with it the first attempt of every request.
 
-        Retries of all of them would double the load on the engines that are left.
+        Retries of all requests would double the load on the remaining engines.
         """
         budgets = RetryBudgets()
         retries = 0
@@ -112,8 +113,8 @@
         self.assertLessEqual(retries, BUDGET_START + 1000 * BUDGET_RATIO)
         self.assertGreater(retries, 90)
 
-    def test_one_workspace_does_not_spend_the_budget_of_all(self) -> None:
-        """One workspace's requests all fail while the others' succeed."""
+    def test_one_workspace_does_not_use_up_the_budget_of_the_router(self) -> None:
+        """All requests of one workspace fail while those of the others succeed."""
         budgets = RetryBudgets()
         for number in range(210):
             budgets.earn(f"workspace-{number % 10}")
--- a/tests/components/retries/test_sending.py
+++ b/tests/components/retries/test_sending.py
@@ -1,4 +1,4 @@
-"""When a request may go to another endpoint, and what the caller is told otherwise."""
+"""Tests for sending a request to another endpoint and for the final fault."""
 
 import itertools
 import unittest
@@ -20,7 +20,7 @@
 RESUMABLE = make_route(kind=RouteKind.STREAM, max_attempts=2, is_resumable=True)
 
 
-def try_all(*ends: SendEnd) -> list[SendAttempt]:
+def make_attempts(*ends: SendEnd) -> list[SendAttempt]:
     return [SendAttempt(endpoint_id=f"e{number}", end=end) for number, end in enumerate(ends)]
 
 
@@ -42,58 +42,58 @@
         ]
         for route, ends, expected in cases:
             with self.subTest(kind=route.kind, ends=ends):
-                may = may_send_again(route, try_all(*ends), left_s=1.0, has_budget=True)
+                may = may_send_again(route, make_attempts(*ends), left_s=1.0, has_budget=True)
                 self.assertEqual(may, expected)
 
-    def test_what_may_run_once_never_runs_twice(self) -> None:
-        """An insurer's quote is sent; after any series of ends it runs at most once.
+    def test_non_idempotent_request_never_runs_twice(self) -> None:
+        """Guards against billing a customer twice.
 
-        Whatever comes after an end that may have run, no further try is allowed, or the
-        insurer's customer is billed twice.
+        After an attempt that may have run, no further attempt is allowed, whatever other
+        attempts there were.
         """
         for length in (1, 2, 3):
             for ends in itertools.product(SendEnd, repeat=length):
                 if not {SendEnd.MAYBE_RAN, SendEnd.FAILED} & set(ends):
                     continue
                 for route in (ONCE, STREAM):
-                    tries = try_all(*ends)
+                    attempts = make_attempts(*ends)
                     self.assertFalse(
-                        may_send_again(route, tries, left_s=9.0, has_budget=True), ends
+                        may_send_again(route, attempts, left_s=9.0, has_budget=True), ends
                     )
 
-    def test_without_budget_only_what_reached_nobody(self) -> None:
+    def test_without_budget_only_unsent_requests_are_sent_again(self) -> None:
         for ends, expected in (((SendEnd.NOT_SENT,), True), ((SendEnd.REFUSED,), False)):
-            may = may_send_again(TWICE, try_all(*ends), left_s=1.0, has_budget=False)
+            may = may_send_again(TWICE, make_attempts(*ends), left_s=1.0, has_budget=False)
             self.assertEqual(may, expected)
 
     def test_no_time_left(self) -> None:
-        tries = try_all(SendEnd.NOT_SENT)
-        self.assertFalse(may_send_again(TWICE, tries, left_s=0.01, has_budget=True))
+        attempts = make_attempts(SendEnd.NOT_SENT)
+        self.assertFalse(may_send_again(TWICE, attempts, left_s=0.01, has_budget=True))
 
 
 class FinalFaultTest(unittest.TestCase):
-    def test_not_run_is_said_only_where_it_is_true(self) -> None:
+    def test_fault_reports_not_run_only_if_true(self) -> None:
         for length in (0, 1, 2):
             for ends in itertools.product(SendEnd, repeat=length):
-                fault = make_final_fault(try_all(*ends), retry_after_s=0.5)
+                fault = make_final_fault(make_attempts(*ends), retry_after_s=0.5)
                 is_safe = set(ends) <= {SendEnd.NOT_SENT, SendEnd.REFUSED}
                 self.assertEqual(fault.status == 503, is_safe, ends)
                 self.assertEqual(fault.ran is Ran.NO, is_safe, ends)
 
-    def test_endpoint_says_when_to_come_back(self) -> None:
-        tried = SendAttempt(endpoint_id="e", end=SendEnd.REFUSED, retry_after_s=2.0)
-        self.assertEqual(make_final_fault([tried], retry_after_s=0.5).retry_after_s, 2.0)
+    def test_retry_after_of_an_endpoint_is_used(self) -> None:
+        attempt = SendAttempt(endpoint_id="e", end=SendEnd.REFUSED, retry_after_s=2.0)
+        self.assertEqual(make_final_fault([attempt], retry_after_s=0.5).retry_after_s, 2.0)
 
 
 class RetryWindowTest(unittest.TestCase):
-    def test_parts_of_all_routers_stay_within_the_fleet_budget(self) -> None:
-        """All endpoints fail for 30 s; nine routers would repeat every request.
+    def test_retries_of_all_routers_stay_within_the_fleet_budget(self) -> None:
+        """All endpoints fail for 30 s, and nine routers try to retry every request.
 
-        Each knows its own ninth of the traffic only. Summed over any 10 s, the repeats
-        stay below a fifth of the requests and the fixed slack.
+        Each router knows only its own ninth of the traffic. In any 10 s the retries of all
+        routers must stay below a fifth of the requests plus the fixed slack.
         """
         windows = [RetryWindow(ratio=0.2, slack=58.0, window_s=10.0) for _ in range(9)]
-        repeats: list[float] = []
+        retries: list[float] = []
         requests: list[float] = []
         for step in range(3000):
             now = step * 0.01
@@ -102,14 +102,14 @@
             requests.append(now)
             if window.may_retry(now, routers=9):
                 window.record_retry(now)
-                repeats.append(now)
-        self.assertGreater(len(repeats), 500)
+                retries.append(now)
+        self.assertGreater(len(retries), 500)
         for end in range(10, 31):
             sent = sum(1 for at in requests if end - 10 <= at < end)
-            again = sum(1 for at in repeats if end - 10 <= at < end)
-            self.assertLessEqual(again, 0.2 * sent + 58.0)
+            retried = sum(1 for at in retries if end - 10 <= at < end)
+            self.assertLessEqual(retried, 0.2 * sent + 58.0)
 
-    def test_quiet_service(self) -> None:
+    def test_service_with_little_traffic_can_use_its_part_of_the_slack(self) -> None:
         window = RetryWindow(ratio=0.2, slack=9.0, window_s=10.0)
         window.record_request(0.0)
         granted = 0
