--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -143,7 +143,7 @@
         router.version = follow.version
         router.quarantine_revision = follow.quarantine_revision
         router.silent_revision = follow.silent_revision if is_known else 0
-        self.evidence.note(follow.crash_reports, now=now)
+        self.evidence.record(follow.crash_reports, now=now)
         router.reads_at = follow.reads_at
         if follow.is_close:
             self._documents.note_version(
@@ -159,7 +159,7 @@
     def take_exchange(self, source: str, exchange: Exchange, *, now: float) -> None:
         """Take what another replica has heard from the routers close to it."""
         self._peers[source] = _Peer(heard_at=now, exchange=exchange)
-        self.evidence.note(exchange.crash_reports, now=now)
+        self.evidence.record(exchange.crash_reports, now=now)
         self.placements.note(exchange.placed, now=now)
 
     def make_exchange(self, *, now: float) -> Exchange:
--- a/chivetrack/components/quarantine/evidence.py
+++ b/chivetrack/components/quarantine/evidence.py
@@ -48,7 +48,7 @@
         """Return the number of tracked requests."""
         return len(self._suspects)
 
-    def note(self, crash_reports: Iterable[CrashReport], *, now: float) -> bool:
+    def record(self, crash_reports: Iterable[CrashReport], *, now: float) -> bool:
         """Count crash reports and return whether any is new; duplicates and order don't matter."""
         is_new = False
         for one in crash_reports:
--- a/tests/components/quarantine/test_evidence.py
+++ b/tests/components/quarantine/test_evidence.py
@@ -38,7 +38,7 @@
         self.evidence = CrashEvidence()
 
     def note(self, fingerprint: bytes, *lifetimes: tuple[str, int], now: float = 0.0) -> bool:
-        return self.evidence.note(
+        return self.evidence.record(
             (make_crash_report(fingerprint, *one) for one in lifetimes), now=now
         )
 
@@ -127,7 +127,7 @@
                 if now <= REPORT_DURATION_S:
                     for replica, report in zip(replicas, reports, strict=True):
                         if random_source.random() > LOSS_RATE:
-                            replica.note(report, now=now)
+                            replica.record(report, now=now)
                 for source, target in itertools.permutations(replicas, 2):
                     if random_source.random() > LOSS_RATE:
                         target.note(source.list_recent(now=now), now=now)
--- a/tests/components/quarantine/test_two_requests.py
+++ b/tests/components/quarantine/test_two_requests.py
@@ -27,7 +27,7 @@
             neighbours = [f"n{lifetime}-{number}" for number in range(20)]
             moved = [f"n{lifetime - 1}-{number}" for number in range(20)] if lifetime else []
             reports = [make_report(one, lifetime) for one in (crashing, *neighbours, *moved)]
-            evidence.note(reports, now=float(lifetime))
+            evidence.record(reports, now=float(lifetime))
         due = evidence.list_due(Quarantine(), at=10.0)
         self.assertEqual({one.fingerprint for one in due}, {b"first", b"second"})
         for order in due:
