--- a/chivetrack/components/quarantine/crash_reports.py
+++ b/chivetrack/components/quarantine/crash_reports.py
@@ -20,7 +20,7 @@
         self._crash_reports: deque[tuple[float, CrashReport]] = deque(maxlen=MAX_REPORTED)
         self._answered: OrderedDict[bytes, float] = OrderedDict()
 
-    def note_answered(self, fingerprint: bytes, *, now: float) -> None:
+    def record_answered(self, fingerprint: bytes, *, now: float) -> None:
         """Note that an endpoint answered a request completely."""
         self._answered[fingerprint] = now
         self._answered.move_to_end(fingerprint)
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -258,7 +258,7 @@
             call.tries.pop()
             placed.is_whole = result.is_answered and result.status < 500
         if placed.is_whole:
-            self._view.crashes.note_answered(call.fingerprint, now=time.monotonic())
+            self._view.crashes.record_answered(call.fingerprint, now=time.monotonic())
         if result.end is None:
             self._view.health.note_outcome(
                 endpoint_id, SendEnd.FAILED if result.status >= 500 else None
--- a/tests/components/quarantine/test_crash_reports.py
+++ b/tests/components/quarantine/test_crash_reports.py
@@ -18,7 +18,7 @@
 
     def test_recently_answered_request_is_not_reported(self) -> None:
         """Guards against quarantining a frequent poll that runs at every crashing endpoint."""
-        self.reports.note_answered(b"poll", now=1.0)
+        self.reports.record_answered(b"poll", now=1.0)
         self.reports.note_crash([make_crash_report(b"poll", "i-1")], now=2.0)
         self.assertEqual(self.reports.list_current(now=2.0), ())
         late = 2.0 + ANSWERED_KEPT_S
