--- a/chivetrack/components/quarantine/crash_reports.py
+++ b/chivetrack/components/quarantine/crash_reports.py
@@ -27,7 +27,7 @@
         if len(self._answered) > MAX_ANSWERED:
             self._answered.popitem(last=False)
 
-    def note_crash(self, crash_reports: Iterable[CrashReport], *, now: float) -> None:
+    def record_crash(self, crash_reports: Iterable[CrashReport], *, now: float) -> None:
         """Note the requests that were running at an endpoint when it crashed.
 
         Skips requests with a recently answered fingerprint: a poll sent every second is
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -188,7 +188,7 @@
         """Immediately report the requests that were running at an endpoint when it crashed."""
         self._metrics.count_crash()
         now = time.monotonic()
-        self.view.crashes.note_crash(reports, now=now)
+        self.view.crashes.record_crash(reports, now=now)
         send_all(self.transport.send, self.subscriber.report_now(now=now))
 
     def _take_limits(self, document: Document) -> None:
