--- a/chivetrack/components/quarantine/const.py
+++ b/chivetrack/components/quarantine/const.py
@@ -19,7 +19,7 @@
 EVIDENCE_KEPT_S: Final = 6 * 3600.0
 """Crashes are counted for this long after the first report; older ones are dropped."""
 
-TIDY_EVERY_S: Final = 60.0
+PRUNE_INTERVAL_S: Final = 60.0
 """Interval between removals of expired crashes."""
 
 MAX_QUARANTINED: Final = 256
--- a/chivetrack/components/quarantine/evidence.py
+++ b/chivetrack/components/quarantine/evidence.py
@@ -7,8 +7,8 @@
     CRASHES_TO_QUARANTINE,
     EVIDENCE_KEPT_S,
     MAX_SUSPECTS,
+    PRUNE_INTERVAL_S,
     REPORT_DURATION_S,
-    TIDY_EVERY_S,
 )
 from chivetrack.components.quarantine.models import CrashReport, Quarantine, QuarantineOrder
 
@@ -60,7 +60,7 @@
                 self._recent[one.fingerprint, one.lifetime] = (now, one)
                 self._update_due(one.fingerprint)
                 is_new = True
-        if now - self._tidied_at > TIDY_EVERY_S:
+        if now - self._tidied_at > PRUNE_INTERVAL_S:
             self._tidied_at = now
             self._forget_old(now)
         self._evict_excess()
