--- a/chivetrack/components/quarantine/const.py
+++ b/chivetrack/components/quarantine/const.py
@@ -16,7 +16,7 @@
 MAX_SUSPECTS: Final = 4096
 """Maximum number of requests tracked by a replica; those with the fewest crashes are evicted."""
 
-EVIDENCE_KEPT_S: Final = 6 * 3600.0
+EVIDENCE_RETENTION_S: Final = 6 * 3600.0
 """Crashes are counted for this long after the first report; older ones are dropped."""
 
 PRUNE_INTERVAL_S: Final = 60.0
--- a/chivetrack/components/quarantine/evidence.py
+++ b/chivetrack/components/quarantine/evidence.py
@@ -5,7 +5,7 @@
 
 from chivetrack.components.quarantine.const import (
     CRASHES_TO_QUARANTINE,
-    EVIDENCE_KEPT_S,
+    EVIDENCE_RETENTION_S,
     MAX_SUSPECTS,
     PRUNE_INTERVAL_S,
     REPORT_DURATION_S,
@@ -119,7 +119,7 @@
     def _forget_old(self, now: float) -> None:
         for fingerprint, suspect in list(self._suspects.items()):
             for lifetime, at in list(suspect.crashes.items()):
-                if now - at > EVIDENCE_KEPT_S:
+                if now - at > EVIDENCE_RETENTION_S:
                     del suspect.crashes[lifetime]
                     suspect.excluded.discard(lifetime)
             if suspect.crashes:
--- a/tests/components/quarantine/test_evidence.py
+++ b/tests/components/quarantine/test_evidence.py
@@ -6,7 +6,7 @@
 
 from chivetrack.components.quarantine.const import (
     CRASHES_TO_QUARANTINE,
-    EVIDENCE_KEPT_S,
+    EVIDENCE_RETENTION_S,
     MAX_SUSPECTS,
     REPORT_DURATION_S,
 )
@@ -77,7 +77,7 @@
         for day in range(10):
             self.note(POISON, (f"i-{day}", 0), now=day * 86_400.0)
         self.assertEqual(self.list_due(), [])
-        self.assertGreater(86_400.0, EVIDENCE_KEPT_S)
+        self.assertGreater(86_400.0, EVIDENCE_RETENTION_S)
 
     def test_release_resets_the_count(self) -> None:
         """Guards against a delayed report that reverts an operator's release."""
