--- a/chivetrack/components/quarantine/const.py
+++ b/chivetrack/components/quarantine/const.py
@@ -26,7 +26,7 @@
 """Maximum number of quarantined requests, about 200 bytes each; the oldest are evicted first."""
 
 MAX_ANSWERED: Final = 4096
-ANSWERED_KEPT_S: Final = 60.0
+ANSWERED_RETENTION_S: Final = 60.0
 """A request that was completely answered within this time is not reported after a crash."""
 
 MAX_PATH_LENGTH: Final = 100
--- a/chivetrack/components/quarantine/crash_reports.py
+++ b/chivetrack/components/quarantine/crash_reports.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from chivetrack.components.quarantine.const import (
-    ANSWERED_KEPT_S,
+    ANSWERED_RETENTION_S,
     MAX_ANSWERED,
     MAX_REPORTED,
     REPORT_DURATION_S,
@@ -35,7 +35,7 @@
         """
         for one in crash_reports:
             answered_at = self._answered.get(one.fingerprint)
-            if answered_at is None or now - answered_at > ANSWERED_KEPT_S:
+            if answered_at is None or now - answered_at > ANSWERED_RETENTION_S:
                 self._crash_reports.append((now, one))
 
     def list_current(self, *, now: float) -> tuple[CrashReport, ...]:
--- a/tests/components/quarantine/test_crash_reports.py
+++ b/tests/components/quarantine/test_crash_reports.py
@@ -2,7 +2,11 @@
 
 import unittest
 
-from chivetrack.components.quarantine.const import ANSWERED_KEPT_S, MAX_REPORTED, REPORT_DURATION_S
+from chivetrack.components.quarantine.const import (
+    ANSWERED_RETENTION_S,
+    MAX_REPORTED,
+    REPORT_DURATION_S,
+)
 from chivetrack.components.quarantine.crash_reports import RecentCrashes
 from tests.components.quarantine.test_evidence import make_crash_report
 
@@ -21,7 +25,7 @@
         self.reports.record_answered(b"poll", now=1.0)
         self.reports.record_crash([make_crash_report(b"poll", "i-1")], now=2.0)
         self.assertEqual(self.reports.list_current(now=2.0), ())
-        late = 2.0 + ANSWERED_KEPT_S
+        late = 2.0 + ANSWERED_RETENTION_S
         self.reports.record_crash([make_crash_report(b"poll", "i-2")], now=late)
         self.assertEqual(len(self.reports.list_current(now=late)), 1)
 
