--- a/chivetrack/components/quarantine/evidence.py
+++ b/chivetrack/components/quarantine/evidence.py
@@ -41,7 +41,7 @@
         """Start without crash reports."""
         self._suspects: dict[bytes, _Suspect] = {}
         self._due: set[bytes] = set()
-        self._tidied_at = float("-inf")
+        self._pruned_at = float("-inf")
         self._recent: dict[tuple[bytes, str], tuple[float, CrashReport]] = {}
 
     def __len__(self) -> int:
@@ -60,8 +60,8 @@
                 self._recent[one.fingerprint, one.lifetime] = (now, one)
                 self._update_due(one.fingerprint)
                 is_new = True
-        if now - self._tidied_at > PRUNE_INTERVAL_S:
-            self._tidied_at = now
+        if now - self._pruned_at > PRUNE_INTERVAL_S:
+            self._pruned_at = now
             self._forget_old(now)
         self._evict_excess()
         return is_new
