--- a/chivetrack/components/quarantine/evidence.py
+++ b/chivetrack/components/quarantine/evidence.py
@@ -62,7 +62,7 @@
                 is_new = True
         if now - self._pruned_at > PRUNE_INTERVAL_S:
             self._pruned_at = now
-            self._forget_old(now)
+            self._prune_expired(now)
         self._evict_excess()
         return is_new
 
@@ -116,7 +116,7 @@
         del self._suspects[fingerprint]
         self._due.discard(fingerprint)
 
-    def _forget_old(self, now: float) -> None:
+    def _prune_expired(self, now: float) -> None:
         for fingerprint, suspect in list(self._suspects.items()):
             for lifetime, at in list(suspect.crashes.items()):
                 if now - at > EVIDENCE_RETENTION_S:
