--- a/chivetrack/components/quarantine/evidence.py
+++ b/chivetrack/components/quarantine/evidence.py
@@ -55,9 +55,9 @@
             suspect = self._suspects.get(one.fingerprint)
             if suspect is None:
                 suspect = self._suspects[one.fingerprint] = _Suspect(one)
-            if one.lifetime not in suspect.crashes:
-                suspect.crashes[one.lifetime] = now
-                self._recent[one.fingerprint, one.lifetime] = (now, one)
+            if one.incarnation not in suspect.crashes:
+                suspect.crashes[one.incarnation] = now
+                self._recent[one.fingerprint, one.incarnation] = (now, one)
                 self._update_due(one.fingerprint)
                 is_new = True
         if now - self._pruned_at > PRUNE_INTERVAL_S:
@@ -118,10 +118,10 @@
 
     def _prune_expired(self, now: float) -> None:
         for fingerprint, suspect in list(self._suspects.items()):
-            for lifetime, at in list(suspect.crashes.items()):
+            for incarnation, at in list(suspect.crashes.items()):
                 if now - at > EVIDENCE_RETENTION_S:
-                    del suspect.crashes[lifetime]
-                    suspect.excluded.discard(lifetime)
+                    del suspect.crashes[incarnation]
+                    suspect.excluded.discard(incarnation)
             if suspect.crashes:
                 self._update_due(fingerprint)
             else:
--- a/chivetrack/components/quarantine/models.py
+++ b/chivetrack/components/quarantine/models.py
@@ -22,7 +22,7 @@
     workspace: str
 
     @property
-    def lifetime(self) -> str:
+    def incarnation(self) -> str:
         """Return the identifier of the lifetime that crashed."""
         return f"{self.endpoint_id}@{self.born}" if self.born else self.endpoint_id
 
--- a/tests/components/quarantine/test_two_requests.py
+++ b/tests/components/quarantine/test_two_requests.py
@@ -7,11 +7,11 @@
 from chivetrack.components.quarantine.models import CrashReport, Quarantine
 
 
-def make_report(name: str, lifetime: int) -> CrashReport:
+def make_report(name: str, incarnation: int) -> CrashReport:
     return CrashReport(
         fingerprint=name.encode(),
-        endpoint_id=f"e{lifetime}",
-        born=lifetime,
+        endpoint_id=f"e{incarnation}",
+        born=incarnation,
         service="llm",
         path="/",
         workspace="w",
@@ -22,12 +22,12 @@
     def test_each_is_quarantined_and_their_neighbours_are_not(self) -> None:
         """Guards against endpoint after endpoint lost to two kinds of requests at once."""
         evidence = CrashEvidence()
-        for lifetime in range(2 * CRASHES_TO_QUARANTINE):
-            crashing = "first" if lifetime % 2 else "second"
-            neighbours = [f"n{lifetime}-{number}" for number in range(20)]
-            moved = [f"n{lifetime - 1}-{number}" for number in range(20)] if lifetime else []
-            reports = [make_report(one, lifetime) for one in (crashing, *neighbours, *moved)]
-            evidence.record(reports, now=float(lifetime))
+        for incarnation in range(2 * CRASHES_TO_QUARANTINE):
+            crashing = "first" if incarnation % 2 else "second"
+            neighbours = [f"n{incarnation}-{number}" for number in range(20)]
+            moved = [f"n{incarnation - 1}-{number}" for number in range(20)] if incarnation else []
+            reports = [make_report(one, incarnation) for one in (crashing, *neighbours, *moved)]
+            evidence.record(reports, now=float(incarnation))
         due = evidence.list_due(Quarantine(), at=10.0)
         self.assertEqual({one.fingerprint for one in due}, {b"first", b"second"})
         for order in due:
