--- a/chivetrack/components/quarantine/const.py
+++ b/chivetrack/components/quarantine/const.py
@@ -27,7 +27,10 @@
 
 MAX_ANSWERED: Final = 4096
 ANSWERED_RETENTION_S: Final = 60.0
-"""A request that was completely answered within this time is not reported after a crash."""
+"""A request that was completely answered within this time is not reported after a crash.
+
+At most ``MAX_ANSWERED`` answered requests are kept.
+"""
 
 MAX_PATH_LENGTH: Final = 100
 """Maximum number of characters of a request path in a crash report."""
--- a/chivetrack/components/quarantine/evidence.py
+++ b/chivetrack/components/quarantine/evidence.py
@@ -1,4 +1,4 @@
-"""Counts, for each request, the endpoint crashes during which it was running; free of I/O."""
+"""Counts, for each request, the endpoint crashes during which it was running, without I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -15,9 +15,10 @@
 
 @dataclass(slots=True)
 class _Suspect:
-    """A request with its crashes: endpoint lifetimes, each with the time of its first report.
+    """A request with the endpoint incarnations that crashed while running it.
 
-    ``excluded`` are the lifetimes that a release has removed from the count.
+    ``crashes`` maps each incarnation to the time of its first report. ``excluded`` are the
+    incarnations that a release has removed from the count.
     """
 
     report: CrashReport
@@ -25,7 +26,7 @@
     excluded: set[str] = field(default_factory=set)
 
     def list_counted(self) -> tuple[str, ...]:
-        return tuple(one for one in self.crashes if one not in self.excluded)
+        return tuple(crash for crash in self.crashes if crash not in self.excluded)
 
 
 class CrashEvidence:
@@ -38,7 +39,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without crash reports."""
+        """Initialize without crash reports."""
         self._suspects: dict[bytes, _Suspect] = {}
         self._due: set[bytes] = set()
         self._pruned_at = float("-inf")
@@ -51,14 +52,14 @@
     def record(self, crash_reports: Iterable[CrashReport], *, now: float) -> bool:
         """Count crash reports and return whether any is new; duplicates and order don't matter."""
         is_new = False
-        for one in crash_reports:
-            suspect = self._suspects.get(one.fingerprint)
+        for report in crash_reports:
+            suspect = self._suspects.get(report.fingerprint)
             if suspect is None:
-                suspect = self._suspects[one.fingerprint] = _Suspect(one)
-            if one.incarnation not in suspect.crashes:
-                suspect.crashes[one.incarnation] = now
-                self._recent[one.fingerprint, one.incarnation] = (now, one)
-                self._update_due(one.fingerprint)
+                suspect = self._suspects[report.fingerprint] = _Suspect(report)
+            if report.incarnation not in suspect.crashes:
+                suspect.crashes[report.incarnation] = now
+                self._recent[report.fingerprint, report.incarnation] = (now, report)
+                self._update_due(report.fingerprint)
                 is_new = True
         if now - self._pruned_at > PRUNE_INTERVAL_S:
             self._pruned_at = now
@@ -71,7 +72,7 @@
         old = [key for key, (at, _) in self._recent.items() if now - at > REPORT_DURATION_S]
         for key in old:
             del self._recent[key]
-        return tuple(one for _, one in self._recent.values())
+        return tuple(report for _, report in self._recent.values())
 
     def list_due(self, quarantine: Quarantine, *, at: float) -> list[QuarantineOrder]:
         """Return orders for requests that have reached the crash threshold.
@@ -133,6 +134,6 @@
         # Evicts an extra eighth, so that a flood of new requests doesn't cause a sort per call.
         extra = len(self._suspects) - MAX_SUSPECTS + MAX_SUSPECTS // 8
         # The sort is stable: among equal crash counts, the oldest entries are evicted first.
-        by_crash_count = sorted(self._suspects, key=lambda one: len(self._suspects[one].crashes))
+        by_crash_count = sorted(self._suspects, key=lambda each: len(self._suspects[each].crashes))
         for fingerprint in by_crash_count[:extra]:
             self._drop(fingerprint)
--- a/chivetrack/components/quarantine/models.py
+++ b/chivetrack/components/quarantine/models.py
@@ -8,8 +8,9 @@
 
 @message("quarantine.sighting")
 class CrashReport(Message, frozen=True, array_like=True):
-    """States that a request was running when a lifetime (``born``) of an endpoint crashed.
+    """States that a request was running when an incarnation of an endpoint crashed.
 
+    ``born`` identifies the incarnation among those with the same endpoint id, 0 if unknown.
     ``fingerprint`` alone identifies the request; ``path`` and ``workspace`` are shown to
     operators.
     """
@@ -23,7 +24,7 @@
 
     @property
     def incarnation(self) -> str:
-        """Return the identifier of the lifetime that crashed."""
+        """Return the identifier of the incarnation that crashed."""
         return f"{self.endpoint_id}@{self.born}" if self.born else self.endpoint_id
 
 
@@ -31,8 +32,8 @@
 class QuarantineOrder(Message, frozen=True, array_like=True):
     """Command that quarantines a request.
 
-    ``crashes`` are the endpoint lifetimes that crashed while running it. ``seen_revision`` is
-    the revision of the quarantine for which the order was made, ``at`` its Unix time in
+    ``crashes`` are the endpoint incarnations that crashed while running it. ``seen_revision``
+    is the revision of the quarantine for which the order was made, ``at`` its Unix time in
     seconds.
     """
 
@@ -97,7 +98,7 @@
 
     def find(self, fingerprint: bytes) -> QuarantinedRequest | None:
         """Return the entry of a request, ``None`` if it may run."""
-        return next((one for one in self.requests if one.fingerprint == fingerprint), None)
+        return next((each for each in self.requests if each.fingerprint == fingerprint), None)
 
     def apply(
         self, order: QuarantineOrder | ReleaseOrder, index: int
@@ -128,5 +129,5 @@
     def _release(self, order: ReleaseOrder, index: int) -> "Quarantine":
         if self.find(order.fingerprint) is None:
             return self
-        kept = tuple(one for one in self.requests if one.fingerprint != order.fingerprint)
+        kept = tuple(each for each in self.requests if each.fingerprint != order.fingerprint)
         return Quarantine(requests=kept, revision=index, released_revision=index)
--- a/tests/components/quarantine/test_two_requests.py
+++ b/tests/components/quarantine/test_two_requests.py
@@ -1,4 +1,4 @@
-"""Two requests that crash their endpoints at once, among requests that do no harm."""
+"""Tests the detection of two requests that crash endpoints during the same time."""
 
 import unittest
 
@@ -19,17 +19,20 @@
 
 
 class TwoRequestsTest(unittest.TestCase):
-    def test_each_is_quarantined_and_their_neighbours_are_not(self) -> None:
-        """Guards against endpoint after endpoint lost to two kinds of requests at once."""
+    def test_both_are_quarantined_and_concurrent_requests_are_not(self) -> None:
+        """Guards against losing endpoints when two requests crash them alternately.
+
+        Harmless requests run at each crashing endpoint; some run again at the next one.
+        """
         evidence = CrashEvidence()
         for incarnation in range(2 * CRASHES_TO_QUARANTINE):
             crashing = "first" if incarnation % 2 else "second"
-            neighbours = [f"n{incarnation}-{number}" for number in range(20)]
+            concurrent = [f"n{incarnation}-{number}" for number in range(20)]
             moved = [f"n{incarnation - 1}-{number}" for number in range(20)] if incarnation else []
-            reports = [make_report(one, incarnation) for one in (crashing, *neighbours, *moved)]
+            reports = [make_report(name, incarnation) for name in (crashing, *concurrent, *moved)]
             evidence.record(reports, now=float(incarnation))
         due = evidence.list_due(Quarantine(), at=10.0)
-        self.assertEqual({one.fingerprint for one in due}, {b"first", b"second"})
+        self.assertEqual({order.fingerprint for order in due}, {b"first", b"second"})
         for order in due:
             self.assertEqual(len(order.crashes), CRASHES_TO_QUARANTINE)
 
