--- a/chivetrack/components/traffic/validation.py
+++ b/chivetrack/components/traffic/validation.py
@@ -12,7 +12,7 @@
     services = {service.name for service in document.services}
     for number, route in enumerate(document.routes):
         _check_route(route, f"routes[{number}]", services, findings)
-    _check_places(document.routes, findings)
+    _check_duplicates(document.routes, findings)
     _check_keys(document, findings)
     return findings
 
@@ -35,7 +35,7 @@
             findings.add(f"{place}.shares", f"no service is named {share.service!r}", hint=hint)
 
 
-def _check_places(routes: Iterable[Route], findings: Findings) -> None:
+def _check_duplicates(routes: Iterable[Route], findings: Findings) -> None:
     seen: dict[tuple[str, str], int] = {}
     for number, route in enumerate(routes):
         place = (route.host.lower(), route.prefix)
