--- a/chivetrack/components/traffic/__init__.py
+++ b/chivetrack/components/traffic/__init__.py
@@ -1,1 +1,1 @@
-"""What operators configure for traffic: routes, services, workspaces, limits on callers."""
+"""The traffic configuration of operators: routes, services, workspaces, caller limits."""
--- a/chivetrack/components/traffic/models.py
+++ b/chivetrack/components/traffic/models.py
@@ -1,4 +1,4 @@
-"""The configuration document of a deployment, as the product sees it; times in seconds."""
+"""Models of a deployment's configuration document; times are in seconds."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated on a route."""
+    """The kind of a route's requests, which decides whether they may run more than once."""
 
     STREAM = "stream"
     IDEMPOTENT = "idempotent"
@@ -14,18 +14,18 @@
 
 
 class Share(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of a route's traffic that goes to one service."""
+    """One service of a route; ``weight`` sets its fraction of the route's traffic."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the requests of one host and path prefix go, and how they are treated.
+    """The services and rules for requests with one host and path prefix.
 
-    ``timeout_s`` bounds the whole request. ``target_s`` is the response time that callers
-    expect, for streams up to the first event, and ``longest_pause_s`` the pause between
-    events that they accept. ``priority`` 0 is served first.
+    ``timeout_s`` limits the whole request. ``target_s`` is the response time that callers
+    expect, for streams the time to the first event, and ``longest_pause_s`` the longest
+    pause between events that they accept. ``priority`` 0 is served first.
     """
 
     name: str
@@ -50,9 +50,11 @@
 
 
 class EngineProfile(msgspec.Struct, frozen=True, kw_only=True):
-    """What the model engines of a service can hold: requests in a batch and tokens.
+    """The capacity of the model engines of a service.
 
-    ``can_fetch``: an engine takes over cached parts of a prompt from another one.
+    ``slots`` is the number of requests in a batch, ``memory_tokens`` the number of tokens in
+    memory. ``can_fetch`` means that an engine can fetch cached parts of a prompt from another
+    engine.
     """
 
     slots: int
@@ -61,10 +63,10 @@
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
-    """A group of endpoints; ``engine`` is set where they are model engines.
+    """A group of endpoints; ``engine`` is set if they are model engines.
 
-    An endpoint that is cold bears ``cold_per_s`` requests a second, from all routers together;
-    0 stands for no limit.
+    A cold endpoint can handle ``cold_per_s`` requests per second from all routers together;
+    0 means no limit.
     """
 
     name: str
@@ -75,7 +77,7 @@
 
 
 class Workspace(msgspec.Struct, frozen=True, kw_only=True):
-    """A customer; ``priority`` goes before that of the route."""
+    """A customer; ``priority`` overrides that of the route."""
 
     name: str
     keys: tuple[str, ...]
@@ -83,7 +85,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller may send, and for how long it may take or stay idle."""
+    """Limits on the size of callers' requests, the time to send headers and idle time."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -92,7 +94,10 @@
 
 
 class Document(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of the whole configuration; ``workspaces`` is ``None`` without keys."""
+    """One version of the configuration.
+
+    ``workspaces`` is ``None`` if callers need no keys.
+    """
 
     version: int
     routes: tuple[Route, ...] = ()
--- a/chivetrack/components/traffic/requests.py
+++ b/chivetrack/components/traffic/requests.py
@@ -1,11 +1,11 @@
-"""What a router has to know of a caller's request, whatever form it came in."""
+"""Facts about requests and answers, independent of their format on the wire."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A piece of a prompt; requests that share it may reuse what an engine has cached."""
+    """A part of a prompt; requests with the same part can reuse an engine's cache of it."""
 
     part_id: str
     tokens: int
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestFacts:
-    """The facts that decisions use.
+    """The facts about a request that decisions use.
 
-    ``wait_s`` is how long the caller waits, ``None`` if it did not say. ``parts`` are in
-    the order of the prompt; the last one belongs to this request or its session alone.
+    ``wait_s`` is how long the caller waits, ``None`` if not stated. ``parts`` are in the
+    order of the prompt; the last part is specific to this request or its session.
     ``expected_tokens`` is the caller's estimate of the answer's length, 0 if unknown.
     """
 
@@ -32,19 +32,19 @@
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
-        """Return the parts that other requests may have too."""
+        """Return the parts that other requests may also contain."""
         return self.parts[:-1]
 
     @property
     def likely_output_tokens(self) -> int:
-        """Return the likely length of the answer, 0 if the caller said nothing of it."""
-        given = [one for one in (self.expected_tokens, self.max_output_tokens) if one > 0]
+        """Return the likely length of the answer in tokens, 0 if the caller gave none."""
+        given = [tokens for tokens in (self.expected_tokens, self.max_output_tokens) if tokens > 0]
         return min(given, default=0)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointLoadFacts:
-    """What an endpoint says of its load with an answer."""
+    """The load that an endpoint reports with an answer, in requests."""
 
     running: int
     waiting: int
@@ -53,12 +53,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AnswerFacts:
-    """What the head of an endpoint's answer says about the request.
+    """What the head of an endpoint's answer states about the request and the endpoint.
 
     ``is_sealed``: the answer carries the endpoint's mark of origin. ``did_not_run``: the
-    endpoint states that it did not run the request and never will. ``cold_s``: for how long
-    the endpoint stays cold, 0 if it does not say. ``is_leaving``: it must get no new requests.
-    ``pause_s``: for how long it must get no requests from this router, 0 without a pause.
+    endpoint did not run the request and never will. ``cold_s``: how long the endpoint stays
+    cold in seconds, 0 if not stated. ``is_leaving``: the endpoint must get no new requests.
+    ``pause_s``: how long it must get no requests from this router, 0 without a pause.
     """
 
     request_id: str | None
--- a/chivetrack/components/traffic/table.py
+++ b/chivetrack/components/traffic/table.py
@@ -4,7 +4,7 @@
 
 
 class RouteTable:
-    """An index over one document; it never changes."""
+    """An immutable index of one configuration document."""
 
     def __init__(self, *, document: Document) -> None:
         """Index the routes, keys and services of a document."""
@@ -22,14 +22,14 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Return whether requests on routes that are not public carry a key."""
+        """Return whether requests on routes that are not public must carry a key."""
         return self.document.workspaces is not None
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of the host with the longest prefix that begins the path.
+        """Return the route of the host with the longest prefix of ``path``, or ``None``.
 
-        ``host`` may carry a port; ``path`` is the raw path without a query. The cost
-        grows with the segments of the path, not with the number of routes.
+        ``host`` may include a port; ``path`` is the raw path without a query. The cost grows
+        with the number of path segments, not with the number of routes.
         """
         name = _strip_port(host).lower()
         end = path.rfind("/") + 1
@@ -41,11 +41,11 @@
         return None
 
     def find_workspace(self, key: str) -> Workspace | None:
-        """Return the workspace that holds a key."""
+        """Return the workspace that a key belongs to, or ``None``."""
         return self._workspaces.get(key)
 
     def find_service(self, name: str) -> Service | None:
-        """Return a service."""
+        """Return a service by name, or ``None``."""
         return self._services.get(name)
 
 
--- a/chivetrack/components/traffic/validation.py
+++ b/chivetrack/components/traffic/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a document beyond its types; all findings are reported together."""
+"""Validates a document beyond its types and reports all findings together."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 def check_document(document: Document) -> Findings:
-    """Return everything that is wrong with a document."""
+    """Return all findings about a document."""
     findings = Findings()
     services = {service.name for service in document.services}
     for number, route in enumerate(document.routes):
@@ -28,7 +28,9 @@
         findings.add(f"{place}.prefix", "must begin and end with a slash")
     weights = [share.weight for share in route.shares]
     if sum(weights) <= 0 or min(weights) < 0:
-        findings.add(f"{place}.shares", "the weights must not be negative and add up to over 0")
+        findings.add(
+            f"{place}.shares", "the weights must not be negative and must add up to more than 0"
+        )
     for share in route.shares:
         if share.service not in services:
             hint = suggest_name(share.service, services)
@@ -41,7 +43,7 @@
         place = (route.host.lower(), route.prefix)
         first = seen.setdefault(place, number)
         if first != number:
-            text = f"has the host and prefix of routes[{first}]"
+            text = f"has the same host and prefix as routes[{first}]"
             findings.add(f"routes[{number}]", text)
 
 
@@ -51,5 +53,5 @@
         for key in workspace.keys:
             holder = holders.setdefault(key, workspace.name)
             if holder != workspace.name:
-                text = f"has a key that {holder!r} has too"
+                text = f"has a key that {holder!r} also has"
                 findings.add(f"workspaces[{number}]", text)
--- a/tests/components/traffic/documents.py
+++ b/tests/components/traffic/documents.py
@@ -1,4 +1,4 @@
-"""Documents for tests."""
+"""Configuration documents for tests."""
 
 from typing import Any
 
--- a/tests/components/traffic/test_table.py
+++ b/tests/components/traffic/test_table.py
@@ -1,4 +1,4 @@
-"""Which route and workspace a request has, and which documents are refused."""
+"""Tests for finding routes and workspaces and for validating documents."""
 
 import unittest
 
@@ -45,10 +45,10 @@
 
 class CheckDocumentTest(unittest.TestCase):
     def test_all_findings_together(self) -> None:
-        """An operator's document has five faults; one answer names all of them.
+        """An operator's document has five faults, and one check reports all of them.
 
-        Reported one at a time, each mend would cost another round, and the last version
-        number that was tried would be used up.
+        If faults were reported one at a time, each fix would need another attempt, and each
+        attempt would use up a version number.
         """
         document = make_document(
             1,
@@ -71,7 +71,7 @@
             ],
         )
 
-    def test_sound_document(self) -> None:
+    def test_valid_document_has_no_findings(self) -> None:
         self.assertEqual(len(check_document(make_document())), 0)
 
 
