--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from chivetrack.components.slow_start.permits import FleetShare, PermitBook
+from chivetrack.components.slow_start.permits import FleetShare, PermitLedger
 from chivetrack.helpers.registry import Registry
 
 PER_S = 10.0
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class _Replica:
-    book: PermitBook = field(default_factory=lambda: PermitBook(started_at=-9.0))
+    book: PermitLedger = field(default_factory=lambda: PermitLedger(started_at=-9.0))
     share: FleetShare = field(default_factory=FleetShare)
 
 
--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -46,7 +46,7 @@
         return own / max(float(own), self._count_kept(now))
 
 
-class PermitBook:
+class PermitLedger:
     """Grants single requests to cold endpoints; free of I/O.
 
     It answers a zone that comes back cold in a burst, to hundreds of routers at once. Each
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -23,7 +23,7 @@
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.quarantine.models import Quarantine, QuarantineOrder
 from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
-from chivetrack.components.slow_start.permits import PermitBook
+from chivetrack.components.slow_start.permits import PermitLedger
 from chivetrack.daemon.fleet.call_gate import CallGate
 from chivetrack.daemon.fleet.const import FLUSH_S, STOP_CALLS_S, TIDY_EVERY_S, TRAFFIC_EVERY
 from chivetrack.daemon.fleet.desk import Desk
@@ -78,7 +78,7 @@
             list_replicas=self.host.list_instances,
             started_at=time.monotonic(),
         )
-        self._permits = PermitBook(started_at=time.monotonic())
+        self._permits = PermitLedger(started_at=time.monotonic())
         documents = DocumentDesk(
             instance_id=own,
             control_port=listeners.control.port,
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -6,7 +6,7 @@
 from benchmarks.slow_start import COLD_S, PER_S, find_most, play
 from chivetrack.components.slow_start.cold import ColdTable
 from chivetrack.components.slow_start.const import FLEET_HALVES_S, SETTLE_S
-from chivetrack.components.slow_start.permits import FleetShare, PermitBook
+from chivetrack.components.slow_start.permits import FleetShare, PermitLedger
 from tests.components.announcements.test_table import make_record
 
 # What an endpoint bears for a moment: half as many again, and five.
@@ -39,7 +39,7 @@
             share = FleetShare()
             share.note(62, now=0.0)
             share.note(31, now=5.0)
-            book = PermitBook(started_at=-9.0)
+            book = PermitLedger(started_at=-9.0)
             asked = sorted(rng.uniform(5.0, 8.0) for _ in range(900))
             times += [
                 at
@@ -50,16 +50,16 @@
 
     def test_replica_that_has_just_started_grants_nothing(self) -> None:
         """It knows of no other replica's routers yet and would take all permits for its own."""
-        book = PermitBook(started_at=10.0)
+        book = PermitLedger(started_at=10.0)
         self.assertGreater(book.ask("e", per_s=PER_S, share=1.0, now=10.0 + SETTLE_S / 2), 0)
         self.assertEqual(book.ask("e", per_s=PER_S, share=1.0, now=10.0 + SETTLE_S), 0)
 
     def test_endpoint_without_a_limit(self) -> None:
-        book = PermitBook(started_at=-9.0)
+        book = PermitLedger(started_at=-9.0)
         self.assertEqual([book.ask("e", per_s=0, share=0.2, now=0.0) for _ in range(9)], [0.0] * 9)
 
     def test_routers_that_wait_are_told_different_times(self) -> None:
-        book = PermitBook(started_at=-9.0)
+        book = PermitLedger(started_at=-9.0)
         waits = [book.ask("e", per_s=PER_S, share=0.5, now=0.0) for _ in range(4)]
         self.assertEqual(waits, sorted(set(waits)))
 
