--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -62,7 +62,7 @@
         self._settled_at = started_at + SETTLE_S
         self._turns: dict[str, _Turns] = {}
 
-    def ask(self, endpoint_id: str, *, per_s: float, share: float, now: float) -> float:
+    def request(self, endpoint_id: str, *, per_s: float, share: float, now: float) -> float:
         """Return 0 if a request may go out now, otherwise after how many seconds to ask again.
 
         ``per_s`` is what the endpoint bears from the whole fleet, 0 without a limit; ``share``
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -222,7 +222,7 @@
     def _answer_permit(self, source: str, asked: AskPermit) -> None:
         now = time.monotonic()
         share = self._publisher.find_share(now=now)
-        wait_s = self._permits.ask(asked.endpoint_id, per_s=asked.per_s, share=share, now=now)
+        wait_s = self._permits.request(asked.endpoint_id, per_s=asked.per_s, share=share, now=now)
         self.transport.answer(source, PermitAnswer(number=asked.number, wait_s=wait_s))
 
     def _send_documents(self, source: str, fetch: FetchDocument) -> None:
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -44,23 +44,25 @@
             times += [
                 at
                 for at in asked
-                if book.ask("e", per_s=PER_S, share=share.find(31, now=at), now=at) == 0
+                if book.request("e", per_s=PER_S, share=share.find(31, now=at), now=at) == 0
             ]
         self.assertLessEqual(find_most(sorted(times)), MOST_IN_A_SECOND)
 
     def test_replica_that_has_just_started_grants_nothing(self) -> None:
         """It knows of no other replica's routers yet and would take all permits for its own."""
         book = PermitLedger(started_at=10.0)
-        self.assertGreater(book.ask("e", per_s=PER_S, share=1.0, now=10.0 + SETTLE_S / 2), 0)
-        self.assertEqual(book.ask("e", per_s=PER_S, share=1.0, now=10.0 + SETTLE_S), 0)
+        self.assertGreater(book.request("e", per_s=PER_S, share=1.0, now=10.0 + SETTLE_S / 2), 0)
+        self.assertEqual(book.request("e", per_s=PER_S, share=1.0, now=10.0 + SETTLE_S), 0)
 
     def test_endpoint_without_a_limit(self) -> None:
         book = PermitLedger(started_at=-9.0)
-        self.assertEqual([book.ask("e", per_s=0, share=0.2, now=0.0) for _ in range(9)], [0.0] * 9)
+        self.assertEqual(
+            [book.request("e", per_s=0, share=0.2, now=0.0) for _ in range(9)], [0.0] * 9
+        )
 
     def test_routers_that_wait_are_told_different_times(self) -> None:
         book = PermitLedger(started_at=-9.0)
-        waits = [book.ask("e", per_s=PER_S, share=0.5, now=0.0) for _ in range(4)]
+        waits = [book.request("e", per_s=PER_S, share=0.5, now=0.0) for _ in range(4)]
         self.assertEqual(waits, sorted(set(waits)))
 
     def test_part_of_a_replica_follows_its_routers(self) -> None:
