--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -73,7 +73,7 @@
     for number, replica in enumerate(replicas):
         # The number of the others' routers is as old as the last exchange, or lost since.
         others = sum(1 for one in close if one != number) + rng.choice((-1, 0, 0, 1))
-        replica.share.note(close.count(number) + others, now=-rng.random())
+        replica.share.record(close.count(number) + others, now=-rng.random())
     wait_until = [0.0] * routers
 
     def allow(router: int, now: float) -> bool:
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -167,7 +167,7 @@
         news, self._news = self._news, []
         close = self._list_close(now)
         others = sum(one.exchange.routers for one in self._list_peers(now))
-        self._fleet_share.note(len(close) + others, now=now)
+        self._fleet_share.record(len(close) + others, now=now)
         return Exchange(
             routers=len(close),
             loads=_sum_loads(one.loads for one in close.values()),
--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -29,7 +29,7 @@
         self._fleet = 0.0
         self._at = 0.0
 
-    def note(self, routers: int, *, now: float) -> None:
+    def record(self, routers: int, *, now: float) -> None:
         """Take how many routers the fleet has, as far as this replica is told."""
         self._fleet = max(float(routers), self._count_kept(now))
         self._at = now
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -37,8 +37,8 @@
         times: list[float] = []
         for _ in range(2):
             share = FleetShare()
-            share.note(62, now=0.0)
-            share.note(31, now=5.0)
+            share.record(62, now=0.0)
+            share.record(31, now=5.0)
             book = PermitLedger(started_at=-9.0)
             asked = sorted(rng.uniform(5.0, 8.0) for _ in range(900))
             times += [
@@ -67,16 +67,16 @@
 
     def test_part_of_a_replica_follows_its_routers(self) -> None:
         share = FleetShare()
-        share.note(12, now=0.0)
+        share.record(12, now=0.0)
         self.assertEqual(share.find(3, now=0.0), 0.25)
-        share.note(6, now=FLEET_HALVES_S)
+        share.record(6, now=FLEET_HALVES_S)
         self.assertEqual(share.find(3, now=FLEET_HALVES_S), 0.5)
 
     def test_router_that_has_just_come_to_a_replica(self) -> None:
         """Its replica has counted no close router yet; told to wait for a second, it would
         leave the endpoint idle, although its part of the rate is free."""
         share = FleetShare()
-        share.note(3, now=0.0)
+        share.record(3, now=0.0)
         self.assertAlmostEqual(share.find(0, now=0.0), 1 / 3)
 
 
