--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -80,7 +80,7 @@
         if now < wait_until[router]:
             return False
         replica = replicas[close[router]]
-        share = replica.share.find(close.count(close[router]), now=now)
+        share = replica.share.compute(close.count(close[router]), now=now)
         wait_s = replica.book.request("e", per_s=PER_S, share=share, now=now)
         wait_until[router] = now + wait_s
         return wait_s == 0
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -195,7 +195,7 @@
 
     def find_share(self, *, now: float) -> float:
         """Return what part of the fleet's routers is close to this replica."""
-        return self._fleet_share.find(len(self._list_close(now)), now=now)
+        return self._fleet_share.compute(len(self._list_close(now)), now=now)
 
     def list_readers(self, version: int, *, now: float) -> list[str]:
         """Return where close routers hand out a document of this version or a newer one."""
--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -37,7 +37,7 @@
     def _count_kept(self, now: float) -> float:
         return self._fleet * 0.5 ** ((now - self._at) / FLEET_HALVES_S)
 
-    def find(self, close: int, *, now: float) -> float:
+    def compute(self, close: int, *, now: float) -> float:
         """Return the part that the routers close to this replica are now.
 
         Whoever asks is close, although it may have come so lately that nobody counted it.
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -44,7 +44,7 @@
             times += [
                 at
                 for at in asked
-                if book.request("e", per_s=PER_S, share=share.find(31, now=at), now=at) == 0
+                if book.request("e", per_s=PER_S, share=share.compute(31, now=at), now=at) == 0
             ]
         self.assertLessEqual(find_most(sorted(times)), MOST_IN_A_SECOND)
 
@@ -68,16 +68,16 @@
     def test_part_of_a_replica_follows_its_routers(self) -> None:
         share = FleetShare()
         share.record(12, now=0.0)
-        self.assertEqual(share.find(3, now=0.0), 0.25)
+        self.assertEqual(share.compute(3, now=0.0), 0.25)
         share.record(6, now=FLEET_HALVES_S)
-        self.assertEqual(share.find(3, now=FLEET_HALVES_S), 0.5)
+        self.assertEqual(share.compute(3, now=FLEET_HALVES_S), 0.5)
 
     def test_router_that_has_just_come_to_a_replica(self) -> None:
         """Its replica has counted no close router yet; told to wait for a second, it would
         leave the endpoint idle, although its part of the rate is free."""
         share = FleetShare()
         share.record(3, now=0.0)
-        self.assertAlmostEqual(share.find(0, now=0.0), 1 / 3)
+        self.assertAlmostEqual(share.compute(0, now=0.0), 1 / 3)
 
 
 class ColdTableTest(unittest.TestCase):
