--- a/chivetrack/components/slow_start/const.py
+++ b/chivetrack/components/slow_start/const.py
@@ -13,7 +13,7 @@
 MAX_WAIT_S: Final = 1.0
 """A router asks again after so long at the latest; endpoints are cold for a few seconds."""
 
-FLEET_HALVES_S: Final = 20.0
+FLEET_HALF_LIFE_S: Final = 20.0
 """A replica that is cut off sees its own routers alone. Were its part to grow at once, the
 parts of both sides together would exceed the rate. In a cut of 5 s they grow by a fifth."""
 
--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -4,7 +4,7 @@
 
 from chivetrack.components.slow_start.const import (
     EARLY_SHARE,
-    FLEET_HALVES_S,
+    FLEET_HALF_LIFE_S,
     MAX_WAIT_S,
     SETTLE_S,
 )
@@ -35,7 +35,7 @@
         self._at = now
 
     def _count_kept(self, now: float) -> float:
-        return self._fleet * 0.5 ** ((now - self._at) / FLEET_HALVES_S)
+        return self._fleet * 0.5 ** ((now - self._at) / FLEET_HALF_LIFE_S)
 
     def compute(self, close: int, *, now: float) -> float:
         """Return the part that the routers close to this replica are now.
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -5,7 +5,7 @@
 
 from benchmarks.slow_start import COLD_S, PER_S, find_most, play
 from chivetrack.components.slow_start.cold import ColdTable
-from chivetrack.components.slow_start.const import FLEET_HALVES_S, SETTLE_S
+from chivetrack.components.slow_start.const import FLEET_HALF_LIFE_S, SETTLE_S
 from chivetrack.components.slow_start.permits import FleetShare, PermitLedger
 from tests.components.announcements.test_table import make_record
 
@@ -69,8 +69,8 @@
         share = FleetShare()
         share.record(12, now=0.0)
         self.assertEqual(share.compute(3, now=0.0), 0.25)
-        share.record(6, now=FLEET_HALVES_S)
-        self.assertEqual(share.compute(3, now=FLEET_HALVES_S), 0.5)
+        share.record(6, now=FLEET_HALF_LIFE_S)
+        self.assertEqual(share.compute(3, now=FLEET_HALF_LIFE_S), 0.5)
 
     def test_router_that_has_just_come_to_a_replica(self) -> None:
         """Its replica has counted no close router yet; told to wait for a second, it would
