--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -7,7 +7,7 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.slow_start.cold import ColdTable
-from chivetrack.components.slow_start.const import HEARD_AGAIN_S, MAX_ASKS
+from chivetrack.components.slow_start.const import ASSUMED_COLD_S, MAX_ASKS
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -94,7 +94,7 @@
             return False
         returned = set(self.evacuations.list_evacuated()) - set(evacuations.list_evacuated())
         self.evacuations = evacuations
-        self.cold.assume(self.list_ids_in(returned), until=now + HEARD_AGAIN_S)
+        self.cold.assume(self.list_ids_in(returned), until=now + ASSUMED_COLD_S)
         self._sort()
         return True
 
--- a/chivetrack/components/slow_start/const.py
+++ b/chivetrack/components/slow_start/const.py
@@ -17,7 +17,7 @@
 """A replica that is cut off sees its own routers alone. Were its part to grow at once, the
 parts of both sides together would exceed the rate. In a cut of 5 s they grow by a fifth."""
 
-HEARD_AGAIN_S: Final = 2.6
+ASSUMED_COLD_S: Final = 2.6
 """Two heartbeats of 1.2 s: by then an endpoint has said whether it is cold."""
 
 ASK_TIMEOUT_S: Final = 0.05
