--- a/chivetrack/components/slow_start/const.py
+++ b/chivetrack/components/slow_start/const.py
@@ -23,7 +23,7 @@
 ASK_TIMEOUT_S: Final = 0.05
 """A router waits so long for its replica's answer before it sends a request elsewhere."""
 
-UNANSWERED_S: Final = 0.3
+NO_ANSWER_BACKOFF_S: Final = 0.3
 """A router whose replica did not answer leaves the endpoint out for so long."""
 
 MAX_ASKS: Final = 2
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-from chivetrack.components.slow_start.const import ASK_TIMEOUT_S, UNANSWERED_S
+from chivetrack.components.slow_start.const import ASK_TIMEOUT_S, NO_ANSWER_BACKOFF_S
 from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
 from chivetrack.daemon.fleet.fleet_view import FleetView
 from chivetrack.daemon.fleet.questions import Questions
@@ -48,14 +48,14 @@
     def _ask(self, endpoint_id: str, per_s: float) -> float:
         replica = self._find_replica()
         if not replica:
-            return UNANSWERED_S
+            return NO_ANSWER_BACKOFF_S
         answer = self._questions.ask(
             lambda number: self._send(
                 replica, AskPermit(number=number, endpoint_id=endpoint_id, per_s=per_s)
             ),
             timeout_s=ASK_TIMEOUT_S,
         )
-        return UNANSWERED_S if answer is None else answer.wait_s
+        return NO_ANSWER_BACKOFF_S if answer is None else answer.wait_s
 
     def take(self, answer: PermitAnswer) -> None:
         """Take a replica's answer; one that comes too late is dropped with its permit."""
