--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -7,7 +7,7 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.slow_start.cold import ColdTable
-from chivetrack.components.slow_start.const import ASSUMED_COLD_S, MAX_ASKS
+from chivetrack.components.slow_start.const import ASSUMED_COLD_S, MAX_PERMIT_REQUESTS
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -154,7 +154,7 @@
             return self._make_division(ready, evacuated, shut)
         cold = {one.endpoint_id for one in ready if self.cold.is_cold(one.endpoint_id, now)}
         shut |= {one for one in cold if self.cold.find_wait(one, now)}
-        if len(passed_over) >= MAX_ASKS:
+        if len(passed_over) >= MAX_PERMIT_REQUESTS:
             shut |= cold
         return self._make_division(ready, evacuated, shut)
 
--- a/chivetrack/components/slow_start/const.py
+++ b/chivetrack/components/slow_start/const.py
@@ -26,5 +26,5 @@
 NO_ANSWER_BACKOFF_S: Final = 0.3
 """A router whose replica did not answer leaves the endpoint out for so long."""
 
-MAX_ASKS: Final = 2
+MAX_PERMIT_REQUESTS: Final = 2
 """For one request; then it goes to an endpoint that is not cold."""
