--- a/chivetrack/components/slow_start/const.py
+++ b/chivetrack/components/slow_start/const.py
@@ -10,7 +10,7 @@
 """Of the time between two permits; one that nobody wanted in time may come so much before
 the next. More would let permits of several replicas pile up."""
 
-MAX_WAIT_S: Final = 1.0
+MAX_PERMIT_WAIT_S: Final = 1.0
 """A router asks again after so long at the latest; endpoints are cold for a few seconds."""
 
 FLEET_HALF_LIFE_S: Final = 20.0
--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -5,7 +5,7 @@
 from chivetrack.components.slow_start.const import (
     EARLY_SHARE,
     FLEET_HALF_LIFE_S,
-    MAX_WAIT_S,
+    MAX_PERMIT_WAIT_S,
     SETTLE_S,
 )
 
@@ -82,8 +82,8 @@
             return 0.0
         # Those who wait are told one turn after the other, or all would ask at the same time.
         turn_at = max(turns.told_until, turns.next_at)
-        if turn_at - now > MAX_WAIT_S:
-            return MAX_WAIT_S
+        if turn_at - now > MAX_PERMIT_WAIT_S:
+            return MAX_PERMIT_WAIT_S
         turns.told_until = turn_at + interval
         return turn_at - now
 
