--- a/chivetrack/components/slow_start/const.py
+++ b/chivetrack/components/slow_start/const.py
@@ -20,7 +20,7 @@
 ASSUMED_COLD_S: Final = 2.6
 """Two heartbeats of 1.2 s: by then an endpoint has said whether it is cold."""
 
-ASK_TIMEOUT_S: Final = 0.05
+PERMIT_TIMEOUT_S: Final = 0.05
 """A router waits so long for its replica's answer before it sends a request elsewhere."""
 
 NO_ANSWER_BACKOFF_S: Final = 0.3
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-from chivetrack.components.slow_start.const import ASK_TIMEOUT_S, NO_ANSWER_BACKOFF_S
+from chivetrack.components.slow_start.const import NO_ANSWER_BACKOFF_S, PERMIT_TIMEOUT_S
 from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
 from chivetrack.daemon.fleet.fleet_view import FleetView
 from chivetrack.daemon.fleet.questions import Questions
@@ -53,7 +53,7 @@
             lambda number: self._send(
                 replica, AskPermit(number=number, endpoint_id=endpoint_id, per_s=per_s)
             ),
-            timeout_s=ASK_TIMEOUT_S,
+            timeout_s=PERMIT_TIMEOUT_S,
         )
         return NO_ANSWER_BACKOFF_S if answer is None else answer.wait_s
 
