--- a/chivetrack/components/slow_start/const.py
+++ b/chivetrack/components/slow_start/const.py
@@ -6,7 +6,7 @@
 """After its start a replica grants nothing for so long: until the others have told it of the
 routers close to them, three rounds of the exchange, it would take its own part for all."""
 
-EARLY_SHARE: Final = 0.5
+MAX_EARLY_FRACTION: Final = 0.5
 """Of the time between two permits; one that nobody wanted in time may come so much before
 the next. More would let permits of several replicas pile up."""
 
--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from chivetrack.components.slow_start.const import (
-    EARLY_SHARE,
     FLEET_HALF_LIFE_S,
+    MAX_EARLY_FRACTION,
     MAX_PERMIT_WAIT_S,
     SETTLE_S,
 )
@@ -78,7 +78,7 @@
             self._forget_old(now)
             turns = self._turns[endpoint_id] = _Turns(now, now)
         if now >= turns.next_at:
-            turns.next_at = max(turns.next_at, now - EARLY_SHARE * interval) + interval
+            turns.next_at = max(turns.next_at, now - MAX_EARLY_FRACTION * interval) + interval
             return 0.0
         # Those who wait are told one turn after the other, or all would ask at the same time.
         turn_at = max(turns.told_until, turns.next_at)
