--- a/chivetrack/components/slow_start/const.py
+++ b/chivetrack/components/slow_start/const.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-SETTLE_S: Final = 1.0
+STARTUP_DELAY_S: Final = 1.0
 """After its start a replica grants nothing for so long: until the others have told it of the
 routers close to them, three rounds of the exchange, it would take its own part for all."""
 
--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -6,7 +6,7 @@
     FLEET_HALF_LIFE_S,
     MAX_EARLY_FRACTION,
     MAX_PERMIT_WAIT_S,
-    SETTLE_S,
+    STARTUP_DELAY_S,
 )
 
 # An endpoint that nobody has asked for since is forgotten.
@@ -59,7 +59,7 @@
 
     def __init__(self, *, started_at: float) -> None:
         """Take the start of this process."""
-        self._settled_at = started_at + SETTLE_S
+        self._settled_at = started_at + STARTUP_DELAY_S
         self._turns: dict[str, _Turns] = {}
 
     def request(self, endpoint_id: str, *, per_s: float, share: float, now: float) -> float:
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -5,7 +5,7 @@
 
 from benchmarks.slow_start import COLD_S, PER_S, find_most, play
 from chivetrack.components.slow_start.cold import ColdTable
-from chivetrack.components.slow_start.const import FLEET_HALF_LIFE_S, SETTLE_S
+from chivetrack.components.slow_start.const import FLEET_HALF_LIFE_S, STARTUP_DELAY_S
 from chivetrack.components.slow_start.permits import FleetShare, PermitLedger
 from tests.components.announcements.test_table import make_record
 
@@ -51,8 +51,10 @@
     def test_replica_that_has_just_started_grants_nothing(self) -> None:
         """It knows of no other replica's routers yet and would take all permits for its own."""
         book = PermitLedger(started_at=10.0)
-        self.assertGreater(book.request("e", per_s=PER_S, share=1.0, now=10.0 + SETTLE_S / 2), 0)
-        self.assertEqual(book.request("e", per_s=PER_S, share=1.0, now=10.0 + SETTLE_S), 0)
+        self.assertGreater(
+            book.request("e", per_s=PER_S, share=1.0, now=10.0 + STARTUP_DELAY_S / 2), 0
+        )
+        self.assertEqual(book.request("e", per_s=PER_S, share=1.0, now=10.0 + STARTUP_DELAY_S), 0)
 
     def test_endpoint_without_a_limit(self) -> None:
         book = PermitLedger(started_at=-9.0)
