--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -10,7 +10,7 @@
 )
 
 # An endpoint that nobody has asked for since is forgotten.
-_FORGET_AFTER_S = 10.0
+_EXPIRY_S = 10.0
 
 
 @dataclass(slots=True)
@@ -88,6 +88,6 @@
         return turn_at - now
 
     def _forget_old(self, now: float) -> None:
-        old = [name for name, turns in self._turns.items() if now - turns.next_at > _FORGET_AFTER_S]
+        old = [name for name, turns in self._turns.items() if now - turns.next_at > _EXPIRY_S]
         for name in old:
             del self._turns[name]
