--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -75,7 +75,7 @@
         interval = 1.0 / (per_s * share)
         turns = self._turns.get(endpoint_id)
         if turns is None:
-            self._forget_old(now)
+            self._prune_expired(now)
             turns = self._turns[endpoint_id] = _Turns(now, now)
         if now >= turns.next_at:
             turns.next_at = max(turns.next_at, now - MAX_EARLY_FRACTION * interval) + interval
@@ -87,7 +87,7 @@
         turns.told_until = turn_at + interval
         return turn_at - now
 
-    def _forget_old(self, now: float) -> None:
+    def _prune_expired(self, now: float) -> None:
         old = [name for name, turns in self._turns.items() if now - turns.next_at > _EXPIRY_S]
         for name in old:
             del self._turns[name]
