--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class _Turns:
+class _PermitSchedule:
     """When the next permit is due, and up to when turns were told to routers that wait."""
 
     next_at: float
@@ -60,7 +60,7 @@
     def __init__(self, *, started_at: float) -> None:
         """Take the start of this process."""
         self._settled_at = started_at + STARTUP_DELAY_S
-        self._turns: dict[str, _Turns] = {}
+        self._turns: dict[str, _PermitSchedule] = {}
 
     def request(self, endpoint_id: str, *, per_s: float, share: float, now: float) -> float:
         """Return 0 if a request may go out now, otherwise after how many seconds to ask again.
@@ -76,7 +76,7 @@
         turns = self._turns.get(endpoint_id)
         if turns is None:
             self._prune_expired(now)
-            turns = self._turns[endpoint_id] = _Turns(now, now)
+            turns = self._turns[endpoint_id] = _PermitSchedule(now, now)
         if now >= turns.next_at:
             turns.next_at = max(turns.next_at, now - MAX_EARLY_FRACTION * interval) + interval
             return 0.0
