--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -60,7 +60,7 @@
     def __init__(self, *, started_at: float) -> None:
         """Take the start of this process."""
         self._settled_at = started_at + STARTUP_DELAY_S
-        self._turns: dict[str, _PermitSchedule] = {}
+        self._schedules: dict[str, _PermitSchedule] = {}
 
     def request(self, endpoint_id: str, *, per_s: float, share: float, now: float) -> float:
         """Return 0 if a request may go out now, otherwise after how many seconds to ask again.
@@ -73,10 +73,10 @@
         if now < self._settled_at:
             return self._settled_at - now
         interval = 1.0 / (per_s * share)
-        turns = self._turns.get(endpoint_id)
+        turns = self._schedules.get(endpoint_id)
         if turns is None:
             self._prune_expired(now)
-            turns = self._turns[endpoint_id] = _PermitSchedule(now, now)
+            turns = self._schedules[endpoint_id] = _PermitSchedule(now, now)
         if now >= turns.next_at:
             turns.next_at = max(turns.next_at, now - MAX_EARLY_FRACTION * interval) + interval
             return 0.0
@@ -88,6 +88,6 @@
         return turn_at - now
 
     def _prune_expired(self, now: float) -> None:
-        old = [name for name, turns in self._turns.items() if now - turns.next_at > _EXPIRY_S]
+        old = [name for name, turns in self._schedules.items() if now - turns.next_at > _EXPIRY_S]
         for name in old:
-            del self._turns[name]
+            del self._schedules[name]
