--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -18,7 +18,7 @@
     """When the next permit is due, and up to when turns were told to routers that wait."""
 
     next_at: float
-    told_until: float
+    announced_until: float
 
 
 class FleetShare:
@@ -81,10 +81,10 @@
             turns.next_at = max(turns.next_at, now - MAX_EARLY_FRACTION * interval) + interval
             return 0.0
         # Those who wait are told one turn after the other, or all would ask at the same time.
-        turn_at = max(turns.told_until, turns.next_at)
+        turn_at = max(turns.announced_until, turns.next_at)
         if turn_at - now > MAX_PERMIT_WAIT_S:
             return MAX_PERMIT_WAIT_S
-        turns.told_until = turn_at + interval
+        turns.announced_until = turn_at + interval
         return turn_at - now
 
     def _prune_expired(self, now: float) -> None:
