--- a/chivetrack/components/slow_start/permits.py
+++ b/chivetrack/components/slow_start/permits.py
@@ -31,10 +31,10 @@
 
     def record(self, routers: int, *, now: float) -> None:
         """Take how many routers the fleet has, as far as this replica is told."""
-        self._fleet = max(float(routers), self._count_kept(now))
+        self._fleet = max(float(routers), self._get_decayed_count(now))
         self._at = now
 
-    def _count_kept(self, now: float) -> float:
+    def _get_decayed_count(self, now: float) -> float:
         return self._fleet * 0.5 ** ((now - self._at) / FLEET_HALF_LIFE_S)
 
     def compute(self, close: int, *, now: float) -> float:
@@ -43,7 +43,7 @@
         Whoever asks is close, although it may have come so lately that nobody counted it.
         """
         own = max(1, close)
-        return own / max(float(own), self._count_kept(now))
+        return own / max(float(own), self._get_decayed_count(now))
 
 
 class PermitLedger:
