--- a/chivetrack/components/slow_start/messages.py
+++ b/chivetrack/components/slow_start/messages.py
@@ -4,7 +4,7 @@
 
 
 @message("slow_start.ask")
-class AskPermit(Message, frozen=True, array_like=True):
+class PermitRequest(Message, frozen=True, array_like=True):
     """May one request go to a cold endpoint, of which all together may send ``per_s``?"""
 
     number: int
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from chivetrack.components.slow_start.const import NO_ANSWER_BACKOFF_S, PERMIT_TIMEOUT_S
-from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
+from chivetrack.components.slow_start.messages import PermitAnswer, PermitRequest
 from chivetrack.daemon.fleet.fleet_view import FleetView
 from chivetrack.daemon.fleet.questions import Questions
 from chivetrack.helpers.codec import Message
@@ -51,7 +51,7 @@
             return NO_ANSWER_BACKOFF_S
         answer = self._questions.ask(
             lambda number: self._send(
-                replica, AskPermit(number=number, endpoint_id=endpoint_id, per_s=per_s)
+                replica, PermitRequest(number=number, endpoint_id=endpoint_id, per_s=per_s)
             ),
             timeout_s=PERMIT_TIMEOUT_S,
         )
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -22,7 +22,7 @@
 from chivetrack.components.document.store import DocumentStore, StoredDocument, unpack_document
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.quarantine.models import Quarantine, QuarantineOrder
-from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
+from chivetrack.components.slow_start.messages import PermitAnswer, PermitRequest
 from chivetrack.components.slow_start.permits import PermitLedger
 from chivetrack.daemon.fleet.call_gate import CallGate
 from chivetrack.daemon.fleet.const import FLUSH_S, STOP_CALLS_S, TIDY_EVERY_S, TRAFFIC_EVERY
@@ -208,7 +208,7 @@
                 self._order_due_quarantines()
         elif isinstance(message, FetchDocument):
             self._send_documents(source, message)
-        elif isinstance(message, AskPermit):
+        elif isinstance(message, PermitRequest):
             self._answer_permit(source, message)
         elif isinstance(message, Exchange):
             self._publisher.take_exchange(source, message, now=time.monotonic())
@@ -219,7 +219,7 @@
         else:
             self._desk.take(source, message)
 
-    def _answer_permit(self, source: str, asked: AskPermit) -> None:
+    def _answer_permit(self, source: str, asked: PermitRequest) -> None:
         now = time.monotonic()
         share = self._publisher.find_share(now=now)
         wait_s = self._permits.request(asked.endpoint_id, per_s=asked.per_s, share=share, now=now)
--- a/tests/daemon/fleet/test_permits.py
+++ b/tests/daemon/fleet/test_permits.py
@@ -5,7 +5,7 @@
 
 import gevent
 
-from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
+from chivetrack.components.slow_start.messages import PermitAnswer, PermitRequest
 from chivetrack.components.traffic.models import Service
 from chivetrack.components.traffic.table import RouteTable
 from chivetrack.daemon.fleet.permits import PermitDesk
@@ -36,7 +36,7 @@
         )
 
     def send(self, target: str, message: Message) -> None:
-        assert isinstance(message, AskPermit)
+        assert isinstance(message, PermitRequest)
         self.asked.append(message.endpoint_id)
         wait_s = self.waits.get(message.endpoint_id, 0.0)
         if not self.is_lost:
