--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -6,7 +6,7 @@
 from chivetrack.components.announcements.models import EndpointRecord, EndpointState, Lifetime
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.evacuation.models import Evacuations
-from chivetrack.components.slow_start.cold import ColdTable
+from chivetrack.components.slow_start.cold import ColdEndpointTracker
 from chivetrack.components.slow_start.const import ASSUMED_COLD_S, MAX_PERMIT_REQUESTS
 
 
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         """Start with no endpoints and no evacuated zones."""
         self.table = EndpointTable()
-        self.cold = ColdTable()
+        self.cold = ColdEndpointTracker()
         self.evacuations = Evacuations()
         self._ready: dict[str, list[EndpointRecord]] = {}
         self._evacuated: dict[str, list[EndpointRecord]] = {}
--- a/chivetrack/components/slow_start/cold.py
+++ b/chivetrack/components/slow_start/cold.py
@@ -5,7 +5,7 @@
 from chivetrack.components.announcements.models import EndpointRecord
 
 
-class ColdTable:
+class ColdEndpointTracker:
     """Joins what endpoints say, what a zone's return suggests and what replicas refused."""
 
     def __init__(self) -> None:
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -4,7 +4,7 @@
 import unittest
 
 from benchmarks.slow_start import COLD_S, PER_S, find_most, play
-from chivetrack.components.slow_start.cold import ColdTable
+from chivetrack.components.slow_start.cold import ColdEndpointTracker
 from chivetrack.components.slow_start.const import FLEET_HALF_LIFE_S, STARTUP_DELAY_S
 from chivetrack.components.slow_start.permits import FleetShare, PermitLedger
 from tests.components.announcements.test_table import make_record
@@ -84,7 +84,7 @@
 
 class ColdTableTest(unittest.TestCase):
     def test_what_an_endpoint_says(self) -> None:
-        table = ColdTable()
+        table = ColdEndpointTracker()
         table.note_record(make_record(cold_s=2.0), now=10.0)
         self.assertTrue(table.is_cold("e1", 11.9))
         self.assertFalse(table.is_cold("e1", 12.0))
@@ -93,7 +93,7 @@
         self.assertFalse(table.is_cold("e1", 12.5))
 
     def test_endpoint_that_becomes_cold_again_and_says_so_in_an_answer(self) -> None:
-        table = ColdTable()
+        table = ColdEndpointTracker()
         table.note_record(make_record(), now=9.0)
         table.note_told("e1", 1.5, now=10.0)
         self.assertTrue(table.is_cold("e1", 11.4))
@@ -101,7 +101,7 @@
 
     def test_zone_that_is_taken_back(self) -> None:
         """Its endpoints became cold a moment ago, and their heartbeats say so a second late."""
-        table = ColdTable()
+        table = ColdEndpointTracker()
         table.note_record(make_record(), now=9.0)
         table.assume(["e1"], until=12.6)
         self.assertTrue(table.is_cold("e1", 10.0))
@@ -110,7 +110,7 @@
         self.assertFalse(table.is_cold("e1", 12.6))
 
     def test_refusal_holds_while_the_endpoint_is_cold(self) -> None:
-        table = ColdTable()
+        table = ColdEndpointTracker()
         table.note_refused("e1", until=13.0)
         self.assertEqual(table.find_wait("e1", 10.0), 0.0)
         table.note_record(make_record(cold_s=2.0), now=10.0)
