--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -47,7 +47,7 @@
             return ()
         changed = self.table.list_changes(self._seen_change)
         for record in changed:
-            self.cold.note_record(record, now=now)
+            self.cold.handle_record(record, now=now)
         self._seen_change = self.table.change
         self._sort()
         return changed
--- a/chivetrack/components/slow_start/cold.py
+++ b/chivetrack/components/slow_start/cold.py
@@ -14,7 +14,7 @@
         self._assumed: dict[str, float] = {}
         self._refused: dict[str, float] = {}
 
-    def note_record(self, record: EndpointRecord, *, now: float) -> None:
+    def handle_record(self, record: EndpointRecord, *, now: float) -> None:
         """Take an endpoint's newest statement."""
         if record.cold_s > 0:
             self.note_told(record.endpoint_id, record.cold_s, now=now)
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -85,16 +85,16 @@
 class ColdTableTest(unittest.TestCase):
     def test_what_an_endpoint_says(self) -> None:
         table = ColdEndpointTracker()
-        table.note_record(make_record(cold_s=2.0), now=10.0)
+        table.handle_record(make_record(cold_s=2.0), now=10.0)
         self.assertTrue(table.is_cold("e1", 11.9))
         self.assertFalse(table.is_cold("e1", 12.0))
-        table.note_record(make_record(2, cold_s=2.0), now=12.0)
-        table.note_record(make_record(3), now=12.5)
+        table.handle_record(make_record(2, cold_s=2.0), now=12.0)
+        table.handle_record(make_record(3), now=12.5)
         self.assertFalse(table.is_cold("e1", 12.5))
 
     def test_endpoint_that_becomes_cold_again_and_says_so_in_an_answer(self) -> None:
         table = ColdEndpointTracker()
-        table.note_record(make_record(), now=9.0)
+        table.handle_record(make_record(), now=9.0)
         table.note_told("e1", 1.5, now=10.0)
         self.assertTrue(table.is_cold("e1", 11.4))
         self.assertFalse(table.is_cold("e1", 11.5))
@@ -102,10 +102,10 @@
     def test_zone_that_is_taken_back(self) -> None:
         """Its endpoints became cold a moment ago, and their heartbeats say so a second late."""
         table = ColdEndpointTracker()
-        table.note_record(make_record(), now=9.0)
+        table.handle_record(make_record(), now=9.0)
         table.assume(["e1"], until=12.6)
         self.assertTrue(table.is_cold("e1", 10.0))
-        table.note_record(make_record(2), now=10.0)
+        table.handle_record(make_record(2), now=10.0)
         self.assertTrue(table.is_cold("e1", 10.1))
         self.assertFalse(table.is_cold("e1", 12.6))
 
@@ -113,7 +113,7 @@
         table = ColdEndpointTracker()
         table.note_refused("e1", until=13.0)
         self.assertEqual(table.find_wait("e1", 10.0), 0.0)
-        table.note_record(make_record(cold_s=2.0), now=10.0)
+        table.handle_record(make_record(cold_s=2.0), now=10.0)
         self.assertEqual(table.find_wait("e1", 10.5), 2.5)
 
 
