--- a/chivetrack/components/slow_start/cold.py
+++ b/chivetrack/components/slow_start/cold.py
@@ -17,11 +17,11 @@
     def handle_record(self, record: EndpointRecord, *, now: float) -> None:
         """Take an endpoint's newest statement."""
         if record.cold_s > 0:
-            self.note_told(record.endpoint_id, record.cold_s, now=now)
+            self.record_cold(record.endpoint_id, record.cold_s, now=now)
         else:
             self._told.pop(record.endpoint_id, None)
 
-    def note_told(self, endpoint_id: str, cold_s: float, *, now: float) -> None:
+    def record_cold(self, endpoint_id: str, cold_s: float, *, now: float) -> None:
         """Take an endpoint's word that it is cold, which an answer may bring early."""
         self._told[endpoint_id] = now + cold_s
 
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -244,7 +244,7 @@
     def note_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
         """Apply the endpoint state reported in the headers of an answer."""
         if facts.cold_s > 0:
-            self.directory.cold.note_told(record.endpoint_id, facts.cold_s, now=time.monotonic())
+            self.directory.cold.record_cold(record.endpoint_id, facts.cold_s, now=time.monotonic())
         if facts.pause_s > 0:
             self.directory.note_pause(record, until=time.monotonic() + facts.pause_s)
             self._events.write(
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -95,7 +95,7 @@
     def test_endpoint_that_becomes_cold_again_and_says_so_in_an_answer(self) -> None:
         table = ColdEndpointTracker()
         table.handle_record(make_record(), now=9.0)
-        table.note_told("e1", 1.5, now=10.0)
+        table.record_cold("e1", 1.5, now=10.0)
         self.assertTrue(table.is_cold("e1", 11.4))
         self.assertFalse(table.is_cold("e1", 11.5))
 
