--- a/chivetrack/components/slow_start/cold.py
+++ b/chivetrack/components/slow_start/cold.py
@@ -38,7 +38,7 @@
         until = max(self._told.get(endpoint_id, 0.0), self._assumed.get(endpoint_id, 0.0))
         return now < until
 
-    def note_refused(self, endpoint_id: str, *, until: float) -> None:
+    def record_refusal(self, endpoint_id: str, *, until: float) -> None:
         """Note until when no permit is to be asked for."""
         self._refused[endpoint_id] = until
 
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -36,7 +36,7 @@
         wait_s = self._ask(endpoint_id, self._view.find_cold_rate(service))
         if wait_s == 0:
             return True
-        self._view.directory.cold.note_refused(endpoint_id, until=time.monotonic() + wait_s)
+        self._view.directory.cold.record_refusal(endpoint_id, until=time.monotonic() + wait_s)
         self._events.write(
             "permit_refused",
             endpoint=endpoint_id,
--- a/tests/components/announcements/test_directory.py
+++ b/tests/components/announcements/test_directory.py
@@ -82,7 +82,7 @@
         for number in (1, 2, 3):
             self.merge(1, f"e{number}", "z1", cold_s=3.0)
         self.merge(1, "e4", "z1")
-        self.directory.cold.note_refused("e1", until=1.0)
+        self.directory.cold.record_refusal("e1", until=1.0)
         self.assertEqual(self.list_open(), ["e2", "e3", "e4"])
         self.assertEqual(self.list_open(passed_over=("e2",)), ["e3", "e4"])
         self.assertEqual(self.list_open(passed_over=("e1", "e2")), ["e4"])
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -111,7 +111,7 @@
 
     def test_refusal_holds_while_the_endpoint_is_cold(self) -> None:
         table = ColdEndpointTracker()
-        table.note_refused("e1", until=13.0)
+        table.record_refusal("e1", until=13.0)
         self.assertEqual(table.find_wait("e1", 10.0), 0.0)
         table.handle_record(make_record(cold_s=2.0), now=10.0)
         self.assertEqual(table.find_wait("e1", 10.5), 2.5)
