--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -94,7 +94,7 @@
             return False
         returned = set(self.evacuations.list_evacuated()) - set(evacuations.list_evacuated())
         self.evacuations = evacuations
-        self.cold.assume(self.list_ids_in(returned), until=now + ASSUMED_COLD_S)
+        self.cold.assume_cold(self.list_ids_in(returned), until=now + ASSUMED_COLD_S)
         self._sort()
         return True
 
--- a/chivetrack/components/slow_start/cold.py
+++ b/chivetrack/components/slow_start/cold.py
@@ -25,7 +25,7 @@
         """Take an endpoint's word that it is cold, which an answer may bring early."""
         self._told[endpoint_id] = now + cold_s
 
-    def assume(self, endpoint_ids: Iterable[str], *, until: float) -> None:
+    def assume_cold(self, endpoint_ids: Iterable[str], *, until: float) -> None:
         """Take endpoints as cold that may be so and have had no time to say it.
 
         A zone that is taken back is idle, so that every router would choose it at once, and
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -103,7 +103,7 @@
         """Its endpoints became cold a moment ago, and their heartbeats say so a second late."""
         table = ColdEndpointTracker()
         table.handle_record(make_record(), now=9.0)
-        table.assume(["e1"], until=12.6)
+        table.assume_cold(["e1"], until=12.6)
         self.assertTrue(table.is_cold("e1", 10.0))
         table.handle_record(make_record(2), now=10.0)
         self.assertTrue(table.is_cold("e1", 10.1))
