--- a/chivetrack/components/slow_start/cold.py
+++ b/chivetrack/components/slow_start/cold.py
@@ -48,7 +48,7 @@
             return 0.0
         return max(0.0, self._refused.get(endpoint_id, 0.0) - now)
 
-    def forget(self, endpoint_id: str) -> None:
+    def remove(self, endpoint_id: str) -> None:
         """Drop an endpoint that has gone."""
         for known in (self._told, self._assumed, self._refused):
             known.pop(endpoint_id, None)
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -235,7 +235,7 @@
         if record.state is EndpointState.LEFT:
             self.health.forget(record.endpoint_id)
             self.placement.forget(record.endpoint_id)
-            self.directory.cold.forget(record.endpoint_id)
+            self.directory.cold.remove(record.endpoint_id)
 
     def _notify_lifetime_end(self, endpoint_id: str, born: int, *, is_departure: bool) -> None:
         for listener in self.lifetime_end_listeners:
