--- a/chivetrack/components/slow_start/cold.py
+++ b/chivetrack/components/slow_start/cold.py
@@ -10,7 +10,7 @@
 
     def __init__(self) -> None:
         """Start with nothing cold."""
-        self._told: dict[str, float] = {}
+        self._reported_until: dict[str, float] = {}
         self._assumed: dict[str, float] = {}
         self._refused: dict[str, float] = {}
 
@@ -19,11 +19,11 @@
         if record.cold_s > 0:
             self.record_cold(record.endpoint_id, record.cold_s, now=now)
         else:
-            self._told.pop(record.endpoint_id, None)
+            self._reported_until.pop(record.endpoint_id, None)
 
     def record_cold(self, endpoint_id: str, cold_s: float, *, now: float) -> None:
         """Take an endpoint's word that it is cold, which an answer may bring early."""
-        self._told[endpoint_id] = now + cold_s
+        self._reported_until[endpoint_id] = now + cold_s
 
     def assume_cold(self, endpoint_ids: Iterable[str], *, until: float) -> None:
         """Take endpoints as cold that may be so and have had no time to say it.
@@ -35,7 +35,7 @@
 
     def is_cold(self, endpoint_id: str, now: float) -> bool:
         """Return whether an endpoint bears only a few requests a second."""
-        until = max(self._told.get(endpoint_id, 0.0), self._assumed.get(endpoint_id, 0.0))
+        until = max(self._reported_until.get(endpoint_id, 0.0), self._assumed.get(endpoint_id, 0.0))
         return now < until
 
     def record_refusal(self, endpoint_id: str, *, until: float) -> None:
@@ -50,5 +50,5 @@
 
     def remove(self, endpoint_id: str) -> None:
         """Drop an endpoint that has gone."""
-        for known in (self._told, self._assumed, self._refused):
+        for known in (self._reported_until, self._assumed, self._refused):
             known.pop(endpoint_id, None)
