--- a/chivetrack/components/slow_start/cold.py
+++ b/chivetrack/components/slow_start/cold.py
@@ -11,7 +11,7 @@
     def __init__(self) -> None:
         """Start with nothing cold."""
         self._reported_until: dict[str, float] = {}
-        self._assumed: dict[str, float] = {}
+        self._assumed_until: dict[str, float] = {}
         self._refused: dict[str, float] = {}
 
     def handle_record(self, record: EndpointRecord, *, now: float) -> None:
@@ -31,11 +31,13 @@
         A zone that is taken back is idle, so that every router would choose it at once, and
         its endpoints' next heartbeats are a second away.
         """
-        self._assumed.update(dict.fromkeys(endpoint_ids, until))
+        self._assumed_until.update(dict.fromkeys(endpoint_ids, until))
 
     def is_cold(self, endpoint_id: str, now: float) -> bool:
         """Return whether an endpoint bears only a few requests a second."""
-        until = max(self._reported_until.get(endpoint_id, 0.0), self._assumed.get(endpoint_id, 0.0))
+        until = max(
+            self._reported_until.get(endpoint_id, 0.0), self._assumed_until.get(endpoint_id, 0.0)
+        )
         return now < until
 
     def record_refusal(self, endpoint_id: str, *, until: float) -> None:
@@ -50,5 +52,5 @@
 
     def remove(self, endpoint_id: str) -> None:
         """Drop an endpoint that has gone."""
-        for known in (self._reported_until, self._assumed, self._refused):
+        for known in (self._reported_until, self._assumed_until, self._refused):
             known.pop(endpoint_id, None)
