--- a/chivetrack/components/slow_start/cold.py
+++ b/chivetrack/components/slow_start/cold.py
@@ -12,7 +12,7 @@
         """Start with nothing cold."""
         self._reported_until: dict[str, float] = {}
         self._assumed_until: dict[str, float] = {}
-        self._refused: dict[str, float] = {}
+        self._refused_until: dict[str, float] = {}
 
     def handle_record(self, record: EndpointRecord, *, now: float) -> None:
         """Take an endpoint's newest statement."""
@@ -42,15 +42,15 @@
 
     def record_refusal(self, endpoint_id: str, *, until: float) -> None:
         """Note until when no permit is to be asked for."""
-        self._refused[endpoint_id] = until
+        self._refused_until[endpoint_id] = until
 
     def find_wait(self, endpoint_id: str, now: float) -> float:
         """Return for how many seconds no permit is to be asked for, 0 if one may be."""
         if not self.is_cold(endpoint_id, now):
             return 0.0
-        return max(0.0, self._refused.get(endpoint_id, 0.0) - now)
+        return max(0.0, self._refused_until.get(endpoint_id, 0.0) - now)
 
     def remove(self, endpoint_id: str) -> None:
         """Drop an endpoint that has gone."""
-        for known in (self._reported_until, self._assumed_until, self._refused):
+        for known in (self._reported_until, self._assumed_until, self._refused_until):
             known.pop(endpoint_id, None)
