--- a/chivetrack/components/slow_start/__init__.py
+++ b/chivetrack/components/slow_start/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps what a whole fleet sends to a cold endpoint within what that one bears."""
+"""Limits the rate at which the fleet sends requests to each cold endpoint."""
--- a/chivetrack/components/slow_start/messages.py
+++ b/chivetrack/components/slow_start/messages.py
@@ -1,11 +1,15 @@
-"""A router's question for one request to a cold endpoint, and the answer."""
+"""Messages with which a router requests a permit from a replica, and the answer."""
 
 from chivetrack.helpers.codec import Message, message
 
 
 @message("slow_start.ask")
 class PermitRequest(Message, frozen=True, array_like=True):
-    """May one request go to a cold endpoint, of which all together may send ``per_s``?"""
+    """Requests a permit to send one request to a cold endpoint.
+
+    ``per_s`` is the limit in requests per second from the whole fleet. ``number`` assigns
+    the answer to its request.
+    """
 
     number: int
     endpoint_id: str
@@ -14,7 +18,7 @@
 
 @message("slow_start.answer")
 class PermitAnswer(Message, frozen=True, array_like=True):
-    """The answer: yes without ``wait_s``, otherwise ask again after that many seconds."""
+    """Grants the permit if ``wait_s`` is 0, else asks to retry after ``wait_s`` seconds."""
 
     number: int
     wait_s: float = 0.0
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -1,4 +1,4 @@
-"""What reaches a cold endpoint from fleets of several sizes, and what routers know of it."""
+"""Tests for the permits of cold endpoints and for tracking cold endpoints."""
 
 import random
 import unittest
@@ -9,29 +9,31 @@
 from chivetrack.components.slow_start.permits import FleetShare, PermitLedger
 from tests.components.announcements.test_table import make_record
 
-# What an endpoint bears for a moment: half as many again, and five.
+# Requests that a cold endpoint can handle within one second: 1.5 times its rate plus five.
 MOST_IN_A_SECOND = 1.5 * PER_S + 5
 
 
 class ColdEndpointTest(unittest.TestCase):
     def test_burst_on_an_idle_zone(self) -> None:
-        """A zone comes back cold in a burst; every router would choose its idle engines.
+        """A zone comes back cold during a burst, and every router would choose its idle engines.
 
-        Each sends a sliver, the sum crashes them. Whatever the number of routers, an engine
-        gets no more than it bears, and nearly as much where there is work.
+        Each router sends few requests, but their sum would crash the engines. With any number
+        of routers, an engine must get no more than it can handle, and nearly its full rate if
+        there are enough requests.
         """
         for routers in (9, 62, 200, 400):
-            for wanted_per_s in (60.0, 300.0):
-                with self.subTest(routers=routers, wanted_per_s=wanted_per_s):
-                    plays = [play("permits", routers, wanted_per_s, seed) for seed in range(40)]
-                    self.assertLessEqual(max(map(find_most, plays)), MOST_IN_A_SECOND)
-                    mean = sum(map(len, plays)) / len(plays) / COLD_S
+            for requested_per_s in (60.0, 300.0):
+                with self.subTest(routers=routers, requested_per_s=requested_per_s):
+                    runs = [play("permits", routers, requested_per_s, seed) for seed in range(40)]
+                    self.assertLessEqual(max(map(find_most, runs)), MOST_IN_A_SECOND)
+                    mean = sum(map(len, runs)) / len(runs) / COLD_S
                     self.assertGreaterEqual(mean, 0.8 * PER_S)
 
-    def test_fleet_that_is_cut_in_two(self) -> None:
-        """Replicas on both sides see their own routers alone, for 5 s.
+    def test_partitioned_fleet_stays_within_the_rate(self) -> None:
+        """Replicas on both sides of a partition know only their own routers for 5 s.
 
-        If each took its routers for all, both sides together would send twice the rate.
+        If each side took its routers for the whole fleet, both together would send twice the
+        rate.
         """
         rng = random.Random(1)
         times: list[float] = []
@@ -39,51 +41,51 @@
             share = FleetShare()
             share.record(62, now=0.0)
             share.record(31, now=5.0)
-            book = PermitLedger(started_at=-9.0)
-            asked = sorted(rng.uniform(5.0, 8.0) for _ in range(900))
+            ledger = PermitLedger(started_at=-9.0)
+            requested = sorted(rng.uniform(5.0, 8.0) for _ in range(900))
             times += [
                 at
-                for at in asked
-                if book.request("e", per_s=PER_S, share=share.compute(31, now=at), now=at) == 0
+                for at in requested
+                if ledger.request("e", per_s=PER_S, share=share.compute(31, now=at), now=at) == 0
             ]
         self.assertLessEqual(find_most(sorted(times)), MOST_IN_A_SECOND)
 
     def test_replica_that_has_just_started_grants_nothing(self) -> None:
-        """It knows of no other replica's routers yet and would take all permits for its own."""
-        book = PermitLedger(started_at=10.0)
+        """Without reports of other replicas it would grant the rate of the whole fleet."""
+        ledger = PermitLedger(started_at=10.0)
         self.assertGreater(
-            book.request("e", per_s=PER_S, share=1.0, now=10.0 + STARTUP_DELAY_S / 2), 0
+            ledger.request("e", per_s=PER_S, share=1.0, now=10.0 + STARTUP_DELAY_S / 2), 0
         )
-        self.assertEqual(book.request("e", per_s=PER_S, share=1.0, now=10.0 + STARTUP_DELAY_S), 0)
+        self.assertEqual(ledger.request("e", per_s=PER_S, share=1.0, now=10.0 + STARTUP_DELAY_S), 0)
 
-    def test_endpoint_without_a_limit(self) -> None:
-        book = PermitLedger(started_at=-9.0)
+    def test_endpoint_without_a_limit_gets_all_requests(self) -> None:
+        ledger = PermitLedger(started_at=-9.0)
         self.assertEqual(
-            [book.request("e", per_s=0, share=0.2, now=0.0) for _ in range(9)], [0.0] * 9
+            [ledger.request("e", per_s=0, share=0.2, now=0.0) for _ in range(9)], [0.0] * 9
         )
 
-    def test_routers_that_wait_are_told_different_times(self) -> None:
-        book = PermitLedger(started_at=-9.0)
-        waits = [book.request("e", per_s=PER_S, share=0.5, now=0.0) for _ in range(4)]
+    def test_waiting_routers_get_different_times(self) -> None:
+        ledger = PermitLedger(started_at=-9.0)
+        waits = [ledger.request("e", per_s=PER_S, share=0.5, now=0.0) for _ in range(4)]
         self.assertEqual(waits, sorted(set(waits)))
 
-    def test_part_of_a_replica_follows_its_routers(self) -> None:
+    def test_share_of_a_replica_follows_its_routers(self) -> None:
         share = FleetShare()
         share.record(12, now=0.0)
         self.assertEqual(share.compute(3, now=0.0), 0.25)
         share.record(6, now=FLEET_HALF_LIFE_S)
         self.assertEqual(share.compute(3, now=FLEET_HALF_LIFE_S), 0.5)
 
-    def test_router_that_has_just_come_to_a_replica(self) -> None:
-        """Its replica has counted no close router yet; told to wait for a second, it would
-        leave the endpoint idle, although its part of the rate is free."""
+    def test_newly_assigned_router_gets_a_share(self) -> None:
+        """The replica has not counted any assigned router yet. With a share of zero the router
+        would wait and leave the endpoint idle, although its share of the rate is unused."""
         share = FleetShare()
         share.record(3, now=0.0)
         self.assertAlmostEqual(share.compute(0, now=0.0), 1 / 3)
 
 
 class ColdTableTest(unittest.TestCase):
-    def test_what_an_endpoint_says(self) -> None:
+    def test_cold_time_follows_the_newest_record(self) -> None:
         table = ColdEndpointTracker()
         table.handle_record(make_record(cold_s=2.0), now=10.0)
         self.assertTrue(table.is_cold("e1", 11.9))
@@ -92,15 +94,15 @@
         table.handle_record(make_record(3), now=12.5)
         self.assertFalse(table.is_cold("e1", 12.5))
 
-    def test_endpoint_that_becomes_cold_again_and_says_so_in_an_answer(self) -> None:
+    def test_cold_endpoint_is_reported_by_an_answer(self) -> None:
         table = ColdEndpointTracker()
         table.handle_record(make_record(), now=9.0)
         table.record_cold("e1", 1.5, now=10.0)
         self.assertTrue(table.is_cold("e1", 11.4))
         self.assertFalse(table.is_cold("e1", 11.5))
 
-    def test_zone_that_is_taken_back(self) -> None:
-        """Its endpoints became cold a moment ago, and their heartbeats say so a second late."""
+    def test_endpoints_of_a_zone_taken_back_are_assumed_cold(self) -> None:
+        """The endpoints have just become cold, and their heartbeats report it a second later."""
         table = ColdEndpointTracker()
         table.handle_record(make_record(), now=9.0)
         table.assume_cold(["e1"], until=12.6)
