--- a/chivetrack/const.py
+++ b/chivetrack/const.py
@@ -1,4 +1,4 @@
-"""Constants that more than one component uses."""
+"""Constants used by more than one component."""
 
 from typing import Final
 
--- a/chivetrack/core.py
+++ b/chivetrack/core.py
@@ -1,7 +1,7 @@
-"""The shapes that every decision component shares.
+"""Base types of the decision components: events, effects and the component protocol.
 
-A decision component does no I/O: it takes events with the time handed in and returns
-effects. The daemon carries them out; a test or a bench may do so in its own way.
+A decision component does no I/O: it takes an event and the current time and returns
+effects. The daemon executes the effects; tests and benchmarks may execute them differently.
 """
 
 from collections.abc import Callable
@@ -15,17 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something that happened, as input to a decision component."""
+    """Base of the inputs of a decision component."""
 
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """Something to be done, as output of a decision component."""
+    """Base of the outputs of a decision component: actions for the daemon to execute."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MessageReceived(Event):
-    """A message came in from another instance."""
+    """A message from another instance has arrived."""
 
     source: str
     message: Message
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TimeReached(Event):
-    """The time of a ``WakeAt`` has come; an early or a repeated one does no harm."""
+    """The time of a ``WakeAt`` has come; early and repeated events are harmless."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SendMessage(Effect):
-    """Send a message to an instance; it may be lost, late, doubled or reordered."""
+    """Send a message to an instance; it may be lost, delayed, duplicated or reordered."""
 
     target: str
     message: Message
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WakeAt(Effect):
-    """Hand in a ``TimeReached`` at this time (seconds, the clock of ``now``)."""
+    """Request a ``TimeReached`` event at time ``at`` (seconds on the clock of ``now``)."""
 
     at: float
 
 
 class Component(Protocol):
-    """What every decision component offers to whoever drives it."""
+    """The interface of every decision component."""
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take one event at time ``now`` (seconds, never going back)."""
+        """Process one event and return the effects; ``now`` is monotonic time in seconds."""
         ...
--- a/chivetrack/exceptions.py
+++ b/chivetrack/exceptions.py
@@ -1,13 +1,14 @@
-"""Typed errors: what went wrong, whether the request ran, when to come back."""
+"""Errors of the project: faults as values, and exceptions."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Ran(StrEnum):
-    """Whether the work of a refused or failed request was done.
+    """Whether an endpoint ran a refused or failed request.
 
-    ``NO`` is a promise: no endpoint has received a byte of the request.
+    ``NO`` is a guarantee: every endpoint has either received no byte of the request or stated
+    that it did not run it.
     """
 
     NO = "no"
@@ -19,9 +20,9 @@
 class Fault:
     """An error as a value, the error side of an ``expression.Result``.
 
-    ``code`` is a stable name for programs, ``message`` a sentence for people,
-    ``status`` the HTTP status, ``retry_after_s`` seconds until a new attempt makes
-    sense (``None``: a new attempt as it stands would fail again).
+    ``code`` is a stable name for programs, ``message`` a sentence for people and ``status``
+    the HTTP status. ``retry_after_s`` is the time in seconds after which a retry may succeed;
+    ``None`` means that the same request would fail again.
     """
 
     code: str
@@ -32,11 +33,11 @@
 
 
 class ChivetrackError(Exception):
-    """Base of the errors that are raised rather than returned."""
+    """Base of the exceptions of the project."""
 
 
 class FaultError(ChivetrackError):
-    """Carries a fault through code that unwinds by exception."""
+    """Raises a fault through code that reports errors by exceptions."""
 
     def __init__(self, fault: Fault) -> None:
         """Wrap a fault."""
