--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from chivetrack.components.endpoints.judgement import Judgement, ServiceJudgement
+from chivetrack.components.endpoints.evaluation import Judgement, ServiceJudgement
 from chivetrack.components.endpoints.models import Announcement, Drain, EndpointState
 from chivetrack.components.endpoints.record import Record
 
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -14,8 +14,8 @@
     TOPIC_ENDPOINT,
     TOPIC_RENEWAL,
 )
+from chivetrack.components.endpoints.evaluation import judge_service
 from chivetrack.components.endpoints.explanation import explain_record, explain_unknown
-from chivetrack.components.endpoints.judgement import judge_service
 from chivetrack.components.endpoints.models import (
     Announcement,
     Drain,
