--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -25,12 +25,12 @@
     Receipt,
 )
 from chivetrack.components.endpoints.presence import find_drain, make_states, turn_presence
-from chivetrack.components.endpoints.record import OWN_WORD, Acceptance, Record, make_record
-from chivetrack.components.endpoints.spread import (
+from chivetrack.components.endpoints.publisher import (
     Spreader,
     read_endpoint_news,
     read_renewal_news,
 )
+from chivetrack.components.endpoints.record import OWN_WORD, Acceptance, Record, make_record
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.gossip.models import News
 from chivetrack.core import Effect, Event, TimeReached, Unsubscribe, WakeAt
