--- a/chivetrack/components/endpoints/evaluation.py
+++ b/chivetrack/components/endpoints/evaluation.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ServiceJudgement:
+class ServiceEvaluation:
     """The judgements on all endpoints of a service.
 
     ``is_degraded``: more endpoints look bad than may be taken out, so the least bad
@@ -28,7 +28,7 @@
     is_degraded: bool
 
 
-def judge_service(records: Iterable[Record], now: float) -> ServiceJudgement:
+def judge_service(records: Iterable[Record], now: float) -> ServiceEvaluation:
     """Judge the endpoints that are present in one service."""
     listed = list(records)
     judgements = {record.announcement.endpoint_id: _judge(record, now) for record in listed}
@@ -43,7 +43,7 @@
         endpoint_id = record.announcement.endpoint_id
         reason = f"kept in, too many look bad: {judgements[endpoint_id].reason}"
         judgements[endpoint_id] = Judgement(availability=Availability.READY, reason=reason)
-    return ServiceJudgement(judgements=judgements, is_degraded=len(doubtful) > allowed)
+    return ServiceEvaluation(judgements=judgements, is_degraded=len(doubtful) > allowed)
 
 
 def _judge(record: Record, now: float) -> Judgement:
--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from chivetrack.components.endpoints.evaluation import Judgement, ServiceJudgement
+from chivetrack.components.endpoints.evaluation import Judgement, ServiceEvaluation
 from chivetrack.components.endpoints.models import Announcement, Drain, EndpointState
 from chivetrack.components.endpoints.record import Record
 
@@ -45,7 +45,7 @@
     return went > stayed
 
 
-def make_states(records: Iterable[Record], judged: ServiceJudgement) -> tuple[EndpointState, ...]:
+def make_states(records: Iterable[Record], judged: ServiceEvaluation) -> tuple[EndpointState, ...]:
     """Return what the list shows of endpoints, in the order of their ids."""
     listed = sorted(records, key=lambda record: record.announcement.endpoint_id)
     return tuple(
