--- a/chivetrack/components/endpoints/evaluation.py
+++ b/chivetrack/components/endpoints/evaluation.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Judgement:
+class HealthDecision:
     """Whether one endpoint may be given new work, and why not."""
 
     availability: Availability
@@ -24,7 +24,7 @@
     of them are left in.
     """
 
-    judgements: dict[str, Judgement]
+    judgements: dict[str, HealthDecision]
     is_degraded: bool
 
 
@@ -42,34 +42,34 @@
     for record in doubtful[allowed:]:
         endpoint_id = record.announcement.endpoint_id
         reason = f"kept in, too many look bad: {judgements[endpoint_id].reason}"
-        judgements[endpoint_id] = Judgement(availability=Availability.READY, reason=reason)
+        judgements[endpoint_id] = HealthDecision(availability=Availability.READY, reason=reason)
     return ServiceEvaluation(judgements=judgements, is_degraded=len(doubtful) > allowed)
 
 
-def _judge(record: Record, now: float) -> Judgement:
+def _judge(record: Record, now: float) -> HealthDecision:
     if record.is_leaving:
         reason = f"leaving, on the word of {record.leaving_word}"
-        return Judgement(availability=Availability.LEAVING, reason=reason)
+        return HealthDecision(availability=Availability.LEAVING, reason=reason)
     if record.drained_by:
         reason = f"drained: {record.drained_by}"
-        return Judgement(availability=Availability.LEAVING, reason=reason)
+        return HealthDecision(availability=Availability.LEAVING, reason=reason)
     if now < record.refused_until:
         reason = "leaving, it refused work from this router"
-        return Judgement(availability=Availability.LEAVING, reason=reason)
+        return HealthDecision(availability=Availability.LEAVING, reason=reason)
     if now < record.flaps.held_until:
         reason = "came and went too often"
-        return Judgement(availability=Availability.HELD_BACK, reason=reason)
+        return HealthDecision(availability=Availability.HELD_BACK, reason=reason)
     if not record.breaker.lets_through:
-        return Judgement(availability=Availability.BROKEN, reason=record.breaker.reason)
-    return Judgement(availability=Availability.READY, reason=record.breaker.reason)
+        return HealthDecision(availability=Availability.BROKEN, reason=record.breaker.reason)
+    return HealthDecision(availability=Availability.READY, reason=record.breaker.reason)
 
 
-def _is_doubtful(judgements: dict[str, Judgement], record: Record) -> bool:
+def _is_doubtful(judgements: dict[str, HealthDecision], record: Record) -> bool:
     availability = judgements[record.announcement.endpoint_id].availability
     return availability in (Availability.HELD_BACK, Availability.BROKEN)
 
 
-def _is_leaving(judgements: dict[str, Judgement], record: Record) -> bool:
+def _is_leaving(judgements: dict[str, HealthDecision], record: Record) -> bool:
     return judgements[record.announcement.endpoint_id].availability is Availability.LEAVING
 
 
--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from chivetrack.components.endpoints.evaluation import Judgement, ServiceEvaluation
+from chivetrack.components.endpoints.evaluation import HealthDecision, ServiceEvaluation
 from chivetrack.components.endpoints.models import Announcement, Drain, EndpointState
 from chivetrack.components.endpoints.record import Record
 
@@ -53,7 +53,7 @@
     )
 
 
-def _show(record: Record, judgement: Judgement) -> EndpointState:
+def _show(record: Record, judgement: HealthDecision) -> EndpointState:
     """Return the state that was shown before if it would not differ."""
     shown = record.shown
     if shown is not None and record.shown_for is record.announcement:
@@ -65,7 +65,7 @@
     return record.shown
 
 
-def _make_state(record: Record, judgement: Judgement) -> EndpointState:
+def _make_state(record: Record, judgement: HealthDecision) -> EndpointState:
     announcement = record.announcement
     return EndpointState(
         endpoint_id=announcement.endpoint_id,
