--- a/chivetrack/components/endpoints/evaluation.py
+++ b/chivetrack/components/endpoints/evaluation.py
@@ -28,7 +28,7 @@
     is_degraded: bool
 
 
-def judge_service(records: Iterable[Record], now: float) -> ServiceEvaluation:
+def evaluate_service(records: Iterable[Record], now: float) -> ServiceEvaluation:
     """Judge the endpoints that are present in one service."""
     listed = list(records)
     judgements = {record.announcement.endpoint_id: _judge(record, now) for record in listed}
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -14,7 +14,7 @@
     TOPIC_ENDPOINT,
     TOPIC_RENEWAL,
 )
-from chivetrack.components.endpoints.evaluation import judge_service
+from chivetrack.components.endpoints.evaluation import evaluate_service
 from chivetrack.components.endpoints.explanation import explain_record, explain_unknown
 from chivetrack.components.endpoints.models import (
     Announcement,
@@ -263,7 +263,7 @@
         degraded = set(self._degraded)
         for service in services:
             listed = [record for record in self._records.values() if _is_listed(record, service)]
-            judged = judge_service(listed, now)
+            judged = evaluate_service(listed, now)
             lists[service] = make_states(listed, judged)
             degraded.discard(service)
             if judged.is_degraded:
