--- a/chivetrack/components/endpoints/evaluation.py
+++ b/chivetrack/components/endpoints/evaluation.py
@@ -24,16 +24,16 @@
     of them are left in.
     """
 
-    judgements: dict[str, HealthDecision]
+    decisions: dict[str, HealthDecision]
     is_degraded: bool
 
 
 def evaluate_service(records: Iterable[Record], now: float) -> ServiceEvaluation:
     """Judge the endpoints that are present in one service."""
     listed = list(records)
-    judgements = {record.announcement.endpoint_id: _judge(record, now) for record in listed}
-    doubtful = [record for record in listed if _is_doubtful(judgements, record)]
-    staying = sum(1 for record in listed if not _is_leaving(judgements, record))
+    decisions = {record.announcement.endpoint_id: _judge(record, now) for record in listed}
+    doubtful = [record for record in listed if _is_doubtful(decisions, record)]
+    staying = sum(1 for record in listed if not _is_leaving(decisions, record))
     # Bad requests, a bad link of this router or a wrong probe make all endpoints look
     # bad; with all of them out every caller would be refused. Beyond the cap the least
     # bad stay in.
@@ -41,9 +41,9 @@
     doubtful.sort(key=lambda record: _rank_badness(record, now), reverse=True)
     for record in doubtful[allowed:]:
         endpoint_id = record.announcement.endpoint_id
-        reason = f"kept in, too many look bad: {judgements[endpoint_id].reason}"
-        judgements[endpoint_id] = HealthDecision(availability=Availability.READY, reason=reason)
-    return ServiceEvaluation(judgements=judgements, is_degraded=len(doubtful) > allowed)
+        reason = f"kept in, too many look bad: {decisions[endpoint_id].reason}"
+        decisions[endpoint_id] = HealthDecision(availability=Availability.READY, reason=reason)
+    return ServiceEvaluation(decisions=decisions, is_degraded=len(doubtful) > allowed)
 
 
 def _judge(record: Record, now: float) -> HealthDecision:
@@ -64,13 +64,13 @@
     return HealthDecision(availability=Availability.READY, reason=record.breaker.reason)
 
 
-def _is_doubtful(judgements: dict[str, HealthDecision], record: Record) -> bool:
-    availability = judgements[record.announcement.endpoint_id].availability
+def _is_doubtful(decisions: dict[str, HealthDecision], record: Record) -> bool:
+    availability = decisions[record.announcement.endpoint_id].availability
     return availability in (Availability.HELD_BACK, Availability.BROKEN)
 
 
-def _is_leaving(judgements: dict[str, HealthDecision], record: Record) -> bool:
-    return judgements[record.announcement.endpoint_id].availability is Availability.LEAVING
+def _is_leaving(decisions: dict[str, HealthDecision], record: Record) -> bool:
+    return decisions[record.announcement.endpoint_id].availability is Availability.LEAVING
 
 
 def _rank_badness(record: Record, now: float) -> tuple[bool, int, float, str]:
--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -49,7 +49,7 @@
     """Return what the list shows of endpoints, in the order of their ids."""
     listed = sorted(records, key=lambda record: record.announcement.endpoint_id)
     return tuple(
-        _show(record, judged.judgements[record.announcement.endpoint_id]) for record in listed
+        _show(record, judged.decisions[record.announcement.endpoint_id]) for record in listed
     )
 
 
