--- a/chivetrack/components/endpoints/breaker.py
+++ b/chivetrack/components/endpoints/breaker.py
@@ -77,7 +77,7 @@
             self._open(f"the probe failed ({kind.value})", now)
             return
         if self.state is BreakerState.CLOSED:
-            self._judge(kind, now)
+            self._evaluate(kind, now)
 
     def _record_success(self, now: float) -> None:
         self.failures_in_row = 0
@@ -88,7 +88,7 @@
         if self.state is BreakerState.CLOSED and now - self.since > WINDOW_S:
             self._openings = 0
 
-    def _judge(self, kind: OutcomeKind, now: float) -> None:
+    def _evaluate(self, kind: OutcomeKind, now: float) -> None:
         limit = CONNECT_FAILURES if kind is OutcomeKind.CONNECT else FAILURES
         if self.failures_in_row >= limit:
             self._open(f"{self.failures_in_row} failures in a row ({kind.value})", now)
--- a/chivetrack/components/endpoints/evaluation.py
+++ b/chivetrack/components/endpoints/evaluation.py
@@ -31,7 +31,7 @@
 def evaluate_service(records: Iterable[Record], now: float) -> ServiceEvaluation:
     """Judge the endpoints that are present in one service."""
     listed = list(records)
-    decisions = {record.announcement.endpoint_id: _judge(record, now) for record in listed}
+    decisions = {record.announcement.endpoint_id: _evaluate(record, now) for record in listed}
     doubtful = [record for record in listed if _is_doubtful(decisions, record)]
     staying = sum(1 for record in listed if not _is_leaving(decisions, record))
     # Bad requests, a bad link of this router or a wrong probe make all endpoints look
@@ -46,7 +46,7 @@
     return ServiceEvaluation(decisions=decisions, is_degraded=len(doubtful) > allowed)
 
 
-def _judge(record: Record, now: float) -> HealthDecision:
+def _evaluate(record: Record, now: float) -> HealthDecision:
     if record.is_leaving:
         reason = f"leaving, on the word of {record.leaving_word}"
         return HealthDecision(availability=Availability.LEAVING, reason=reason)
