--- a/chivetrack/components/endpoints/evaluation.py
+++ b/chivetrack/components/endpoints/evaluation.py
@@ -32,7 +32,7 @@
     """Judge the endpoints that are present in one service."""
     listed = list(records)
     decisions = {record.announcement.endpoint_id: _evaluate(record, now) for record in listed}
-    doubtful = [record for record in listed if _is_doubtful(decisions, record)]
+    doubtful = [record for record in listed if _is_suspect(decisions, record)]
     staying = sum(1 for record in listed if not _is_leaving(decisions, record))
     # Bad requests, a bad link of this router or a wrong probe make all endpoints look
     # bad; with all of them out every caller would be refused. Beyond the cap the least
@@ -64,7 +64,7 @@
     return HealthDecision(availability=Availability.READY, reason=record.breaker.reason)
 
 
-def _is_doubtful(decisions: dict[str, HealthDecision], record: Record) -> bool:
+def _is_suspect(decisions: dict[str, HealthDecision], record: Record) -> bool:
     availability = decisions[record.announcement.endpoint_id].availability
     return availability in (Availability.HELD_BACK, Availability.BROKEN)
 
