--- a/chivetrack/components/endpoints/evaluation.py
+++ b/chivetrack/components/endpoints/evaluation.py
@@ -38,7 +38,7 @@
     # bad; with all of them out every caller would be refused. Beyond the cap the least
     # bad stay in.
     allowed = int(MAX_OUT_SHARE * staying)
-    doubtful.sort(key=lambda record: _rank_badness(record, now), reverse=True)
+    doubtful.sort(key=lambda record: _get_severity(record, now), reverse=True)
     for record in doubtful[allowed:]:
         endpoint_id = record.announcement.endpoint_id
         reason = f"kept in, too many look bad: {decisions[endpoint_id].reason}"
@@ -73,7 +73,7 @@
     return decisions[record.announcement.endpoint_id].availability is Availability.LEAVING
 
 
-def _rank_badness(record: Record, now: float) -> tuple[bool, int, float, str]:
+def _get_severity(record: Record, now: float) -> tuple[bool, int, float, str]:
     """Return a sort key; broken is worse than held back, and ties go by name."""
     return (
         not record.breaker.lets_through,
