--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -23,7 +23,7 @@
 from chivetrack.helpers.codec import DecodeError, decode, encode
 
 
-class Spreader:
+class AnnouncementPublisher:
     """Publishes what this router heard from endpoints directly."""
 
     def __init__(self, *, gossip: Gossip, instance_id: str) -> None:
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -26,7 +26,7 @@
 )
 from chivetrack.components.endpoints.presence import find_drain, make_states, turn_presence
 from chivetrack.components.endpoints.publisher import (
-    Spreader,
+    AnnouncementPublisher,
     read_endpoint_news,
     read_renewal_news,
 )
@@ -44,7 +44,7 @@
         """Create an empty registry and listen to gossip."""
         self._records: dict[str, Record] = {}
         self._by_hash: dict[int, Record] = {}
-        self._spreader = Spreader(gossip=gossip, instance_id=instance_id)
+        self._spreader = AnnouncementPublisher(gossip=gossip, instance_id=instance_id)
         self._instance_id = instance_id
         self._drains: tuple[Drain, ...] = ()
         self._lists: dict[str, tuple[EndpointState, ...]] = {}
