--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -44,7 +44,7 @@
         """Create an empty registry and listen to gossip."""
         self._records: dict[str, Record] = {}
         self._by_hash: dict[int, Record] = {}
-        self._spreader = AnnouncementPublisher(gossip=gossip, instance_id=instance_id)
+        self._publisher = AnnouncementPublisher(gossip=gossip, instance_id=instance_id)
         self._instance_id = instance_id
         self._drains: tuple[Drain, ...] = ()
         self._lists: dict[str, tuple[EndpointState, ...]] = {}
@@ -114,7 +114,7 @@
                 )
             )
         record.direct_at = now
-        self._spreader.spread_body(record, now=now)
+        self._publisher.spread_body(record, now=now)
         self._update([record], now)
         return Ok(
             Receipt(
@@ -209,8 +209,8 @@
             record.breaker.tick(now)
         self._update(self._records.values(), now)
         self._withdraw_outdated(now)
-        self._spreader.spread_pending(self._records.values(), now=now)
-        self._spreader.spread_renewals(self._records.values(), now=now)
+        self._publisher.spread_pending(self._records.values(), now=now)
+        self._publisher.spread_renewals(self._records.values(), now=now)
         self._forget_old(now)
 
     def _withdraw_outdated(self, now: float) -> None:
@@ -220,10 +220,10 @@
                 continue
             is_gone = now >= record.lease_until + RETRACT_AFTER_S
             if is_gone or own.incarnation < record.announcement.incarnation:
-                self._spreader.retract_body(record, now=now)
+                self._publisher.retract_body(record, now=now)
             # A router that starts now would take the older "ready" from here.
             elif own.state is not record.announcement.state:
-                self._spreader.spread_body(record, now=now)
+                self._publisher.spread_body(record, now=now)
 
     def _forget_old(self, now: float) -> None:
         gone = [record for record in self._records.values() if not record.present]
