--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -34,7 +34,7 @@
         self._newest_direct = float("-inf")
         self._spread_any = False
 
-    def spread_body(self, record: Record, *, now: float) -> None:
+    def publish_announcement(self, record: Record, *, now: float) -> None:
         """Publish an announcement unless some instance already does."""
         if any(carried == record.announcement for carried in record.carriers.values()):
             self._retract_other(record, now=now)
@@ -61,7 +61,7 @@
         for record in records:
             is_live = now < record.direct_at + record.announcement.lease_s
             if is_live:
-                self.spread_body(record, now=now)
+                self.publish_announcement(record, now=now)
 
     def _retract_other(self, record: Record, *, now: float) -> None:
         if record.carriers.get(self._instance_id, record.announcement) != record.announcement:
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -114,7 +114,7 @@
                 )
             )
         record.direct_at = now
-        self._publisher.spread_body(record, now=now)
+        self._publisher.publish_announcement(record, now=now)
         self._update([record], now)
         return Ok(
             Receipt(
@@ -223,7 +223,7 @@
                 self._publisher.retract_body(record, now=now)
             # A router that starts now would take the older "ready" from here.
             elif own.state is not record.announcement.state:
-                self._publisher.spread_body(record, now=now)
+                self._publisher.publish_announcement(record, now=now)
 
     def _forget_old(self, now: float) -> None:
         gone = [record for record in self._records.values() if not record.present]
