--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -56,7 +56,7 @@
         if published.is_ok():
             record.carriers[self._instance_id] = announcement
 
-    def spread_pending(self, records: Iterable[Record], *, now: float) -> None:
+    def publish_pending(self, records: Iterable[Record], *, now: float) -> None:
         """Publish what nobody does, as far as the backlog allows."""
         for record in records:
             is_live = now < record.direct_at + record.announcement.lease_s
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -209,7 +209,7 @@
             record.breaker.tick(now)
         self._update(self._records.values(), now)
         self._withdraw_outdated(now)
-        self._publisher.spread_pending(self._records.values(), now=now)
+        self._publisher.publish_pending(self._records.values(), now=now)
         self._publisher.spread_renewals(self._records.values(), now=now)
         self._forget_old(now)
 
