--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -74,7 +74,7 @@
         endpoint_id = record.announcement.endpoint_id
         self._gossip.retract(TOPIC_ENDPOINT, endpoint_id, Urgency.REST, now=now)
 
-    def spread_renewals(self, records: Iterable[Record], *, now: float) -> None:
+    def publish_renewals(self, records: Iterable[Record], *, now: float) -> None:
         """Publish whose latest announcement came here, if that changed or is due again."""
         if now < self._renewals_at + RENEWALS_EVERY_S:
             return
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -210,7 +210,7 @@
         self._update(self._records.values(), now)
         self._withdraw_outdated(now)
         self._publisher.publish_pending(self._records.values(), now=now)
-        self._publisher.spread_renewals(self._records.values(), now=now)
+        self._publisher.publish_renewals(self._records.values(), now=now)
         self._forget_old(now)
 
     def _withdraw_outdated(self, now: float) -> None:
