--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -65,9 +65,9 @@
 
     def _retract_other(self, record: Record, *, now: float) -> None:
         if record.carriers.get(self._instance_id, record.announcement) != record.announcement:
-            self.retract_body(record, now=now)
+            self.retract_announcement(record, now=now)
 
-    def retract_body(self, record: Record, *, now: float) -> None:
+    def retract_announcement(self, record: Record, *, now: float) -> None:
         """Take back what this router publishes of an endpoint."""
         if record.carriers.pop(self._instance_id, None) is None:
             return
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -220,7 +220,7 @@
                 continue
             is_gone = now >= record.lease_until + RETRACT_AFTER_S
             if is_gone or own.incarnation < record.announcement.incarnation:
-                self._publisher.retract_body(record, now=now)
+                self._publisher.retract_announcement(record, now=now)
             # A router that starts now would take the older "ready" from here.
             elif own.state is not record.announcement.state:
                 self._publisher.publish_announcement(record, now=now)
