--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -37,7 +37,7 @@
     def publish_announcement(self, record: Record, *, now: float) -> None:
         """Publish an announcement unless some instance already does."""
         if any(carried == record.announcement for carried in record.carriers.values()):
-            self._retract_other(record, now=now)
+            self._retract_outdated(record, now=now)
             return
         # After a start hundreds of endpoints announce themselves to one router after the
         # other. If each of these published them all, what is doubled would fill the budget
@@ -63,7 +63,7 @@
             if is_live:
                 self.publish_announcement(record, now=now)
 
-    def _retract_other(self, record: Record, *, now: float) -> None:
+    def _retract_outdated(self, record: Record, *, now: float) -> None:
         if record.carriers.get(self._instance_id, record.announcement) != record.announcement:
             self.retract_announcement(record, now=now)
 
