--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -117,7 +117,7 @@
     return Renewal(record.endpoint_hash, round((now - record.direct_at) * 10))
 
 
-def read_endpoint_news(news: News) -> Announcement | None:
+def decode_announcement(news: News) -> Announcement | None:
     """Return the announcement in a piece of news, ``None`` if it can't be read."""
     try:
         body = decode("endpoints.body", news.payload or b"")
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -27,7 +27,7 @@
 from chivetrack.components.endpoints.presence import find_drain, make_states, turn_presence
 from chivetrack.components.endpoints.publisher import (
     AnnouncementPublisher,
-    read_endpoint_news,
+    decode_announcement,
     read_renewal_news,
 )
 from chivetrack.components.endpoints.record import OWN_WORD, Acceptance, Record, make_record
@@ -166,7 +166,7 @@
             if record is not None:
                 record.carriers.pop(news.origin, None)
             return
-        body = read_endpoint_news(news)
+        body = decode_announcement(news)
         if body is None:
             return
         at = news.now - news.age_s
