--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -126,7 +126,7 @@
         return None
 
 
-def read_renewal_news(news: News) -> Renewals | None:
+def decode_renewals(news: News) -> Renewals | None:
     """Return the renewals in a piece of news, ``None`` if they can't be read."""
     try:
         renewals = decode("endpoints.renewals", news.payload or b"")
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -28,7 +28,7 @@
 from chivetrack.components.endpoints.publisher import (
     AnnouncementPublisher,
     decode_announcement,
-    read_renewal_news,
+    decode_renewals,
 )
 from chivetrack.components.endpoints.record import OWN_WORD, Acceptance, Record, make_record
 from chivetrack.components.gossip.gossip import Gossip
@@ -176,7 +176,7 @@
         self._update([record], news.now, soon=not record.present)
 
     def _receive_renewals(self, news: News) -> None:
-        renewals = read_renewal_news(news)
+        renewals = decode_renewals(news)
         if renewals is None:
             return
         renewed: list[Record] = []
