--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -32,7 +32,7 @@
         self._instance_id = instance_id
         self._renewals_at = float("-inf")
         self._newest_direct = float("-inf")
-        self._spread_any = False
+        self._has_published_renewals = False
 
     def publish_announcement(self, record: Record, *, now: float) -> None:
         """Publish an announcement unless some instance already does."""
@@ -80,12 +80,14 @@
             return
         mine = [record for record in records if _is_newest_here(record, now)]
         newest = max((record.direct_at for record in mine), default=float("-inf"))
-        is_due = now >= self._renewals_at + RENEWALS_REPEAT_S and (mine or self._spread_any)
+        is_due = now >= self._renewals_at + RENEWALS_REPEAT_S and (
+            mine or self._has_published_renewals
+        )
         if newest <= self._newest_direct and not is_due:
             return
         self._renewals_at = now
         self._newest_direct = max(self._newest_direct, newest)
-        self._spread_any = bool(mine)
+        self._has_published_renewals = bool(mine)
         renewals = tuple(_make_renewal(record, now) for record in mine)
         for index, chunk in enumerate(_chunk(renewals)):
             payload = encode(Renewals(chunk))
