--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -30,7 +30,7 @@
         """Create a spreader that has published nothing."""
         self._gossip = gossip
         self._instance_id = instance_id
-        self._renewals_at = float("-inf")
+        self._renewals_published_at = float("-inf")
         self._newest_direct = float("-inf")
         self._has_published_renewals = False
 
@@ -76,16 +76,16 @@
 
     def publish_renewals(self, records: Iterable[Record], *, now: float) -> None:
         """Publish whose latest announcement came here, if that changed or is due again."""
-        if now < self._renewals_at + RENEWALS_EVERY_S:
+        if now < self._renewals_published_at + RENEWALS_EVERY_S:
             return
         mine = [record for record in records if _is_newest_here(record, now)]
         newest = max((record.direct_at for record in mine), default=float("-inf"))
-        is_due = now >= self._renewals_at + RENEWALS_REPEAT_S and (
+        is_due = now >= self._renewals_published_at + RENEWALS_REPEAT_S and (
             mine or self._has_published_renewals
         )
         if newest <= self._newest_direct and not is_due:
             return
-        self._renewals_at = now
+        self._renewals_published_at = now
         self._newest_direct = max(self._newest_direct, newest)
         self._has_published_renewals = bool(mine)
         renewals = tuple(_make_renewal(record, now) for record in mine)
