--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -31,7 +31,7 @@
         self._gossip = gossip
         self._instance_id = instance_id
         self._renewals_published_at = float("-inf")
-        self._newest_direct = float("-inf")
+        self._newest_published_at = float("-inf")
         self._has_published_renewals = False
 
     def publish_announcement(self, record: Record, *, now: float) -> None:
@@ -83,10 +83,10 @@
         is_due = now >= self._renewals_published_at + RENEWALS_REPEAT_S and (
             mine or self._has_published_renewals
         )
-        if newest <= self._newest_direct and not is_due:
+        if newest <= self._newest_published_at and not is_due:
             return
         self._renewals_published_at = now
-        self._newest_direct = max(self._newest_direct, newest)
+        self._newest_published_at = max(self._newest_published_at, newest)
         self._has_published_renewals = bool(mine)
         renewals = tuple(_make_renewal(record, now) for record in mine)
         for index, chunk in enumerate(_chunk(renewals)):
