--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -78,7 +78,7 @@
         """Publish whose latest announcement came here, if that changed or is due again."""
         if now < self._renewals_published_at + RENEWALS_EVERY_S:
             return
-        mine = [record for record in records if _is_newest_here(record, now)]
+        mine = [record for record in records if _is_latest_receiver(record, now)]
         newest = max((record.direct_at for record in mine), default=float("-inf"))
         is_due = now >= self._renewals_published_at + RENEWALS_REPEAT_S and (
             mine or self._has_published_renewals
@@ -111,7 +111,7 @@
     return str(index) if index else ""
 
 
-def _is_newest_here(record: Record, now: float) -> bool:
+def _is_latest_receiver(record: Record, now: float) -> bool:
     return record.direct_at >= record.renewed_at and now < record.lease_until
 
 
