--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -94,7 +94,7 @@
             self._gossip.publish(TOPIC_RENEWAL, _name_chunk(index), payload, Urgency.LOAD, now=now)
 
 
-_CHUNK = 8
+_RENEWALS_PER_CHUNK = 8
 
 
 def _chunk(renewals: tuple[Renewal, ...]) -> list[tuple[Renewal, ...]]:
@@ -103,8 +103,8 @@
     Small parts get ahead of large load counts: a late renewal takes an endpoint off the
     list, a late count only makes a choice worse.
     """
-    starts = range(0, max(1, len(renewals)), _CHUNK)
-    return [renewals[start : start + _CHUNK] for start in starts]
+    starts = range(0, max(1, len(renewals)), _RENEWALS_PER_CHUNK)
+    return [renewals[start : start + _RENEWALS_PER_CHUNK] for start in starts]
 
 
 def _name_chunk(index: int) -> str:
