--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -89,7 +89,7 @@
         self._newest_published_at = max(self._newest_published_at, newest)
         self._has_published_renewals = bool(mine)
         renewals = tuple(_make_renewal(record, now) for record in mine)
-        for index, chunk in enumerate(_chunk(renewals)):
+        for index, chunk in enumerate(_split_into_chunks(renewals)):
             payload = encode(Renewals(chunk))
             self._gossip.publish(TOPIC_RENEWAL, _name_chunk(index), payload, Urgency.LOAD, now=now)
 
@@ -97,7 +97,7 @@
 _RENEWALS_PER_CHUNK = 8
 
 
-def _chunk(renewals: tuple[Renewal, ...]) -> list[tuple[Renewal, ...]]:
+def _split_into_chunks(renewals: tuple[Renewal, ...]) -> list[tuple[Renewal, ...]]:
     """Split the list, never into nothing.
 
     Small parts get ahead of large load counts: a late renewal takes an endpoint off the
