--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -8,7 +8,7 @@
 from chivetrack.components.endpoints.models import AnnouncedState, Announcement, EndpointState
 from chivetrack.components.endpoints.wire import hash_endpoint
 
-OWN_WORD = "the endpoint, here"
+DIRECT_SOURCE = "the endpoint, here"
 
 
 class Acceptance(StrEnum):
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -30,7 +30,7 @@
     decode_announcement,
     decode_renewals,
 )
-from chivetrack.components.endpoints.record import OWN_WORD, Acceptance, Record, make_record
+from chivetrack.components.endpoints.record import DIRECT_SOURCE, Acceptance, Record, make_record
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.gossip.models import News
 from chivetrack.core import Effect, Event, TimeReached, Unsubscribe, WakeAt
@@ -94,7 +94,7 @@
 
     def announce(self, announcement: Announcement, *, now: float) -> Result[Receipt, Fault]:
         """Take in what an endpoint says of itself to this router."""
-        record, acceptance = self._accept(announcement, at=now, word=OWN_WORD, now=now)
+        record, acceptance = self._accept(announcement, at=now, word=DIRECT_SOURCE, now=now)
         if acceptance is Acceptance.STALE:
             held = record.announcement.incarnation
             return Error(
