--- a/chivetrack/components/endpoints/evaluation.py
+++ b/chivetrack/components/endpoints/evaluation.py
@@ -48,7 +48,7 @@
 
 def _evaluate(record: Record, now: float) -> HealthDecision:
     if record.is_leaving:
-        reason = f"leaving, on the word of {record.leaving_word}"
+        reason = f"leaving, on the word of {record.leaving_source}"
         return HealthDecision(availability=Availability.LEAVING, reason=reason)
     if record.drained_by:
         reason = f"drained: {record.drained_by}"
--- a/chivetrack/components/endpoints/explanation.py
+++ b/chivetrack/components/endpoints/explanation.py
@@ -35,7 +35,7 @@
 
 
 def _explain_leaving(record: Record, shown: EndpointState, now: float) -> Explanation:
-    word = record.leaving_word or "its own refusal, to this router"
+    word = record.leaving_source or "its own refusal, to this router"
     if record.drained_by and not record.is_leaving:
         word = f"configuration: {record.drained_by}"
     return _make(record, shown.availability.value, shown.reason, word, record.since, now)
--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -59,7 +59,7 @@
     seen: Standing | None = None
     shown: EndpointState | None = None
     shown_for: Announcement | None = None
-    leaving_word: str = ""
+    leaving_source: str = ""
     drained_by: str = ""
     carriers: dict[str, Announcement] = field(default_factory=dict)
     flaps: FlapCounter = field(default_factory=FlapCounter)
@@ -115,7 +115,7 @@
             return
         fields = {name: getattr(self.announcement, name) for name in Announcement.__slots__}
         self.announcement = Announcement(**(fields | {"state": AnnouncedState.LEAVING}))
-        self.leaving_word = word
+        self.leaving_source = word
         self.since = now
         self.word = word
 
@@ -145,7 +145,7 @@
         self.refused_until = float("-inf")
         self.since = now
         self.word = word
-        self.leaving_word = word if self.is_leaving else ""
+        self.leaving_source = word if self.is_leaving else ""
         self.breaker = Breaker(now=now)
         if lost_without_notice and self.present:
             self.flaps.record(now)
@@ -161,5 +161,5 @@
         since=now,
         word=word,
         breaker=Breaker(now=now),
-        leaving_word=word if announcement.state is AnnouncedState.LEAVING else "",
+        leaving_source=word if announcement.state is AnnouncedState.LEAVING else "",
     )
