--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class RecordSnapshot:
     """All that the list shows of an endpoint depends on; compared to find changes."""
 
     announcement: Announcement
@@ -56,7 +56,7 @@
     gone_at: float = float("-inf")
     left_in_order: bool = False
     refused_until: float = float("-inf")
-    seen: Standing | None = None
+    seen: RecordSnapshot | None = None
     shown: EndpointState | None = None
     shown_for: Announcement | None = None
     leaving_source: str = ""
@@ -80,9 +80,9 @@
         """Return whether this incarnation said that it leaves."""
         return self.announcement.state is AnnouncedState.LEAVING
 
-    def get_standing(self, now: float) -> Standing:
+    def get_standing(self, now: float) -> RecordSnapshot:
         """Return how the endpoint stands at ``now``."""
-        return Standing(
+        return RecordSnapshot(
             self.announcement,
             now < self.lease_until,
             now < self.refused_until,
