--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -80,7 +80,7 @@
         """Return whether this incarnation said that it leaves."""
         return self.announcement.state is AnnouncedState.LEAVING
 
-    def get_standing(self, now: float) -> RecordSnapshot:
+    def get_snapshot(self, now: float) -> RecordSnapshot:
         """Return how the endpoint stands at ``now``."""
         return RecordSnapshot(
             self.announcement,
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -245,7 +245,7 @@
         services = self._changed
         for record in records:
             record.drained_by = find_drain(self._drains, record.announcement)
-            standing = record.get_standing(now)
+            standing = record.get_snapshot(now)
             if standing == record.seen:
                 continue
             if record.seen is not None:
@@ -253,7 +253,7 @@
             services.add(record.announcement.service)
             if standing.is_present != record.present:
                 turn_presence(record, self._records.values(), now=now)
-            record.seen = record.get_standing(now)
+            record.seen = record.get_snapshot(now)
         if services and not soon:
             self._rebuild(services, now)
             services.clear()
