--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -24,7 +24,7 @@
     """All that the list shows of an endpoint depends on; compared to find changes."""
 
     announcement: Announcement
-    is_present: bool
+    holds_lease: bool
     is_refusing: bool
     is_held_back: bool
     drained_by: str
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -251,7 +251,7 @@
             if record.seen is not None:
                 services.add(record.seen.announcement.service)
             services.add(record.announcement.service)
-            if standing.is_present != record.present:
+            if standing.holds_lease != record.present:
                 turn_presence(record, self._records.values(), now=now)
             record.seen = record.get_snapshot(now)
         if services and not soon:
