--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -21,9 +21,9 @@
     record.since = now
     if not record.present:
         record.gone_at = now
-        record.left_in_order = record.is_leaving
+        record.left_gracefully = record.is_leaving
         return
-    was_lost = record.gone_at != float("-inf") and not record.left_in_order
+    was_lost = record.gone_at != float("-inf") and not record.left_gracefully
     if was_lost and not _went_with_most(record, others):
         record.flaps.record(now)
 
--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -54,7 +54,7 @@
     direct_at: float = float("-inf")
     present: bool = False
     gone_at: float = float("-inf")
-    left_in_order: bool = False
+    left_gracefully: bool = False
     refused_until: float = float("-inf")
     seen: RecordSnapshot | None = None
     shown: EndpointState | None = None
