--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -15,7 +15,7 @@
     return ""
 
 
-def turn_presence(record: Record, others: Iterable[Record], *, now: float) -> None:
+def toggle_listing(record: Record, others: Iterable[Record], *, now: float) -> None:
     """List an endpoint whose lease was renewed, or drop one whose lease ran out."""
     record.present = not record.present
     record.since = now
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -24,7 +24,7 @@
     OutcomeKind,
     Receipt,
 )
-from chivetrack.components.endpoints.presence import find_drain, make_states, turn_presence
+from chivetrack.components.endpoints.presence import find_drain, make_states, toggle_listing
 from chivetrack.components.endpoints.publisher import (
     AnnouncementPublisher,
     decode_announcement,
@@ -252,7 +252,7 @@
                 services.add(record.seen.announcement.service)
             services.add(record.announcement.service)
             if standing.holds_lease != record.present:
-                turn_presence(record, self._records.values(), now=now)
+                toggle_listing(record, self._records.values(), now=now)
             record.seen = record.get_snapshot(now)
         if services and not soon:
             self._rebuild(services, now)
