--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -24,11 +24,11 @@
         record.left_gracefully = record.is_leaving
         return
     was_lost = record.gone_at != float("-inf") and not record.left_gracefully
-    if was_lost and not _went_with_most(record, others):
+    if was_lost and not _is_mass_loss(record, others):
         record.flaps.record(now)
 
 
-def _went_with_most(record: Record, others: Iterable[Record]) -> bool:
+def _is_mass_loss(record: Record, others: Iterable[Record]) -> bool:
     """Return whether most endpoints were lost at about the same time as this one.
 
     A router that was cut off or frozen loses all leases at once. That is no flapping
