--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -56,12 +56,12 @@
 def _show(record: Record, judgement: HealthDecision) -> EndpointState:
     """Return the state that was shown before if it would not differ."""
     shown = record.shown
-    if shown is not None and record.shown_for is record.announcement:
+    if shown is not None and record.listed_announcement is record.announcement:
         same = shown.availability is judgement.availability and shown.reason == judgement.reason
         if same and shown.joined_at == record.joined_at:
             return shown
     record.shown = _make_state(record, judgement)
-    record.shown_for = record.announcement
+    record.listed_announcement = record.announcement
     return record.shown
 
 
--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -41,7 +41,7 @@
     ``renewed_at`` the latest sign of it from any router and ``direct_at`` the latest
     at this one. ``refused_until`` is kept after it refused work here as leaving.
     ``present`` means that it is listed; ``gone_at`` is its last loss. ``shown`` is what
-    the list last said of it, by the announcement ``shown_for``.
+    the list last said of it, by the announcement ``listed_announcement``.
     """
 
     announcement: Announcement
@@ -58,7 +58,7 @@
     refused_until: float = float("-inf")
     seen: RecordSnapshot | None = None
     shown: EndpointState | None = None
-    shown_for: Announcement | None = None
+    listed_announcement: Announcement | None = None
     leaving_source: str = ""
     drained_by: str = ""
     carriers: dict[str, Announcement] = field(default_factory=dict)
