--- a/chivetrack/components/endpoints/const.py
+++ b/chivetrack/components/endpoints/const.py
@@ -52,7 +52,7 @@
 """An endpoint is held back for all once so many and such a share of the fleet's tries
 failed in the window. One that fails a share of what it gets is left to the breakers."""
 
-FLEET_HELD_S: Final = 5.0
+FLEET_HOLD_S: Final = 5.0
 """Without any probe an endpoint is tried again after this much: a crashed one is back, or
 given up by its replicas, by then."""
 
--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -8,7 +8,7 @@
 from chivetrack.components.endpoints.const import (
     FLEET_FAILURE_SHARE,
     FLEET_FAILURES,
-    FLEET_HELD_S,
+    FLEET_HOLD_S,
     FLEET_PROBE_SHARE,
     FLEET_WINDOW_S,
     OTHERS_FRESH_S,
@@ -136,7 +136,7 @@
             endpoint.held_at = now
         elif counts.answered > counts.failed:
             endpoint.held_at = _NEVER
-        is_held = now - endpoint.held_at <= FLEET_HELD_S
+        is_held = now - endpoint.held_at <= FLEET_HOLD_S
         if is_held is not endpoint.is_held:
             endpoint.is_held = is_held
             self._note_change(HeldChange(endpoint_id, is_held, counts.answered, counts.failed))
--- a/tests/components/endpoints/test_outcomes.py
+++ b/tests/components/endpoints/test_outcomes.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from chivetrack.components.distribution.messages import EndpointLoad
-from chivetrack.components.endpoints.const import FLEET_HELD_S, FLEET_WINDOW_S
+from chivetrack.components.endpoints.const import FLEET_HOLD_S, FLEET_WINDOW_S
 from chivetrack.components.endpoints.outcomes import HeldChange, OutcomeTable
 
 ROUTERS = 87
@@ -85,7 +85,7 @@
         for _ in range(9):
             table.note("e1", ok=False, now=0.0)
         self.assertFalse(all(table.lets_through("e1", 0.1) for _ in range(9)))
-        later = 0.1 + FLEET_WINDOW_S + FLEET_HELD_S + 0.1
+        later = 0.1 + FLEET_WINDOW_S + FLEET_HOLD_S + 0.1
         self.assertTrue(all(table.lets_through("e1", later) for _ in range(9)))
 
     def test_new_lifetime_starts_clean(self) -> None:
