--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -5,8 +5,8 @@
 from expression import Error, Ok, Result
 
 from chivetrack.components.endpoints.const import (
+    GONE_RETENTION_S,
     MAX_REMEMBERED,
-    MEMORY_S,
     REFUSAL_S,
     RENEWALS_PER_LEASE,
     RETRACT_AFTER_S,
@@ -230,7 +230,7 @@
         gone.sort(key=lambda record: record.lease_until)
         excess = max(0, len(gone) - MAX_REMEMBERED)
         for index, record in enumerate(gone):
-            if index >= excess and now < record.lease_until + MEMORY_S:
+            if index >= excess and now < record.lease_until + GONE_RETENTION_S:
                 continue
             del self._records[record.announcement.endpoint_id]
             self._by_hash.pop(record.endpoint_hash, None)
