--- a/chivetrack/components/endpoints/const.py
+++ b/chivetrack/components/endpoints/const.py
@@ -18,7 +18,7 @@
 # How long an endpoint that is gone is remembered, so that an older incarnation of it
 # is refused and its flapping is counted.
 GONE_RETENTION_S: Final = 3600.0
-MAX_REMEMBERED: Final = 4096
+MAX_GONE_RECORDS: Final = 4096
 
 # How long after its lease an endpoint's announcement is taken back from gossip; one that
 # comes back soon, or whose renewals were late, would otherwise be spread all over again.
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -6,7 +6,7 @@
 
 from chivetrack.components.endpoints.const import (
     GONE_RETENTION_S,
-    MAX_REMEMBERED,
+    MAX_GONE_RECORDS,
     REFUSAL_S,
     RENEWALS_PER_LEASE,
     RETRACT_AFTER_S,
@@ -228,7 +228,7 @@
     def _forget_old(self, now: float) -> None:
         gone = [record for record in self._records.values() if not record.present]
         gone.sort(key=lambda record: record.lease_until)
-        excess = max(0, len(gone) - MAX_REMEMBERED)
+        excess = max(0, len(gone) - MAX_GONE_RECORDS)
         for index, record in enumerate(gone):
             if index >= excess and now < record.lease_until + GONE_RETENTION_S:
                 continue
