--- a/chivetrack/components/endpoints/breaker.py
+++ b/chivetrack/components/endpoints/breaker.py
@@ -5,8 +5,8 @@
 from enum import StrEnum
 
 from chivetrack.components.endpoints.const import (
-    FAILURES,
     MAX_CONNECT_FAILURES_IN_ROW,
+    MAX_FAILURES_IN_ROW,
     MAX_OPEN_S,
     OPEN_S,
     PROBE_TIMEOUT_S,
@@ -89,7 +89,7 @@
             self._openings = 0
 
     def _evaluate(self, kind: OutcomeKind, now: float) -> None:
-        limit = MAX_CONNECT_FAILURES_IN_ROW if kind is OutcomeKind.CONNECT else FAILURES
+        limit = MAX_CONNECT_FAILURES_IN_ROW if kind is OutcomeKind.CONNECT else MAX_FAILURES_IN_ROW
         if self.failures_in_row >= limit:
             self._open(f"{self.failures_in_row} failures in a row ({kind.value})", now)
             return
