--- a/chivetrack/components/endpoints/breaker.py
+++ b/chivetrack/components/endpoints/breaker.py
@@ -5,10 +5,10 @@
 from enum import StrEnum
 
 from chivetrack.components.endpoints.const import (
+    FIRST_OPEN_S,
     MAX_CONNECT_FAILURES_IN_ROW,
     MAX_FAILURES_IN_ROW,
     MAX_OPEN_S,
-    OPEN_S,
     PROBE_TIMEOUT_S,
     WINDOW_ATTEMPTS,
     WINDOW_FAILURE_SHARE,
@@ -99,7 +99,7 @@
             self._open(f"{failed} of {len(recent)} attempts failed", now)
 
     def _open(self, reason: str, now: float) -> None:
-        delay = min(MAX_OPEN_S, OPEN_S * 2**self._openings)
+        delay = min(MAX_OPEN_S, FIRST_OPEN_S * 2**self._openings)
         self._openings = min(self._openings + 1, 16)
         self._retry_at = now + delay
         self._probe_at = None
