--- a/chivetrack/components/endpoints/const.py
+++ b/chivetrack/components/endpoints/const.py
@@ -42,7 +42,7 @@
 PROBE_TIMEOUT_S: Final = 30.0
 
 # How long an endpoint's own refusal as leaving counts; each refusal renews it.
-REFUSAL_S: Final = 30.0
+REFUSAL_TTL_S: Final = 30.0
 
 FLEET_WINDOW_S: Final = 1.2
 """Four rounds in which routers tell each other; older outcomes are of another state."""
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -7,7 +7,7 @@
 from chivetrack.components.endpoints.const import (
     GONE_RETENTION_S,
     MAX_GONE_RECORDS,
-    REFUSAL_S,
+    REFUSAL_TTL_S,
     RENEWALS_PER_LEASE,
     RETRACT_AFTER_S,
     TICK_S,
@@ -139,7 +139,7 @@
         if record is None:
             return
         if kind is OutcomeKind.LEAVING:
-            record.refused_until = now + REFUSAL_S
+            record.refused_until = now + REFUSAL_TTL_S
         else:
             record.breaker.record(ok=ok, kind=kind, now=now)
         self._update([record], now)
