--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from chivetrack.components.endpoints.const import (
-    MAX_BACKLOG,
+    MAX_PENDING_UPDATES,
     RENEWALS_EVERY_S,
     RENEWALS_REPEAT_S,
     TOPIC_ENDPOINT,
@@ -42,7 +42,7 @@
         # After a start hundreds of endpoints announce themselves to one router after the
         # other. If each of these published them all, what is doubled would fill the budget
         # and none would learn in time that another has it already.
-        if not record.is_leaving and self._gossip.count_ordinary() > MAX_BACKLOG:
+        if not record.is_leaving and self._gossip.count_ordinary() > MAX_PENDING_UPDATES:
             return
         announcement = record.announcement
         urgency = Urgency.LEAVING if record.is_leaving else Urgency.ANNOUNCEMENT
