--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -4,7 +4,7 @@
 
 from chivetrack.components.endpoints.const import (
     MAX_PENDING_UPDATES,
-    RENEWALS_EVERY_S,
+    MIN_RENEWAL_INTERVAL_S,
     RENEWALS_REPEAT_S,
     TOPIC_ENDPOINT,
     TOPIC_RENEWAL,
@@ -76,7 +76,7 @@
 
     def publish_renewals(self, records: Iterable[Record], *, now: float) -> None:
         """Publish whose latest announcement came here, if that changed or is due again."""
-        if now < self._renewals_published_at + RENEWALS_EVERY_S:
+        if now < self._renewals_published_at + MIN_RENEWAL_INTERVAL_S:
             return
         mine = [record for record in records if _is_latest_receiver(record, now)]
         newest = max((record.direct_at for record in mine), default=float("-inf"))
