--- a/chivetrack/components/endpoints/const.py
+++ b/chivetrack/components/endpoints/const.py
@@ -13,7 +13,7 @@
 # New announcements wait while more ordinary news than this is being sent on.
 MAX_PENDING_UPDATES: Final = 4
 MIN_RENEWAL_INTERVAL_S: Final = 1.0
-RENEWALS_REPEAT_S: Final = 2.5
+RENEWAL_REPEAT_S: Final = 2.5
 
 # How long an endpoint that is gone is remembered, so that an older incarnation of it
 # is refused and its flapping is counted.
--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -5,7 +5,7 @@
 from chivetrack.components.endpoints.const import (
     MAX_PENDING_UPDATES,
     MIN_RENEWAL_INTERVAL_S,
-    RENEWALS_REPEAT_S,
+    RENEWAL_REPEAT_S,
     TOPIC_ENDPOINT,
     TOPIC_RENEWAL,
 )
@@ -80,7 +80,7 @@
             return
         mine = [record for record in records if _is_latest_receiver(record, now)]
         newest = max((record.direct_at for record in mine), default=float("-inf"))
-        is_due = now >= self._renewals_published_at + RENEWALS_REPEAT_S and (
+        is_due = now >= self._renewals_published_at + RENEWAL_REPEAT_S and (
             mine or self._has_published_renewals
         )
         if newest <= self._newest_published_at and not is_due:
