--- a/chivetrack/components/endpoints/const.py
+++ b/chivetrack/components/endpoints/const.py
@@ -25,7 +25,7 @@
 RETRACT_AFTER_S: Final = 60.0
 
 # At most this share of a service's endpoints is held back or broken at a time.
-MAX_OUT_SHARE: Final = 0.5
+MAX_UNAVAILABLE_SHARE: Final = 0.5
 
 FLAP_LIMIT: Final = 1.5
 FLAP_HALF_LIFE_S: Final = 180.0
--- a/chivetrack/components/endpoints/evaluation.py
+++ b/chivetrack/components/endpoints/evaluation.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from chivetrack.components.endpoints.const import MAX_OUT_SHARE
+from chivetrack.components.endpoints.const import MAX_UNAVAILABLE_SHARE
 from chivetrack.components.endpoints.models import Availability
 from chivetrack.components.endpoints.record import Record
 
@@ -37,7 +37,7 @@
     # Bad requests, a bad link of this router or a wrong probe make all endpoints look
     # bad; with all of them out every caller would be refused. Beyond the cap the least
     # bad stay in.
-    allowed = int(MAX_OUT_SHARE * staying)
+    allowed = int(MAX_UNAVAILABLE_SHARE * staying)
     doubtful.sort(key=lambda record: _get_severity(record, now), reverse=True)
     for record in doubtful[allowed:]:
         endpoint_id = record.announcement.endpoint_id
--- a/tests/components/endpoints/test_breaker.py
+++ b/tests/components/endpoints/test_breaker.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from chivetrack.components.endpoints.const import MAX_OUT_SHARE
+from chivetrack.components.endpoints.const import MAX_UNAVAILABLE_SHARE
 from chivetrack.components.endpoints.models import Availability, Drain, OutcomeKind
 from chivetrack.components.endpoints.registry import EndpointRegistry
 from chivetrack.components.gossip.gossip import Gossip
@@ -141,7 +141,7 @@
                 listed = self.registry.list_endpoints(SERVICE)
                 staying = [s for s in listed if s.availability is not Availability.LEAVING]
                 out = [s for s in staying if s.availability is not READY]
-                self.assertLessEqual(len(out), MAX_OUT_SHARE * len(staying))
+                self.assertLessEqual(len(out), MAX_UNAVAILABLE_SHARE * len(staying))
 
     def test_one_routers_failures_stay_its_own(self) -> None:
         """One router's link to an endpoint is bad; it fails every attempt there.
