--- a/chivetrack/components/endpoints/const.py
+++ b/chivetrack/components/endpoints/const.py
@@ -60,5 +60,5 @@
 """Of the requests that would go to an endpoint held back: one probe in two seconds at
 eight requests a second."""
 
-OTHERS_FRESH_S: Final = 2.0
+PEER_COUNTS_TTL_S: Final = 2.0
 """How long what other routers told is believed; they tell every 0.3 s."""
--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -11,7 +11,7 @@
     FLEET_HOLD_S,
     FLEET_PROBE_SHARE,
     FLEET_WINDOW_S,
-    OTHERS_FRESH_S,
+    PEER_COUNTS_TTL_S,
 )
 from chivetrack.components.observation.failures import FailureBook
 
@@ -48,7 +48,7 @@
 
     def sum_all(self, now: float) -> _Counts:
         sums = self.sum_own(now)
-        if now - self.others_at <= OTHERS_FRESH_S:
+        if now - self.others_at <= PEER_COUNTS_TTL_S:
             sums.answered += self.others.answered
             sums.failed += self.others.failed
         return sums
