--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -79,7 +79,7 @@
         self._note_change = note_change
         self._endpoints: dict[str, _Endpoint] = {}
         self._failures = FailureBook()
-        self._others_heard_at: float | None = None
+        self._peer_counts_at: float | None = None
 
     def note(self, endpoint_id: str, *, ok: bool, now: float) -> None:
         """Count the end of one try."""
@@ -97,7 +97,7 @@
     def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
         """Replace what the other routers have counted."""
         # What is told are sums of a sliding window: the part of it that is new is counted.
-        heard_at, self._others_heard_at = self._others_heard_at, now
+        heard_at, self._peer_counts_at = self._peer_counts_at, now
         part = 1.0 if heard_at is None else min(1.0, (now - heard_at) / FLEET_WINDOW_S)
         for endpoint in self._endpoints.values():
             endpoint.others = _Counts()
