--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -14,7 +14,7 @@
 class Acceptance(StrEnum):
     """What became of an announcement."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     STALE = "stale"
     LEAVING = "leaving"
 
@@ -106,7 +106,7 @@
             return Acceptance.STALE
         if new.incarnation > held.incarnation:
             self._start_incarnation(new, at=at, word=word, now=now)
-            return Acceptance.TAKEN
+            return Acceptance.ACCEPTED
         return self._accept_same(new, at=at, word=word, now=now)
 
     def mark_leaving(self, *, word: str, now: float) -> None:
@@ -126,14 +126,14 @@
         if new.state is AnnouncedState.LEAVING:
             self.renew(at)
             self.mark_leaving(word=word, now=now)
-            return Acceptance.TAKEN
+            return Acceptance.ACCEPTED
         if self.is_leaving:
             return Acceptance.LEAVING
         self.renew(at)
         if at >= self.announced_at:
             self.announcement = new
             self.announced_at = at
-        return Acceptance.TAKEN
+        return Acceptance.ACCEPTED
 
     def _start_incarnation(self, new: Announcement, *, at: float, word: str, now: float) -> None:
         lost_without_notice = not self.is_leaving
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -196,7 +196,7 @@
             record = make_record(announcement, at=at, word=word, now=now)
             self._records[announcement.endpoint_id] = record
             self._by_hash[record.endpoint_hash] = record
-            return record, Acceptance.TAKEN
+            return record, Acceptance.ACCEPTED
         self._by_hash.pop(record.endpoint_hash, None)
         acceptance = record.accept(announcement, at=at, word=word, now=now)
         self._by_hash[record.endpoint_hash] = record
