--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -53,7 +53,7 @@
         self._version = 0
         self._next_tick = float("-inf")
         self._callbacks: list[Callable[[int], None]] = []
-        gossip.subscribe(TOPIC_ENDPOINT, self._receive_body)
+        gossip.subscribe(TOPIC_ENDPOINT, self._handle_announcement)
         gossip.subscribe(TOPIC_RENEWAL, self._receive_renewals)
 
     @property
@@ -160,7 +160,7 @@
 
     # Taking in
 
-    def _receive_body(self, news: News) -> None:
+    def _handle_announcement(self, news: News) -> None:
         if news.payload is None:
             record = self._records.get(news.key)
             if record is not None:
