--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -54,7 +54,7 @@
         self._next_tick = float("-inf")
         self._callbacks: list[Callable[[int], None]] = []
         gossip.subscribe(TOPIC_ENDPOINT, self._handle_announcement)
-        gossip.subscribe(TOPIC_RENEWAL, self._receive_renewals)
+        gossip.subscribe(TOPIC_RENEWAL, self._handle_renewals)
 
     @property
     def version(self) -> int:
@@ -175,7 +175,7 @@
         record.carriers[news.origin] = body
         self._update([record], news.now, soon=not record.present)
 
-    def _receive_renewals(self, news: News) -> None:
+    def _handle_renewals(self, news: News) -> None:
         renewals = decode_renewals(news)
         if renewals is None:
             return
