--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -211,7 +211,7 @@
         self._withdraw_outdated(now)
         self._publisher.publish_pending(self._records.values(), now=now)
         self._publisher.publish_renewals(self._records.values(), now=now)
-        self._forget_old(now)
+        self._prune_gone(now)
 
     def _withdraw_outdated(self, now: float) -> None:
         for record in self._records.values():
@@ -225,7 +225,7 @@
             elif own.state is not record.announcement.state:
                 self._publisher.publish_announcement(record, now=now)
 
-    def _forget_old(self, now: float) -> None:
+    def _prune_gone(self, now: float) -> None:
         gone = [record for record in self._records.values() if not record.present]
         gone.sort(key=lambda record: record.lease_until)
         excess = max(0, len(gone) - MAX_GONE_RECORDS)
