--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -208,12 +208,12 @@
         for record in self._records.values():
             record.breaker.tick(now)
         self._update(self._records.values(), now)
-        self._withdraw_outdated(now)
+        self._retract_outdated_announcements(now)
         self._publisher.publish_pending(self._records.values(), now=now)
         self._publisher.publish_renewals(self._records.values(), now=now)
         self._prune_gone(now)
 
-    def _withdraw_outdated(self, now: float) -> None:
+    def _retract_outdated_announcements(self, now: float) -> None:
         for record in self._records.values():
             own = record.carriers.get(self._instance_id)
             if own is None:
