--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -49,11 +49,12 @@
     """Return what the list shows of endpoints, in the order of their ids."""
     listed = sorted(records, key=lambda record: record.announcement.endpoint_id)
     return tuple(
-        _show(record, judged.decisions[record.announcement.endpoint_id]) for record in listed
+        _get_listed_state(record, judged.decisions[record.announcement.endpoint_id])
+        for record in listed
     )
 
 
-def _show(record: Record, judgement: HealthDecision) -> EndpointState:
+def _get_listed_state(record: Record, judgement: HealthDecision) -> EndpointState:
     """Return the state that was shown before if it would not differ."""
     shown = record.shown
     if shown is not None and record.listed_announcement is record.announcement:
