--- a/tests/components/endpoints/test_breaker.py
+++ b/tests/components/endpoints/test_breaker.py
@@ -47,7 +47,7 @@
         self.registry.record_attempt(name, now=self.now)
         self.registry.record_outcome(name, True, OutcomeKind.ANSWER, self.now)
 
-    def get_out(self) -> dict[str, Availability]:
+    def list_unavailable(self) -> dict[str, Availability]:
         listed = self.registry.list_endpoints(SERVICE)
         return {s.endpoint_id: s.availability for s in listed if s.availability is not READY}
 
@@ -66,7 +66,7 @@
             with self.subTest(kind=kind, times=times):
                 self.setUp()
                 self.fail_attempts("e-1", times, kind)
-                self.assertEqual(self.get_out(), {"e-1": BROKEN} if is_open else {})
+                self.assertEqual(self.list_unavailable(), {"e-1": BROKEN} if is_open else {})
 
     def test_opens_on_a_bad_share_between_successes(self) -> None:
         """An endpoint fails every second request: never several in a row.
@@ -76,7 +76,7 @@
         for _ in range(10):
             self.succeed("e-1")
             self.fail_attempts("e-1", 1, OutcomeKind.ERROR)
-        self.assertEqual(self.get_out(), {"e-1": BROKEN})
+        self.assertEqual(self.list_unavailable(), {"e-1": BROKEN})
 
     def test_half_open_lets_one_probe_through(self) -> None:
         """The delay is over and many requests wait; the endpoint may still be down.
@@ -85,19 +85,19 @@
         """
         self.fail_attempts("e-1")
         self.run_for(1.25)
-        self.assertEqual(self.get_out(), {})
+        self.assertEqual(self.list_unavailable(), {})
         self.registry.record_attempt("e-1", now=self.now)
-        self.assertEqual(self.get_out(), {"e-1": BROKEN})
+        self.assertEqual(self.list_unavailable(), {"e-1": BROKEN})
         self.registry.record_outcome("e-1", True, OutcomeKind.ANSWER, self.now)
-        self.assertEqual(self.get_out(), {})
+        self.assertEqual(self.list_unavailable(), {})
 
     def test_a_failed_probe_doubles_the_delay(self) -> None:
         self.fail_attempts("e-1")
         for delay in (1.0, 2.0, 4.0):
             self.run_for(delay - 0.25)
-            self.assertEqual(self.get_out(), {"e-1": BROKEN}, delay)
+            self.assertEqual(self.list_unavailable(), {"e-1": BROKEN}, delay)
             self.run_for(0.5)
-            self.assertEqual(self.get_out(), {}, delay)
+            self.assertEqual(self.list_unavailable(), {}, delay)
             self.fail_attempts("e-1", 1)
 
     def test_a_probe_without_outcome_does_not_block(self) -> None:
@@ -105,7 +105,7 @@
         self.run_for(1.25)
         self.registry.record_attempt("e-1", now=self.now)
         self.run_for(31)
-        self.assertEqual(self.get_out(), {})
+        self.assertEqual(self.list_unavailable(), {})
 
     def test_a_bad_probe_does_not_empty_the_service(self) -> None:
         """This router's link is bad, or a request breaks every engine that it is tried on.
@@ -115,7 +115,7 @@
         """
         for count, name in enumerate(NAMES):
             self.fail_attempts(name, 3 + count)
-        self.assertEqual(self.get_out(), dict.fromkeys(NAMES[3:], BROKEN))
+        self.assertEqual(self.list_unavailable(), dict.fromkeys(NAMES[3:], BROKEN))
         self.assertTrue(self.registry.is_degraded(SERVICE))
         reasons = [s.reason for s in self.registry.list_endpoints(SERVICE)]
         self.assertTrue(reasons[0].startswith("kept in, too many look bad"), reasons)
@@ -177,7 +177,7 @@
             self.run_for(8, NAMES[1:])
             self.run_for(1)
             held_from = self.now
-            while self.get_out() and self.now < held_from + 200:
+            while self.list_unavailable() and self.now < held_from + 200:
                 self.run_for(1)
             delays.append(self.now - held_from)
         self.assertEqual(delays[0], 0.0)
@@ -186,7 +186,7 @@
         self.run_for(3600)
         self.run_for(8, NAMES[1:])
         self.run_for(1)
-        self.assertEqual(self.get_out(), {})
+        self.assertEqual(self.list_unavailable(), {})
 
     def test_restarts_without_notice_count_and_planned_ones_do_not(self) -> None:
         for planned in (False, True):
@@ -201,7 +201,7 @@
                         self.run_for(7, NAMES[1:])
                     self.run_for(1, ("e-0",), incarnation=incarnation)
                     self.run_for(1, NAMES[1:])
-                self.assertEqual(self.get_out(), {} if planned else {"e-0": HELD})
+                self.assertEqual(self.list_unavailable(), {} if planned else {"e-0": HELD})
 
     def test_a_cut_off_router_holds_nobody_back(self) -> None:
         """The router hears nothing for a while, three times; all leases run out at once.
@@ -212,7 +212,7 @@
             self.run_for(10, ())
             self.assertEqual(self.registry.list_endpoints(SERVICE), ())
             self.run_for(2)
-            self.assertEqual(self.get_out(), {})
+            self.assertEqual(self.list_unavailable(), {})
 
 
 class DrainTest(RegistryCase):
@@ -222,10 +222,12 @@
         cases = [([one], {"e-2"}), ([zone], set(NAMES)), ([zone, one], set(NAMES)), ([], set())]
         for drains, expected in cases:
             with self.subTest(drains=[drain.name for drain in drains]):
-                version, before = self.registry.version, self.get_out()
+                version, before = self.registry.version, self.list_unavailable()
                 self.registry.set_drained(drains, now=self.now)
-                self.assertEqual(self.get_out(), dict.fromkeys(expected, Availability.LEAVING))
-                self.assertEqual(self.registry.version > version, self.get_out() != before)
+                self.assertEqual(
+                    self.list_unavailable(), dict.fromkeys(expected, Availability.LEAVING)
+                )
+                self.assertEqual(self.registry.version > version, self.list_unavailable() != before)
 
 
 class ExplainTest(RegistryCase):
