--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -49,7 +49,7 @@
     renewed_at: float
     joined_at: float
     since: float
-    word: str
+    source: str
     breaker: Breaker
     direct_at: float = float("-inf")
     present: bool = False
@@ -97,7 +97,7 @@
         """Count the lease from ``at`` if that is later."""
         self.renewed_at = max(self.renewed_at, at)
 
-    def accept(self, new: Announcement, *, at: float, word: str, now: float) -> Acceptance:
+    def accept(self, new: Announcement, *, at: float, source: str, now: float) -> Acceptance:
         """Take in an announcement that the endpoint made at ``at``."""
         held = self.announcement
         # A relay or a slow connection may bring what a process said that was long
@@ -105,27 +105,27 @@
         if new.incarnation < held.incarnation:
             return Acceptance.STALE
         if new.incarnation > held.incarnation:
-            self._start_incarnation(new, at=at, word=word, now=now)
+            self._start_incarnation(new, at=at, source=source, now=now)
             return Acceptance.ACCEPTED
-        return self._accept_same(new, at=at, word=word, now=now)
+        return self._accept_same(new, at=at, source=source, now=now)
 
-    def mark_leaving(self, *, word: str, now: float) -> None:
+    def mark_leaving(self, *, source: str, now: float) -> None:
         """Take this incarnation out for good, on the word of ``word``."""
         if self.is_leaving:
             return
         fields = {name: getattr(self.announcement, name) for name in Announcement.__slots__}
         self.announcement = Announcement(**(fields | {"state": AnnouncedState.LEAVING}))
-        self.leaving_source = word
+        self.leaving_source = source
         self.since = now
-        self.word = word
+        self.source = source
 
-    def _accept_same(self, new: Announcement, *, at: float, word: str, now: float) -> Acceptance:
+    def _accept_same(self, new: Announcement, *, at: float, source: str, now: float) -> Acceptance:
         # "Leaving" and an older "ready" travel by different routers and may arrive in
         # either order. An endpoint that leaves never comes back as this incarnation,
         # so leaving wins whatever the order.
         if new.state is AnnouncedState.LEAVING:
             self.renew(at)
-            self.mark_leaving(word=word, now=now)
+            self.mark_leaving(source=source, now=now)
             return Acceptance.ACCEPTED
         if self.is_leaving:
             return Acceptance.LEAVING
@@ -135,7 +135,7 @@
             self.announced_at = at
         return Acceptance.ACCEPTED
 
-    def _start_incarnation(self, new: Announcement, *, at: float, word: str, now: float) -> None:
+    def _start_incarnation(self, new: Announcement, *, at: float, source: str, now: float) -> None:
         lost_without_notice = not self.is_leaving
         self.announcement = new
         self.announced_at = at
@@ -144,14 +144,14 @@
         self.direct_at = float("-inf")
         self.refused_until = float("-inf")
         self.since = now
-        self.word = word
-        self.leaving_source = word if self.is_leaving else ""
+        self.source = source
+        self.leaving_source = source if self.is_leaving else ""
         self.breaker = Breaker(now=now)
         if lost_without_notice and self.present:
             self.flaps.record(now)
 
 
-def make_record(announcement: Announcement, *, at: float, word: str, now: float) -> Record:
+def make_record(announcement: Announcement, *, at: float, source: str, now: float) -> Record:
     """Return the record of an endpoint that is new here."""
     return Record(
         announcement=announcement,
@@ -159,7 +159,7 @@
         renewed_at=at,
         joined_at=at,
         since=now,
-        word=word,
+        source=source,
         breaker=Breaker(now=now),
-        leaving_source=word if announcement.state is AnnouncedState.LEAVING else "",
+        leaving_source=source if announcement.state is AnnouncedState.LEAVING else "",
     )
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -94,7 +94,7 @@
 
     def announce(self, announcement: Announcement, *, now: float) -> Result[Receipt, Fault]:
         """Take in what an endpoint says of itself to this router."""
-        record, acceptance = self._accept(announcement, at=now, word=DIRECT_SOURCE, now=now)
+        record, acceptance = self._accept(announcement, at=now, source=DIRECT_SOURCE, now=now)
         if acceptance is Acceptance.STALE:
             held = record.announcement.incarnation
             return Error(
@@ -170,8 +170,8 @@
         if body is None:
             return
         at = news.now - news.age_s
-        word = f"router {news.origin}"
-        record, _ = self._accept(body, at=at, word=word, now=news.now)
+        source = f"router {news.origin}"
+        record, _ = self._accept(body, at=at, source=source, now=news.now)
         record.carriers[news.origin] = body
         self._update([record], news.now, soon=not record.present)
 
@@ -189,16 +189,16 @@
         self._update(renewed, news.now, soon=True)
 
     def _accept(
-        self, announcement: Announcement, *, at: float, word: str, now: float
+        self, announcement: Announcement, *, at: float, source: str, now: float
     ) -> tuple[Record, Acceptance]:
         record = self._records.get(announcement.endpoint_id)
         if record is None:
-            record = make_record(announcement, at=at, word=word, now=now)
+            record = make_record(announcement, at=at, source=source, now=now)
             self._records[announcement.endpoint_id] = record
             self._by_hash[record.endpoint_hash] = record
             return record, Acceptance.ACCEPTED
         self._by_hash.pop(record.endpoint_hash, None)
-        acceptance = record.accept(announcement, at=at, word=word, now=now)
+        acceptance = record.accept(announcement, at=at, source=source, now=now)
         self._by_hash[record.endpoint_hash] = record
         return record, acceptance
 
