--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -17,9 +17,9 @@
 
 def toggle_listing(record: Record, others: Iterable[Record], *, now: float) -> None:
     """List an endpoint whose lease was renewed, or drop one whose lease ran out."""
-    record.present = not record.present
+    record.is_listed = not record.is_listed
     record.since = now
-    if not record.present:
+    if not record.is_listed:
         record.gone_at = now
         record.left_gracefully = record.is_leaving
         return
@@ -40,7 +40,7 @@
     for other in others:
         if abs(other.gone_at - record.gone_at) <= lease_s:
             went += 1
-        elif other.present:
+        elif other.is_listed:
             stayed += 1
     return went > stayed
 
--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -52,7 +52,7 @@
     source: str
     breaker: Breaker
     direct_at: float = float("-inf")
-    present: bool = False
+    is_listed: bool = False
     gone_at: float = float("-inf")
     left_gracefully: bool = False
     refused_until: float = float("-inf")
@@ -147,7 +147,7 @@
         self.source = source
         self.leaving_source = source if self.is_leaving else ""
         self.breaker = Breaker(now=now)
-        if lost_without_notice and self.present:
+        if lost_without_notice and self.is_listed:
             self.flaps.record(now)
 
 
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -173,7 +173,7 @@
         source = f"router {news.origin}"
         record, _ = self._accept(body, at=at, source=source, now=news.now)
         record.carriers[news.origin] = body
-        self._update([record], news.now, soon=not record.present)
+        self._update([record], news.now, soon=not record.is_listed)
 
     def _handle_renewals(self, news: News) -> None:
         renewals = decode_renewals(news)
@@ -226,7 +226,7 @@
                 self._publisher.publish_announcement(record, now=now)
 
     def _prune_gone(self, now: float) -> None:
-        gone = [record for record in self._records.values() if not record.present]
+        gone = [record for record in self._records.values() if not record.is_listed]
         gone.sort(key=lambda record: record.lease_until)
         excess = max(0, len(gone) - MAX_GONE_RECORDS)
         for index, record in enumerate(gone):
@@ -251,7 +251,7 @@
             if record.seen is not None:
                 services.add(record.seen.announcement.service)
             services.add(record.announcement.service)
-            if standing.holds_lease != record.present:
+            if standing.holds_lease != record.is_listed:
                 toggle_listing(record, self._records.values(), now=now)
             record.seen = record.get_snapshot(now)
         if services and not soon:
@@ -281,4 +281,4 @@
 
 
 def _is_listed(record: Record, service: str) -> bool:
-    return record.present and record.announcement.service == service
+    return record.is_listed and record.announcement.service == service
