--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -56,7 +56,7 @@
     gone_at: float = float("-inf")
     left_gracefully: bool = False
     refused_until: float = float("-inf")
-    seen: RecordSnapshot | None = None
+    last_snapshot: RecordSnapshot | None = None
     shown: EndpointState | None = None
     listed_announcement: Announcement | None = None
     leaving_source: str = ""
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -246,14 +246,14 @@
         for record in records:
             record.drained_by = find_drain(self._drains, record.announcement)
             standing = record.get_snapshot(now)
-            if standing == record.seen:
+            if standing == record.last_snapshot:
                 continue
-            if record.seen is not None:
-                services.add(record.seen.announcement.service)
+            if record.last_snapshot is not None:
+                services.add(record.last_snapshot.announcement.service)
             services.add(record.announcement.service)
             if standing.holds_lease != record.is_listed:
                 toggle_listing(record, self._records.values(), now=now)
-            record.seen = record.get_snapshot(now)
+            record.last_snapshot = record.get_snapshot(now)
         if services and not soon:
             self._rebuild(services, now)
             services.clear()
