--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -57,7 +57,7 @@
     left_gracefully: bool = False
     refused_until: float = float("-inf")
     last_snapshot: RecordSnapshot | None = None
-    shown: EndpointState | None = None
+    listed_state: EndpointState | None = None
     listed_announcement: Announcement | None = None
     leaving_source: str = ""
     drained_by: str = ""
