--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldChange:
+class HoldChange:
     """An endpoint is held back from now on, or not any more; counts of the window."""
 
     endpoint_id: str
@@ -73,7 +73,7 @@
     routers see ten failures a second.
     """
 
-    def __init__(self, *, random: Random, note_change: Callable[[HeldChange], None]) -> None:
+    def __init__(self, *, random: Random, note_change: Callable[[HoldChange], None]) -> None:
         """Start with no outcomes; ``random`` picks the requests that probe."""
         self._random = random
         self._note_change = note_change
@@ -139,7 +139,7 @@
         is_held = now - endpoint.held_at <= FLEET_HOLD_S
         if is_held is not endpoint.is_held:
             endpoint.is_held = is_held
-            self._note_change(HeldChange(endpoint_id, is_held, counts.answered, counts.failed))
+            self._note_change(HoldChange(endpoint_id, is_held, counts.answered, counts.failed))
         return not is_held or self._random.random() < FLEET_PROBE_SHARE
 
     def find_failure_share(self, endpoint_id: str, now: float) -> float:
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -10,7 +10,7 @@
 from chivetrack.components.distribution.messages import EndpointLoad
 from chivetrack.components.endpoints.breaker import Breaker, BreakerState
 from chivetrack.components.endpoints.models import OutcomeKind
-from chivetrack.components.endpoints.outcomes import HeldChange, OutcomeTable
+from chivetrack.components.endpoints.outcomes import HoldChange, OutcomeTable
 from chivetrack.components.observation.silence import leave_out_silent
 from chivetrack.components.placement.choice import Candidate
 from chivetrack.components.retries.sending import SendEnd
@@ -90,7 +90,7 @@
         self._misdirected[endpoint_id] = time.monotonic()
         self._events.write("endpoint_misdirected", endpoint=endpoint_id)
 
-    def _note_held(self, change: HeldChange) -> None:
+    def _note_held(self, change: HoldChange) -> None:
         self._events.write(
             "endpoint_held" if change.is_held else "endpoint_let_in",
             endpoint=change.endpoint_id,
--- a/tests/components/endpoints/test_outcomes.py
+++ b/tests/components/endpoints/test_outcomes.py
@@ -6,7 +6,7 @@
 
 from chivetrack.components.distribution.messages import EndpointLoad
 from chivetrack.components.endpoints.const import FLEET_HOLD_S, FLEET_WINDOW_S
-from chivetrack.components.endpoints.outcomes import HeldChange, OutcomeTable
+from chivetrack.components.endpoints.outcomes import HoldChange, OutcomeTable
 
 ROUTERS = 87
 STEP_S = 0.3
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self.random = Random(3)
-        self.changes: list[HeldChange] = []
+        self.changes: list[HoldChange] = []
         self.tables = [
             OutcomeTable(random=Random(n), note_change=self.changes.append) for n in range(ROUTERS)
         ]
