--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -94,7 +94,7 @@
             counts.failed += 1
         self._failures.note(endpoint_id, tries=1, failures=0 if ok else 1, now=now)
 
-    def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
+    def handle_peer_counts(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
         """Replace what the other routers have counted."""
         # What is told are sums of a sliding window: the part of it that is new is counted.
         heard_at, self._peer_counts_at = self._peer_counts_at, now
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -102,7 +102,7 @@
 
     def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
         """Take how the tries of the other routers ended."""
-        self._outcomes.take_others(loads, now=now)
+        self._outcomes.handle_peer_counts(loads, now=now)
 
     def add_outcomes(
         self, loads: Iterable[EndpointLoad], *, now: float
--- a/tests/components/endpoints/test_outcomes.py
+++ b/tests/components/endpoints/test_outcomes.py
@@ -48,7 +48,7 @@
             load = EndpointLoad(
                 endpoint_id="e1", running=0, answered=answered - own[0], failed=failed - own[1]
             )
-            table.take_others([load], now=self.now)
+            table.handle_peer_counts([load], now=self.now)
 
 
 class OutcomeTableTest(unittest.TestCase):
