--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -81,7 +81,7 @@
         self._failures = FailureBook()
         self._peer_counts_at: float | None = None
 
-    def note(self, endpoint_id: str, *, ok: bool, now: float) -> None:
+    def record_outcome(self, endpoint_id: str, *, ok: bool, now: float) -> None:
         """Count the end of one try."""
         endpoint = self._endpoints.setdefault(endpoint_id, _Endpoint())
         number = int(now / _BUCKET_S)
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -62,7 +62,7 @@
         if end is SendEnd.REFUSED:
             return
         now = time.monotonic()
-        self._outcomes.note(endpoint_id, ok=end is None, now=now)
+        self._outcomes.record_outcome(endpoint_id, ok=end is None, now=now)
         breaker = self._breakers.get(endpoint_id)
         if breaker is None:
             breaker = self._breakers[endpoint_id] = Breaker(now=now)
@@ -82,7 +82,7 @@
 
         Known at the caller's deadline only, most of the trouble would be over by then.
         """
-        self._outcomes.note(endpoint_id, ok=False, now=time.monotonic())
+        self._outcomes.record_outcome(endpoint_id, ok=False, now=time.monotonic())
         self._events.write("endpoint_silent", endpoint=endpoint_id)
 
     def note_other_instance(self, endpoint_id: str) -> None:
--- a/tests/components/endpoints/test_outcomes.py
+++ b/tests/components/endpoints/test_outcomes.py
@@ -35,7 +35,7 @@
                 table = self.random.choice(self.tables)
                 if table.lets_through("e1", self.now):
                     self.sent += 1
-                    table.note("e1", ok=ok, now=self.now)
+                    table.record_outcome("e1", ok=ok, now=self.now)
             self.tell()
         return self.sent - before
 
@@ -70,20 +70,20 @@
         """A share of answers fails everywhere; held back, the others would be lost too."""
         table = OutcomeTable(random=Random(1), note_change=self.fail)
         for number in range(50):
-            table.note("e1", ok=number % 2 == 0, now=0.1)
+            table.record_outcome("e1", ok=number % 2 == 0, now=0.1)
         self.assertTrue(table.lets_through("e1", 0.1))
 
     def test_few_failures_prove_nothing(self) -> None:
         table = OutcomeTable(random=Random(1), note_change=self.fail)
-        table.note("e1", ok=False, now=0.0)
-        table.note("e1", ok=False, now=0.0)
+        table.record_outcome("e1", ok=False, now=0.0)
+        table.record_outcome("e1", ok=False, now=0.0)
         self.assertTrue(table.lets_through("e1", 0.1))
 
     def test_nothing_is_held_for_ever(self) -> None:
         """Nobody asks for the service meanwhile, so no probe shows that it is well again."""
         table = OutcomeTable(random=Random(1), note_change=lambda change: None)
         for _ in range(9):
-            table.note("e1", ok=False, now=0.0)
+            table.record_outcome("e1", ok=False, now=0.0)
         self.assertFalse(all(table.lets_through("e1", 0.1) for _ in range(9)))
         later = 0.1 + FLEET_WINDOW_S + FLEET_HOLD_S + 0.1
         self.assertTrue(all(table.lets_through("e1", later) for _ in range(9)))
@@ -91,6 +91,6 @@
     def test_new_lifetime_starts_clean(self) -> None:
         table = OutcomeTable(random=Random(1), note_change=lambda change: None)
         for _ in range(9):
-            table.note("e1", ok=False, now=0.0)
+            table.record_outcome("e1", ok=False, now=0.0)
         table.forget("e1")
         self.assertTrue(all(table.lets_through("e1", 0.1) for _ in range(9)))
