--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -73,10 +73,10 @@
     routers see ten failures a second.
     """
 
-    def __init__(self, *, random: Random, note_change: Callable[[HoldChange], None]) -> None:
+    def __init__(self, *, random: Random, on_hold_change: Callable[[HoldChange], None]) -> None:
         """Start with no outcomes; ``random`` picks the requests that probe."""
         self._random = random
-        self._note_change = note_change
+        self._note_change = on_hold_change
         self._endpoints: dict[str, _Endpoint] = {}
         self._failures = FailureBook()
         self._peer_counts_at: float | None = None
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -40,7 +40,7 @@
         self._events = events
         self._is_silent = is_silent or (lambda endpoint_id, now: False)
         self._breakers: dict[str, Breaker] = {}
-        self._outcomes = OutcomeTable(random=Random(), note_change=self._note_held)
+        self._outcomes = OutcomeTable(random=Random(), on_hold_change=self._note_held)
         self._misdirected: dict[str, float] = {}
 
     def forget(self, endpoint_id: str) -> None:
--- a/tests/components/endpoints/test_outcomes.py
+++ b/tests/components/endpoints/test_outcomes.py
@@ -20,7 +20,8 @@
         self.random = Random(3)
         self.changes: list[HoldChange] = []
         self.tables = [
-            OutcomeTable(random=Random(n), note_change=self.changes.append) for n in range(ROUTERS)
+            OutcomeTable(random=Random(n), on_hold_change=self.changes.append)
+            for n in range(ROUTERS)
         ]
         self.late: deque[list[tuple[int, int]]] = deque(maxlen=LATE_STEPS)
         self.now = 0.0
@@ -68,20 +69,20 @@
 
     def test_endpoint_that_fails_some_requests_keeps_the_rest(self) -> None:
         """A share of answers fails everywhere; held back, the others would be lost too."""
-        table = OutcomeTable(random=Random(1), note_change=self.fail)
+        table = OutcomeTable(random=Random(1), on_hold_change=self.fail)
         for number in range(50):
             table.record_outcome("e1", ok=number % 2 == 0, now=0.1)
         self.assertTrue(table.lets_through("e1", 0.1))
 
     def test_few_failures_prove_nothing(self) -> None:
-        table = OutcomeTable(random=Random(1), note_change=self.fail)
+        table = OutcomeTable(random=Random(1), on_hold_change=self.fail)
         table.record_outcome("e1", ok=False, now=0.0)
         table.record_outcome("e1", ok=False, now=0.0)
         self.assertTrue(table.lets_through("e1", 0.1))
 
     def test_nothing_is_held_for_ever(self) -> None:
         """Nobody asks for the service meanwhile, so no probe shows that it is well again."""
-        table = OutcomeTable(random=Random(1), note_change=lambda change: None)
+        table = OutcomeTable(random=Random(1), on_hold_change=lambda change: None)
         for _ in range(9):
             table.record_outcome("e1", ok=False, now=0.0)
         self.assertFalse(all(table.lets_through("e1", 0.1) for _ in range(9)))
@@ -89,7 +90,7 @@
         self.assertTrue(all(table.lets_through("e1", later) for _ in range(9)))
 
     def test_new_lifetime_starts_clean(self) -> None:
-        table = OutcomeTable(random=Random(1), note_change=lambda change: None)
+        table = OutcomeTable(random=Random(1), on_hold_change=lambda change: None)
         for _ in range(9):
             table.record_outcome("e1", ok=False, now=0.0)
         table.forget("e1")
