--- a/chivetrack/components/endpoints/__init__.py
+++ b/chivetrack/components/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of the endpoints: announcements, leases, health."""
+"""Announcements, leases and health of endpoints."""
--- a/chivetrack/components/endpoints/announcement.py
+++ b/chivetrack/components/endpoints/announcement.py
@@ -1,4 +1,4 @@
-"""The announcement at the border: checked whole, all faults reported together."""
+"""Validates announcements received over HTTP and reports all errors at once."""
 
 from typing import Any, Literal
 
@@ -9,9 +9,9 @@
 from chivetrack.components.endpoints.models import AnnouncedState, Announcement, EndpointKind
 from chivetrack.helpers.finding import Finding, suggest_name
 
-_NAME = r"^[A-Za-z0-9][A-Za-z0-9._:/@-]*$"
-_MAX_NAME = 128
-_MAX_LISTED = 64
+_NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._:/@-]*$"
+_MAX_NAME_LENGTH = 128
+_MAX_LIST_LENGTH = 64
 
 
 class AnnouncementModel(BaseModel):
@@ -19,25 +19,25 @@
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
-    id: str = Field(pattern=_NAME, max_length=_MAX_NAME)
+    id: str = Field(pattern=_NAME_PATTERN, max_length=_MAX_NAME_LENGTH)
     incarnation: int = Field(ge=0, lt=1 << 63)
     address: str = Field(pattern=r"^https?://[^\s/]+$", max_length=256)
     kind: Literal["engine", "service"]
-    service: str = Field(pattern=_NAME, max_length=_MAX_NAME)
-    region: str = Field(pattern=_NAME, max_length=_MAX_NAME)
-    zone: str = Field(pattern=_NAME, max_length=_MAX_NAME)
+    service: str = Field(pattern=_NAME_PATTERN, max_length=_MAX_NAME_LENGTH)
+    region: str = Field(pattern=_NAME_PATTERN, max_length=_MAX_NAME_LENGTH)
+    zone: str = Field(pattern=_NAME_PATTERN, max_length=_MAX_NAME_LENGTH)
     capacity: int = Field(ge=1, le=100_000)
     lease_s: float = Field(ge=MIN_LEASE_S, le=MAX_LEASE_S)
     state: Literal["ready", "leaving"] = "ready"
-    models: list[str] = Field(default_factory=list, max_length=_MAX_LISTED)
-    adapters: list[str] = Field(default_factory=list, max_length=_MAX_LISTED)
-    version: str = Field(default="", max_length=_MAX_NAME)
-    role: str = Field(default="", max_length=_MAX_NAME)
+    models: list[str] = Field(default_factory=list, max_length=_MAX_LIST_LENGTH)
+    adapters: list[str] = Field(default_factory=list, max_length=_MAX_LIST_LENGTH)
+    version: str = Field(default="", max_length=_MAX_NAME_LENGTH)
+    role: str = Field(default="", max_length=_MAX_NAME_LENGTH)
     checks_fencing: bool = False
 
 
 def parse_announcement(document: Any) -> Result[Announcement, tuple[Finding, ...]]:
-    """Check a decoded JSON document and return the announcement, or every fault in it."""
+    """Validate a decoded JSON document and return the announcement or all validation errors."""
     try:
         model = AnnouncementModel.model_validate(document)
     except ValidationError as error:
--- a/chivetrack/components/endpoints/breaker.py
+++ b/chivetrack/components/endpoints/breaker.py
@@ -1,4 +1,4 @@
-"""The circuit breaker of one endpoint, fed by this router's own attempts."""
+"""Circuit breaker of one endpoint, based on this router's own attempts."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 
 class BreakerState(StrEnum):
-    """Whether attempts are let through."""
+    """State of a circuit breaker."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -32,10 +32,14 @@
 
 
 class Breaker:
-    """Opens on failures in a row or a bad share of a window; tries again with one probe."""
+    """Circuit breaker that opens on consecutive failures or on a high failure share.
+
+    After an exponentially growing delay it goes to half-open and admits one probe, whose
+    outcome closes or opens it again.
+    """
 
     def __init__(self, *, now: float) -> None:
-        """Start closed."""
+        """Create a closed breaker."""
         self.state = BreakerState.CLOSED
         self.since = now
         self.reason = ""
@@ -53,21 +57,22 @@
         return self.state is BreakerState.CLOSED
 
     def tick(self, now: float) -> None:
-        """Go from open to half-open, and give up on a probe that never came back."""
+        """Go from open to half-open after the delay, and expire a probe without outcome."""
         if self.state is BreakerState.OPEN and now >= self._retry_at:
-            self._change(BreakerState.HALF_OPEN, f"{self.reason}; one probe may go", now)
+            self._change(BreakerState.HALF_OPEN, f"{self.reason}; one probe is admitted", now)
             self._probe_at = None
-        # A probe whose outcome is never told would keep the endpoint out for ever.
+        # Without this limit a probe whose outcome is never recorded would block the
+        # endpoint forever.
         if self._probe_at is not None and now >= self._probe_at + PROBE_TIMEOUT_S:
             self._probe_at = None
 
     def record_attempt(self, now: float) -> None:
-        """Note that an attempt goes out; in half-open it is the one probe."""
+        """Record the start of an attempt; in half-open state it becomes the probe."""
         if self.state is BreakerState.HALF_OPEN and self._probe_at is None:
             self._probe_at = now
 
     def record(self, *, ok: bool, kind: OutcomeKind, now: float) -> None:
-        """Take in how an attempt ended."""
+        """Record the outcome of an attempt and open or close the breaker."""
         self._window.append(_Attempt(now, ok))
         if ok:
             self._record_success(now)
@@ -77,7 +82,7 @@
             self._open(f"the probe failed ({kind.value})", now)
             return
         if self.state is BreakerState.CLOSED:
-            self._evaluate(kind, now)
+            self._open_if_failing(kind, now)
 
     def _record_success(self, now: float) -> None:
         self.failures_in_row = 0
@@ -88,7 +93,7 @@
         if self.state is BreakerState.CLOSED and now - self.since > WINDOW_S:
             self._openings = 0
 
-    def _evaluate(self, kind: OutcomeKind, now: float) -> None:
+    def _open_if_failing(self, kind: OutcomeKind, now: float) -> None:
         limit = MAX_CONNECT_FAILURES_IN_ROW if kind is OutcomeKind.CONNECT else MAX_FAILURES_IN_ROW
         if self.failures_in_row >= limit:
             self._open(f"{self.failures_in_row} failures in a row ({kind.value})", now)
--- a/chivetrack/components/endpoints/const.py
+++ b/chivetrack/components/endpoints/const.py
@@ -10,21 +10,23 @@
 RENEWALS_PER_LEASE: Final = 3
 
 TICK_S: Final = 0.25
-# New announcements wait while more ordinary news than this is being sent on.
+# New announcements are not published while gossip still has to send more updates of
+# ordinary urgency than this.
 MAX_PENDING_UPDATES: Final = 4
 MIN_RENEWAL_INTERVAL_S: Final = 1.0
 RENEWAL_REPEAT_S: Final = 2.5
 
-# How long an endpoint that is gone is remembered, so that an older incarnation of it
-# is refused and its flapping is counted.
+# How long the record of an endpoint without a lease is kept, so that an older incarnation
+# of it is rejected and its flaps are counted.
 GONE_RETENTION_S: Final = 3600.0
 MAX_GONE_RECORDS: Final = 4096
 
-# How long after its lease an endpoint's announcement is taken back from gossip; one that
-# comes back soon, or whose renewals were late, would otherwise be spread all over again.
+# Delay between the end of a lease and the retraction of the announcement from gossip. With
+# a shorter delay, the announcement of an endpoint that returns soon, or whose renewals were
+# late, would be sent to all routers again.
 RETRACT_AFTER_S: Final = 60.0
 
-# At most this share of a service's endpoints is held back or broken at a time.
+# Maximum share of a service's endpoints that are held back or broken at the same time.
 MAX_UNAVAILABLE_SHARE: Final = 0.5
 
 FLAP_LIMIT: Final = 1.5
@@ -41,24 +43,31 @@
 MAX_OPEN_S: Final = 60.0
 PROBE_TIMEOUT_S: Final = 30.0
 
-# How long an endpoint's own refusal as leaving counts; each refusal renews it.
+# How long an endpoint counts as leaving after it refused a request for that reason; each
+# refusal starts the time again.
 REFUSAL_TTL_S: Final = 30.0
 
 FLEET_WINDOW_S: Final = 1.2
-"""Four rounds in which routers tell each other; older outcomes are of another state."""
+"""Window of outcomes that count: four exchange rounds of the routers. Older outcomes may
+describe an earlier state of the endpoint.
+"""
 
 FLEET_FAILURES: Final = 3
 FLEET_FAILURE_SHARE: Final = 0.6
-"""An endpoint is held back for all once so many and such a share of the fleet's tries
-failed in the window. One that fails a share of what it gets is left to the breakers."""
+"""Routers hold an endpoint back once at least FLEET_FAILURES attempts of the fleet, and at
+least this share of them, failed in the window. Endpoints with a lower failure share are
+left to the circuit breakers.
+"""
 
 FLEET_HOLD_S: Final = 5.0
-"""Without any probe an endpoint is tried again after this much: a crashed one is back, or
-given up by its replicas, by then."""
+"""An endpoint that gets no probe is released after this time. By then a crashed endpoint
+has restarted, or the replicas have removed it.
+"""
 
 FLEET_PROBE_SHARE: Final = 0.06
-"""Of the requests that would go to an endpoint held back: one probe in two seconds at
-eight requests a second."""
+"""Share of the requests to a held-back endpoint that are admitted as probes: one probe
+every two seconds at eight requests per second.
+"""
 
 PEER_COUNTS_TTL_S: Final = 2.0
-"""How long what other routers told is believed; they tell every 0.3 s."""
+"""How long the counts of the other routers stay valid; they are sent every 0.3 s."""
--- a/chivetrack/components/endpoints/flap.py
+++ b/chivetrack/components/endpoints/flap.py
@@ -1,4 +1,4 @@
-"""Counts how often an endpoint comes and goes, and how long to hold it back."""
+"""Counts losses and returns (flaps) of an endpoint and derives how long to hold it back."""
 
 from chivetrack.components.endpoints.const import (
     FLAP_DELAY_S,
@@ -9,20 +9,20 @@
 
 
 class FlapCounter:
-    """A penalty that grows with every flap and halves over time."""
+    """Penalty that grows by one with each flap and decays exponentially."""
 
     def __init__(self) -> None:
-        """Start without penalty."""
+        """Create a counter without penalty."""
         self.held_until = float("-inf")
         self._penalty = 0.0
         self._counted_at = 0.0
 
     def get_penalty(self, now: float) -> float:
-        """Return what is left of the penalty."""
+        """Return the decayed penalty at ``now``."""
         return self._penalty * 0.5 ** ((now - self._counted_at) / FLAP_HALF_LIFE_S)
 
     def record(self, now: float) -> None:
-        """Count one return after a loss without notice."""
+        """Count one return after an unannounced loss, and hold the endpoint back at the limit."""
         self._penalty = self.get_penalty(now) + 1
         self._counted_at = now
         if self._penalty < FLAP_LIMIT:
--- a/chivetrack/components/endpoints/models.py
+++ b/chivetrack/components/endpoints/models.py
@@ -1,18 +1,18 @@
-"""Immutable descriptions of endpoints."""
+"""Immutable models of endpoints."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class EndpointKind(StrEnum):
-    """What stands behind an endpoint."""
+    """Kind of back end that an endpoint serves."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Availability(StrEnum):
-    """Whether an endpoint may be given new work."""
+    """Whether an endpoint may be given new requests, or why not."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointState:
-    """One endpoint as this router sees it.
+    """State of one endpoint as known to this router.
 
-    ``capacity`` is its weight for bounded load (requests it serves at once without
-    slowing), ``joined_at`` the time on this router's clock at which this
-    incarnation was first seen, for slow start.
+    ``capacity`` is its weight for bounded load: the number of concurrent requests that it
+    serves without slowing down. ``joined_at`` is the time on this router's clock at which
+    this incarnation was first seen; slow start uses it.
     """
 
     endpoint_id: str
@@ -48,7 +48,7 @@
 
 
 class AnnouncedState(StrEnum):
-    """What an endpoint says of itself; ``LEAVING`` is final for an incarnation."""
+    """State that an endpoint announces; ``LEAVING`` is final for an incarnation."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Announcement:
-    """What an endpoint says of itself, valid for ``lease_s`` seconds."""
+    """Self-description of an endpoint, valid for ``lease_s`` seconds."""
 
     endpoint_id: str
     incarnation: int
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Drain:
-    """Endpoints and zones that an operator takes out, and under what name."""
+    """Named drain: endpoints and zones that an operator takes out of service."""
 
     name: str
     endpoint_ids: frozenset[str] = frozenset()
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Receipt:
-    """The answer to an announcement: announce again after ``renew_after_s``."""
+    """Response to an announcement; the endpoint announces again after ``renew_after_s``."""
 
     endpoint_id: str
     incarnation: int
@@ -107,10 +107,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Explanation:
-    """Why an endpoint is in or out.
+    """Why an endpoint is available or unavailable.
 
-    ``since_s`` is how long ago that began, ``word`` on whose word: the endpoint's
-    own, another router's, an operator's, or this router's own attempts.
+    ``since_s`` is the number of seconds since that state began. ``word`` names the source of
+    the information: the endpoint itself, another router, an operator's configuration, or
+    this router's own attempts. ``carriers`` are the instances that publish its announcement.
     """
 
     endpoint_id: str
--- a/chivetrack/components/endpoints/outcomes.py
+++ b/chivetrack/components/endpoints/outcomes.py
@@ -1,4 +1,4 @@
-"""How tries at each endpoint ended lately, at this router and at all others together."""
+"""Recent outcomes of attempts at each endpoint, on this router and in the whole fleet."""
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
@@ -26,37 +26,39 @@
     failed: int = 0
 
     @property
-    def is_bad(self) -> bool:
+    def is_failing(self) -> bool:
         total = self.answered + self.failed
         return self.failed >= FLEET_FAILURES and self.failed >= FLEET_FAILURE_SHARE * total
 
 
 @dataclass(slots=True)
-class _Endpoint:
-    """Own counts by the number of their bucket, and the others' sums."""
+class _EndpointOutcomes:
+    """Own counts by bucket number, and the summed counts of the other routers (peers)."""
 
     own: dict[int, _Counts] = field(default_factory=dict)
-    others: _Counts = field(default_factory=_Counts)
-    others_at: float = _NEVER
+    peers: _Counts = field(default_factory=_Counts)
+    peers_at: float = _NEVER
     held_at: float = _NEVER
     is_held: bool = False
 
     def sum_own(self, now: float) -> _Counts:
         oldest = int(now / _BUCKET_S) - _BUCKETS
         recent = [counts for number, counts in self.own.items() if number > oldest]
-        return _Counts(sum(one.answered for one in recent), sum(one.failed for one in recent))
+        return _Counts(
+            sum(counts.answered for counts in recent), sum(counts.failed for counts in recent)
+        )
 
     def sum_all(self, now: float) -> _Counts:
         sums = self.sum_own(now)
-        if now - self.others_at <= PEER_COUNTS_TTL_S:
-            sums.answered += self.others.answered
-            sums.failed += self.others.failed
+        if now - self.peers_at <= PEER_COUNTS_TTL_S:
+            sums.answered += self.peers.answered
+            sums.failed += self.peers.failed
         return sums
 
 
 @dataclass(frozen=True, slots=True)
 class HoldChange:
-    """An endpoint is held back from now on, or not any more; counts of the window."""
+    """Start or end of holding an endpoint back, with the counts of the window."""
 
     endpoint_id: str
     is_held: bool
@@ -65,28 +67,32 @@
 
 
 class OutcomeTable:
-    """Holds back endpoints that fail for the fleet as a whole; free of I/O.
+    """Holds back endpoints that fail for the fleet as a whole; performs no I/O.
 
-    It answers an endpoint that crashes among many routers. Each of 87 routers sends it a
-    request in six seconds, so a router's own breaker never sees two failures in a row, and
-    as long as the endpoint is down all its share of the traffic fails once. Together the
-    routers see ten failures a second.
+    With many routers, the circuit breaker of a single router does not detect a crashed
+    endpoint. If each of 87 routers sends it one request every six seconds, no router
+    sees two failures in a row, and the endpoint's whole share of the traffic fails once
+    while it is down. The counts of all routers together show ten failures per second.
     """
 
     def __init__(self, *, random: Random, on_hold_change: Callable[[HoldChange], None]) -> None:
-        """Start with no outcomes; ``random`` picks the requests that probe."""
+        """Create a table without outcomes.
+
+        ``random`` selects the requests that serve as probes; ``on_hold_change`` is called
+        when an endpoint starts or stops being held back.
+        """
         self._random = random
         self._note_change = on_hold_change
-        self._endpoints: dict[str, _Endpoint] = {}
+        self._endpoints: dict[str, _EndpointOutcomes] = {}
         self._failures = FailureBook()
         self._peer_counts_at: float | None = None
 
     def record_outcome(self, endpoint_id: str, *, ok: bool, now: float) -> None:
-        """Count the end of one try."""
-        endpoint = self._endpoints.setdefault(endpoint_id, _Endpoint())
+        """Count the outcome of one attempt."""
+        endpoint = self._endpoints.setdefault(endpoint_id, _EndpointOutcomes())
         number = int(now / _BUCKET_S)
-        for old in [one for one in endpoint.own if one <= number - _BUCKETS]:
-            del endpoint.own[old]
+        for expired in [bucket for bucket in endpoint.own if bucket <= number - _BUCKETS]:
+            del endpoint.own[expired]
         counts = endpoint.own.setdefault(number, _Counts())
         if ok:
             counts.answered += 1
@@ -95,44 +101,45 @@
         self._failures.note(endpoint_id, tries=1, failures=0 if ok else 1, now=now)
 
     def handle_peer_counts(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
-        """Replace what the other routers have counted."""
-        # What is told are sums of a sliding window: the part of it that is new is counted.
-        heard_at, self._peer_counts_at = self._peer_counts_at, now
-        part = 1.0 if heard_at is None else min(1.0, (now - heard_at) / FLEET_WINDOW_S)
+        """Replace the counts of the other routers."""
+        # The counts are sums over a sliding window. Only the share of the window that passed
+        # since the last counts is new and recorded for the failure share.
+        previous_at, self._peer_counts_at = self._peer_counts_at, now
+        new_share = 1.0 if previous_at is None else min(1.0, (now - previous_at) / FLEET_WINDOW_S)
         for endpoint in self._endpoints.values():
-            endpoint.others = _Counts()
+            endpoint.peers = _Counts()
         for load in loads:
             if load.answered or load.failed:
-                endpoint = self._endpoints.setdefault(load.endpoint_id, _Endpoint())
-                endpoint.others = _Counts(load.answered, load.failed)
-                endpoint.others_at = now
+                endpoint = self._endpoints.setdefault(load.endpoint_id, _EndpointOutcomes())
+                endpoint.peers = _Counts(load.answered, load.failed)
+                endpoint.peers_at = now
                 self._failures.note(
                     load.endpoint_id,
-                    tries=part * (load.answered + load.failed),
-                    failures=part * load.failed,
+                    tries=new_share * (load.answered + load.failed),
+                    failures=new_share * load.failed,
                     now=now,
                 )
 
     def count_own(self, endpoint_id: str, now: float) -> tuple[int, int]:
-        """Return how many tries of this router were answered and failed in the window."""
+        """Return this router's numbers of answered and failed attempts in the window."""
         endpoint = self._endpoints.get(endpoint_id)
         counts = _Counts() if endpoint is None else endpoint.sum_own(now)
         return counts.answered, counts.failed
 
     def list_endpoints(self) -> Iterator[str]:
-        """Yield the endpoints of which outcomes were noted."""
+        """Yield the ids of endpoints that have recorded outcomes."""
         yield from self._endpoints
 
     def lets_through(self, endpoint_id: str, now: float) -> bool:
-        """Return whether a request may go to an endpoint.
+        """Return whether a request may be sent to an endpoint.
 
-        While it is held back, a few requests of the fleet find out whether it answers.
+        While the endpoint is held back, a small share of requests is admitted as probes.
         """
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             return True
         counts = endpoint.sum_all(now)
-        if counts.is_bad:
+        if counts.is_failing:
             endpoint.held_at = now
         elif counts.answered > counts.failed:
             endpoint.held_at = _NEVER
@@ -143,10 +150,10 @@
         return not is_held or self._random.random() < FLEET_PROBE_SHARE
 
     def find_failure_share(self, endpoint_id: str, now: float) -> float:
-        """Return the share of an endpoint's tries that fail lately, 0 to 1."""
+        """Return the share of an endpoint's recent attempts that failed, 0 to 1."""
         return self._failures.find_share(endpoint_id, now)
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop what is known of an endpoint: it has started again, or has gone."""
+        """Drop all outcomes of an endpoint that has restarted or is gone."""
         self._endpoints.pop(endpoint_id, None)
         self._failures.forget(endpoint_id)
--- a/chivetrack/components/endpoints/presence.py
+++ b/chivetrack/components/endpoints/presence.py
@@ -1,4 +1,4 @@
-"""Whether endpoints are listed, and what the list says of them."""
+"""Adds endpoints to the list and removes them, and builds their list entries."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 def find_drain(drains: Iterable[Drain], announcement: Announcement) -> str:
-    """Return the name of the drain that takes an endpoint out, or an empty string."""
+    """Return the name of the drain that covers an endpoint, or an empty string."""
     for drain in drains:
         if announcement.endpoint_id in drain.endpoint_ids or announcement.zone in drain.zones:
             return drain.name
@@ -16,7 +16,10 @@
 
 
 def toggle_listing(record: Record, others: Iterable[Record], *, now: float) -> None:
-    """List an endpoint whose lease was renewed, or drop one whose lease ran out."""
+    """Add an endpoint whose lease was renewed, or remove one whose lease expired.
+
+    A return after an unannounced loss counts as a flap.
+    """
     record.is_listed = not record.is_listed
     record.since = now
     if not record.is_listed:
@@ -31,42 +34,47 @@
 def _is_mass_loss(record: Record, others: Iterable[Record]) -> bool:
     """Return whether most endpoints were lost at about the same time as this one.
 
-    A router that was cut off or frozen loses all leases at once. That is no flapping
-    of the endpoints, and holding them back would prolong the outage.
+    On a router that was partitioned or frozen, all leases expire at once. The endpoints did
+    not flap then, and holding them back would prolong the outage.
     """
     lease_s = record.announcement.lease_s
-    went = 0
-    stayed = 0
+    lost_count = 0
+    listed_count = 0
     for other in others:
         if abs(other.gone_at - record.gone_at) <= lease_s:
-            went += 1
+            lost_count += 1
         elif other.is_listed:
-            stayed += 1
-    return went > stayed
+            listed_count += 1
+    return lost_count > listed_count
 
 
-def make_states(records: Iterable[Record], judged: ServiceEvaluation) -> tuple[EndpointState, ...]:
-    """Return what the list shows of endpoints, in the order of their ids."""
+def make_states(
+    records: Iterable[Record], evaluation: ServiceEvaluation
+) -> tuple[EndpointState, ...]:
+    """Return the list entries of endpoints, ordered by endpoint id."""
     listed = sorted(records, key=lambda record: record.announcement.endpoint_id)
     return tuple(
-        _get_listed_state(record, judged.decisions[record.announcement.endpoint_id])
+        _get_listed_state(record, evaluation.decisions[record.announcement.endpoint_id])
         for record in listed
     )
 
 
-def _get_listed_state(record: Record, judgement: HealthDecision) -> EndpointState:
-    """Return the state that was shown before if it would not differ."""
-    shown = record.shown
-    if shown is not None and record.listed_announcement is record.announcement:
-        same = shown.availability is judgement.availability and shown.reason == judgement.reason
-        if same and shown.joined_at == record.joined_at:
-            return shown
-    record.shown = _make_state(record, judgement)
+def _get_listed_state(record: Record, decision: HealthDecision) -> EndpointState:
+    """Return the list entry, reusing the previous object if nothing changed."""
+    listed_state = record.listed_state
+    if listed_state is not None and record.listed_announcement is record.announcement:
+        same = (
+            listed_state.availability is decision.availability
+            and listed_state.reason == decision.reason
+        )
+        if same and listed_state.joined_at == record.joined_at:
+            return listed_state
+    record.listed_state = _make_state(record, decision)
     record.listed_announcement = record.announcement
-    return record.shown
+    return record.listed_state
 
 
-def _make_state(record: Record, judgement: HealthDecision) -> EndpointState:
+def _make_state(record: Record, decision: HealthDecision) -> EndpointState:
     announcement = record.announcement
     return EndpointState(
         endpoint_id=announcement.endpoint_id,
@@ -83,6 +91,6 @@
         role=announcement.role,
         checks_fencing=announcement.checks_fencing,
         joined_at=record.joined_at,
-        availability=judgement.availability,
-        reason=judgement.reason,
+        availability=decision.availability,
+        reason=decision.reason,
     )
--- a/chivetrack/components/endpoints/record.py
+++ b/chivetrack/components/endpoints/record.py
@@ -1,4 +1,4 @@
-"""What a router knows of one endpoint, and how announcements change it."""
+"""State that a router holds for one endpoint, and its update by announcements."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -8,11 +8,11 @@
 from chivetrack.components.endpoints.models import AnnouncedState, Announcement, EndpointState
 from chivetrack.components.endpoints.wire import hash_endpoint
 
-DIRECT_SOURCE = "the endpoint, here"
+DIRECT_SOURCE = "the endpoint, to this router"
 
 
 class Acceptance(StrEnum):
-    """What became of an announcement."""
+    """Result of handling an announcement."""
 
     ACCEPTED = "taken"
     STALE = "stale"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordSnapshot:
-    """All that the list shows of an endpoint depends on; compared to find changes."""
+    """Values that determine an endpoint's list entry; compared to detect changes."""
 
     announcement: Announcement
     holds_lease: bool
@@ -35,13 +35,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class Record:
-    """One endpoint; times are this router's.
-
-    ``announced_at`` is when the endpoint sent the announcement that is held,
-    ``renewed_at`` the latest sign of it from any router and ``direct_at`` the latest
-    at this one. ``refused_until`` is kept after it refused work here as leaving.
-    ``present`` means that it is listed; ``gone_at`` is its last loss. ``shown`` is what
-    the list last said of it, by the announcement ``listed_announcement``.
+    """State of one endpoint; all times are on this router's clock.
+
+    ``announced_at`` is when the endpoint sent the current announcement, ``renewed_at`` the
+    time of its latest announcement to any router and ``direct_at`` that of the latest to
+    this router. ``since`` is when the current state began and ``source`` where it was
+    learned from. Until ``refused_until`` the endpoint counts as leaving, because it refused
+    a request of this router. ``gone_at`` is when it was last removed from the list.
+    ``listed_state`` is its latest list entry, built from ``listed_announcement``.
+    ``carriers`` maps each instance that publishes it to the published announcement.
     """
 
     announcement: Announcement
@@ -66,22 +68,22 @@
 
     @property
     def lease_until(self) -> float:
-        """Return when the lease runs out unless it is renewed."""
+        """Return the time at which the lease expires unless it is renewed."""
         return self.renewed_at + self.announcement.lease_s
 
     @property
     def endpoint_hash(self) -> int:
-        """Return the name of this incarnation, as it stands, in renewals."""
-        held = self.announcement
-        return hash_endpoint(held.endpoint_id, held.incarnation, leaving=self.is_leaving)
+        """Return the hash that identifies this incarnation and its state in renewals."""
+        current = self.announcement
+        return hash_endpoint(current.endpoint_id, current.incarnation, leaving=self.is_leaving)
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether this incarnation said that it leaves."""
+        """Return whether this incarnation has announced that it is leaving."""
         return self.announcement.state is AnnouncedState.LEAVING
 
     def get_snapshot(self, now: float) -> RecordSnapshot:
-        """Return how the endpoint stands at ``now``."""
+        """Return the values at ``now`` that determine the list entry."""
         return RecordSnapshot(
             self.announcement,
             now < self.lease_until,
@@ -94,23 +96,23 @@
         )
 
     def renew(self, at: float) -> None:
-        """Count the lease from ``at`` if that is later."""
+        """Start the lease at ``at`` unless it already started later."""
         self.renewed_at = max(self.renewed_at, at)
 
     def accept(self, new: Announcement, *, at: float, source: str, now: float) -> Acceptance:
-        """Take in an announcement that the endpoint made at ``at``."""
-        held = self.announcement
-        # A relay or a slow connection may bring what a process said that was long
-        # replaced; following it would route to an address that serves something else.
-        if new.incarnation < held.incarnation:
+        """Apply an announcement that the endpoint sent at ``at``."""
+        current = self.announcement
+        # A relay or a slow connection may deliver an announcement of a process that has been
+        # replaced. Its address may meanwhile serve something else.
+        if new.incarnation < current.incarnation:
             return Acceptance.STALE
-        if new.incarnation > held.incarnation:
+        if new.incarnation > current.incarnation:
             self._start_incarnation(new, at=at, source=source, now=now)
             return Acceptance.ACCEPTED
         return self._accept_same(new, at=at, source=source, now=now)
 
     def mark_leaving(self, *, source: str, now: float) -> None:
-        """Take this incarnation out for good, on the word of ``word``."""
+        """Mark this incarnation as leaving, which is final; ``source`` reported it."""
         if self.is_leaving:
             return
         fields = {name: getattr(self.announcement, name) for name in Announcement.__slots__}
@@ -120,9 +122,9 @@
         self.source = source
 
     def _accept_same(self, new: Announcement, *, at: float, source: str, now: float) -> Acceptance:
-        # "Leaving" and an older "ready" travel by different routers and may arrive in
-        # either order. An endpoint that leaves never comes back as this incarnation,
-        # so leaving wins whatever the order.
+        # A "leaving" and an older "ready" announcement may arrive in either order, because
+        # different routers forward them. An incarnation that leaves never returns, so
+        # "leaving" wins in any order.
         if new.state is AnnouncedState.LEAVING:
             self.renew(at)
             self.mark_leaving(source=source, now=now)
@@ -152,7 +154,7 @@
 
 
 def make_record(announcement: Announcement, *, at: float, source: str, now: float) -> Record:
-    """Return the record of an endpoint that is new here."""
+    """Return the record of an endpoint that this router has not seen before."""
     return Record(
         announcement=announcement,
         announced_at=at,
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -1,4 +1,4 @@
-"""The endpoint registry: who may be given work, by leases and by own experience."""
+"""Endpoint registry: tracks leases, availability and health of all known endpoints."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -38,18 +38,18 @@
 
 
 class EndpointRegistry:
-    """The endpoints that this router knows; implements routing's ``EndpointView``."""
+    """Registry of all endpoints known to this router; implements routing's ``EndpointView``."""
 
     def __init__(self, *, gossip: Gossip, instance_id: str) -> None:
-        """Create an empty registry and listen to gossip."""
+        """Create an empty registry and subscribe to announcements and renewals from gossip."""
         self._records: dict[str, Record] = {}
-        self._by_hash: dict[int, Record] = {}
+        self._records_by_hash: dict[int, Record] = {}
         self._publisher = AnnouncementPublisher(gossip=gossip, instance_id=instance_id)
         self._instance_id = instance_id
         self._drains: tuple[Drain, ...] = ()
         self._lists: dict[str, tuple[EndpointState, ...]] = {}
         self._degraded: frozenset[str] = frozenset()
-        self._changed: set[str] = set()
+        self._changed_services: set[str] = set()
         self._version = 0
         self._next_tick = float("-inf")
         self._callbacks: list[Callable[[int], None]] = []
@@ -58,23 +58,23 @@
 
     @property
     def version(self) -> int:
-        """Return a number that changes with the list."""
+        """Return a number that increases with each change of the lists."""
         return self._version
 
     def list_endpoints(self, service: str) -> Sequence[EndpointState]:
-        """Return all endpoints of a service that hold a lease, whatever their availability."""
+        """Return all endpoints of a service that hold a lease, of any availability."""
         return self._lists.get(service, ())
 
     def list_services(self) -> Sequence[str]:
-        """Return the services that have endpoints."""
+        """Return the names of services that have listed endpoints."""
         return tuple(self._lists)
 
     def is_degraded(self, service: str) -> bool:
-        """Return whether so many endpoints look bad that some of them are kept in."""
+        """Return whether suspect endpoints are kept available because there are too many."""
         return service in self._degraded
 
     def subscribe(self, callback: Callable[[int], None]) -> Unsubscribe:
-        """Call back with the new version whenever the list changes."""
+        """Call ``callback`` with the new version after each change of the lists."""
         self._callbacks.append(callback)
 
         def unsubscribe() -> None:
@@ -84,7 +84,7 @@
         return unsubscribe
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Let leases and delays run out, and publish renewals."""
+        """Expire leases and delays and publish renewals when a tick is due."""
         if not isinstance(event, TimeReached):
             return []
         if now >= self._next_tick:
@@ -93,14 +93,18 @@
         return [WakeAt(at=self._next_tick)]
 
     def announce(self, announcement: Announcement, *, now: float) -> Result[Receipt, Fault]:
-        """Take in what an endpoint says of itself to this router."""
+        """Handle an announcement that an endpoint sent to this router.
+
+        Returns a fault for an outdated incarnation, or for one that has already announced
+        that it is leaving.
+        """
         record, acceptance = self._accept(announcement, at=now, source=DIRECT_SOURCE, now=now)
         if acceptance is Acceptance.STALE:
-            held = record.announcement.incarnation
+            current = record.announcement.incarnation
             return Error(
                 Fault(
                     code="stale_incarnation",
-                    message=f"incarnation {held} of {announcement.endpoint_id} was seen already",
+                    message=f"incarnation {current} of {announcement.endpoint_id} was already seen",
                     status=409,
                 )
             )
@@ -108,8 +112,8 @@
             return Error(
                 Fault(
                     code="endpoint_leaving",
-                    message=f"{announcement.endpoint_id} said that it leaves;"
-                    " announce a higher incarnation to come back",
+                    message=f"{announcement.endpoint_id} has announced that it is leaving;"
+                    " announce a higher incarnation to return",
                     status=409,
                 )
             )
@@ -126,7 +130,7 @@
         )
 
     def record_attempt(self, endpoint_id: str, *, now: float) -> None:
-        """Note that a request goes out to an endpoint."""
+        """Record that a request is being sent to an endpoint."""
         record = self._records.get(endpoint_id)
         if record is None:
             return
@@ -134,7 +138,7 @@
         self._update([record], now)
 
     def record_outcome(self, endpoint_id: str, ok: bool, kind: OutcomeKind, now: float) -> None:
-        """Take in how this router's own attempt ended; it counts for this router only."""
+        """Record the outcome of an own attempt; it affects this router's list only."""
         record = self._records.get(endpoint_id)
         if record is None:
             return
@@ -145,20 +149,20 @@
         self._update([record], now)
 
     def set_drained(self, drains: Iterable[Drain], *, now: float) -> None:
-        """Replace the drains that are in force."""
+        """Replace the active drains."""
         self._drains = tuple(drains)
         self._update(self._records.values(), now)
 
     def explain(self, endpoint_id: str, *, now: float) -> Explanation:
-        """Return why an endpoint is in or out, since when and on whose word."""
+        """Return why an endpoint is available or not, since when, and the source of it."""
         record = self._records.get(endpoint_id)
         if record is None:
             return explain_unknown(endpoint_id)
         listed = self._lists.get(record.announcement.service, ())
-        shown = next((state for state in listed if state.endpoint_id == endpoint_id), None)
-        return explain_record(record, shown, now=now)
+        listed_state = next((state for state in listed if state.endpoint_id == endpoint_id), None)
+        return explain_record(record, listed_state, now=now)
 
-    # Taking in
+    # Incoming announcements
 
     def _handle_announcement(self, news: News) -> None:
         if news.payload is None:
@@ -173,7 +177,7 @@
         source = f"router {news.origin}"
         record, _ = self._accept(body, at=at, source=source, now=news.now)
         record.carriers[news.origin] = body
-        self._update([record], news.now, soon=not record.is_listed)
+        self._update([record], news.now, defer_rebuild=not record.is_listed)
 
     def _handle_renewals(self, news: News) -> None:
         renewals = decode_renewals(news)
@@ -181,12 +185,12 @@
             return
         renewed: list[Record] = []
         for renewal in renewals.renewals:
-            record = self._by_hash.get(renewal.endpoint_hash)
+            record = self._records_by_hash.get(renewal.endpoint_hash)
             if record is None:
                 continue
             record.renew(news.now - news.age_s - renewal.age_ds / 10)
             renewed.append(record)
-        self._update(renewed, news.now, soon=True)
+        self._update(renewed, news.now, defer_rebuild=True)
 
     def _accept(
         self, announcement: Announcement, *, at: float, source: str, now: float
@@ -195,14 +199,14 @@
         if record is None:
             record = make_record(announcement, at=at, source=source, now=now)
             self._records[announcement.endpoint_id] = record
-            self._by_hash[record.endpoint_hash] = record
+            self._records_by_hash[record.endpoint_hash] = record
             return record, Acceptance.ACCEPTED
-        self._by_hash.pop(record.endpoint_hash, None)
+        self._records_by_hash.pop(record.endpoint_hash, None)
         acceptance = record.accept(announcement, at=at, source=source, now=now)
-        self._by_hash[record.endpoint_hash] = record
+        self._records_by_hash[record.endpoint_hash] = record
         return record, acceptance
 
-    # Time
+    # Periodic work
 
     def _tick(self, now: float) -> None:
         for record in self._records.values():
@@ -221,7 +225,7 @@
             is_gone = now >= record.lease_until + RETRACT_AFTER_S
             if is_gone or own.incarnation < record.announcement.incarnation:
                 self._publisher.retract_announcement(record, now=now)
-            # A router that starts now would take the older "ready" from here.
+            # A router that starts now would otherwise get the older "ready" state from here.
             elif own.state is not record.announcement.state:
                 self._publisher.publish_announcement(record, now=now)
 
@@ -233,28 +237,30 @@
             if index >= excess and now < record.lease_until + GONE_RETENTION_S:
                 continue
             del self._records[record.announcement.endpoint_id]
-            self._by_hash.pop(record.endpoint_hash, None)
+            self._records_by_hash.pop(record.endpoint_hash, None)
 
-    def _update(self, records: Iterable[Record], now: float, *, soon: bool = False) -> None:
-        """Bring the lists up to date with what changed in these records.
+    def _update(
+        self, records: Iterable[Record], now: float, *, defer_rebuild: bool = False
+    ) -> None:
+        """Update the lists of all services in which one of these records changed.
 
-        ``soon`` leaves the lists to the next tick: after a start hundreds of endpoints
-        come in one by one, and to list each at once would cost most of the processor time.
-        What is listed already changes at once.
+        ``defer_rebuild`` leaves the lists to the next tick. After a start, hundreds of
+        announcements arrive one by one, and a rebuild for each would take most of the CPU
+        time. Announcements of endpoints that are already listed take effect at once.
         """
-        services = self._changed
+        services = self._changed_services
         for record in records:
             record.drained_by = find_drain(self._drains, record.announcement)
-            standing = record.get_snapshot(now)
-            if standing == record.last_snapshot:
+            snapshot = record.get_snapshot(now)
+            if snapshot == record.last_snapshot:
                 continue
             if record.last_snapshot is not None:
                 services.add(record.last_snapshot.announcement.service)
             services.add(record.announcement.service)
-            if standing.holds_lease != record.is_listed:
+            if snapshot.holds_lease != record.is_listed:
                 toggle_listing(record, self._records.values(), now=now)
             record.last_snapshot = record.get_snapshot(now)
-        if services and not soon:
+        if services and not defer_rebuild:
             self._rebuild(services, now)
             services.clear()
 
@@ -263,10 +269,10 @@
         degraded = set(self._degraded)
         for service in services:
             listed = [record for record in self._records.values() if _is_listed(record, service)]
-            judged = evaluate_service(listed, now)
-            lists[service] = make_states(listed, judged)
+            evaluation = evaluate_service(listed, now)
+            lists[service] = make_states(listed, evaluation)
             degraded.discard(service)
-            if judged.is_degraded:
+            if evaluation.is_degraded:
                 degraded.add(service)
         self._degraded = frozenset(degraded)
         self._replace_lists({service: states for service, states in lists.items() if states})
--- a/chivetrack/components/endpoints/wire.py
+++ b/chivetrack/components/endpoints/wire.py
@@ -1,4 +1,4 @@
-"""What routers tell each other about endpoints."""
+"""Messages that routers exchange about endpoints."""
 
 import zlib
 
@@ -8,7 +8,7 @@
 
 @message("endpoints.body")
 class EndpointBody(Message, frozen=True, array_like=True):
-    """An announcement, spread once for each change of it."""
+    """Announcement of an endpoint, sent once for each change."""
 
     endpoint_id: str
     incarnation: int
@@ -28,7 +28,7 @@
 
 
 class Renewal(Message, frozen=True, array_like=True):
-    """An endpoint, as a hash, that announced itself ``age_ds`` tenths of a second ago."""
+    """Hash of an endpoint that announced itself ``age_ds`` tenths of a second ago."""
 
     endpoint_hash: int
     age_ds: int
@@ -36,26 +36,26 @@
 
 @message("endpoints.renewals")
 class Renewals(Message, frozen=True, array_like=True):
-    """All endpoints whose latest announcement came to the sender.
+    """Renewals of endpoints whose latest announcement was received by the sender.
 
-    The full announcements of a region would not fit into the budget every few
-    seconds; a hash and an age do.
+    The full announcements of a region every few seconds would exceed the gossip budget;
+    hashes with ages fit.
     """
 
     renewals: tuple[Renewal, ...]
 
 
 def hash_endpoint(endpoint_id: str, incarnation: int, *, leaving: bool) -> int:
-    """Return the 32-bit name of an incarnation of an endpoint and of what it says.
+    """Return a 32-bit hash of an endpoint's id, incarnation and announced state.
 
-    Without the latter, renewals by those who know that it leaves would keep it ready at
-    a router that does not know yet.
+    Without the state, renewals from routers that know that the endpoint is leaving would
+    keep it ready on a router that does not know this yet.
     """
     return zlib.crc32(f"{endpoint_id}\0{incarnation}\0{leaving}".encode())
 
 
 def make_body(announcement: Announcement) -> EndpointBody:
-    """Return an announcement's form on the wire."""
+    """Return the wire message of an announcement."""
     return EndpointBody(
         announcement.endpoint_id,
         announcement.incarnation,
@@ -76,9 +76,9 @@
 
 
 def read_body(body: EndpointBody) -> Announcement:
-    """Return the announcement behind its form on the wire.
+    """Return the announcement in a wire message.
 
-    Raises ``ValueError`` for a kind of endpoint that this version does not know.
+    Raises ``ValueError`` for an unknown kind of endpoint.
     """
     return Announcement(
         endpoint_id=body.endpoint_id,
--- a/tests/components/endpoints/fleet.py
+++ b/tests/components/endpoints/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of routers with endpoint registries on the network in memory."""
+"""Fleet of routers with endpoint registries on the in-memory network."""
 
 from dataclasses import replace
 
@@ -33,7 +33,7 @@
 
 
 class EndpointFleet(GossipFleet):
-    """Routers that endpoints announce themselves to."""
+    """Routers to which endpoints announce themselves."""
 
     def __init__(self, size: int, *, seed: int = 1) -> None:
         self.registries: dict[str, EndpointRegistry] = {}
--- a/tests/components/endpoints/test_announcement.py
+++ b/tests/components/endpoints/test_announcement.py
@@ -1,11 +1,11 @@
-"""The announcement at the border."""
+"""Validation of announcements."""
 
 import unittest
 
 from chivetrack.components.endpoints.announcement import parse_announcement
 from chivetrack.components.endpoints.models import AnnouncedState
 
-GOOD = {
+VALID = {
     "id": "e-1",
     "incarnation": 3,
     "address": "http://10.0.0.1:8000",
@@ -20,25 +20,25 @@
 
 
 class ParseAnnouncementTest(unittest.TestCase):
-    def test_takes_a_good_one(self) -> None:
-        parsed = parse_announcement(GOOD | {"state": "leaving"}).ok
+    def test_accepts_valid_announcement(self) -> None:
+        parsed = parse_announcement(VALID | {"state": "leaving"}).ok
         self.assertEqual(parsed.endpoint_id, "e-1")
         self.assertEqual(parsed.models, ("m-1",))
         self.assertIs(parsed.state, AnnouncedState.LEAVING)
 
-    def test_names_each_fault_with_its_place(self) -> None:
+    def test_reports_each_error_with_its_path(self) -> None:
         cases: list[tuple[object, set[str]]] = [
-            ({}, set(GOOD) - {"models"}),
+            ({}, set(VALID) - {"models"}),
             (
-                GOOD | {"capacity": 0, "lease_s": 600, "kind": "gpu"},
+                VALID | {"capacity": 0, "lease_s": 600, "kind": "gpu"},
                 {"capacity", "lease_s", "kind"},
             ),
-            (GOOD | {"capacity": "8"}, {"capacity"}),
-            (GOOD | {"address": "10.0.0.1:8000"}, {"address"}),
-            (GOOD | {"id": "a b"}, {"id"}),
-            (GOOD | {"incarnation": -1}, {"incarnation"}),
-            (GOOD | {"capacitty": 1}, {"capacitty"}),
-            (GOOD | {"models": ["m", 3]}, {"models.1"}),
+            (VALID | {"capacity": "8"}, {"capacity"}),
+            (VALID | {"address": "10.0.0.1:8000"}, {"address"}),
+            (VALID | {"id": "a b"}, {"id"}),
+            (VALID | {"incarnation": -1}, {"incarnation"}),
+            (VALID | {"capacitty": 1}, {"capacitty"}),
+            (VALID | {"models": ["m", 3]}, {"models.1"}),
             ("text", {"announcement"}),
             (None, {"announcement"}),
         ]
@@ -47,6 +47,6 @@
                 findings = parse_announcement(document).swap().ok
                 self.assertEqual({finding.place for finding in findings}, places)
 
-    def test_suggests_the_nearest_name(self) -> None:
-        findings = parse_announcement(GOOD | {"capacitty": 1}).swap().ok
+    def test_suggests_similar_field_name(self) -> None:
+        findings = parse_announcement(VALID | {"capacitty": 1}).swap().ok
         self.assertEqual(findings[0].hint, "did you mean 'capacity'?")
--- a/tests/components/endpoints/test_breaker.py
+++ b/tests/components/endpoints/test_breaker.py
@@ -1,4 +1,4 @@
-"""Circuit breakers, the cap on taking out, flapping, drains and explanations."""
+"""Circuit breakers, the limit of unavailable endpoints, flapping, drains and explanations."""
 
 import random
 import unittest
@@ -20,7 +20,7 @@
 
 
 class RegistryCase(unittest.TestCase):
-    """One registry whose endpoints announce themselves every second unless told not to."""
+    """One registry; its endpoints announce themselves once per second while ``run_for`` runs."""
 
     def setUp(self) -> None:
         self.gossip = Gossip(instance_id="r", incarnation=1, random=random.Random(1))
@@ -68,20 +68,21 @@
                 self.fail_attempts("e-1", times, kind)
                 self.assertEqual(self.list_unavailable(), {"e-1": BROKEN} if is_open else {})
 
-    def test_opens_on_a_bad_share_between_successes(self) -> None:
-        """An endpoint fails every second request: never several in a row.
+    def test_opens_on_high_failure_share(self) -> None:
+        """An endpoint that fails every second request never has two failures in a row.
 
-        Counting only rows of failures, half of its callers would get errors for ever.
+        A breaker that counts only consecutive failures would stay closed, and half of the
+        callers would get errors forever.
         """
         for _ in range(10):
             self.succeed("e-1")
             self.fail_attempts("e-1", 1, OutcomeKind.ERROR)
         self.assertEqual(self.list_unavailable(), {"e-1": BROKEN})
 
-    def test_half_open_lets_one_probe_through(self) -> None:
-        """The delay is over and many requests wait; the endpoint may still be down.
+    def test_half_open_admits_one_probe(self) -> None:
+        """After the delay, only one request is admitted as a probe.
 
-        One of them may try it; the others would fail with it.
+        The endpoint may still be down, and without the limit all waiting requests would fail.
         """
         self.fail_attempts("e-1")
         self.run_for(1.25)
@@ -107,23 +108,26 @@
         self.run_for(31)
         self.assertEqual(self.list_unavailable(), {})
 
-    def test_a_bad_probe_does_not_empty_the_service(self) -> None:
-        """This router's link is bad, or a request breaks every engine that it is tried on.
+    def test_failures_of_all_endpoints_keep_half_available(self) -> None:
+        """A faulty link of this router, or a request that crashes engines, fails all endpoints.
 
-        With all six out every caller would be refused. Half stay in, those with the
-        fewest failures, and the registry says that it is so.
+        With all six endpoints out of service, every caller would be refused. The half with
+        the fewest failures stays available, and the service is reported as degraded.
         """
         for count, name in enumerate(NAMES):
             self.fail_attempts(name, 3 + count)
         self.assertEqual(self.list_unavailable(), dict.fromkeys(NAMES[3:], BROKEN))
         self.assertTrue(self.registry.is_degraded(SERVICE))
         reasons = [s.reason for s in self.registry.list_endpoints(SERVICE)]
-        self.assertTrue(reasons[0].startswith("kept in, too many look bad"), reasons)
+        self.assertTrue(
+            reasons[0].startswith("kept available, too many endpoints are suspect"), reasons
+        )
 
-    def test_the_cap_holds_whatever_happens(self) -> None:
-        """Random outcomes, losses, restarts and drains against the one rule.
+    def test_unavailable_share_never_exceeds_limit(self) -> None:
+        """Apply random outcomes and lost leases, and check the limit after each step.
 
-        Of the endpoints that do not leave, at most the stated share is ever out.
+        Of the endpoints that are not leaving, at most ``MAX_UNAVAILABLE_SHARE`` may be
+        unavailable.
         """
         for seed in range(20):
             source = random.Random(seed)
@@ -143,10 +147,11 @@
                 out = [s for s in staying if s.availability is not READY]
                 self.assertLessEqual(len(out), MAX_UNAVAILABLE_SHARE * len(staying))
 
-    def test_one_routers_failures_stay_its_own(self) -> None:
-        """One router's link to an endpoint is bad; it fails every attempt there.
+    def test_failures_of_one_router_do_not_affect_others(self) -> None:
+        """One router fails every attempt at an endpoint because its link is faulty.
 
-        Spread as a removal, one bad link would take the endpoint from everybody.
+        If the router published this as a removal, one faulty link would make the endpoint
+        unavailable on all routers.
         """
         fleet = EndpointFleet(5)
         for _ in range(4):
@@ -167,10 +172,10 @@
 
 class FlapTest(RegistryCase):
     def test_delays_grow_with_each_return_and_decay(self) -> None:
-        """An endpoint's lease runs out every few seconds and it returns each time.
+        """An endpoint's lease expires every few seconds and the endpoint returns each time.
 
-        Each return costs its callers failed requests; the delay before it gets work again
-        grows, and an hour of quiet forgives it.
+        Each loss causes failed requests. The delay before the endpoint gets requests again
+        grows with each return, and the penalty has decayed after a stable hour.
         """
         delays: list[float] = []
         for _ in range(4):
@@ -188,7 +193,7 @@
         self.run_for(1)
         self.assertEqual(self.list_unavailable(), {})
 
-    def test_restarts_without_notice_count_and_planned_ones_do_not(self) -> None:
+    def test_only_unannounced_restarts_count_as_flaps(self) -> None:
         for planned in (False, True):
             with self.subTest(planned=planned):
                 self.setUp()
@@ -203,10 +208,10 @@
                     self.run_for(1, NAMES[1:])
                 self.assertEqual(self.list_unavailable(), {} if planned else {"e-0": HELD})
 
-    def test_a_cut_off_router_holds_nobody_back(self) -> None:
-        """The router hears nothing for a while, three times; all leases run out at once.
+    def test_partitioned_router_holds_no_endpoint_back(self) -> None:
+        """Three times the router receives nothing for ten seconds, and all leases expire at once.
 
-        Taken for flapping, all endpoints would be held back when it hears again.
+        If this counted as flapping, all endpoints would be held back after the reconnection.
         """
         for _ in range(3):
             self.run_for(10, ())
@@ -231,29 +236,35 @@
 
 
 class ExplainTest(RegistryCase):
-    def test_says_why_since_when_and_on_whose_word(self) -> None:
+    def test_explains_reason_time_and_source(self) -> None:
         self.fail_attempts("e-1")
         self.registry.announce(make_announcement("e-2", state=LEAVING), now=self.now)
         drain = Drain(name="drain/rack-4", endpoint_ids=frozenset({"e-3"}))
         self.registry.set_drained([drain], now=self.now)
         self.registry.record_outcome("e-4", False, OutcomeKind.LEAVING, self.now)
         cases = {
-            "e-0": ("ready", "it holds a lease", "the endpoint, here"),
+            "e-0": ("ready", "it holds a lease", "the endpoint, to this router"),
             "e-1": ("broken", "3 failures in a row (connect)", "this router's own attempts"),
-            "e-2": ("leaving", "leaving, on the word of the endpoint, here", "the endpoint, here"),
+            "e-2": (
+                "leaving",
+                "leaving, reported by the endpoint, to this router",
+                "the endpoint, to this router",
+            ),
             "e-3": ("leaving", "drained: drain/rack-4", "configuration: drain/rack-4"),
             "e-4": (
                 "leaving",
-                "leaving, it refused work from this router",
-                "its own refusal, to this router",
+                "leaving, it refused a request from this router",
+                "a request that it refused to this router",
             ),
-            "e-9": ("unknown", "no announcement of it is remembered here", "nobody"),
+            "e-9": ("unknown", "no announcement of it is recorded on this router", "nobody"),
         }
         for name, expected in cases.items():
             with self.subTest(name):
-                told = self.registry.explain(name, now=self.now)
-                self.assertEqual((told.verdict, told.reason, told.word), expected)
+                explanation = self.registry.explain(name, now=self.now)
+                self.assertEqual(
+                    (explanation.verdict, explanation.reason, explanation.word), expected
+                )
         self.run_for(10, NAMES[1:])
-        told = self.registry.explain("e-0", now=self.now)
-        self.assertEqual(told.verdict, "gone")
-        self.assertAlmostEqual(told.since_s, 5.0, delta=1.0)
+        explanation = self.registry.explain("e-0", now=self.now)
+        self.assertEqual(explanation.verdict, "gone")
+        self.assertAlmostEqual(explanation.since_s, 5.0, delta=1.0)
--- a/tests/components/endpoints/test_fuzz.py
+++ b/tests/components/endpoints/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Endpoints and routers under random faults, against an oracle that knows all."""
+"""Compares registries under random faults with an oracle that knows the state of all endpoints."""
 
 import random
 import unittest
@@ -8,7 +8,7 @@
 from tests.components.endpoints.fleet import LEAVING, SERVICE, EndpointFleet, make_announcement
 
 LEASE_S = 6.0
-SPREAD_S = 2.5
+PROPAGATION_S = 2.5
 HEALED_S = 5.0
 SETTLE_S = 12.0
 SLACK_S = 1.0
@@ -16,10 +16,11 @@
 
 @dataclass
 class _Endpoint:
-    """The truth about one endpoint.
+    """Actual state of one endpoint.
 
-    ``is_lost``: the only router that was told that it leaves restarted before it could
-    tell others, and the endpoint did not say it again.
+    ``announced_to`` is the router that got the latest announcement. ``is_leaving_lost`` means
+    that the only router with the leaving announcement restarted before it could forward it,
+    and the endpoint has not announced it again.
     """
 
     name: str
@@ -27,14 +28,14 @@
     running: bool = True
     started_at: float = 0.0
     leaving_at: float | None = None
-    told: str = ""
-    is_lost: bool = False
-    said_at: float = 0.0
-    next_at: float = 0.0
+    announced_to: str = ""
+    is_leaving_lost: bool = False
+    announced_at: float = 0.0
+    next_announcement_at: float = 0.0
 
 
 class _World:
-    """Endpoints that announce themselves to random routers, and routers under faults."""
+    """Endpoints that announce themselves to random routers, and routers with injected faults."""
 
     def __init__(self, seed: int) -> None:
         self.source = random.Random(seed)
@@ -58,19 +59,19 @@
             )
             action()
         for endpoint in self.endpoints:
-            if endpoint.running and self.network.now >= endpoint.next_at:
+            if endpoint.running and self.network.now >= endpoint.next_announcement_at:
                 self.announce(endpoint)
         self.network.run_for(0.25)
 
     def announce(self, endpoint: _Endpoint) -> None:
-        endpoint.next_at = self.network.now + 1.5
-        endpoint.said_at = self.network.now
+        endpoint.next_announcement_at = self.network.now + 1.5
+        endpoint.announced_at = self.network.now
         changes = {"incarnation": endpoint.incarnation, "lease_s": LEASE_S}
         if endpoint.leaving_at is not None:
             changes["state"] = LEAVING
-        endpoint.told = self.source.choice(self.fleet.names)
-        endpoint.is_lost = False
-        self.fleet.announce(endpoint.told, make_announcement(endpoint.name, **changes))
+        endpoint.announced_to = self.source.choice(self.fleet.names)
+        endpoint.is_leaving_lost = False
+        self.fleet.announce(endpoint.announced_to, make_announcement(endpoint.name, **changes))
 
     def announce_zombie(self) -> None:
         endpoint = self.source.choice(self.endpoints)
@@ -116,24 +117,25 @@
         name = self.source.choice(self.fleet.names)
         self.incarnations[name] += 1
         for endpoint in self.endpoints:
-            is_recent = self.network.now - endpoint.said_at < SPREAD_S
-            endpoint.is_lost |= endpoint.told == name and is_recent
+            is_recent = self.network.now - endpoint.announced_at < PROPAGATION_S
+            endpoint.is_leaving_lost |= endpoint.announced_to == name and is_recent
         self.fleet.start(name, incarnation=self.incarnations[name])
         self.newest = {key: value for key, value in self.newest.items() if key[0] != name}
         if not self.is_cut:
             self.healed_at = self.network.now
 
-    def get_connected_for(self) -> float:
+    def get_connected_s(self) -> float:
         return 0.0 if self.is_cut else self.network.now - self.healed_at
 
 
 class EndpointFuzzTest(unittest.TestCase):
     def test_against_the_oracle(self) -> None:
-        """Endpoints stop, leave and restart while routers are cut off and restart.
+        """Endpoints stop, leave and restart while routers are partitioned and restarted.
 
-        Whatever the order: a leaving or stopped endpoint is out at connected routers in
-        seconds and everywhere at the end of its lease, an older incarnation never comes
-        back, and a live endpoint is listed once the network is whole again.
+        In any order of these events, a leaving endpoint is unavailable on connected routers
+        after ``PROPAGATION_S``, and a stopped one on all routers at the end of its lease. An
+        older incarnation never returns, and a live endpoint is listed once the network
+        has healed.
         """
         for seed in range(12):
             with self.subTest(seed=seed):
@@ -151,20 +153,20 @@
         for endpoint in world.endpoints:
             state = listed.get(endpoint.name)
             place = (router, endpoint, now)
-            settled_for = min(world.get_connected_for(), now - endpoint.started_at)
-            if endpoint.running and endpoint.leaving_at is None and settled_for > SETTLE_S:
+            settled_s = min(world.get_connected_s(), now - endpoint.started_at)
+            if endpoint.running and endpoint.leaving_at is None and settled_s > SETTLE_S:
                 self.assertIsNotNone(state, place)
                 self.assertEqual(state.incarnation, endpoint.incarnation, place)
                 self.assertIsNot(state.availability, Availability.LEAVING, place)
             if state is None:
                 continue
-            self.assertLess(now, endpoint.said_at + LEASE_S + SLACK_S, place)
+            self.assertLess(now, endpoint.announced_at + LEASE_S + SLACK_S, place)
             newest = world.newest.get((router, endpoint.name), 0)
             self.assertGreaterEqual(state.incarnation, newest, place)
             world.newest[router, endpoint.name] = state.incarnation
             if endpoint.leaving_at is None or state.incarnation < endpoint.incarnation:
                 continue
-            for_s = now - endpoint.leaving_at
-            is_told = not endpoint.is_lost and world.get_connected_for() > HEALED_S
-            if for_s > (SPREAD_S if is_told else LEASE_S + SLACK_S):
+            leaving_s = now - endpoint.leaving_at
+            is_propagated = not endpoint.is_leaving_lost and world.get_connected_s() > HEALED_S
+            if leaving_s > (PROPAGATION_S if is_propagated else LEASE_S + SLACK_S):
                 self.assertIs(state.availability, Availability.LEAVING, place)
--- a/tests/components/endpoints/test_registry.py
+++ b/tests/components/endpoints/test_registry.py
@@ -18,13 +18,13 @@
         self.fleet = EndpointFleet(9)
 
     def announce_for(self, seconds: float, names: tuple[str, ...], routers: list[str]) -> None:
-        """Announce every 2 s, each time to the next router, as the balancer would."""
+        """Announce every 2 s to the next router in turn, as a load balancer would distribute it."""
         for step in range(int(seconds / 2)):
             for name in names:
                 self.fleet.announce(routers[step % len(routers)], make_announcement(name))
             self.fleet.network.run_for(2)
 
-    def test_every_router_lists_what_one_was_told(self) -> None:
+    def test_announcement_to_one_router_reaches_all(self) -> None:
         self.announce_for(20, ("e-1", "e-2"), self.fleet.names)
         for name in self.fleet.names:
             listed = self.fleet.list_availability(name)
@@ -36,11 +36,11 @@
         for name in self.fleet.names:
             self.assertEqual(self.fleet.list_availability(name), {}, name)
 
-    def test_a_cut_router_lets_leases_run_out(self) -> None:
-        """A router is cut from its peers; endpoints go on announcing to the others.
+    def test_leases_expire_on_partitioned_router(self) -> None:
+        """A router is partitioned from its peers while endpoints announce to the others.
 
-        Nobody tells it which of them left. It must drop each at the end of the lease
-        that it last heard of rather than route by a view that nobody refreshes.
+        It does not learn which endpoints leave, so it must remove each endpoint at the end
+        of the last known lease instead of routing by an outdated list.
         """
         self.announce_for(10, ("e-1", "e-2"), self.fleet.names)
         self.fleet.network.cut(["router-0"], self.fleet.names[1:])
@@ -51,7 +51,7 @@
         self.announce_for(4, ("e-1", "e-2"), self.fleet.names[1:])
         self.assertEqual(self.fleet.list_availability("router-0"), {"e-1": READY, "e-2": READY})
 
-    def test_leaving_is_everywhere_in_a_second(self) -> None:
+    def test_leaving_reaches_all_routers_within_a_second(self) -> None:
         self.announce_for(10, ("e-1", "e-2"), self.fleet.names)
         self.fleet.announce("router-3", make_announcement("e-1", state=LEAVING))
         self.fleet.network.run_for(1)
@@ -60,9 +60,9 @@
             self.assertEqual(listed, {"e-1": Availability.LEAVING, "e-2": READY}, name)
 
     def test_leaving_is_final_for_an_incarnation(self) -> None:
-        """An endpoint says that it leaves; an older "ready" of it arrives later elsewhere.
+        """An older "ready" announcement arrives at another router after a "leaving" one.
 
-        If that undid it, callers would be sent to an endpoint that stops under them.
+        If it took effect, requests would be sent to an endpoint that is about to stop.
         """
         self.announce_for(6, ("e-1",), self.fleet.names)
         self.fleet.announce("router-3", make_announcement("e-1", state=LEAVING))
@@ -90,11 +90,11 @@
             listed = self.fleet.registries[name].list_endpoints("valuation")
             self.assertEqual([state.address for state in listed], [new.address], name)
 
-    def test_an_older_ready_is_not_left_behind(self) -> None:
-        """Router 1 was told "ready", router 2 "leaving"; then 2 and 3 restart empty.
+    def test_older_ready_announcement_is_not_kept(self) -> None:
+        """Router 1 received "ready", router 2 "leaving"; then routers 2 and 3 restart empty.
 
-        What router 2 published goes with it. If router 1 still offered its "ready", those
-        who start now would give the endpoint work up to the end of the lease.
+        The publications of router 2 are lost with it. If router 1 still published "ready",
+        restarted routers would send requests to the endpoint until the end of its lease.
         """
         self.fleet.announce("router-1", make_announcement("e-1"))
         self.fleet.network.run_for(1)
@@ -107,16 +107,16 @@
         for name in self.fleet.names:
             self.assertNotIn(READY, self.fleet.list_availability(name).values(), name)
 
-    def test_renewals_of_one_that_leaves_do_not_keep_it_ready(self) -> None:
-        """A router missed that an endpoint leaves, but gets the renewals of those who know.
+    def test_renewals_of_leaving_endpoint_do_not_keep_it_ready(self) -> None:
+        """A router missed a "leaving" announcement but gets renewals from routers that know it.
 
-        Named by id and incarnation alone they would extend the lease, and callers would
-        be sent to the endpoint for as long as it takes to stop.
+        If renewals identified endpoints by id and incarnation alone, they would extend the
+        lease, and requests would be sent to the endpoint until it has stopped.
         """
         registry = self.fleet.registries["router-0"]
         registry.announce(make_announcement("e-1"), now=0.0)
-        name = hash_endpoint("e-1", 1, leaving=True)
-        payload = encode(Renewals((Renewal(name, 0),)))
+        endpoint_hash = hash_endpoint("e-1", 1, leaving=True)
+        payload = encode(Renewals((Renewal(endpoint_hash, 0),)))
         for second in range(1, 8):
             entry = Entry(TOPIC_RENEWAL, "", second, int(Urgency.LOAD), 0, payload)
             frame = GossipFrame(1, second * 1000, (Delta("router-1", 1, 0, (entry,)),))
@@ -125,11 +125,12 @@
             registry.handle(TimeReached(), now=float(second))
         self.assertEqual(self.fleet.list_availability("router-0"), {})
 
-    def test_a_new_incarnation_is_back_everywhere_in_seconds(self) -> None:
-        """Endpoints of a quiet small fleet leave and come back as a new incarnation.
+    def test_new_incarnation_is_listed_everywhere_within_seconds(self) -> None:
+        """Endpoints of a small idle fleet leave and return as a new incarnation.
 
-        Others still carry the old one, and what everyone has counts as no backlog; if
-        either put off the news, the endpoint would stay out at all routers but one.
+        Other routers still publish the old incarnation, and updates that every router has
+        do not count as pending. If either delayed the new announcement, the endpoint would
+        stay unavailable on all routers but one.
         """
         fleet = self.fleet = EndpointFleet(3)
         names = tuple(f"e-{index}" for index in range(6))
