--- a/chivetrack/components/placement/loads.py
+++ b/chivetrack/components/placement/loads.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from chivetrack.components.distribution.messages import EndpointLoad
-from chivetrack.components.endpoints.const import OTHERS_FRESH_S
+from chivetrack.components.endpoints.const import PEER_COUNTS_TTL_S
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
     def count_running(self, endpoint_id: str, now: float) -> int:
         """Return the requests in flight at an endpoint, of all routers."""
         use = self._get(endpoint_id)
-        return use.running + (use.others_running if now - use.others_at <= OTHERS_FRESH_S else 0)
+        return use.running + (use.others_running if now - use.others_at <= PEER_COUNTS_TTL_S else 0)
 
     def count_tokens(self, endpoint_id: str, now: float, *, rate: float) -> int:
         """Return the prompt tokens that an endpoint has still to read.
