--- a/chivetrack/components/drains/capacity.py
+++ b/chivetrack/components/drains/capacity.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class FloorVerdict:
+class FloorCheckResult:
     """Whether a drain may begin; ``reserved`` is what it takes, ``reason`` why not."""
 
     reserved: Reservation = field(default_factory=dict)
@@ -39,7 +39,7 @@
         for drain in in_force:
             self.take(drain, {} if drain.report is None else drain.report.reserved)
 
-    def check(self, drain: DesiredDrain) -> FloorVerdict:
+    def check(self, drain: DesiredDrain) -> FloorCheckResult:
         """Tell whether the drain may begin beside those in force."""
         taken: Counter[str] = Counter()
         reserved: Reservation = {}
@@ -47,7 +47,7 @@
         if not targets:
             # Begun now, it would take what comes back later without any look at the floor.
             target = drain.spec.target
-            return FloorVerdict(reason=f"no {target.kind.value} {target.name} is known")
+            return FloorCheckResult(reason=f"no {target.kind.value} {target.name} is known")
         for member in targets:
             is_covered = self._covers(member)
             if is_covered or member.is_ready:
@@ -58,8 +58,8 @@
         for group in sorted(reserved):
             reason = self._check_group(drain, group, taken[group])
             if reason:
-                return FloorVerdict(reason=reason)
-        return FloorVerdict(reserved=reserved)
+                return FloorCheckResult(reason=reason)
+        return FloorCheckResult(reserved=reserved)
 
     def take(self, drain: DesiredDrain, reserved: Reservation) -> None:
         """Count a drain as in force from now on."""
