--- a/chivetrack/components/drains/capacity.py
+++ b/chivetrack/components/drains/capacity.py
@@ -18,7 +18,7 @@
     reason: str = ""
 
 
-class CapacityBook:
+class CapacityTracker:
     """The capacity of each group, and what the drains in force have taken of it.
 
     All of a group counts, also what is broken or was drained; only what is ready and
--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -7,7 +7,7 @@
 
 from chivetrack.components.controllers.controller import CONTROLLERS
 from chivetrack.components.controllers.models import Plan, WriteStatus
-from chivetrack.components.drains.capacity import CapacityBook
+from chivetrack.components.drains.capacity import CapacityTracker
 from chivetrack.components.drains.const import (
     CONTROLLER,
     INSTANCES,
@@ -91,7 +91,7 @@
         now: float,
     ) -> list[WriteStatus | None]:
         in_force = [drain for drain in desired if drain.is_in_force]
-        book = CapacityBook(members=members, in_force=in_force)
+        book = CapacityTracker(members=members, in_force=in_force)
         writes = [self._follow(drain, members, observed, now) for drain in in_force]
         for drain in desired:
             if not drain.is_in_force:
@@ -106,7 +106,7 @@
         observed: DrainObservation,
     ) -> list[WriteStatus | None]:
         others = [drain for drain in desired if drain.is_in_force and drain.is_checked]
-        book = CapacityBook(members=members, in_force=others)
+        book = CapacityTracker(members=members, in_force=others)
         writes: list[WriteStatus | None] = []
         for drain in unchecked:
             verdict = book.check(drain)
@@ -118,7 +118,7 @@
         return writes
 
     def _try_to_start(
-        self, drain: DesiredDrain, book: CapacityBook, observed: DrainObservation, now: float
+        self, drain: DesiredDrain, book: CapacityTracker, observed: DrainObservation, now: float
     ) -> WriteStatus | None:
         reason = _find_time_reason(drain, observed.wall_ms)
         if not reason:
