--- a/chivetrack/components/drains/capacity.py
+++ b/chivetrack/components/drains/capacity.py
@@ -76,7 +76,7 @@
         return (member.group, member.name) in self._covered
 
     def _check_group(self, drain: DesiredDrain, group: str, taken: int) -> str:
-        whole = self._measure_whole(group)
+        whole = self._sum_total_capacity(group)
         others = [other for other in self._in_force if self._touches(other, group)]
         floor = max([drain.spec.floor, *(other.spec.floor for other in others)])
         remaining = self._remaining[group] - taken
@@ -88,7 +88,7 @@
             return f"waits for drain {names}: {share}"
         return f"floor: {share}"
 
-    def _measure_whole(self, group: str) -> int:
+    def _sum_total_capacity(self, group: str) -> int:
         # What was drained and has left since is listed no longer; its reservation keeps
         # it in the whole for as long as its drain lasts.
         whole: dict[str, int] = {}
