--- a/chivetrack/components/drains/capacity.py
+++ b/chivetrack/components/drains/capacity.py
@@ -77,7 +77,7 @@
 
     def _check_group(self, drain: DesiredDrain, group: str, taken: int) -> str:
         whole = self._sum_total_capacity(group)
-        others = [other for other in self._in_force if self._touches(other, group)]
+        others = [other for other in self._in_force if self._affects_group(other, group)]
         floor = max([drain.spec.floor, *(other.spec.floor for other in others)])
         remaining = self._remaining[group] - taken
         if remaining >= floor * whole - _ROUNDING:
@@ -99,7 +99,7 @@
                 whole[member.name] = member.capacity
         return sum(whole.values())
 
-    def _touches(self, drain: DesiredDrain, group: str) -> bool:
+    def _affects_group(self, drain: DesiredDrain, group: str) -> bool:
         if drain.report is not None and group in drain.report.reserved:
             return True
         return any(
