--- a/chivetrack/components/drains/capacity.py
+++ b/chivetrack/components/drains/capacity.py
@@ -49,7 +49,7 @@
             target = drain.spec.target
             return FloorCheckResult(reason=f"no {target.kind.value} {target.name} is known")
         for member in targets:
-            is_covered = self._covers(member)
+            is_covered = self._is_covered(member)
             if is_covered or member.is_ready:
                 # One that is covered counts too: it stays out when the other drain ends.
                 reserved.setdefault(member.group, {})[member.name] = member.capacity
@@ -64,7 +64,7 @@
     def take(self, drain: DesiredDrain, reserved: Reservation) -> None:
         """Count a drain as in force from now on."""
         for member in self._members:
-            if not member.is_target_of(drain.spec) or self._covers(member):
+            if not member.is_target_of(drain.spec) or self._is_covered(member):
                 continue
             if member.is_ready:
                 self._remaining[member.group] -= member.capacity
@@ -72,7 +72,7 @@
         self._reservations.append(reserved)
         self._in_force.append(drain)
 
-    def _covers(self, member: Member) -> bool:
+    def _is_covered(self, member: Member) -> bool:
         return (member.group, member.name) in self._covered
 
     def _check_group(self, drain: DesiredDrain, group: str, taken: int) -> str:
@@ -95,7 +95,7 @@
         for reservation in self._reservations:
             whole.update(reservation.get(group, {}))
         for member in self._members:
-            if member.group == group and (self._covers(member) or not member.is_leaving):
+            if member.group == group and (self._is_covered(member) or not member.is_leaving):
                 whole[member.name] = member.capacity
         return sum(whole.values())
 
