--- a/chivetrack/components/drains/const.py
+++ b/chivetrack/components/drains/const.py
@@ -14,7 +14,7 @@
 PROGRESS_S: Final = 2.0
 """How often a status is written when only its counts or its wording changed."""
 
-LOOK_AGAIN_S: Final = 0.5
+RECONCILE_INTERVAL_S: Final = 0.5
 MAX_EVENTS: Final = 10
 MAX_NAMES: Final = 20
 MAX_OTHERS: Final = 5
--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -12,9 +12,9 @@
     CONTROLLER,
     INSTANCES,
     KIND,
-    LOOK_AGAIN_S,
     MAX_EVENTS,
     PROGRESS_S,
+    RECONCILE_INTERVAL_S,
     SETTLE_S,
 )
 from chivetrack.components.drains.models import (
@@ -81,7 +81,7 @@
         changed = [write for write in writes if write is not None]
         for write in changed:
             self._written[write.name] = now
-        return Plan(actions=tuple(changed), look_again_at=now + LOOK_AGAIN_S)
+        return Plan(actions=tuple(changed), look_again_at=now + RECONCILE_INTERVAL_S)
 
     def _move_on(
         self,
