--- a/chivetrack/components/drains/const.py
+++ b/chivetrack/components/drains/const.py
@@ -11,7 +11,7 @@
 Equal to the window after which a router without confirmation stops serving.
 """
 
-PROGRESS_S: Final = 2.0
+STATUS_WRITE_INTERVAL_S: Final = 2.0
 """How often a status is written when only its counts or its wording changed."""
 
 RECONCILE_INTERVAL_S: Final = 0.5
--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -13,9 +13,9 @@
     INSTANCES,
     KIND,
     MAX_EVENTS,
-    PROGRESS_S,
     RECONCILE_INTERVAL_S,
     SETTLE_S,
+    STATUS_WRITE_INTERVAL_S,
 )
 from chivetrack.components.drains.models import (
     DesiredDrain,
@@ -177,7 +177,7 @@
         return seen[1]
 
     def _is_due(self, drain: DesiredDrain, now: float) -> bool:
-        return now >= self._written.get(drain.name, float("-inf")) + PROGRESS_S
+        return now >= self._written.get(drain.name, float("-inf")) + STATUS_WRITE_INTERVAL_S
 
     def _forget_gone(self, desired: tuple[DesiredDrain, ...]) -> None:
         names = {drain.name for drain in desired}
