--- a/chivetrack/components/drains/capacity.py
+++ b/chivetrack/components/drains/capacity.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from chivetrack.components.drains.const import MAX_OTHERS
+from chivetrack.components.drains.const import MAX_NAMED_DRAINS
 from chivetrack.components.drains.models import DesiredDrain, Member, Reservation
 
 _ROUNDING = 1e-9
@@ -84,7 +84,7 @@
             return ""
         share = f"{group} would keep {remaining} of {whole}, {floor:.0%} must remain"
         if others and whole - taken >= drain.spec.floor * whole - _ROUNDING:
-            names = ", ".join(sorted(other.name for other in others)[:MAX_OTHERS])
+            names = ", ".join(sorted(other.name for other in others)[:MAX_NAMED_DRAINS])
             return f"waits for drain {names}: {share}"
         return f"floor: {share}"
 
--- a/chivetrack/components/drains/const.py
+++ b/chivetrack/components/drains/const.py
@@ -17,7 +17,7 @@
 RECONCILE_INTERVAL_S: Final = 0.5
 MAX_EVENTS: Final = 10
 MAX_NAMES: Final = 20
-MAX_OTHERS: Final = 5
+MAX_NAMED_DRAINS: Final = 5
 
 INSTANCES: Final = "instances"
 """The group whose capacity a drain of an instance takes from."""
