--- a/chivetrack/components/drains/progress.py
+++ b/chivetrack/components/drains/progress.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from chivetrack.components.drains.const import MAX_NAMES
+from chivetrack.components.drains.const import MAX_NAMED_TARGETS
 from chivetrack.components.drains.models import DesiredDrain, DrainObservation, Member
 from chivetrack.components.resources.models import DrainTargetKind
 
@@ -36,7 +36,7 @@
     ages = [load.age_s for load in loads.values()]
     return Progress(
         in_flight=sum(load.in_flight for load in loads.values()),
-        left=tuple(name for name, load in loads.items() if load.in_flight)[:MAX_NAMES],
+        left=tuple(name for name, load in loads.items() if load.in_flight)[:MAX_NAMED_TARGETS],
         age_s=max([observation.age_s, *ages]),
     )
 
