--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -77,13 +77,13 @@
             # until it is settled whether the new target may be out.
             writes = self._settle_unchecked(unchecked, desired, members, observed)
         else:
-            writes = self._move_on(desired, members, observed, now)
+            writes = self._advance_drains(desired, members, observed, now)
         changed = [write for write in writes if write is not None]
         for write in changed:
             self._written[write.name] = now
         return Plan(actions=tuple(changed), look_again_at=now + RECONCILE_INTERVAL_S)
 
-    def _move_on(
+    def _advance_drains(
         self,
         desired: tuple[DesiredDrain, ...],
         members: tuple[Member, ...],
