--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -75,7 +75,7 @@
         if unchecked:
             # Its target was edited while routers follow it. Nothing else may begin
             # until it is settled whether the new target may be out.
-            writes = self._settle_unchecked(unchecked, desired, members, observed)
+            writes = self._recheck_floors(unchecked, desired, members, observed)
         else:
             writes = self._advance_drains(desired, members, observed, now)
         changed = [write for write in writes if write is not None]
@@ -98,7 +98,7 @@
                 writes.append(self._try_to_start(drain, book, observed, now))
         return writes
 
-    def _settle_unchecked(
+    def _recheck_floors(
         self,
         unchecked: list[DesiredDrain],
         desired: tuple[DesiredDrain, ...],
