--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -92,7 +92,7 @@
     ) -> list[WriteStatus | None]:
         in_force = [drain for drain in desired if drain.is_in_force]
         book = CapacityTracker(members=members, in_force=in_force)
-        writes = [self._follow(drain, members, observed, now) for drain in in_force]
+        writes = [self._update_progress(drain, members, observed, now) for drain in in_force]
         for drain in desired:
             if not drain.is_in_force:
                 writes.append(self._try_to_start(drain, book, observed, now))
@@ -133,7 +133,7 @@
             return None
         return _write(drain, _make_waiting(drain, reason, observed))
 
-    def _follow(
+    def _update_progress(
         self,
         drain: DesiredDrain,
         members: tuple[Member, ...],
