--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -162,12 +162,12 @@
         # A count of zero from before all routers had the drain in force proves nothing:
         # a router that had not heard of it yet may have sent one more request since.
         counted_at = now - progress.age_s
-        is_fresh = counted_at >= self._note_active(drain, now) + SETTLE_S
+        is_fresh = counted_at >= self._record_active(drain, now) + SETTLE_S
         if progress.is_known and progress.in_flight == 0 and is_fresh:
             return "nothing is in flight"
         return ""
 
-    def _note_active(self, drain: DesiredDrain, now: float) -> float:
+    def _record_active(self, drain: DesiredDrain, now: float) -> float:
         """Return when this holder first saw the drain active, by its own clock."""
         assert drain.report is not None
         seen = self._active_seen.get(drain.name)
