--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -52,7 +52,7 @@
         """Read drains from ``table`` and the fleet from ``observer``."""
         self._table = table
         self._observer = observer
-        self._active_seen: dict[str, tuple[int, float]] = {}
+        self._first_seen_active: dict[str, tuple[int, float]] = {}
         self._written: dict[str, float] = {}
 
     def read_desired(self) -> tuple[DesiredDrain, ...]:
@@ -170,10 +170,10 @@
     def _record_active(self, drain: DesiredDrain, now: float) -> float:
         """Return when this holder first saw the drain active, by its own clock."""
         assert drain.report is not None
-        seen = self._active_seen.get(drain.name)
+        seen = self._first_seen_active.get(drain.name)
         if seen is None or seen[0] != drain.report.active_ms:
             seen = (drain.report.active_ms, now)
-            self._active_seen[drain.name] = seen
+            self._first_seen_active[drain.name] = seen
         return seen[1]
 
     def _is_due(self, drain: DesiredDrain, now: float) -> bool:
@@ -181,7 +181,7 @@
 
     def _forget_gone(self, desired: tuple[DesiredDrain, ...]) -> None:
         names = {drain.name for drain in desired}
-        for memory in (self._active_seen, self._written):
+        for memory in (self._first_seen_active, self._written):
             for name in [name for name in memory if name not in names]:
                 del memory[name]
 
