--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -53,7 +53,7 @@
         self._table = table
         self._observer = observer
         self._first_seen_active: dict[str, tuple[int, float]] = {}
-        self._written: dict[str, float] = {}
+        self._last_write_at: dict[str, float] = {}
 
     def read_desired(self) -> tuple[DesiredDrain, ...]:
         """Return the drains that are not being deleted, the oldest first."""
@@ -80,7 +80,7 @@
             writes = self._advance_drains(desired, members, observed, now)
         changed = [write for write in writes if write is not None]
         for write in changed:
-            self._written[write.name] = now
+            self._last_write_at[write.name] = now
         return Plan(actions=tuple(changed), look_again_at=now + RECONCILE_INTERVAL_S)
 
     def _advance_drains(
@@ -177,11 +177,11 @@
         return seen[1]
 
     def _is_due(self, drain: DesiredDrain, now: float) -> bool:
-        return now >= self._written.get(drain.name, float("-inf")) + STATUS_WRITE_INTERVAL_S
+        return now >= self._last_write_at.get(drain.name, float("-inf")) + STATUS_WRITE_INTERVAL_S
 
     def _forget_gone(self, desired: tuple[DesiredDrain, ...]) -> None:
         names = {drain.name for drain in desired}
-        for memory in (self._first_seen_active, self._written):
+        for memory in (self._first_seen_active, self._last_write_at):
             for name in [name for name in memory if name not in names]:
                 del memory[name]
 
