--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -70,7 +70,7 @@
     ) -> Plan:
         """Return the statuses that should change."""
         members = _list_members(observed)
-        self._forget_gone(desired)
+        self._prune_deleted(desired)
         unchecked = [drain for drain in desired if drain.is_in_force and not drain.is_checked]
         if unchecked:
             # Its target was edited while routers follow it. Nothing else may begin
@@ -179,7 +179,7 @@
     def _is_due(self, drain: DesiredDrain, now: float) -> bool:
         return now >= self._last_write_at.get(drain.name, float("-inf")) + STATUS_WRITE_INTERVAL_S
 
-    def _forget_gone(self, desired: tuple[DesiredDrain, ...]) -> None:
+    def _prune_deleted(self, desired: tuple[DesiredDrain, ...]) -> None:
         names = {drain.name for drain in desired}
         for memory in (self._first_seen_active, self._last_write_at):
             for name in [name for name in memory if name not in names]:
