--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -71,7 +71,7 @@
         """Return the statuses that should change."""
         members = _list_members(observed)
         self._prune_deleted(desired)
-        unchecked = [drain for drain in desired if drain.is_in_force and not drain.is_checked]
+        unchecked = [drain for drain in desired if drain.is_in_force and not drain.is_floor_checked]
         if unchecked:
             # Its target was edited while routers follow it. Nothing else may begin
             # until it is settled whether the new target may be out.
@@ -105,7 +105,7 @@
         members: tuple[Member, ...],
         observed: DrainObservation,
     ) -> list[WriteStatus | None]:
-        others = [drain for drain in desired if drain.is_in_force and drain.is_checked]
+        others = [drain for drain in desired if drain.is_in_force and drain.is_floor_checked]
         book = CapacityTracker(members=members, in_force=others)
         writes: list[WriteStatus | None] = []
         for drain in unchecked:
--- a/chivetrack/components/drains/models.py
+++ b/chivetrack/components/drains/models.py
@@ -65,7 +65,7 @@
         return self.report is not None and self.report.phase is not DrainPhase.WAITING
 
     @property
-    def is_checked(self) -> bool:
+    def is_floor_checked(self) -> bool:
         """Tell whether the floor was checked for the specification as it stands."""
         report = self.report
         return report is not None and (report.target, report.floor) == (
