--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -120,7 +120,7 @@
     def _try_to_start(
         self, drain: DesiredDrain, book: CapacityTracker, observed: DrainObservation, now: float
     ) -> WriteStatus | None:
-        reason = _find_time_reason(drain, observed.wall_ms)
+        reason = _find_schedule_reason(drain, observed.wall_ms)
         if not reason:
             verdict = book.check(drain)
             reason = verdict.reason
@@ -212,7 +212,7 @@
     return (*endpoints, *instances)
 
 
-def _find_time_reason(drain: DesiredDrain, wall_ms: int) -> str:
+def _find_schedule_reason(drain: DesiredDrain, wall_ms: int) -> str:
     start, deadline = drain.spec.start, drain.spec.deadline
     if start is not None and wall_ms < _to_ms(start):
         return f"starts at {start.isoformat()}"
