--- a/tests/components/drains/fleet.py
+++ b/tests/components/drains/fleet.py
@@ -77,10 +77,10 @@
 class CountingController(DrainController):
     """Counts comparisons, so that a test can see that one was made."""
 
-    looks = 0
+    reconcile_count = 0
 
     def reconcile(self, *args: Any, **kwargs: Any) -> Plan:
-        self.looks += 1
+        self.reconcile_count += 1
         return super().reconcile(*args, **kwargs)
 
 
--- a/tests/components/drains/test_drains.py
+++ b/tests/components/drains/test_drains.py
@@ -144,10 +144,10 @@
         self.drain("e", "e2", floor=1.0)
         self.simulation.run(10.0)
         revision = self.simulation.store.revision
-        looks = one.controller.looks
+        reconcile_count = one.controller.reconcile_count
         self.simulation.run(20.0)
         self.assertEqual(revision, self.simulation.store.revision)
-        self.assertGreater(one.controller.looks, looks)
+        self.assertGreater(one.controller.reconcile_count, reconcile_count)
 
 
 class FloorTest(DrainTestCase):
