--- a/tests/components/drains/test_drains_fuzz.py
+++ b/tests/components/drains/test_drains_fuzz.py
@@ -41,7 +41,7 @@
         self.fleets: list[tuple[float, dict[str, tuple[str, int]]]] = []
         self.created = 0
         self.started = 0
-        self.note_fleet()
+        self.record_fleet()
 
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed: int) -> None:
@@ -55,7 +55,7 @@
         rate = (0.995, 1.0, 1.005)[self.started % 3]
         return self.simulation.add(f"i{self.started}", rate=rate)
 
-    def note_fleet(self) -> None:
+    def record_fleet(self) -> None:
         listed = {e.endpoint_id: (e.zone, e.capacity) for e in self.fleet.endpoints.values()}
         self.fleets.append((self.simulation.time, listed))
 
@@ -107,7 +107,7 @@
             number = ENDPOINTS.index(name)
             fields = {"zone": ZONES[number % 3], "capacity": 1 + number % 2}
             self.fleet.endpoints[name] = make_endpoint(name, **fields)
-        self.note_fleet()
+        self.record_fleet()
 
     @invariant()
     def only_one_holds_the_lease(self) -> None:
