--- a/chivetrack/components/drains/capacity.py
+++ b/chivetrack/components/drains/capacity.py
@@ -37,7 +37,7 @@
             if member.is_ready:
                 self._remaining[member.group] += member.capacity
         for drain in in_force:
-            self.take(drain, {} if drain.report is None else drain.report.reserved)
+            self.reserve(drain, {} if drain.report is None else drain.report.reserved)
 
     def check(self, drain: DesiredDrain) -> FloorCheckResult:
         """Tell whether the drain may begin beside those in force."""
@@ -61,7 +61,7 @@
                 return FloorCheckResult(reason=reason)
         return FloorCheckResult(reserved=reserved)
 
-    def take(self, drain: DesiredDrain, reserved: Reservation) -> None:
+    def reserve(self, drain: DesiredDrain, reserved: Reservation) -> None:
         """Count a drain as in force from now on."""
         for member in self._members:
             if not member.is_target_of(drain.spec) or self._is_covered(member):
--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -113,7 +113,7 @@
             if verdict.reason:
                 writes.append(_write(drain, _make_waiting(drain, verdict.reason, observed)))
                 continue
-            book.take(drain, verdict.reserved)
+            book.reserve(drain, verdict.reserved)
             writes.append(_write(drain, _make_active(drain, verdict.reserved, observed)))
         return writes
 
@@ -125,7 +125,7 @@
             verdict = book.check(drain)
             reason = verdict.reason
             if not reason:
-                book.take(drain, verdict.reserved)
+                book.reserve(drain, verdict.reserved)
                 return _write(drain, _make_active(drain, verdict.reserved, observed))
         if drain.report is not None and drain.report.reason == reason:
             return None
