--- a/chivetrack/components/drains/__init__.py
+++ b/chivetrack/components/drains/__init__.py
@@ -1,1 +1,1 @@
-"""Planned drains: taking endpoints out of service without cutting anything."""
+"""Planned drains: take endpoints out of service without interrupting requests."""
--- a/chivetrack/components/drains/const.py
+++ b/chivetrack/components/drains/const.py
@@ -6,13 +6,13 @@
 KIND: Final = "drain"
 
 SETTLE_S: Final = 5.0
-"""After this long each router has the drain in force or refuses new work.
+"""Time after which every router applies the drain or refuses new requests.
 
-Equal to the window after which a router without confirmation stops serving.
+Equal to the window after which a router without a confirmed configuration stops serving.
 """
 
 STATUS_WRITE_INTERVAL_S: Final = 2.0
-"""How often a status is written when only its counts or its wording changed."""
+"""Minimum interval between writes of a status in which only counts or the reason changed."""
 
 RECONCILE_INTERVAL_S: Final = 0.5
 MAX_EVENTS: Final = 10
@@ -20,4 +20,4 @@
 MAX_NAMED_DRAINS: Final = 5
 
 INSTANCES: Final = "instances"
-"""The group whose capacity a drain of an instance takes from."""
+"""Name of the group that all instances form; drains of instances reduce its capacity."""
--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -1,4 +1,4 @@
-"""Moves planned drains on: pending, waiting, active, done."""
+"""Controller that takes planned drains through pending, waiting, active and done."""
 
 from dataclasses import replace
 from datetime import datetime
@@ -41,11 +41,12 @@
 
 @CONTROLLERS.register(CONTROLLER)
 class DrainController:
-    """Starts a drain when its time has come and the floor allows, and follows it.
+    """Starts drains when their start time and the floor allow it, and tracks their progress.
 
-    The status is the only switch: routers keep a target from new work while the phase
-    says so, and deleting the resource lifts the drain at once. There is nothing else to
-    undo, so a lost controller leaves nothing half out and no finalizer is needed.
+    The status is the only state of a drain: routers keep new requests away from the target
+    according to its phase, and deleting the resource ends the drain at once. Nothing else
+    has to be undone, so a crash of the controller leaves no partial drain behind, and no
+    finalizer is needed.
     """
 
     def __init__(self, *, table: ResourceTable, observer: FleetObserver) -> None:
@@ -62,19 +63,19 @@
         return tuple(sorted(drains, key=lambda drain: (drain.record.created_ms, drain.name)))
 
     def read_observed(self, *, now: float) -> DrainObservation:
-        """Return what is known of the fleet."""
+        """Return the state of the fleet at ``now``."""
         return self._observer.observe(now=now)
 
     def reconcile(
         self, desired: tuple[DesiredDrain, ...], observed: DrainObservation, *, now: float
     ) -> Plan:
-        """Return the statuses that should change."""
+        """Return a plan with the status writes that are due."""
         members = _list_members(observed)
         self._prune_deleted(desired)
         unchecked = [drain for drain in desired if drain.is_in_force and not drain.is_floor_checked]
         if unchecked:
-            # Its target was edited while routers follow it. Nothing else may begin
-            # until it is settled whether the new target may be out.
+            # The specification was edited while routers apply the drain. No other drain may
+            # start until the floor has been checked for the new target.
             writes = self._recheck_floors(unchecked, desired, members, observed)
         else:
             writes = self._advance_drains(desired, members, observed, now)
@@ -91,11 +92,11 @@
         now: float,
     ) -> list[WriteStatus | None]:
         in_force = [drain for drain in desired if drain.is_in_force]
-        book = CapacityTracker(members=members, in_force=in_force)
+        capacity = CapacityTracker(members=members, in_force=in_force)
         writes = [self._update_progress(drain, members, observed, now) for drain in in_force]
         for drain in desired:
             if not drain.is_in_force:
-                writes.append(self._try_to_start(drain, book, observed, now))
+                writes.append(self._try_to_start(drain, capacity, observed, now))
         return writes
 
     def _recheck_floors(
@@ -106,32 +107,34 @@
         observed: DrainObservation,
     ) -> list[WriteStatus | None]:
         others = [drain for drain in desired if drain.is_in_force and drain.is_floor_checked]
-        book = CapacityTracker(members=members, in_force=others)
+        capacity = CapacityTracker(members=members, in_force=others)
         writes: list[WriteStatus | None] = []
         for drain in unchecked:
-            verdict = book.check(drain)
-            if verdict.reason:
-                writes.append(_write(drain, _make_waiting(drain, verdict.reason, observed)))
+            check = capacity.check(drain)
+            if check.reason:
+                writes.append(
+                    _make_status_write(drain, _make_waiting(drain, check.reason, observed))
+                )
                 continue
-            book.reserve(drain, verdict.reserved)
-            writes.append(_write(drain, _make_active(drain, verdict.reserved, observed)))
+            capacity.reserve(drain, check.reserved)
+            writes.append(_make_status_write(drain, _make_active(drain, check.reserved, observed)))
         return writes
 
     def _try_to_start(
-        self, drain: DesiredDrain, book: CapacityTracker, observed: DrainObservation, now: float
+        self, drain: DesiredDrain, capacity: CapacityTracker, observed: DrainObservation, now: float
     ) -> WriteStatus | None:
         reason = _find_schedule_reason(drain, observed.wall_ms)
         if not reason:
-            verdict = book.check(drain)
-            reason = verdict.reason
+            check = capacity.check(drain)
+            reason = check.reason
             if not reason:
-                book.reserve(drain, verdict.reserved)
-                return _write(drain, _make_active(drain, verdict.reserved, observed))
+                capacity.reserve(drain, check.reserved)
+                return _make_status_write(drain, _make_active(drain, check.reserved, observed))
         if drain.report is not None and drain.report.reason == reason:
             return None
         if drain.report is not None and not self._is_due(drain, now):
             return None
-        return _write(drain, _make_waiting(drain, reason, observed))
+        return _make_status_write(drain, _make_waiting(drain, reason, observed))
 
     def _update_progress(
         self,
@@ -146,12 +149,14 @@
         if report.phase is DrainPhase.ACTIVE:
             reason = self._find_done_reason(drain, progress, observed, now)
             if reason:
-                return _write(drain, _make_done(report, reason, progress, observed))
+                return _make_status_write(drain, _make_done(report, reason, progress, observed))
         if (report.in_flight, report.left) == (progress.in_flight, progress.left):
             return None
         if not self._is_due(drain, now):
             return None
-        return _write(drain, replace(report, in_flight=progress.in_flight, left=progress.left))
+        return _make_status_write(
+            drain, replace(report, in_flight=progress.in_flight, left=progress.left)
+        )
 
     def _find_done_reason(
         self, drain: DesiredDrain, progress: Progress, observed: DrainObservation, now: float
@@ -159,8 +164,8 @@
         deadline = drain.spec.deadline
         if deadline is not None and observed.wall_ms >= _to_ms(deadline):
             return f"deadline reached with {progress.in_flight} requests in flight"
-        # A count of zero from before all routers had the drain in force proves nothing:
-        # a router that had not heard of it yet may have sent one more request since.
+        # A count of zero that is older than the drain on the slowest router is not enough:
+        # a router that had not received the drain yet may have sent another request since.
         counted_at = now - progress.age_s
         is_fresh = counted_at >= self._record_active(drain, now) + SETTLE_S
         if progress.is_known and progress.in_flight == 0 and is_fresh:
@@ -168,22 +173,22 @@
         return ""
 
     def _record_active(self, drain: DesiredDrain, now: float) -> float:
-        """Return when this holder first saw the drain active, by its own clock."""
+        """Return when this lease holder first saw the drain active, on its own clock."""
         assert drain.report is not None
-        seen = self._first_seen_active.get(drain.name)
-        if seen is None or seen[0] != drain.report.active_ms:
-            seen = (drain.report.active_ms, now)
-            self._first_seen_active[drain.name] = seen
-        return seen[1]
+        first_seen = self._first_seen_active.get(drain.name)
+        if first_seen is None or first_seen[0] != drain.report.active_ms:
+            first_seen = (drain.report.active_ms, now)
+            self._first_seen_active[drain.name] = first_seen
+        return first_seen[1]
 
     def _is_due(self, drain: DesiredDrain, now: float) -> bool:
         return now >= self._last_write_at.get(drain.name, float("-inf")) + STATUS_WRITE_INTERVAL_S
 
     def _prune_deleted(self, desired: tuple[DesiredDrain, ...]) -> None:
         names = {drain.name for drain in desired}
-        for memory in (self._first_seen_active, self._last_write_at):
-            for name in [name for name in memory if name not in names]:
-                del memory[name]
+        for times in (self._first_seen_active, self._last_write_at):
+            for name in [name for name in times if name not in names]:
+                del times[name]
 
 
 def _read_drain(record: Record) -> DesiredDrain | None:
@@ -201,7 +206,7 @@
     try:
         return _REPORTS.decode(status)
     except msgspec.MsgspecError:
-        # Routers read the phase alone; whatever else is wrong, that must agree.
+        # The rest of the status is invalid, but the phase must be the one that routers read.
         read = _STATUSES.decode(status)
         return DrainReport(phase=read.phase, reason=read.reason)
 
@@ -267,7 +272,7 @@
     return (*events, DrainEvent(at_ms=wall_ms, phase=phase, reason=reason))[-MAX_EVENTS:]
 
 
-def _write(drain: DesiredDrain, report: DrainReport) -> WriteStatus:
+def _make_status_write(drain: DesiredDrain, report: DrainReport) -> WriteStatus:
     return WriteStatus(
         kind=KIND,
         name=drain.name,
--- a/chivetrack/components/drains/enforcement.py
+++ b/chivetrack/components/drains/enforcement.py
@@ -1,4 +1,4 @@
-"""Keeps drained endpoints from new work on this router."""
+"""Keeps new requests of this router away from drained endpoints."""
 
 from chivetrack.components.configuration.configuration import Configuration
 from chivetrack.components.endpoints.registry import Drain, EndpointRegistry
@@ -7,7 +7,7 @@
 
 
 class DrainEnforcement:
-    """Hands the drains in force to the endpoint registry whenever they change."""
+    """Passes the drains in force to the endpoint registry whenever they change."""
 
     def __init__(self, *, configuration: Configuration, registry: EndpointRegistry) -> None:
         """Connect the configuration with the registry."""
@@ -16,7 +16,7 @@
         self._revision = -1
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Look at the configuration after every event; cheap unless it has changed."""
+        """Update the registry if the configuration revision has changed since the last event."""
         revision = self._configuration.view.revision
         if revision == self._revision:
             return []
--- a/chivetrack/components/drains/models.py
+++ b/chivetrack/components/drains/models.py
@@ -1,4 +1,4 @@
-"""What the drain controller reads and writes."""
+"""Models that the drain controller reads and writes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,12 +8,12 @@
 from chivetrack.components.store.records import Record
 
 Reservation = dict[str, dict[str, int]]
-"""Capacity by group (a service, or the instances) and name."""
+"""Capacity by group (a service, or the group of instances) and member name."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainEvent:
-    """One step of a drain: what the controller did and why; ``at_ms`` since 1970."""
+    """Phase change of a drain with its reason; ``at_ms`` is Unix time in milliseconds."""
 
     at_ms: int
     phase: DrainPhase
@@ -22,11 +22,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainReport:
-    """The whole status of a drain; routers read its phase.
+    """Full status of a drain; routers read only its phase and reason.
 
-    ``target`` and ``floor`` are those of the specification that the floor was checked
-    for. ``reserved`` is the capacity that it keeps out; it stays when its endpoints are
-    gone. ``left`` names some of what still has requests in flight.
+    ``target`` and ``floor`` are copied from the specification for which the floor was
+    checked. ``reserved`` is the capacity that the drain takes out of service; it is kept
+    when its endpoints are gone. ``left`` names up to ``MAX_NAMED_TARGETS`` targets that still
+    have requests in flight.
     """
 
     phase: DrainPhase = DrainPhase.WAITING
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DesiredDrain:
-    """A drain resource that is not being deleted, with its status so far."""
+    """Drain resource that is not being deleted, with its current status."""
 
     record: Record
     spec: Drain
@@ -56,17 +57,17 @@
 
     @property
     def target(self) -> str:
-        """Return the target as the status names it."""
+        """Return the target in the form used in the status, ``kind/name``."""
         return f"{self.spec.target.kind.value}/{self.spec.target.name}"
 
     @property
     def is_in_force(self) -> bool:
-        """Tell whether routers keep its target from new work."""
+        """Return whether routers keep new requests away from its target."""
         return self.report is not None and self.report.phase is not DrainPhase.WAITING
 
     @property
     def is_floor_checked(self) -> bool:
-        """Tell whether the floor was checked for the specification as it stands."""
+        """Return whether the floor was checked for the current specification."""
         report = self.report
         return report is not None and (report.target, report.floor) == (
             self.target,
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceState:
-    """A chivetrack instance; ``in_flight`` is ``None`` if nobody knows it."""
+    """State of a chivetrack instance; ``in_flight`` is ``None`` if the count is unknown."""
 
     instance_id: str
     is_ready: bool
@@ -86,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ObservedLoad:
-    """Requests in flight at all routers together, the oldest count ``age_s`` old."""
+    """Requests in flight at all routers together; the oldest count is ``age_s`` old."""
 
     in_flight: int
     age_s: float
@@ -94,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainObservation:
-    """What the controller knows of the fleet; ``loads`` leaves out what has none."""
+    """State of the fleet as known to the controller; ``loads`` omits endpoints without load."""
 
     endpoints: tuple[EndpointState, ...]
     instances: tuple[InstanceState, ...]
@@ -105,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Member:
-    """What has capacity: an endpoint in its service, an instance among the instances."""
+    """Part of a group's capacity: an endpoint of a service, or an instance."""
 
     name: str
     kind: DrainTargetKind
@@ -116,14 +117,14 @@
     is_leaving: bool
 
     def is_target_of(self, spec: Drain) -> bool:
-        """Tell whether a drain takes this member out."""
+        """Return whether a drain with this specification takes this member out of service."""
         if spec.target.kind is DrainTargetKind.AVAILABILITY_ZONE:
             return self.kind is DrainTargetKind.ENDPOINT and self.zone == spec.target.name
         return self.kind is spec.target.kind and self.name == spec.target.name
 
 
 def make_endpoint_member(endpoint: EndpointState) -> Member:
-    """Return an endpoint as a member of its service."""
+    """Return the member for an endpoint; its group is its service."""
     return Member(
         name=endpoint.endpoint_id,
         kind=DrainTargetKind.ENDPOINT,
@@ -136,7 +137,7 @@
 
 
 def make_instance_member(instance: InstanceState, group: str) -> Member:
-    """Return an instance as a member of the instances."""
+    """Return the member for an instance."""
     return Member(
         name=instance.instance_id,
         kind=DrainTargetKind.INSTANCE,
--- a/chivetrack/components/drains/observation.py
+++ b/chivetrack/components/drains/observation.py
@@ -1,4 +1,4 @@
-"""What this instance knows of the fleet, as the drain controller reads it."""
+"""Collects the state of the fleet for the drain controller."""
 
 from collections.abc import Callable, Sequence
 
@@ -8,7 +8,7 @@
 
 
 class FleetObserver:
-    """Reads the endpoint registry, the load book and the list of instances."""
+    """Reads the endpoint registry, the load counts and the list of instances."""
 
     def __init__(
         self,
@@ -18,14 +18,14 @@
         list_instances: Callable[[float], Sequence[InstanceState]],
         to_wall_ms: Callable[[float], int],
     ) -> None:
-        """Read the given parts; ``list_instances`` takes the time of ``now``."""
+        """Create an observer; ``list_instances`` is called with the current time ``now``."""
         self._registry = registry
         self._load = load
         self._list_instances = list_instances
         self._to_wall_ms = to_wall_ms
 
     def observe(self, *, now: float) -> DrainObservation:
-        """Return what is known at ``now``."""
+        """Return the state of the fleet at ``now``."""
         endpoints = tuple(
             endpoint
             for service in self._registry.list_services()
--- a/chivetrack/components/drains/progress.py
+++ b/chivetrack/components/drains/progress.py
@@ -1,4 +1,4 @@
-"""What a drain in force still has to wait for."""
+"""Measures which requests a drain in force still waits for."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Progress:
-    """Requests in flight on the target, where, and how old the oldest count is.
+    """Requests in flight on the target of a drain.
 
-    ``is_known`` is false if somebody's count is missing.
+    ``left`` names targets that have requests in flight, ``age_s`` is the age of the oldest
+    count. ``is_known`` is false if the count of an instance is missing.
     """
 
     in_flight: int
@@ -23,11 +24,11 @@
 def measure_progress(
     drain: DesiredDrain, members: tuple[Member, ...], observation: DrainObservation
 ) -> Progress:
-    """Return what is in flight on the target of a drain at all routers together."""
+    """Return the requests in flight on the target of a drain at all routers together."""
     if drain.spec.target.kind is DrainTargetKind.INSTANCE:
         return _measure_instance(drain, observation)
     names = {member.name for member in members if member.is_target_of(drain.spec)}
-    # An endpoint whose lease ran out is listed no longer, yet may have work in flight.
+    # An endpoint whose lease expired is no longer listed but may have requests in flight.
     if drain.report is not None:
         names.update(drain.report.left)
     if drain.spec.target.kind is DrainTargetKind.ENDPOINT:
@@ -45,7 +46,7 @@
     name = drain.spec.target.name
     found = [entry for entry in observation.instances if entry.instance_id == name]
     if not found:
-        # It stopped: its connections are closed, so nothing is in flight there.
+        # The instance has stopped: its connections are closed, so nothing is in flight.
         return Progress(in_flight=0, left=(), age_s=0.0)
     instance = found[0]
     if instance.in_flight is None:
--- a/tests/components/drains/fleet.py
+++ b/tests/components/drains/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of endpoints that a test changes, and what a drain controller sees of it."""
+"""Fleet of endpoints that a test changes, and observers of it for drain controllers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -64,7 +64,7 @@
 
 
 class Observer:
-    """Stands in for the observer of one instance, which has its own clock."""
+    """Fake of an instance's fleet observer, with the instance's own clock."""
 
     def __init__(self, fleet: Fleet, to_wall_ms: Callable[[float], int]) -> None:
         self._fleet = fleet
@@ -75,7 +75,7 @@
 
 
 class CountingController(DrainController):
-    """Counts comparisons, so that a test can see that one was made."""
+    """Drain controller that counts its reconciliations."""
 
     reconcile_count = 0
 
--- a/tests/components/drains/test_drains.py
+++ b/tests/components/drains/test_drains.py
@@ -1,4 +1,4 @@
-"""The drain controller: phases, floors and what it does under faults."""
+"""Drain controller: phases, floors and behaviour under faults."""
 
 import unittest
 from datetime import UTC, datetime
@@ -75,11 +75,12 @@
         assert report is not None
         self.assertEqual(["started", "nothing is in flight"], [e.reason for e in report.events])
 
-    def test_zero_counts_from_before_it_was_in_force_prove_nothing(self) -> None:
-        """Done too early: a router that hears of the drain last has just sent a request.
+    def test_zero_count_older_than_settle_time_does_not_end_drain(self) -> None:
+        """The drain must not be done while counts may predate the drain on some router.
 
-        Its count is under way while the old one says zero. The operator reads "done" and
-        takes the endpoint away under the request.
+        The last router to receive the drain may just have sent a request whose count has not
+        arrived yet. If the old count of zero ended the drain, the operator would stop the
+        endpoint while it serves the request.
         """
         self.add_fleet()
         self.start()
@@ -92,7 +93,7 @@
         self.simulation.run(SETTLE_S)
         self.assertEqual("done", self.get_phase("d"))
 
-    def test_deadline_tells_what_is_left(self) -> None:
+    def test_reason_at_deadline_counts_requests_in_flight(self) -> None:
         self.add_fleet()
         self.fleet.loads["e1"] = 3
         self.start()
@@ -124,7 +125,7 @@
         self.assertIn("passed before it could start", self.get_reason("d"))
 
     def test_instance(self) -> None:
-        """An instance counts among the instances; unknown counts are not taken for none."""
+        """Instances form a group of their own; an unknown count is not treated as zero."""
         for name in ("i1", "i2"):
             self.fleet.instances[name] = InstanceState(instance_id=name, is_ready=True)
         self.start()
@@ -152,7 +153,7 @@
 
 class FloorTest(DrainTestCase):
     def test_table(self) -> None:
-        """Floors over what is ready and not drained, with all of the service as the whole."""
+        """The floor applies to ready, undrained capacity, relative to the whole service."""
         cases = [
             ("half may go", [("e1", ENDPOINT, 0.5), ("e2", ENDPOINT, 0.5)], {}, 2),
             ("no third", [(f"e{n}", ENDPOINT, 0.5) for n in (1, 2, 3)], {}, 2),
@@ -179,7 +180,7 @@
                 self.simulation.run(2.0)
                 self.assertEqual(expected, len(self.list_active()))
 
-    def test_services_are_counted_each(self) -> None:
+    def test_floor_applies_to_each_service(self) -> None:
         self.fleet.add("e1", "e2", zone="a")
         self.fleet.add("p1", zone="a", service="plain")
         self.fleet.add("e3", "e4", zone="b")
@@ -189,7 +190,7 @@
         self.assertEqual("waiting", self.get_phase("d"))
         self.assertIn("plain would keep 0 of 1", self.get_reason("d"))
 
-    def test_second_waits_says_why_and_follows(self) -> None:
+    def test_second_drain_waits_for_first_with_reason(self) -> None:
         self.add_fleet(2)
         self.start()
         self.drain("first", "e1")
@@ -208,11 +209,11 @@
         self.simulation.run(2.0)
         self.assertEqual("floor: chat would keep 1 of 2, 90% must remain", self.get_reason("d"))
 
-    def test_what_was_drained_and_left_stays_in_the_whole(self) -> None:
-        """A service worn away: drain one, it leaves, drain the next, and so on.
+    def test_drained_endpoint_that_left_counts_in_total(self) -> None:
+        """Endpoints are drained and leave one after another.
 
-        Each time the rest is the new whole and half of it may go, until one is left of
-        four, although every drain asked that half remain.
+        If only the remaining endpoints counted as the total, half of them could be drained
+        each time, until one of four is left although each drain requires that half remain.
         """
         self.add_fleet(4)
         self.start()
@@ -223,10 +224,11 @@
                 del self.fleet.endpoints[f"e{number}"]
         self.assertEqual(["d1", "d2"], self.list_active())
 
-    def test_target_that_is_not_there_waits(self) -> None:
-        """Both halves out: a zone is lost, drained while nothing of it counts, and back.
+    def test_drain_of_unknown_target_waits(self) -> None:
+        """A zone is drained while none of its endpoints is listed, and then returns.
 
-        Meanwhile the drain of the other half saw no other one that takes capacity.
+        If that drain started at once, a drain of the other half would see its capacity as
+        available, and both halves would be drained when the zone returns.
         """
         self.fleet.add("e1", "e2", zone="a")
         self.start()
@@ -240,7 +242,7 @@
         self.assertEqual(["e1"], self.list_active())
 
     def test_target_edited_while_active(self) -> None:
-        """Routers follow the new target at once; if the floor forbids it, it waits again."""
+        """Routers apply the new target at once; if the floor forbids it, the drain waits again."""
         self.add_fleet(3)
         self.fleet.add("e4", capacity=3)
         self.start()
@@ -252,8 +254,8 @@
         self.simulation.run(1.0)
         self.assertEqual("waiting", self.get_phase("d"))
 
-    def test_process_that_just_started_knows_too_little(self) -> None:
-        """It has heard of one endpoint of four, and half of that one is none: it waits."""
+    def test_no_drain_starts_right_after_process_start(self) -> None:
+        """After a start only some endpoints are known, so a floor cannot be checked yet."""
         self.fleet.add("e1")
         self.fleet.add("other", service="other")
         self.start(warm=False)
@@ -265,8 +267,8 @@
 
 
 class FaultTest(DrainTestCase):
-    def test_cancelled_leaves_nothing(self) -> None:
-        """The status is the only switch; it goes with the resource, whoever holds what."""
+    def test_deleted_drain_leaves_no_state(self) -> None:
+        """The status is the only state of a drain and is deleted with the resource."""
         self.add_fleet()
         (one,) = self.start()
         self.drain("d", "e1")
@@ -275,7 +277,7 @@
         self.simulation.delete(KIND, "d")
         self.assertIsNone(self.simulation.store.table.get(KIND, "d"))
 
-    def test_next_holder_goes_on(self) -> None:
+    def test_next_lease_holder_continues_drain(self) -> None:
         self.add_fleet()
         self.fleet.loads["e1"] = 1
         self.start("one", "two")
@@ -300,11 +302,11 @@
         self.assertEqual(["first"], self.list_active())
         self.assertIn("waits for drain first", self.get_reason("second"))
 
-    def test_next_holder_with_an_old_table(self) -> None:
-        """Both halves out: the successor's table does not show what the former one did.
+    def test_next_lease_holder_with_outdated_table(self) -> None:
+        """The next lease holder's table lags by 30 s and lacks its predecessor's writes.
 
-        It is given the lease at once and its table lags by 30 s. It must not decide
-        before the table has caught up with a revision confirmed after the grant.
+        It gets the lease at once. If it decided before its table has caught up with a
+        revision confirmed after the grant, both halves would be drained.
         """
         self.add_fleet(2)
         one, two = self.start("one", "two")
@@ -321,11 +323,11 @@
         self.assertEqual([other.name], self.simulation.find_holders())
         self.assertEqual(["first"], self.list_active())
 
-    def test_frozen_past_its_lease_and_woken(self) -> None:
-        """It wakes with the old state in hand while the next one has moved on.
+    def test_holder_frozen_past_its_lease(self) -> None:
+        """A frozen lease holder resumes with outdated state after another one took over.
 
-        Its own clock tells it first; the write that had left before is refused by the
-        store for its number.
+        By its own clock it sees that the lease has expired. A write that it had sent before
+        is refused by the store because of its fencing number.
         """
         self.add_fleet(2)
         self.start("one", "two")
@@ -346,12 +348,12 @@
         numbers = {c.stamp.fencing for c in late if isinstance(c, UpdateStatus)}
         self.assertNotIn(stale.fencing, numbers)
 
-    def test_write_whose_answer_is_lost_and_that_comes_late(self) -> None:
-        """Both halves out: a write that counts as unknown is applied after the next one.
+    def test_delayed_write_without_answer(self) -> None:
+        """A write with unknown outcome is applied after a later write.
 
-        The first drain begins while there are three endpoints, and that write is under
-        way for 5 s. Meanwhile the third endpoint leaves: by the table the first drain
-        still waits, and the second would fit alone.
+        The first drain starts while there are three endpoints, and its write is delayed by
+        5 s. Meanwhile the third endpoint leaves. According to the table the first drain still
+        waits, so the second would be allowed to start, and both halves would be drained.
         """
         self.add_fleet(2)
         (one,) = self.start()
@@ -368,7 +370,7 @@
             self.assertLess(len(self.list_active()), 2)
         self.assertEqual(["first"], self.list_active())
 
-    def test_counts_that_change_all_the_time_are_written_now_and_then(self) -> None:
+    def test_status_writes_for_changing_counts_are_rate_limited(self) -> None:
         self.add_fleet()
         self.start()
         self.drain("d", "e1")
@@ -379,8 +381,8 @@
             self.simulation.run(0.1)
         self.assertLess(self.simulation.store.revision - before, 7)
 
-    def test_refused_writes_are_spaced_out(self) -> None:
-        """A status that the store refuses each time is not written ten times a second."""
+    def test_refused_writes_back_off(self) -> None:
+        """A status write that the store refuses each time is retried with backoff."""
         self.add_fleet()
         self.start()
         instance = self.find_holder()
--- a/tests/components/drains/test_drains_fuzz.py
+++ b/tests/components/drains/test_drains_fuzz.py
@@ -1,4 +1,4 @@
-"""Drains under faults, compared with an oracle that knows the whole truth."""
+"""Compares drains under faults with an oracle that knows the state of the whole fleet."""
 
 import unittest
 
@@ -22,11 +22,11 @@
 
 
 class DrainMachine(RuleBasedStateMachine):
-    """Three instances, an unreliable network, operators, and endpoints that come and go.
+    """Three instances, an unreliable network, operators, and endpoints that leave and join.
 
-    Never do the drains in force break a floor at the moment one of them begins: neither
-    with the endpoints of that moment, nor with those of when the write was decided. Once
-    the faults end, every drain that fits is in force.
+    When a drain starts, the drains in force respect all floors for some set of endpoints
+    that existed between the decision to write and its application. Once the faults end,
+    every drain that the floors allow is in force.
     """
 
     def __init__(self) -> None:
@@ -60,13 +60,15 @@
         self.fleets.append((self.simulation.time, listed))
 
     @rule(
-        wanted=st.sampled_from([*((ENDPOINT, e) for e in ENDPOINTS), *((ZONE, z) for z in ZONES)]),
+        selected_target=st.sampled_from(
+            [*((ENDPOINT, e) for e in ENDPOINTS), *((ZONE, z) for z in ZONES)]
+        ),
         floor=st.sampled_from([0.3, 0.5, 0.75]),
     )
-    def create_drain(self, wanted: tuple[DrainTargetKind, str], floor: float) -> None:
+    def create_drain(self, selected_target: tuple[DrainTargetKind, str], floor: float) -> None:
         name = f"d{self.created}"
         self.created += 1
-        kind, target = wanted
+        kind, target = selected_target
         self.specs[name] = Drain(target=DrainTarget(kind=kind, name=target), floor=floor)
         self.simulation.create(KIND, name, make_drain_spec(target, kind, floor=floor))
 
@@ -110,7 +112,7 @@
         self.record_fleet()
 
     @invariant()
-    def only_one_holds_the_lease(self) -> None:
+    def at_most_one_holder(self) -> None:
         holders = self.simulation.find_holders()
         assert len(holders) < 2, holders
 
@@ -129,42 +131,44 @@
             self.phases[command.name] = after
             if before not in IN_FORCE and after in IN_FORCE:
                 decided_at = self.simulation.proposed_at[command.stamp.request_id]
-                assert self.holds_floor(decided_at), f"{command.name} breaks the floor"
+                assert self.respects_floors_since(decided_at), f"{command.name} breaks the floor"
 
-    def holds_floor(self, since: float) -> bool:
-        """Tell whether the floors hold with some fleet that there was since then."""
+    def respects_floors_since(self, since: float) -> bool:
+        """Return whether the floors hold for some state of the fleet since ``since``."""
         starts = [at for at, _ in self.fleets if at <= since]
-        return any(self.keeps(listed) for at, listed in self.fleets if at >= max(starts))
+        return any(self.respects_floors(listed) for at, listed in self.fleets if at >= max(starts))
 
-    def keeps(self, listed: dict[str, tuple[str, int]], extra: str = "") -> bool:
+    def respects_floors(self, listed: dict[str, tuple[str, int]], extra: str = "") -> bool:
         drains = [s for n, s in self.specs.items() if self.phases.get(n) in IN_FORCE or n == extra]
-        touching = [s for s in drains if any(hits(s, e, z) for e, (z, _) in listed.items())]
+        affecting = [s for s in drains if any(is_target(s, e, z) for e, (z, _) in listed.items())]
         whole = sum(capacity for _, capacity in listed.values())
         remaining = sum(
             capacity
             for endpoint, (zone, capacity) in listed.items()
-            if not any(hits(spec, endpoint, zone) for spec in drains)
+            if not any(is_target(spec, endpoint, zone) for spec in drains)
         )
-        return all(remaining >= spec.floor * whole - 1e-9 for spec in touching)
+        return all(remaining >= spec.floor * whole - 1e-9 for spec in affecting)
 
     def teardown(self) -> None:
         for instance in self.get_live():
             instance.network = Network()
             instance.is_frozen = False
         self.simulation.run(60.0)
-        self.only_one_holds_the_lease()
+        self.at_most_one_holder()
         assert self.simulation.find_holders(), "nobody holds the lease"
         for name in self.specs:
             phase = get_phase(self.simulation.store.table, name)
-            assert phase != "pending", f"{name} was never looked at"
+            assert phase != "pending", f"{name} was never reconciled"
             has_left = len(self.fleet.endpoints) < len(ENDPOINTS)
-            assert phase in IN_FORCE or has_left or not self.fits(name), f"{name} would fit"
+            assert (
+                phase in IN_FORCE or has_left or not self.is_allowed(name)
+            ), f"{name} is allowed by all floors"
 
-    def fits(self, name: str) -> bool:
-        return self.keeps(self.fleets[-1][1], extra=name)
+    def is_allowed(self, name: str) -> bool:
+        return self.respects_floors(self.fleets[-1][1], extra=name)
 
 
-def hits(spec: Drain, endpoint: str, zone: str) -> bool:
+def is_target(spec: Drain, endpoint: str, zone: str) -> bool:
     return spec.target.name == (endpoint if spec.target.kind is ENDPOINT else zone)
 
 
