--- a/chivetrack/components/model_placement/engines.py
+++ b/chivetrack/components/model_placement/engines.py
@@ -5,7 +5,7 @@
 from chivetrack.components.endpoints.models import Availability, EndpointKind, EndpointState
 from chivetrack.components.endpoints.registry import EndpointRegistry
 from chivetrack.components.model_placement.models import EngineView
-from chivetrack.components.orders.desk import OrderDesk
+from chivetrack.components.orders.desk import OrderHandler
 
 
 class EngineObserver:
@@ -14,9 +14,9 @@
     def __init__(self, *, registry: EndpointRegistry) -> None:
         """Start without a desk: no engine has said anything."""
         self._registry = registry
-        self._desk: OrderDesk | None = None
+        self._desk: OrderHandler | None = None
 
-    def connect(self, desk: OrderDesk) -> None:
+    def connect(self, desk: OrderHandler) -> None:
         """Read what engines say from ``desk``, which in turn needs their list."""
         self._desk = desk
 
--- a/chivetrack/components/model_placement/runner.py
+++ b/chivetrack/components/model_placement/runner.py
@@ -8,7 +8,7 @@
 from chivetrack.components.model_placement.controller import PlacementController
 from chivetrack.components.model_placement.engines import EngineObserver
 from chivetrack.components.model_placement.queue import LoadQueue
-from chivetrack.components.orders.desk import OrderDesk
+from chivetrack.components.orders.desk import OrderHandler
 from chivetrack.components.store.table import ResourceTable
 from chivetrack.core import Effect, Event
 
@@ -38,7 +38,7 @@
             list_engines=observer.list_engines,
             to_wall_ms=to_wall_ms,
         )
-        self.desk = OrderDesk(
+        self.desk = OrderHandler(
             lease=lease,
             list_targets=self.controller.list_targets,
             admission=LoadQueue(read_states=lambda: self.desk.read_states()),
--- a/chivetrack/components/orders/desk.py
+++ b/chivetrack/components/orders/desk.py
@@ -41,7 +41,7 @@
         ...
 
 
-class OrderDesk:
+class OrderHandler:
     """Level-triggered: asks an engine, sends one order, asks again.
 
     Hand it events after the lease's holder has had them. ``list_targets`` returns the
--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -6,7 +6,7 @@
 from chivetrack.components.controllers.lease import LeaseHolder
 from chivetrack.components.model_placement.const import STORE_BUSY
 from chivetrack.components.orders import const
-from chivetrack.components.orders.desk import OrderDesk
+from chivetrack.components.orders.desk import OrderHandler
 from chivetrack.components.orders.models import (
     Artifact,
     ArtifactKind,
@@ -136,7 +136,7 @@
 class DeskLoop:
     """A lease with an order desk, as the simulation drives it."""
 
-    def __init__(self, *, lease: LeaseHolder, desk: OrderDesk) -> None:
+    def __init__(self, *, lease: LeaseHolder, desk: OrderHandler) -> None:
         self.lease = lease
         self.desk = desk
 
@@ -158,7 +158,7 @@
         self.simulation.on_effect = self.carry_out
 
         def make_loop(*, lease: LeaseHolder, **_: Any) -> DeskLoop:
-            desk = OrderDesk(
+            desk = OrderHandler(
                 lease=lease,
                 list_targets=lambda: [engine.make_target() for engine in engines],
                 admission=admission or OpenAdmission(),
