--- a/chivetrack/components/model_placement/runner.py
+++ b/chivetrack/components/model_placement/runner.py
@@ -16,7 +16,7 @@
 class PlacementRunner:
     """Hands every event to the loop, which keeps the lease, and then to the desk.
 
-    Its effects are the loop's proposals and the desk's ``SendOrder``, ``AskEngine`` and
+    Its effects are the loop's proposals and the desk's ``SendOrder``, ``QueryEngine`` and
     ``OrderRequestEnded``.
     """
 
--- a/chivetrack/components/orders/client.py
+++ b/chivetrack/components/orders/client.py
@@ -8,11 +8,11 @@
 
 from chivetrack.components.orders import const
 from chivetrack.components.orders.models import (
-    AskEngine,
     EngineAnswered,
     EngineState,
     OrderEnded,
     OrderOutcome,
+    QueryEngine,
     SendOrder,
 )
 
@@ -43,7 +43,7 @@
             error=error,
         )
 
-    def ask(self, effect: AskEngine) -> EngineAnswered:
+    def ask(self, effect: QueryEngine) -> EngineAnswered:
         """Ask an engine for its state; no state when there was no clear answer."""
         state = self._ask(effect)
         return EngineAnswered(endpoint_id=effect.endpoint_id, ask_id=effect.ask_id, state=state)
@@ -63,7 +63,7 @@
             return OrderOutcome.LOST, str(error)
         return _judge(response.status), f"status {response.status}"
 
-    def _ask(self, effect: AskEngine) -> EngineState | None:
+    def _ask(self, effect: QueryEngine) -> EngineState | None:
         left_s = effect.answer_by - self._read_clock()
         if left_s <= 0:
             return None
--- a/chivetrack/components/orders/desk.py
+++ b/chivetrack/components/orders/desk.py
@@ -12,7 +12,6 @@
 from chivetrack.components.orders.models import (
     Artifact,
     ArtifactPhase,
-    AskEngine,
     EngineAnswered,
     EngineState,
     EngineTarget,
@@ -20,6 +19,7 @@
     OrderEnded,
     OrderOutcome,
     OrderRequest,
+    QueryEngine,
     SendOrder,
 )
 from chivetrack.components.orders.requests import (
@@ -274,7 +274,7 @@
         engine.open_id = self._name("ask")
         engine.open_until = now + const.ASK_WITHIN_S
         return [
-            AskEngine(
+            QueryEngine(
                 endpoint_id=engine.target.endpoint_id,
                 address=engine.target.address,
                 ask_id=engine.open_id,
--- a/chivetrack/components/orders/models.py
+++ b/chivetrack/components/orders/models.py
@@ -155,7 +155,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AskEngine(Effect):
+class QueryEngine(Effect):
     """Ask an engine for its state; answered by ``EngineAnswered``.
 
     The question carries the fencing number too: an engine that checks refuses from then
--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -11,7 +11,6 @@
     Artifact,
     ArtifactKind,
     ArtifactPhase,
-    AskEngine,
     EngineAnswered,
     EngineGoal,
     EngineState,
@@ -24,6 +23,7 @@
     OrderOutcome,
     OrderPhase,
     OrderRequestEnded,
+    QueryEngine,
     SendOrder,
 )
 from chivetrack.core import Effect, Event
@@ -174,7 +174,7 @@
     def carry_out(self, instance: Instance, effect: Effect) -> None:
         if isinstance(effect, SendOrder):
             self.send(instance, effect)
-        elif isinstance(effect, AskEngine):
+        elif isinstance(effect, QueryEngine):
             self.ask(instance, effect)
         elif isinstance(effect, OrderRequestEnded):
             self.ended.append(effect)
@@ -199,7 +199,7 @@
         low, high = self.network.delay
         return replace(self.network, delay=(low, min(high, const.DELIVERY_S)))
 
-    def ask(self, instance: Instance, effect: AskEngine) -> None:
+    def ask(self, instance: Instance, effect: QueryEngine) -> None:
         def arrive() -> None:
             engine = self.engines[effect.endpoint_id]
             if engine.checks:
--- a/tests/components/orders/test_client.py
+++ b/tests/components/orders/test_client.py
@@ -10,12 +10,12 @@
 from chivetrack.components.orders.client import OrderClient
 from chivetrack.components.orders.models import (
     ArtifactPhase,
-    AskEngine,
     EngineState,
     HeldArtifact,
     Order,
     OrderKind,
     OrderOutcome,
+    QueryEngine,
     SendOrder,
 )
 from tests.components.orders.engines import make_model
@@ -91,7 +91,7 @@
         for title, answer, state in table:
             with self.subTest(title), open_server(Script([[answer]])) as server:
                 answer_by = time.monotonic() + 0.5
-                ask = AskEngine(
+                ask = QueryEngine(
                     endpoint_id="e1",
                     address=server.address,
                     ask_id="a1",
