--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -26,7 +26,7 @@
     EngineGoal,
     EngineTarget,
 )
-from chivetrack.components.orders.settling import compute_settled_at
+from chivetrack.components.orders.settling import compute_predecessor_expired_at
 from chivetrack.components.store.table import ResourceTable
 
 
@@ -124,7 +124,7 @@
         silence_s = const.SILENCE_S + len(engines) / const.ASKED_PER_S
         if now >= self._term_at + silence_s:
             return True
-        settled_at = compute_settled_at(self._lease)
+        settled_at = compute_predecessor_expired_at(self._lease)
         return all(
             engine.state is not None and (engine.checks_fencing or engine.state_at >= settled_at)
             for engine in engines
--- a/chivetrack/components/orders/desk.py
+++ b/chivetrack/components/orders/desk.py
@@ -29,7 +29,7 @@
     make_order,
     take_ended,
 )
-from chivetrack.components.orders.settling import compute_settled_at
+from chivetrack.components.orders.settling import compute_predecessor_expired_at
 from chivetrack.core import Effect, Event, WakeAt
 
 
@@ -222,7 +222,7 @@
             return False
         if engine.target.checks_fencing:
             return True
-        return now >= compute_settled_at(self._lease)
+        return now >= compute_predecessor_expired_at(self._lease)
 
     def _choose(self, engine: EngineRecord, now: float) -> Order | None:
         assert engine.state is not None
@@ -259,7 +259,7 @@
         is_waiting = is_busy(engine.state) or bool(engine.requests)
         poll_s = const.POLL_BUSY_S if is_waiting else const.POLL_IDLE_S
         is_unsettled = not engine.target.checks_fencing and (
-            engine.state_at < compute_settled_at(self._lease) <= now
+            engine.state_at < compute_predecessor_expired_at(self._lease) <= now
         )
         if now >= engine.state_at + poll_s or is_unsettled:
             engine.phase = DeskPhase.UNKNOWN
--- a/chivetrack/components/orders/settling.py
+++ b/chivetrack/components/orders/settling.py
@@ -5,7 +5,7 @@
 from chivetrack.components.orders.const import DELIVERY_S
 
 
-def compute_settled_at(lease: LeaseHolder) -> float:
+def compute_predecessor_expired_at(lease: LeaseHolder) -> float:
     """Return when engines that don't check fencing may be ordered and believed.
 
     The former holder may still believe in its lease, and such an engine would obey
