--- a/tests/components/model_placement/site.py
+++ b/tests/components/model_placement/site.py
@@ -12,7 +12,7 @@
 from chivetrack.components.orders.models import Artifact
 from chivetrack.components.store.commands import Replace, Stamp
 from tests.components.controllers.simulation import Simulation
-from tests.components.orders.engines import Engine, EngineRoom
+from tests.components.orders.engines import Engine, EngineSimulation
 
 
 @dataclass(slots=True)
@@ -64,7 +64,7 @@
         )
 
 
-class Site(EngineRoom):
+class Site(EngineSimulation):
     """The engine room with placement controllers instead of given goals."""
 
     def __init__(self, engines: list[Engine], *, seed: int = 1) -> None:
--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -144,7 +144,7 @@
         return [*self.lease.handle(event, now=now), *self.desk.handle(event, now=now)]
 
 
-class EngineRoom:
+class EngineSimulation:
     """The simulation together with engines."""
 
     def __init__(self, engines: list[Engine], *, seed: int = 1, admission: Any = None) -> None:
--- a/tests/components/orders/test_orders.py
+++ b/tests/components/orders/test_orders.py
@@ -18,7 +18,7 @@
     SendOrder,
 )
 from tests.components.controllers.simulation import Instance, Network
-from tests.components.orders.engines import Engine, EngineRoom, make_adapter, make_model
+from tests.components.orders.engines import Engine, EngineSimulation, make_adapter, make_model
 
 FIRST = make_model("first")
 SECOND = make_model("second")
@@ -36,7 +36,7 @@
 
 class OrderTestCase(unittest.TestCase):
     def start(self, *engines: Engine, names: tuple[str, ...] = ("one",), **fields: Any) -> None:
-        self.room = EngineRoom(list(engines), **fields)
+        self.room = EngineSimulation(list(engines), **fields)
         for name in names:
             self.room.simulation.add(name)
 
--- a/tests/components/orders/test_orders_fuzz.py
+++ b/tests/components/orders/test_orders_fuzz.py
@@ -7,7 +7,7 @@
 
 from chivetrack.components.orders.models import EngineGoal
 from tests.components.controllers.simulation import Instance, Network
-from tests.components.orders.engines import Engine, EngineRoom, make_adapter, make_model
+from tests.components.orders.engines import Engine, EngineSimulation, make_adapter, make_model
 from tests.components.store.fuzzing import make_settings
 
 MODELS = [make_model("m1", "1"), make_model("m1", "2"), make_model("m2")]
@@ -27,7 +27,7 @@
         self.engines = [Engine("checking"), Engine("trusting", checks=False)]
         for engine in self.engines:
             engine.goal = EngineGoal(artifacts=frozenset(), managed=MANAGED)
-        self.room = EngineRoom(self.engines)
+        self.room = EngineSimulation(self.engines)
         self.started = 0
 
     @initialize(seed=st.integers(0, 1000))
