--- a/chivetrack/components/model_placement/engines.py
+++ b/chivetrack/components/model_placement/engines.py
@@ -5,7 +5,7 @@
 from chivetrack.components.endpoints.models import Availability, EndpointKind, EndpointState
 from chivetrack.components.endpoints.registry import EndpointRegistry
 from chivetrack.components.model_placement.models import EngineView
-from chivetrack.components.orders.desk import OrderHandler
+from chivetrack.components.orders.handler import OrderHandler
 
 
 class EngineObserver:
--- a/chivetrack/components/model_placement/runner.py
+++ b/chivetrack/components/model_placement/runner.py
@@ -8,7 +8,7 @@
 from chivetrack.components.model_placement.controller import PlacementController
 from chivetrack.components.model_placement.engines import EngineObserver
 from chivetrack.components.model_placement.queue import LoadQueue
-from chivetrack.components.orders.desk import OrderHandler
+from chivetrack.components.orders.handler import OrderHandler
 from chivetrack.components.store.table import ResourceTable
 from chivetrack.core import Effect, Event
 
--- a/tests/components/model_placement/site.py
+++ b/tests/components/model_placement/site.py
@@ -8,7 +8,7 @@
 from chivetrack.components.model_placement.const import CONTROLLER, MODEL_KIND
 from chivetrack.components.model_placement.models import EngineView, PlacementReport
 from chivetrack.components.model_placement.runner import PlacementRunner
-from chivetrack.components.orders.desk import OrderHandler
+from chivetrack.components.orders.handler import OrderHandler
 from chivetrack.components.orders.models import Artifact
 from chivetrack.components.store.commands import Replace, Stamp
 from tests.components.controllers.simulation import Simulation
--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -6,7 +6,7 @@
 from chivetrack.components.controllers.lease import LeaseHolder
 from chivetrack.components.model_placement.const import STORE_BUSY
 from chivetrack.components.orders import const
-from chivetrack.components.orders.desk import OrderHandler
+from chivetrack.components.orders.handler import OrderHandler
 from chivetrack.components.orders.models import (
     Artifact,
     ArtifactKind,
