--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -26,7 +26,7 @@
     EngineGoal,
     EngineTarget,
 )
-from chivetrack.components.orders.settling import compute_predecessor_expired_at
+from chivetrack.components.orders.takeover import compute_predecessor_expired_at
 from chivetrack.components.store.table import ResourceTable
 
 
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -29,7 +29,7 @@
     make_order,
     take_ended,
 )
-from chivetrack.components.orders.settling import compute_predecessor_expired_at
+from chivetrack.components.orders.takeover import compute_predecessor_expired_at
 from chivetrack.core import Effect, Event, WakeAt
 
 
