--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -7,7 +7,6 @@
 from chivetrack.components.controllers.backoff import Backoffs
 from chivetrack.components.controllers.lease import LeaseHolder
 from chivetrack.components.orders import const
-from chivetrack.components.orders.difference import find_step, is_busy
 from chivetrack.components.orders.engine import DeskPhase, EngineRecord
 from chivetrack.components.orders.models import (
     Artifact,
@@ -22,6 +21,7 @@
     QueryEngine,
     SendOrder,
 )
+from chivetrack.components.orders.planning import find_step, is_busy
 from chivetrack.components.orders.requests import (
     end_all,
     fail,
