--- a/chivetrack/components/orders/engine.py
+++ b/chivetrack/components/orders/engine.py
@@ -11,7 +11,7 @@
 )
 
 
-class DeskPhase(StrEnum):
+class EngineQueryPhase(StrEnum):
     """What the desk waits for.
 
     From every end of an order the way leads to ``UNKNOWN``: what the engine has is
@@ -34,7 +34,7 @@
     """
 
     target: EngineTarget
-    phase: DeskPhase = DeskPhase.UNKNOWN
+    phase: EngineQueryPhase = EngineQueryPhase.UNKNOWN
     state: EngineState | None = None
     state_at: float = float("-inf")
     open_id: str = ""
@@ -46,7 +46,7 @@
 
     def forget_state(self) -> None:
         """Return to not knowing."""
-        self.phase = DeskPhase.UNKNOWN
+        self.phase = EngineQueryPhase.UNKNOWN
         self.open_id = ""
 
     def note_sent(self, order_id: str) -> None:
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -7,7 +7,7 @@
 from chivetrack.components.controllers.backoff import Backoffs
 from chivetrack.components.controllers.lease import LeaseHolder
 from chivetrack.components.orders import const
-from chivetrack.components.orders.engine import DeskPhase, EngineRecord
+from chivetrack.components.orders.engine import EngineQueryPhase, EngineRecord
 from chivetrack.components.orders.models import (
     Artifact,
     ArtifactPhase,
@@ -158,7 +158,7 @@
             self._silences.fail(engine.target.endpoint_id, now)
             return
         self._silences.succeed(engine.target.endpoint_id)
-        engine.phase = DeskPhase.KNOWN
+        engine.phase = EngineQueryPhase.KNOWN
         engine.state = state
         engine.state_at = now
         engine.is_outranked = state.fencing > self._term
@@ -181,9 +181,9 @@
             engine.granted = None
             engine.forget_state()
             self._silences.fail(engine.target.endpoint_id, now)
-        if engine.phase is DeskPhase.KNOWN:
+        if engine.phase is EngineQueryPhase.KNOWN:
             effects.extend(self._order(engine, now))
-        if engine.phase is DeskPhase.UNKNOWN:
+        if engine.phase is EngineQueryPhase.UNKNOWN:
             effects.extend(self._ask(engine, now))
         return effects
 
@@ -207,7 +207,7 @@
         ]
 
     def _note_sent(self, engine: EngineRecord, order: Order, now: float) -> None:
-        engine.phase = DeskPhase.ORDERING
+        engine.phase = EngineQueryPhase.ORDERING
         engine.granted = None
         engine.open_id = order.order_id
         engine.open_until = now + const.ANSWER_WITHIN_S
@@ -262,7 +262,7 @@
             engine.state_at < compute_predecessor_expired_at(self._lease) <= now
         )
         if now >= engine.state_at + poll_s or is_unsettled:
-            engine.phase = DeskPhase.UNKNOWN
+            engine.phase = EngineQueryPhase.UNKNOWN
 
     def _ask(self, engine: EngineRecord, now: float) -> list[Effect]:
         if not self._silences.allows(engine.target.endpoint_id, now):
@@ -270,7 +270,7 @@
         if self._asking >= max(const.MAX_OPEN_ASKS, len(self._engines) // const.ASKED_SHARE):
             return []
         self._asking += 1
-        engine.phase = DeskPhase.ASKING
+        engine.phase = EngineQueryPhase.ASKING
         engine.open_id = self._name("ask")
         engine.open_until = now + const.ASK_WITHIN_S
         return [
@@ -284,7 +284,7 @@
         ]
 
     def _count_asking(self) -> int:
-        return sum(1 for one in self._engines.values() if one.phase is DeskPhase.ASKING)
+        return sum(1 for one in self._engines.values() if one.phase is EngineQueryPhase.ASKING)
 
     def _name(self, what: str) -> str:
         self._sequence += 1
