--- a/chivetrack/components/orders/engine.py
+++ b/chivetrack/components/orders/engine.py
@@ -19,7 +19,7 @@
     """
 
     UNKNOWN = "unknown"
-    ASKING = "asking"
+    QUERYING = "asking"
     KNOWN = "known"
     ORDERING = "ordering"
 
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -270,7 +270,7 @@
         if self._asking >= max(const.MAX_OPEN_ASKS, len(self._engines) // const.ASKED_SHARE):
             return []
         self._asking += 1
-        engine.phase = EngineQueryPhase.ASKING
+        engine.phase = EngineQueryPhase.QUERYING
         engine.open_id = self._name("ask")
         engine.open_until = now + const.ASK_WITHIN_S
         return [
@@ -284,7 +284,7 @@
         ]
 
     def _count_asking(self) -> int:
-        return sum(1 for one in self._engines.values() if one.phase is EngineQueryPhase.ASKING)
+        return sum(1 for one in self._engines.values() if one.phase is EngineQueryPhase.QUERYING)
 
     def _name(self, what: str) -> str:
         self._sequence += 1
