--- a/chivetrack/components/orders/engine.py
+++ b/chivetrack/components/orders/engine.py
@@ -44,7 +44,7 @@
     requests: list[OrderRequest] = field(default_factory=list)
     sent: set[str] = field(default_factory=set)
 
-    def forget_state(self) -> None:
+    def invalidate_state(self) -> None:
         """Return to not knowing."""
         self.phase = EngineQueryPhase.UNKNOWN
         self.open_id = ""
@@ -61,7 +61,7 @@
     def replace_target(self, target: EngineTarget) -> None:
         """Take the newest announcement; another incarnation holds nothing that is known."""
         if target.incarnation != self.target.incarnation:
-            self.forget_state()
+            self.invalidate_state()
             self.state = None
             self.granted = None
             self.is_outranked = False
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -153,7 +153,7 @@
         return self._proceed(engine, now)
 
     def _take_state(self, engine: EngineRecord, state: EngineState | None, now: float) -> None:
-        engine.forget_state()
+        engine.invalidate_state()
         if state is None or state.incarnation != engine.target.incarnation:
             self._silences.fail(engine.target.endpoint_id, now)
             return
@@ -167,7 +167,7 @@
             self._failures.succeed(engine.target.endpoint_id)
 
     def _take_order_end(self, engine: EngineRecord, ended: OrderEnded, now: float) -> None:
-        engine.forget_state()
+        engine.invalidate_state()
         if ended.outcome is not OrderOutcome.NOT_SENT:
             engine.note_sent(ended.order_id)
         if ended.outcome is not OrderOutcome.ACCEPTED:
@@ -179,7 +179,7 @@
             # Lost without a word: what became of it is asked after, not guessed.
             engine.note_sent(engine.open_id)
             engine.granted = None
-            engine.forget_state()
+            engine.invalidate_state()
             self._silences.fail(engine.target.endpoint_id, now)
         if engine.phase is EngineQueryPhase.KNOWN:
             effects.extend(self._order(engine, now))
@@ -193,7 +193,7 @@
             self._grow_old(engine, now)
             return []
         if now >= engine.state_at + const.FRESH_S:
-            engine.forget_state()
+            engine.invalidate_state()
             return []
         self._note_sent(engine, order, now)
         return [
