--- a/chivetrack/components/orders/engine.py
+++ b/chivetrack/components/orders/engine.py
@@ -49,7 +49,7 @@
         self.phase = EngineQueryPhase.UNKNOWN
         self.open_id = ""
 
-    def note_sent(self, order_id: str) -> None:
+    def record_sent(self, order_id: str) -> None:
         """Remember that a one-time order may have reached the engine."""
         if any(request.request_id == order_id for request in self.requests):
             self.sent.add(order_id)
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -169,7 +169,7 @@
     def _take_order_end(self, engine: EngineRecord, ended: OrderEnded, now: float) -> None:
         engine.invalidate_state()
         if ended.outcome is not OrderOutcome.NOT_SENT:
-            engine.note_sent(ended.order_id)
+            engine.record_sent(ended.order_id)
         if ended.outcome is not OrderOutcome.ACCEPTED:
             self._failures.fail(engine.target.endpoint_id, now)
 
@@ -177,7 +177,7 @@
         effects: list[Effect] = list(take_ended(engine, now))
         if engine.open_id and now >= engine.open_until:
             # Lost without a word: what became of it is asked after, not guessed.
-            engine.note_sent(engine.open_id)
+            engine.record_sent(engine.open_id)
             engine.granted = None
             engine.invalidate_state()
             self._silences.fail(engine.target.endpoint_id, now)
