--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -195,7 +195,7 @@
         if now >= engine.state_at + const.FRESH_S:
             engine.invalidate_state()
             return []
-        self._note_sent(engine, order, now)
+        self._record_order_sent(engine, order, now)
         return [
             SendOrder(
                 endpoint_id=engine.target.endpoint_id,
@@ -206,7 +206,7 @@
             )
         ]
 
-    def _note_sent(self, engine: EngineRecord, order: Order, now: float) -> None:
+    def _record_order_sent(self, engine: EngineRecord, order: Order, now: float) -> None:
         engine.phase = EngineQueryPhase.ORDERING
         engine.granted = None
         engine.open_id = order.order_id
