--- a/chivetrack/components/orders/engine.py
+++ b/chivetrack/components/orders/engine.py
@@ -54,7 +54,7 @@
         if any(request.request_id == order_id for request in self.requests):
             self.sent.add(order_id)
 
-    def may_know(self, request: OrderRequest) -> bool:
+    def may_have_received(self, request: OrderRequest) -> bool:
         """Tell whether a one-time order may have reached the engine."""
         return request.request_id in self.sent or request.request_id == self.open_id
 
--- a/chivetrack/components/orders/requests.py
+++ b/chivetrack/components/orders/requests.py
@@ -64,6 +64,6 @@
 
 
 def _give_up(engine: EngineRecord, request: OrderRequest, error: str) -> OrderRequestEnded:
-    if not engine.may_know(request) and find_known(engine, request) is None:
+    if not engine.may_have_received(request) and find_known(engine, request) is None:
         return fail(request, error)
     return OrderRequestEnded(request_id=request.request_id, phase=None, error=error)
