--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -27,7 +27,7 @@
     fail,
     find_next,
     make_order,
-    take_ended,
+    pop_ended,
 )
 from chivetrack.components.orders.takeover import compute_predecessor_expired_at
 from chivetrack.core import Effect, Event, WakeAt
@@ -174,7 +174,7 @@
             self._failures.fail(engine.target.endpoint_id, now)
 
     def _proceed(self, engine: EngineRecord, now: float) -> list[Effect]:
-        effects: list[Effect] = list(take_ended(engine, now))
+        effects: list[Effect] = list(pop_ended(engine, now))
         if engine.open_id and now >= engine.open_until:
             # Lost without a word: what became of it is asked after, not guessed.
             engine.record_sent(engine.open_id)
--- a/chivetrack/components/orders/requests.py
+++ b/chivetrack/components/orders/requests.py
@@ -34,7 +34,7 @@
     return next((one for one in engine.requests if find_known(engine, one) is None), None)
 
 
-def take_ended(engine: EngineRecord, now: float) -> list[OrderRequestEnded]:
+def pop_ended(engine: EngineRecord, now: float) -> list[OrderRequestEnded]:
     """Remove and return the requests that ended or ran out of time."""
     ended = [(one, _find_end(engine, one, now)) for one in engine.requests]
     engine.requests = [one for one, end in ended if end is None]
