--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -25,7 +25,7 @@
 from chivetrack.components.orders.requests import (
     end_all,
     fail,
-    find_next,
+    find_next_request,
     make_order,
     pop_ended,
 )
@@ -226,7 +226,7 @@
 
     def _choose(self, engine: EngineRecord, now: float) -> Order | None:
         assert engine.state is not None
-        request = find_next(engine)
+        request = find_next_request(engine)
         if request is not None:
             return make_order(request, fencing=self._term)
         if engine.target.goal is None:
--- a/chivetrack/components/orders/requests.py
+++ b/chivetrack/components/orders/requests.py
@@ -29,7 +29,7 @@
     return known[0] if known else None
 
 
-def find_next(engine: EngineRecord) -> OrderRequest | None:
+def find_next_request(engine: EngineRecord) -> OrderRequest | None:
     """Return the oldest request that the engine does not know of."""
     return next((one for one in engine.requests if find_known(engine, one) is None), None)
 
