--- a/chivetrack/components/orders/requests.py
+++ b/chivetrack/components/orders/requests.py
@@ -21,7 +21,7 @@
     )
 
 
-def find_known(engine: EngineRecord, request: OrderRequest) -> KnownOrder | None:
+def find_known_order(engine: EngineRecord, request: OrderRequest) -> KnownOrder | None:
     """Return what the engine said of a request, or ``None``."""
     if engine.state is None:
         return None
@@ -31,7 +31,7 @@
 
 def find_next_request(engine: EngineRecord) -> OrderRequest | None:
     """Return the oldest request that the engine does not know of."""
-    return next((one for one in engine.requests if find_known(engine, one) is None), None)
+    return next((one for one in engine.requests if find_known_order(engine, one) is None), None)
 
 
 def pop_ended(engine: EngineRecord, now: float) -> list[OrderRequestEnded]:
@@ -53,7 +53,7 @@
 
 
 def _find_end(engine: EngineRecord, request: OrderRequest, now: float) -> OrderRequestEnded | None:
-    known = find_known(engine, request)
+    known = find_known_order(engine, request)
     if known is not None and known.phase is not OrderPhase.RUNNING:
         return OrderRequestEnded(
             request_id=request.request_id, phase=known.phase, error=known.error
@@ -64,6 +64,6 @@
 
 
 def _give_up(engine: EngineRecord, request: OrderRequest, error: str) -> OrderRequestEnded:
-    if not engine.may_have_received(request) and find_known(engine, request) is None:
+    if not engine.may_have_received(request) and find_known_order(engine, request) is None:
         return fail(request, error)
     return OrderRequestEnded(request_id=request.request_id, phase=None, error=error)
