--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -23,7 +23,7 @@
 )
 from chivetrack.components.orders.planning import find_step, is_busy
 from chivetrack.components.orders.requests import (
-    end_all,
+    abandon_all,
     fail,
     find_next_request,
     make_order,
@@ -108,7 +108,7 @@
     def _end_term(self, event: Event) -> list[Effect]:
         effects: list[Effect] = []
         for engine in self._engines.values():
-            effects.extend(end_all(engine, "the lease was lost"))
+            effects.extend(abandon_all(engine, "the lease was lost"))
         self._engines.clear()
         self._term = 0
         if isinstance(event, OrderRequest):
--- a/chivetrack/components/orders/requests.py
+++ b/chivetrack/components/orders/requests.py
@@ -42,7 +42,7 @@
     return [end for _, end in ended if end is not None]
 
 
-def end_all(engine: EngineRecord, error: str) -> list[OrderRequestEnded]:
+def abandon_all(engine: EngineRecord, error: str) -> list[OrderRequestEnded]:
     """Return the ends of all requests of an engine that this instance gives up."""
     return [_give_up(engine, request, error) for request in engine.requests]
 
