--- a/chivetrack/components/orders/requests.py
+++ b/chivetrack/components/orders/requests.py
@@ -44,7 +44,7 @@
 
 def abandon_all(engine: EngineRecord, error: str) -> list[OrderRequestEnded]:
     """Return the ends of all requests of an engine that this instance gives up."""
-    return [_give_up(engine, request, error) for request in engine.requests]
+    return [_abandon(engine, request, error) for request in engine.requests]
 
 
 def fail(request: OrderRequest, error: str) -> OrderRequestEnded:
@@ -59,11 +59,11 @@
             request_id=request.request_id, phase=known.phase, error=known.error
         )
     if now >= request.deadline:
-        return _give_up(engine, request, "the deadline passed")
+        return _abandon(engine, request, "the deadline passed")
     return None
 
 
-def _give_up(engine: EngineRecord, request: OrderRequest, error: str) -> OrderRequestEnded:
+def _abandon(engine: EngineRecord, request: OrderRequest, error: str) -> OrderRequestEnded:
     if not engine.may_have_received(request) and find_known_order(engine, request) is None:
         return fail(request, error)
     return OrderRequestEnded(request_id=request.request_id, phase=None, error=error)
