--- a/chivetrack/components/orders/client.py
+++ b/chivetrack/components/orders/client.py
@@ -46,7 +46,7 @@
     def ask(self, effect: QueryEngine) -> EngineAnswered:
         """Ask an engine for its state; no state when there was no clear answer."""
         state = self._ask(effect)
-        return EngineAnswered(endpoint_id=effect.endpoint_id, ask_id=effect.ask_id, state=state)
+        return EngineAnswered(endpoint_id=effect.endpoint_id, query_id=effect.query_id, state=state)
 
     def _send(self, effect: SendOrder) -> tuple[OrderOutcome, str]:
         now = self._read_clock()
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -135,7 +135,7 @@
         engine = self._engines.get(event.endpoint_id)
         if engine is None:
             return []
-        if isinstance(event, EngineAnswered) and event.ask_id == engine.open_id:
+        if isinstance(event, EngineAnswered) and event.query_id == engine.open_id:
             self._take_state(engine, event.state, now)
         if isinstance(event, OrderEnded) and event.order_id == engine.open_id:
             self._take_order_end(engine, event, now)
@@ -277,7 +277,7 @@
             QueryEngine(
                 endpoint_id=engine.target.endpoint_id,
                 address=engine.target.address,
-                ask_id=engine.open_id,
+                query_id=engine.open_id,
                 fencing=self._term,
                 answer_by=engine.open_until,
             )
--- a/chivetrack/components/orders/models.py
+++ b/chivetrack/components/orders/models.py
@@ -164,7 +164,7 @@
 
     endpoint_id: str
     address: str
-    ask_id: str
+    query_id: str
     fencing: int
     answer_by: float
 
@@ -194,7 +194,7 @@
     """An engine answered, or with no state did not."""
 
     endpoint_id: str
-    ask_id: str
+    query_id: str
     state: EngineState | None = None
 
 
--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -207,7 +207,7 @@
             state = engine.describe(self.simulation.time)
             self.answer(
                 instance,
-                EngineAnswered(endpoint_id=engine.name, ask_id=effect.ask_id, state=state),
+                EngineAnswered(endpoint_id=engine.name, query_id=effect.query_id, state=state),
             )
 
         self.simulation.call_later(self.network, arrive)
--- a/tests/components/orders/test_client.py
+++ b/tests/components/orders/test_client.py
@@ -94,7 +94,7 @@
                 ask = QueryEngine(
                     endpoint_id="e1",
                     address=server.address,
-                    ask_id="a1",
+                    query_id="a1",
                     fencing=7,
                     answer_by=answer_by,
                 )
