--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -9,7 +9,7 @@
 """How long what has left may take to reach an engine."""
 
 ANSWER_WITHIN_S: Final = 5.0
-ASK_WITHIN_S: Final = 3.0
+QUERY_TIMEOUT_S: Final = 3.0
 
 FRESH_S: Final = 2.0
 """An engine's state that is older than this is asked for anew before an order."""
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -272,7 +272,7 @@
         self._asking += 1
         engine.phase = EngineQueryPhase.QUERYING
         engine.open_id = self._name("ask")
-        engine.open_until = now + const.ASK_WITHIN_S
+        engine.open_until = now + const.QUERY_TIMEOUT_S
         return [
             QueryEngine(
                 endpoint_id=engine.target.endpoint_id,
