--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -8,7 +8,7 @@
 DELIVERY_S: Final = 2.0
 """How long what has left may take to reach an engine."""
 
-ANSWER_WITHIN_S: Final = 5.0
+ORDER_TIMEOUT_S: Final = 5.0
 QUERY_TIMEOUT_S: Final = 3.0
 
 FRESH_S: Final = 2.0
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -210,7 +210,7 @@
         engine.phase = EngineQueryPhase.ORDERING
         engine.granted = None
         engine.open_id = order.order_id
-        engine.open_until = now + const.ANSWER_WITHIN_S
+        engine.open_until = now + const.ORDER_TIMEOUT_S
         assert engine.state is not None
         held = None if order.artifact is None else engine.state.find(order.artifact)
         if held is not None and held.phase is ArtifactPhase.FAILED:
