--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-SEND_WITHIN_S: Final = 1.0
+SEND_DEADLINE_S: Final = 1.0
 """An order that has not left by then is dropped: its holder may have lost the lease."""
 
 DELIVERY_S: Final = 2.0
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -201,7 +201,7 @@
                 endpoint_id=engine.target.endpoint_id,
                 address=engine.target.address,
                 order=order,
-                send_by=min(now + const.SEND_WITHIN_S, self._lease.valid_until),
+                send_by=min(now + const.SEND_DEADLINE_S, self._lease.valid_until),
                 answer_by=engine.open_until,
             )
         ]
