--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -5,7 +5,7 @@
 SEND_DEADLINE_S: Final = 1.0
 """An order that has not left by then is dropped: its holder may have lost the lease."""
 
-DELIVERY_S: Final = 2.0
+MAX_DELIVERY_S: Final = 2.0
 """How long what has left may take to reach an engine."""
 
 ORDER_TIMEOUT_S: Final = 5.0
--- a/chivetrack/components/orders/takeover.py
+++ b/chivetrack/components/orders/takeover.py
@@ -2,7 +2,7 @@
 
 from chivetrack.components.controllers.const import CLOCK_DRIFT, LEASE_DURATION_S
 from chivetrack.components.controllers.lease import LeaseHolder
-from chivetrack.components.orders.const import DELIVERY_S
+from chivetrack.components.orders.const import MAX_DELIVERY_S
 
 
 def compute_predecessor_expired_at(lease: LeaseHolder) -> float:
@@ -12,4 +12,4 @@
     both: a load beside an unload, in any order. By then that lease is over also on a
     slow clock, and what had left has arrived.
     """
-    return lease.acquired_at + LEASE_DURATION_S * (1.0 + CLOCK_DRIFT) + DELIVERY_S
+    return lease.acquired_at + LEASE_DURATION_S * (1.0 + CLOCK_DRIFT) + MAX_DELIVERY_S
--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -197,7 +197,7 @@
     def within_delivery(self) -> Network:
         """Return the network with no delay beyond the bound that the desk assumes."""
         low, high = self.network.delay
-        return replace(self.network, delay=(low, min(high, const.DELIVERY_S)))
+        return replace(self.network, delay=(low, min(high, const.MAX_DELIVERY_S)))
 
     def ask(self, instance: Instance, effect: QueryEngine) -> None:
         def arrive() -> None:
--- a/tests/components/orders/test_orders.py
+++ b/tests/components/orders/test_orders.py
@@ -26,7 +26,7 @@
 MANAGED = frozenset(
     artifact.get_name() for artifact in (FIRST, SECOND, TUNED, make_adapter("old", "first"))
 )
-WAIT_OUT_S = LEASE_DURATION_S * (1 + CLOCK_DRIFT) + const.DELIVERY_S
+WAIT_OUT_S = LEASE_DURATION_S * (1 + CLOCK_DRIFT) + const.MAX_DELIVERY_S
 FAILOVER_S = 2 * LEASE_DURATION_S + 8.0
 
 
