--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -11,7 +11,7 @@
 ORDER_TIMEOUT_S: Final = 5.0
 QUERY_TIMEOUT_S: Final = 3.0
 
-FRESH_S: Final = 2.0
+STATE_MAX_AGE_S: Final = 2.0
 """An engine's state that is older than this is asked for anew before an order."""
 
 POLL_IDLE_S: Final = 60.0
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -192,7 +192,7 @@
         if order is None:
             self._grow_old(engine, now)
             return []
-        if now >= engine.state_at + const.FRESH_S:
+        if now >= engine.state_at + const.STATE_MAX_AGE_S:
             engine.invalidate_state()
             return []
         self._record_order_sent(engine, order, now)
