--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -14,7 +14,7 @@
 STATE_MAX_AGE_S: Final = 2.0
 """An engine's state that is older than this is asked for anew before an order."""
 
-POLL_IDLE_S: Final = 60.0
+IDLE_POLL_INTERVAL_S: Final = 60.0
 POLL_BUSY_S: Final = 1.0
 
 LOOK_INTERVAL_S: Final = 0.25
