--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -15,7 +15,7 @@
 """An engine's state that is older than this is asked for anew before an order."""
 
 IDLE_POLL_INTERVAL_S: Final = 60.0
-POLL_BUSY_S: Final = 1.0
+BUSY_POLL_INTERVAL_S: Final = 1.0
 
 LOOK_INTERVAL_S: Final = 0.25
 ENGINES_PER_S: Final = 2000
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -257,7 +257,7 @@
     def _grow_old(self, engine: EngineRecord, now: float) -> None:
         assert engine.state is not None
         is_waiting = is_busy(engine.state) or bool(engine.requests)
-        poll_s = const.POLL_BUSY_S if is_waiting else const.IDLE_POLL_INTERVAL_S
+        poll_s = const.BUSY_POLL_INTERVAL_S if is_waiting else const.IDLE_POLL_INTERVAL_S
         is_unsettled = not engine.target.checks_fencing and (
             engine.state_at < compute_predecessor_expired_at(self._lease) <= now
         )
