--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -17,7 +17,7 @@
 IDLE_POLL_INTERVAL_S: Final = 60.0
 BUSY_POLL_INTERVAL_S: Final = 1.0
 
-LOOK_INTERVAL_S: Final = 0.25
+MIN_RECONCILE_INTERVAL_S: Final = 0.25
 ENGINES_PER_S: Final = 2000
 """Above this many engines looks get rarer, to bound the share of the processor."""
 
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -98,7 +98,7 @@
         if now >= self._look_at:
             self._take_targets()
             rest_s = len(self._engines) / const.ENGINES_PER_S
-            self._look_at = now + max(const.LOOK_INTERVAL_S, rest_s)
+            self._look_at = now + max(const.MIN_RECONCILE_INTERVAL_S, rest_s)
             self._asking = self._count_asking()
             for engine in self._engines.values():
                 effects.extend(self._proceed(engine, now))
