--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -21,7 +21,7 @@
 ENGINES_PER_S: Final = 2000
 """Above this many engines looks get rarer, to bound the share of the processor."""
 
-MAX_OPEN_ASKS: Final = 32
+MIN_OPEN_QUERY_LIMIT: Final = 32
 ASKED_SHARE: Final = 20
 """Of very many engines this part may be asked at a time."""
 
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -267,7 +267,7 @@
     def _ask(self, engine: EngineRecord, now: float) -> list[Effect]:
         if not self._silences.allows(engine.target.endpoint_id, now):
             return []
-        if self._asking >= max(const.MAX_OPEN_ASKS, len(self._engines) // const.ASKED_SHARE):
+        if self._asking >= max(const.MIN_OPEN_QUERY_LIMIT, len(self._engines) // const.ASKED_SHARE):
             return []
         self._asking += 1
         engine.phase = EngineQueryPhase.QUERYING
