--- a/chivetrack/components/orders/client.py
+++ b/chivetrack/components/orders/client.py
@@ -61,7 +61,7 @@
             return OrderOutcome.NOT_SENT, str(error)
         except _BROKEN as error:
             return OrderOutcome.LOST, str(error)
-        return _judge(response.status), f"status {response.status}"
+        return _classify_status(response.status), f"status {response.status}"
 
     def _ask(self, effect: QueryEngine) -> EngineState | None:
         left_s = effect.answer_by - self._read_clock()
@@ -84,7 +84,7 @@
             return None
 
 
-def _judge(status: int) -> OrderOutcome:
+def _classify_status(status: int) -> OrderOutcome:
     if 200 <= status < 300:
         return OrderOutcome.ACCEPTED
     if status == const.STALE_STATUS:
