--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -65,7 +65,7 @@
         self._engines: dict[str, EngineRecord] = {}
         self._term = 0
         self._sequence = 0
-        self._look_at = float("-inf")
+        self._next_reconcile_at = float("-inf")
         self._asking = 0
 
     def get_state(self, endpoint_id: str) -> EngineState | None:
@@ -93,16 +93,16 @@
             self._silences.clear()
             self._failures.clear()
             self._term = self._lease.fencing
-            self._look_at = now
+            self._next_reconcile_at = now
         effects = self._take(event, now)
-        if now >= self._look_at:
+        if now >= self._next_reconcile_at:
             self._take_targets()
             rest_s = len(self._engines) / const.ENGINES_PER_S
-            self._look_at = now + max(const.MIN_RECONCILE_INTERVAL_S, rest_s)
+            self._next_reconcile_at = now + max(const.MIN_RECONCILE_INTERVAL_S, rest_s)
             self._asking = self._count_asking()
             for engine in self._engines.values():
                 effects.extend(self._proceed(engine, now))
-        effects.append(WakeAt(at=self._look_at))
+        effects.append(WakeAt(at=self._next_reconcile_at))
         return effects
 
     def _end_term(self, event: Event) -> list[Effect]:
