--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -66,7 +66,7 @@
         self._term = 0
         self._sequence = 0
         self._next_reconcile_at = float("-inf")
-        self._asking = 0
+        self._open_queries = 0
 
     def get_state(self, endpoint_id: str) -> EngineState | None:
         """Return what an engine last said in this term, or ``None``."""
@@ -99,7 +99,7 @@
             self._take_targets()
             rest_s = len(self._engines) / const.ENGINES_PER_S
             self._next_reconcile_at = now + max(const.MIN_RECONCILE_INTERVAL_S, rest_s)
-            self._asking = self._count_asking()
+            self._open_queries = self._count_asking()
             for engine in self._engines.values():
                 effects.extend(self._proceed(engine, now))
         effects.append(WakeAt(at=self._next_reconcile_at))
@@ -267,11 +267,11 @@
     def _ask(self, engine: EngineRecord, now: float) -> list[Effect]:
         if not self._silences.allows(engine.target.endpoint_id, now):
             return []
-        if self._asking >= max(
+        if self._open_queries >= max(
             const.MIN_OPEN_QUERY_LIMIT, len(self._engines) // const.ENGINES_PER_OPEN_QUERY
         ):
             return []
-        self._asking += 1
+        self._open_queries += 1
         engine.phase = EngineQueryPhase.QUERYING
         engine.open_id = self._name("ask")
         engine.open_until = now + const.QUERY_TIMEOUT_S
