--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -99,7 +99,7 @@
             self._take_targets()
             rest_s = len(self._engines) / const.ENGINES_PER_S
             self._next_reconcile_at = now + max(const.MIN_RECONCILE_INTERVAL_S, rest_s)
-            self._open_queries = self._count_asking()
+            self._open_queries = self._count_open_queries()
             for engine in self._engines.values():
                 effects.extend(self._proceed(engine, now))
         effects.append(WakeAt(at=self._next_reconcile_at))
@@ -285,7 +285,7 @@
             )
         ]
 
-    def _count_asking(self) -> int:
+    def _count_open_queries(self) -> int:
         return sum(1 for one in self._engines.values() if one.phase is EngineQueryPhase.QUERYING)
 
     def _name(self, what: str) -> str:
