--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -60,7 +60,7 @@
         self._lease = lease
         self._list_targets = list_targets
         self._admission = admission
-        self._silences = Backoffs(random=random)
+        self._query_backoffs = Backoffs(random=random)
         self._failures = Backoffs(random=random)
         self._engines: dict[str, EngineRecord] = {}
         self._term = 0
@@ -90,7 +90,7 @@
             return self._end_term(event)
         if self._lease.fencing != self._term:
             self._engines.clear()
-            self._silences.clear()
+            self._query_backoffs.clear()
             self._failures.clear()
             self._term = self._lease.fencing
             self._next_reconcile_at = now
@@ -155,9 +155,9 @@
     def _take_state(self, engine: EngineRecord, state: EngineState | None, now: float) -> None:
         engine.invalidate_state()
         if state is None or state.incarnation != engine.target.incarnation:
-            self._silences.fail(engine.target.endpoint_id, now)
+            self._query_backoffs.fail(engine.target.endpoint_id, now)
             return
-        self._silences.succeed(engine.target.endpoint_id)
+        self._query_backoffs.succeed(engine.target.endpoint_id)
         engine.phase = EngineQueryPhase.KNOWN
         engine.state = state
         engine.state_at = now
@@ -180,7 +180,7 @@
             engine.record_sent(engine.open_id)
             engine.granted = None
             engine.invalidate_state()
-            self._silences.fail(engine.target.endpoint_id, now)
+            self._query_backoffs.fail(engine.target.endpoint_id, now)
         if engine.phase is EngineQueryPhase.KNOWN:
             effects.extend(self._order(engine, now))
         if engine.phase is EngineQueryPhase.UNKNOWN:
@@ -265,7 +265,7 @@
             engine.phase = EngineQueryPhase.UNKNOWN
 
     def _ask(self, engine: EngineRecord, now: float) -> list[Effect]:
-        if not self._silences.allows(engine.target.endpoint_id, now):
+        if not self._query_backoffs.allows(engine.target.endpoint_id, now):
             return []
         if self._open_queries >= max(
             const.MIN_OPEN_QUERY_LIMIT, len(self._engines) // const.ENGINES_PER_OPEN_QUERY
