--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -61,7 +61,7 @@
         self._list_targets = list_targets
         self._admission = admission
         self._query_backoffs = Backoffs(random=random)
-        self._failures = Backoffs(random=random)
+        self._order_backoffs = Backoffs(random=random)
         self._engines: dict[str, EngineRecord] = {}
         self._term = 0
         self._sequence = 0
@@ -91,7 +91,7 @@
         if self._lease.fencing != self._term:
             self._engines.clear()
             self._query_backoffs.clear()
-            self._failures.clear()
+            self._order_backoffs.clear()
             self._term = self._lease.fencing
             self._next_reconcile_at = now
         effects = self._take(event, now)
@@ -164,14 +164,14 @@
         engine.is_outranked = state.fencing > self._term
         has_failed = any(held.phase is ArtifactPhase.FAILED for held in state.artifacts)
         if not has_failed and not is_busy(state):
-            self._failures.succeed(engine.target.endpoint_id)
+            self._order_backoffs.succeed(engine.target.endpoint_id)
 
     def _take_order_end(self, engine: EngineRecord, ended: OrderEnded, now: float) -> None:
         engine.invalidate_state()
         if ended.outcome is not OrderOutcome.NOT_SENT:
             engine.record_sent(ended.order_id)
         if ended.outcome is not OrderOutcome.ACCEPTED:
-            self._failures.fail(engine.target.endpoint_id, now)
+            self._order_backoffs.fail(engine.target.endpoint_id, now)
 
     def _proceed(self, engine: EngineRecord, now: float) -> list[Effect]:
         effects: list[Effect] = list(pop_ended(engine, now))
@@ -215,10 +215,10 @@
         held = None if order.artifact is None else engine.state.find(order.artifact)
         if held is not None and held.phase is ArtifactPhase.FAILED:
             # A load that fails at once each time would take the weight store's rate.
-            self._failures.fail(engine.target.endpoint_id, now)
+            self._order_backoffs.fail(engine.target.endpoint_id, now)
 
     def _may_order(self, engine: EngineRecord, now: float) -> bool:
-        if engine.is_outranked or not self._failures.allows(engine.target.endpoint_id, now):
+        if engine.is_outranked or not self._order_backoffs.allows(engine.target.endpoint_id, now):
             return False
         if engine.target.checks_fencing:
             return True
