--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -96,7 +96,7 @@
             self._next_reconcile_at = now
         effects = self._take(event, now)
         if now >= self._next_reconcile_at:
-            self._take_targets()
+            self._update_targets()
             rest_s = len(self._engines) / const.ENGINES_PER_S
             self._next_reconcile_at = now + max(const.MIN_RECONCILE_INTERVAL_S, rest_s)
             self._open_queries = self._count_open_queries()
@@ -115,7 +115,7 @@
             effects.append(fail(event, "this instance does not hold the lease"))
         return effects
 
-    def _take_targets(self) -> None:
+    def _update_targets(self) -> None:
         targets = {target.endpoint_id: target for target in self._list_targets()}
         for endpoint_id, target in targets.items():
             engine = self._engines.get(endpoint_id)
