--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -129,7 +129,7 @@
 
     def _take(self, event: Event, now: float) -> list[Effect]:
         if isinstance(event, OrderRequest):
-            return self._take_request(event, now)
+            return self._handle_request(event, now)
         if not isinstance(event, OrderEnded | EngineAnswered):
             return []
         engine = self._engines.get(event.endpoint_id)
@@ -141,7 +141,7 @@
             self._take_order_end(engine, event, now)
         return self._proceed(engine, now)
 
-    def _take_request(self, request: OrderRequest, now: float) -> list[Effect]:
+    def _handle_request(self, request: OrderRequest, now: float) -> list[Effect]:
         engine = self._engines.get(request.endpoint_id)
         if engine is None:
             return [fail(request, f"no engine {request.endpoint_id} is known")]
