--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -136,7 +136,7 @@
         if engine is None:
             return []
         if isinstance(event, EngineAnswered) and event.query_id == engine.open_id:
-            self._take_state(engine, event.state, now)
+            self._handle_state(engine, event.state, now)
         if isinstance(event, OrderEnded) and event.order_id == engine.open_id:
             self._take_order_end(engine, event, now)
         return self._proceed(engine, now)
@@ -152,7 +152,7 @@
         engine.requests.append(request)
         return self._proceed(engine, now)
 
-    def _take_state(self, engine: EngineRecord, state: EngineState | None, now: float) -> None:
+    def _handle_state(self, engine: EngineRecord, state: EngineState | None, now: float) -> None:
         engine.invalidate_state()
         if state is None or state.incarnation != engine.target.incarnation:
             self._query_backoffs.fail(engine.target.endpoint_id, now)
