--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -138,7 +138,7 @@
         if isinstance(event, EngineAnswered) and event.query_id == engine.open_id:
             self._handle_state(engine, event.state, now)
         if isinstance(event, OrderEnded) and event.order_id == engine.open_id:
-            self._take_order_end(engine, event, now)
+            self._handle_order_end(engine, event, now)
         return self._proceed(engine, now)
 
     def _handle_request(self, request: OrderRequest, now: float) -> list[Effect]:
@@ -166,7 +166,7 @@
         if not has_failed and not is_busy(state):
             self._order_backoffs.succeed(engine.target.endpoint_id)
 
-    def _take_order_end(self, engine: EngineRecord, ended: OrderEnded, now: float) -> None:
+    def _handle_order_end(self, engine: EngineRecord, ended: OrderEnded, now: float) -> None:
         engine.invalidate_state()
         if ended.outcome is not OrderOutcome.NOT_SENT:
             engine.record_sent(ended.order_id)
