--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -94,7 +94,7 @@
             self._order_backoffs.clear()
             self._term = self._lease.fencing
             self._next_reconcile_at = now
-        effects = self._take(event, now)
+        effects = self._handle_event(event, now)
         if now >= self._next_reconcile_at:
             self._update_targets()
             rest_s = len(self._engines) / const.ENGINES_PER_S
@@ -127,7 +127,7 @@
             if not self._engines[endpoint_id].requests:
                 del self._engines[endpoint_id]
 
-    def _take(self, event: Event, now: float) -> list[Effect]:
+    def _handle_event(self, event: Event, now: float) -> list[Effect]:
         if isinstance(event, OrderRequest):
             return self._handle_request(event, now)
         if not isinstance(event, OrderEnded | EngineAnswered):
