--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -190,7 +190,7 @@
     def _order(self, engine: EngineRecord, now: float) -> list[Effect]:
         order = self._choose(engine, now) if self._may_order(engine, now) else None
         if order is None:
-            self._grow_old(engine, now)
+            self._expire_state(engine, now)
             return []
         if now >= engine.state_at + const.STATE_MAX_AGE_S:
             engine.invalidate_state()
@@ -254,7 +254,7 @@
         engine.granted = artifact
         return True
 
-    def _grow_old(self, engine: EngineRecord, now: float) -> None:
+    def _expire_state(self, engine: EngineRecord, now: float) -> None:
         assert engine.state is not None
         is_waiting = is_busy(engine.state) or bool(engine.requests)
         poll_s = const.BUSY_POLL_INTERVAL_S if is_waiting else const.IDLE_POLL_INTERVAL_S
