--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -188,7 +188,7 @@
         return effects
 
     def _order(self, engine: EngineRecord, now: float) -> list[Effect]:
-        order = self._choose(engine, now) if self._may_order(engine, now) else None
+        order = self._choose_order(engine, now) if self._may_order(engine, now) else None
         if order is None:
             self._expire_state(engine, now)
             return []
@@ -224,7 +224,7 @@
             return True
         return now >= compute_predecessor_expired_at(self._lease)
 
-    def _choose(self, engine: EngineRecord, now: float) -> Order | None:
+    def _choose_order(self, engine: EngineRecord, now: float) -> Order | None:
         assert engine.state is not None
         request = find_next_request(engine)
         if request is not None:
