--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -239,7 +239,7 @@
         if step is None:
             return None
         return Order(
-            order_id=self._name("order"),
+            order_id=self._make_id("order"),
             fencing=self._term,
             kind=step.kind,
             artifact=step.artifact,
@@ -273,7 +273,7 @@
             return []
         self._open_queries += 1
         engine.phase = EngineQueryPhase.QUERYING
-        engine.open_id = self._name("ask")
+        engine.open_id = self._make_id("ask")
         engine.open_until = now + const.QUERY_TIMEOUT_S
         return [
             QueryEngine(
@@ -288,6 +288,6 @@
     def _count_open_queries(self) -> int:
         return sum(1 for one in self._engines.values() if one.phase is EngineQueryPhase.QUERYING)
 
-    def _name(self, what: str) -> str:
+    def _make_id(self, what: str) -> str:
         self._sequence += 1
         return f"{self._lease.name}/{self._term}/{what}/{self._sequence}"
