--- a/chivetrack/components/orders/client.py
+++ b/chivetrack/components/orders/client.py
@@ -45,7 +45,7 @@
 
     def ask(self, effect: QueryEngine) -> EngineAnswered:
         """Ask an engine for its state; no state when there was no clear answer."""
-        state = self._ask(effect)
+        state = self._query(effect)
         return EngineAnswered(endpoint_id=effect.endpoint_id, query_id=effect.query_id, state=state)
 
     def _send(self, effect: SendOrder) -> tuple[OrderOutcome, str]:
@@ -63,7 +63,7 @@
             return OrderOutcome.LOST, str(error)
         return _classify_status(response.status), f"status {response.status}"
 
-    def _ask(self, effect: QueryEngine) -> EngineState | None:
+    def _query(self, effect: QueryEngine) -> EngineState | None:
         left_s = effect.answer_by - self._read_clock()
         if left_s <= 0:
             return None
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -184,7 +184,7 @@
         if engine.phase is EngineQueryPhase.KNOWN:
             effects.extend(self._order(engine, now))
         if engine.phase is EngineQueryPhase.UNKNOWN:
-            effects.extend(self._ask(engine, now))
+            effects.extend(self._query(engine, now))
         return effects
 
     def _order(self, engine: EngineRecord, now: float) -> list[Effect]:
@@ -264,7 +264,7 @@
         if now >= engine.state_at + poll_s or is_unsettled:
             engine.phase = EngineQueryPhase.UNKNOWN
 
-    def _ask(self, engine: EngineRecord, now: float) -> list[Effect]:
+    def _query(self, engine: EngineRecord, now: float) -> list[Effect]:
         if not self._query_backoffs.allows(engine.target.endpoint_id, now):
             return []
         if self._open_queries >= max(
