--- a/chivetrack/components/orders/engine.py
+++ b/chivetrack/components/orders/engine.py
@@ -29,7 +29,7 @@
     """One engine; ``open_id`` names the ask or order that is open until ``open_until``.
 
     ``granted`` may be loaded next, once the state is fresh.
-    ``is_outranked``: it has seen a higher number than the one that this term has.
+    ``is_fenced_out``: it has seen a higher number than the one that this term has.
     ``sent`` holds the ids of one-time orders that may have reached it.
     """
 
@@ -39,7 +39,7 @@
     state_at: float = float("-inf")
     open_id: str = ""
     open_until: float = float("-inf")
-    is_outranked: bool = False
+    is_fenced_out: bool = False
     granted: Artifact | None = None
     requests: list[OrderRequest] = field(default_factory=list)
     sent: set[str] = field(default_factory=set)
@@ -64,5 +64,5 @@
             self.invalidate_state()
             self.state = None
             self.granted = None
-            self.is_outranked = False
+            self.is_fenced_out = False
         self.target = target
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -161,7 +161,7 @@
         engine.phase = EngineQueryPhase.KNOWN
         engine.state = state
         engine.state_at = now
-        engine.is_outranked = state.fencing > self._term
+        engine.is_fenced_out = state.fencing > self._term
         has_failed = any(held.phase is ArtifactPhase.FAILED for held in state.artifacts)
         if not has_failed and not is_busy(state):
             self._order_backoffs.succeed(engine.target.endpoint_id)
@@ -218,7 +218,7 @@
             self._order_backoffs.fail(engine.target.endpoint_id, now)
 
     def _may_order(self, engine: EngineRecord, now: float) -> bool:
-        if engine.is_outranked or not self._order_backoffs.allows(engine.target.endpoint_id, now):
+        if engine.is_fenced_out or not self._order_backoffs.allows(engine.target.endpoint_id, now):
             return False
         if engine.target.checks_fencing:
             return True
