--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -192,9 +192,9 @@
                 ),
             )
 
-        self.simulation.call_later(self.within_delivery(), arrive)
+        self.simulation.call_later(self.limit_delay_to_delivery(), arrive)
 
-    def within_delivery(self) -> Network:
+    def limit_delay_to_delivery(self) -> Network:
         """Return the network with no delay beyond the bound that the desk assumes."""
         low, high = self.network.delay
         return replace(self.network, delay=(low, min(high, const.MAX_DELIVERY_S)))
