--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -155,7 +155,7 @@
         self.simulation = Simulation(
             make_controller=lambda table, to_wall_ms: None, lease="orders", seed=seed
         )
-        self.simulation.on_effect = self.carry_out
+        self.simulation.on_effect = self.execute
 
         def make_loop(*, lease: LeaseHolder, **_: Any) -> DeskLoop:
             desk = OrderHandler(
@@ -171,7 +171,7 @@
     def run(self, seconds: float) -> None:
         self.simulation.run(seconds)
 
-    def carry_out(self, instance: Instance, effect: Effect) -> None:
+    def execute(self, instance: Instance, effect: Effect) -> None:
         if isinstance(effect, SendOrder):
             self.send(instance, effect)
         elif isinstance(effect, QueryEngine):
--- a/tests/components/orders/test_orders.py
+++ b/tests/components/orders/test_orders.py
@@ -139,7 +139,7 @@
         if isinstance(effect, SendOrder):
             self.room.engines["e1"].take(effect.order, self.room.simulation.time)
         else:
-            self.room.carry_out(instance, effect)
+            self.room.execute(instance, effect)
 
     def test_one_time_orders(self) -> None:
         """Their end is what the engine remembers under their id; unknown stays unknown."""
@@ -173,7 +173,7 @@
 
     def play_fault(self, instance: Instance, effect: Any) -> None:
         if not isinstance(effect, SendOrder) or not self.fault:
-            self.room.carry_out(instance, effect)
+            self.room.execute(instance, effect)
         elif self.fault == "answer":
             self.room.engines["e1"].take(effect.order, self.room.simulation.time)
         elif self.fault == "order":
@@ -267,7 +267,7 @@
         self.room.simulation.on_effect = lambda instance, effect: (
             sent.append((effect, instance.loop.lease.valid_until))
             if isinstance(effect, SendOrder)
-            else self.room.carry_out(instance, effect)
+            else self.room.execute(instance, effect)
         )
         self.room.run(3.0)
         self.find_holder().network = Network(loss=1.0)
