--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -25,7 +25,7 @@
 ENGINES_PER_OPEN_QUERY: Final = 20
 """Of very many engines this part may be asked at a time."""
 
-MAX_REQUESTS: Final = 64
+MAX_PENDING_REQUESTS: Final = 64
 """One-time orders that may wait for one engine."""
 
 ORDERS_PATH: Final = "/v1/orders"
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -147,7 +147,7 @@
             return [fail(request, f"no engine {request.endpoint_id} is known")]
         if any(known.request_id == request.request_id for known in engine.requests):
             return []
-        if len(engine.requests) >= const.MAX_REQUESTS:
+        if len(engine.requests) >= const.MAX_PENDING_REQUESTS:
             return [fail(request, "too many orders wait for this engine")]
         engine.requests.append(request)
         return self._proceed(engine, now)
