--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -18,7 +18,7 @@
 BUSY_POLL_INTERVAL_S: Final = 1.0
 
 MIN_RECONCILE_INTERVAL_S: Final = 0.25
-ENGINES_PER_S: Final = 2000
+RECONCILED_ENGINES_PER_S: Final = 2000
 """Above this many engines looks get rarer, to bound the share of the processor."""
 
 MIN_OPEN_QUERY_LIMIT: Final = 32
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -97,7 +97,7 @@
         effects = self._handle_event(event, now)
         if now >= self._next_reconcile_at:
             self._update_targets()
-            rest_s = len(self._engines) / const.ENGINES_PER_S
+            rest_s = len(self._engines) / const.RECONCILED_ENGINES_PER_S
             self._next_reconcile_at = now + max(const.MIN_RECONCILE_INTERVAL_S, rest_s)
             self._open_queries = self._count_open_queries()
             for engine in self._engines.values():
