--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -133,7 +133,7 @@
         return True
 
 
-class DeskLoop:
+class OrderHandlerLoop:
     """A lease with an order desk, as the simulation drives it."""
 
     def __init__(self, *, lease: LeaseHolder, desk: OrderHandler) -> None:
@@ -157,14 +157,14 @@
         )
         self.simulation.on_effect = self.execute
 
-        def make_loop(*, lease: LeaseHolder, **_: Any) -> DeskLoop:
+        def make_loop(*, lease: LeaseHolder, **_: Any) -> OrderHandlerLoop:
             desk = OrderHandler(
                 lease=lease,
                 list_targets=lambda: [engine.make_target() for engine in engines],
                 admission=admission or OpenAdmission(),
                 random=self.simulation.random,
             )
-            return DeskLoop(lease=lease, desk=desk)
+            return OrderHandlerLoop(lease=lease, desk=desk)
 
         self.simulation.make_loop = make_loop
 
