--- a/chivetrack/components/orders/requests.py
+++ b/chivetrack/components/orders/requests.py
@@ -47,7 +47,7 @@
     return [_abandon(engine, request, error) for request in engine.requests]
 
 
-def fail(request: OrderRequest, error: str) -> OrderRequestEnded:
+def make_failed_end(request: OrderRequest, error: str) -> OrderRequestEnded:
     """Return the end of a request that certainly did not run."""
     return OrderRequestEnded(request_id=request.request_id, phase=OrderPhase.FAILED, error=error)
 
@@ -65,5 +65,5 @@
 
 def _abandon(engine: EngineRecord, request: OrderRequest, error: str) -> OrderRequestEnded:
     if not engine.may_have_received(request) and find_known_order(engine, request) is None:
-        return fail(request, error)
+        return make_failed_end(request, error)
     return OrderRequestEnded(request_id=request.request_id, phase=None, error=error)
