--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -24,7 +24,7 @@
 from chivetrack.components.orders.planning import find_step, is_busy
 from chivetrack.components.orders.requests import (
     abandon_all,
-    fail,
+    make_failed_end,
     find_next_request,
     make_order,
     pop_ended,
@@ -112,7 +112,7 @@
         self._engines.clear()
         self._term = 0
         if isinstance(event, OrderRequest):
-            effects.append(fail(event, "this instance does not hold the lease"))
+            effects.append(make_failed_end(event, "this instance does not hold the lease"))
         return effects
 
     def _update_targets(self) -> None:
@@ -144,11 +144,11 @@
     def _handle_request(self, request: OrderRequest, now: float) -> list[Effect]:
         engine = self._engines.get(request.endpoint_id)
         if engine is None:
-            return [fail(request, f"no engine {request.endpoint_id} is known")]
+            return [make_failed_end(request, f"no engine {request.endpoint_id} is known")]
         if any(known.request_id == request.request_id for known in engine.requests):
             return []
         if len(engine.requests) >= const.MAX_PENDING_REQUESTS:
-            return [fail(request, "too many orders wait for this engine")]
+            return [make_failed_end(request, "too many orders wait for this engine")]
         engine.requests.append(request)
         return self._proceed(engine, now)
 
