--- a/tests/components/model_placement/site.py
+++ b/tests/components/model_placement/site.py
@@ -78,7 +78,7 @@
             seed=seed,
         )
         self.simulation.make_loop = self.make_loop
-        self.simulation.on_effect = self.carry_out
+        self.simulation.on_effect = self.execute
 
     def make_loop(self, *, controller: Any, **fields: Any) -> PlacementRunner:
         observer: Any = Observer(self)
