--- a/chivetrack/components/orders/__init__.py
+++ b/chivetrack/components/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines, under the fencing number of a lease."""
+"""Orders to engines, protected by the fencing number of a lease."""
--- a/chivetrack/components/orders/client.py
+++ b/chivetrack/components/orders/client.py
@@ -1,4 +1,4 @@
-"""The HTTP edge of the order desk."""
+"""HTTP client that executes the effects of the order handler."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -17,24 +17,25 @@
 )
 
 _NOT_CONNECTED = (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
-_BROKEN = (urllib3.exceptions.HTTPError, OSError)
+_LOST = (urllib3.exceptions.HTTPError, OSError)
 _STATES = msgspec.json.Decoder(EngineState, strict=False)
 _HEADERS = {"Content-Type": "application/json"}
 
 
 class OrderClient:
-    """Carries out the desk's effects; each call blocks until its end.
+    """Executes the order handler's effects; each call blocks until it has ended.
 
-    ``read_clock`` is the clock of the desk's ``now``. Every call has a connection of its
-    own: on a pooled one that the engine has just closed, "not sent" could not be told.
+    ``read_clock`` must be the clock of the handler's ``now``. Each call opens its own
+    connection: on a pooled connection that the engine has just closed, the client could
+    not determine whether an order was sent.
     """
 
     def __init__(self, *, read_clock: Callable[[], float]) -> None:
-        """Take the clock."""
+        """Create a client that compares deadlines with ``read_clock``."""
         self._read_clock = read_clock
 
     def send(self, effect: SendOrder) -> OrderEnded:
-        """Send an order unless it is too late; say how that ended."""
+        """Send an order unless its ``send_by`` has passed, and return the outcome."""
         outcome, error = self._send(effect)
         return OrderEnded(
             endpoint_id=effect.endpoint_id,
@@ -44,37 +45,37 @@
         )
 
     def ask(self, effect: QueryEngine) -> EngineAnswered:
-        """Ask an engine for its state; no state when there was no clear answer."""
+        """Request the state of an engine; the state is ``None`` without a valid response."""
         state = self._query(effect)
         return EngineAnswered(endpoint_id=effect.endpoint_id, query_id=effect.query_id, state=state)
 
     def _send(self, effect: SendOrder) -> tuple[OrderOutcome, str]:
         now = self._read_clock()
         if now >= effect.send_by:
-            return OrderOutcome.NOT_SENT, "its time to leave had passed"
+            return OrderOutcome.NOT_SENT, "the time limit for sending had passed"
         timeout = urllib3.Timeout(connect=effect.send_by - now, total=effect.answer_by - now)
         body = msgspec.json.encode(effect.order)
         try:
-            with _open(effect.address, timeout) as pool:
+            with _open_pool(effect.address, timeout) as pool:
                 response = pool.request("POST", const.ORDERS_PATH, body=body, headers=_HEADERS)
         except _NOT_CONNECTED as error:
             return OrderOutcome.NOT_SENT, str(error)
-        except _BROKEN as error:
+        except _LOST as error:
             return OrderOutcome.LOST, str(error)
         return _classify_status(response.status), f"status {response.status}"
 
     def _query(self, effect: QueryEngine) -> EngineState | None:
-        left_s = effect.answer_by - self._read_clock()
-        if left_s <= 0:
+        remaining_s = effect.answer_by - self._read_clock()
+        if remaining_s <= 0:
             return None
         try:
-            with _open(effect.address, urllib3.Timeout(total=left_s)) as pool:
+            with _open_pool(effect.address, urllib3.Timeout(total=remaining_s)) as pool:
                 fields = {const.FENCING_FIELD: str(effect.fencing)}
                 response = pool.request(
                     "GET", const.STATE_PATH, fields=fields, preload_content=False
                 )
                 data = response.read(const.MAX_STATE_BYTES + 1)
-        except _BROKEN:
+        except _LOST:
             return None
         if response.status != 200 or len(data) > const.MAX_STATE_BYTES:
             return None
@@ -89,12 +90,12 @@
         return OrderOutcome.ACCEPTED
     if status == const.STALE_STATUS:
         return OrderOutcome.STALE
-    # An engine that failed on an order may have begun it.
+    # An engine that failed with another status may have started to execute the order.
     return OrderOutcome.REFUSED if 400 <= status < 500 else OrderOutcome.LOST
 
 
 @contextmanager
-def _open(address: str, timeout: urllib3.Timeout) -> Iterator[urllib3.HTTPConnectionPool]:
+def _open_pool(address: str, timeout: urllib3.Timeout) -> Iterator[urllib3.HTTPConnectionPool]:
     pool = urllib3.connection_from_url(address, timeout=timeout, retries=False)
     try:
         yield pool
--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -3,34 +3,40 @@
 from typing import Final
 
 SEND_DEADLINE_S: Final = 1.0
-"""An order that has not left by then is dropped: its holder may have lost the lease."""
+"""Time limit for sending an order. After it the order is dropped, because this instance may
+have lost the lease.
+"""
 
 MAX_DELIVERY_S: Final = 2.0
-"""How long what has left may take to reach an engine."""
+"""Maximum time that a sent order may take to reach an engine."""
 
 ORDER_TIMEOUT_S: Final = 5.0
 QUERY_TIMEOUT_S: Final = 3.0
 
 STATE_MAX_AGE_S: Final = 2.0
-"""An engine's state that is older than this is asked for anew before an order."""
+"""An engine's state that is older than this is requested again before an order is sent."""
 
 IDLE_POLL_INTERVAL_S: Final = 60.0
 BUSY_POLL_INTERVAL_S: Final = 1.0
 
 MIN_RECONCILE_INTERVAL_S: Final = 0.25
 RECONCILED_ENGINES_PER_S: Final = 2000
-"""Above this many engines looks get rarer, to bound the share of the processor."""
+"""Maximum number of engines reconciled per second. With more engines the reconcile interval
+grows, which bounds the CPU time.
+"""
 
 MIN_OPEN_QUERY_LIMIT: Final = 32
 ENGINES_PER_OPEN_QUERY: Final = 20
-"""Of very many engines this part may be asked at a time."""
+"""One query may be open for each group of this many engines, if that is more than
+MIN_OPEN_QUERY_LIMIT.
+"""
 
 MAX_PENDING_REQUESTS: Final = 64
-"""One-time orders that may wait for one engine."""
+"""Maximum number of one-time orders that wait for one engine."""
 
 ORDERS_PATH: Final = "/v1/orders"
 STATE_PATH: Final = "/v1/engine-state"
 FENCING_FIELD: Final = "fencing"
 STALE_STATUS: Final = 409
 MAX_STATE_BYTES: Final = 1024 * 1024
-"""A longer answer is not a state; reading it would take the daemon's memory."""
+"""A longer response is not a valid state, and reading it would exhaust the memory."""
--- a/chivetrack/components/orders/engine.py
+++ b/chivetrack/components/orders/engine.py
@@ -1,4 +1,4 @@
-"""What the order desk remembers of one engine, within one term of the lease."""
+"""State that the order handler keeps for one engine during one term of the lease."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -12,10 +12,10 @@
 
 
 class EngineQueryPhase(StrEnum):
-    """What the desk waits for.
+    """Phase of the cycle of querying an engine and sending it an order.
 
-    From every end of an order the way leads to ``UNKNOWN``: what the engine has is
-    asked, never concluded from an answer or its absence.
+    After each order the phase is ``UNKNOWN`` again: the engine's state is always queried,
+    never inferred from a response or from its absence.
     """
 
     UNKNOWN = "unknown"
@@ -26,11 +26,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class EngineRecord:
-    """One engine; ``open_id`` names the ask or order that is open until ``open_until``.
+    """State of one engine.
 
-    ``granted`` may be loaded next, once the state is fresh.
-    ``is_fenced_out``: it has seen a higher number than the one that this term has.
-    ``sent`` holds the ids of one-time orders that may have reached it.
+    ``open_id`` is the id of the query or order that is pending until ``open_until``.
+    ``granted`` is the artifact that has been admitted for loading and may be loaded once
+    the state is fresh. ``is_fenced_out`` means that the engine has seen a higher fencing
+    number than that of this term. ``sent`` holds the ids of one-time orders that may have
+    reached the engine.
     """
 
     target: EngineTarget
@@ -45,21 +47,21 @@
     sent: set[str] = field(default_factory=set)
 
     def invalidate_state(self) -> None:
-        """Return to not knowing."""
+        """Mark the state as unknown, so that it is queried again."""
         self.phase = EngineQueryPhase.UNKNOWN
         self.open_id = ""
 
     def record_sent(self, order_id: str) -> None:
-        """Remember that a one-time order may have reached the engine."""
+        """Record that a one-time order may have reached the engine."""
         if any(request.request_id == order_id for request in self.requests):
             self.sent.add(order_id)
 
     def may_have_received(self, request: OrderRequest) -> bool:
-        """Tell whether a one-time order may have reached the engine."""
+        """Return whether a one-time order may have reached the engine."""
         return request.request_id in self.sent or request.request_id == self.open_id
 
     def replace_target(self, target: EngineTarget) -> None:
-        """Take the newest announcement; another incarnation holds nothing that is known."""
+        """Apply the newest announcement; a new incarnation invalidates the known state."""
         if target.incarnation != self.target.incarnation:
             self.invalidate_state()
             self.state = None
--- a/chivetrack/components/orders/handler.py
+++ b/chivetrack/components/orders/handler.py
@@ -1,4 +1,4 @@
-"""Gives orders to engines while the lease is held."""
+"""Sends orders to engines while this instance holds the lease."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -24,8 +24,8 @@
 from chivetrack.components.orders.planning import find_step, is_busy
 from chivetrack.components.orders.requests import (
     abandon_all,
-    make_failed_end,
     find_next_request,
+    make_failed_end,
     make_order,
     pop_ended,
 )
@@ -37,15 +37,16 @@
     """Decides which engine may load from the weight store now."""
 
     def admit(self, endpoint_id: str, artifact: Artifact, *, now: float) -> bool:
-        """Tell whether this load may begin; asked again at each look until it may."""
+        """Return whether this load may begin; called at each reconciliation until it may."""
         ...
 
 
 class OrderHandler:
-    """Level-triggered: asks an engine, sends one order, asks again.
+    """Level-triggered reconciliation of engines with their goals.
 
-    Hand it events after the lease's holder has had them. ``list_targets`` returns the
-    engines with their goals as they stand.
+    For each engine it queries the state, sends one order and queries the state again.
+    Pass events to the lease holder first and then to this handler. ``list_targets`` returns
+    the engines with their current goals.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         admission: LoadAdmission,
         random: Random,
     ) -> None:
-        """Start without knowing any engine."""
+        """Create a handler that knows no engines."""
         self._lease = lease
         self._list_targets = list_targets
         self._admission = admission
@@ -69,23 +70,23 @@
         self._open_queries = 0
 
     def get_state(self, endpoint_id: str) -> EngineState | None:
-        """Return what an engine last said in this term, or ``None``."""
+        """Return the latest state of an engine in this term, ``None`` if unknown."""
         engine = self._engines.get(endpoint_id)
         return None if engine is None else engine.state
 
     def get_state_at(self, endpoint_id: str) -> float:
-        """Return when an engine last said something in this term."""
+        """Return when the latest state of an engine in this term was received."""
         engine = self._engines.get(endpoint_id)
         return float("-inf") if engine is None else engine.state_at
 
     def read_states(self) -> dict[str, EngineState]:
-        """Return what all engines last said in this term."""
+        """Return the latest states of all engines in this term, by endpoint id."""
         return {
             name: engine.state for name, engine in self._engines.items() if engine.state is not None
         }
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take answers, requests and the time."""
+        """Handle engine responses, order requests and the passage of time."""
         if not self._lease.is_held(now):
             return self._end_term(event)
         if self._lease.fencing != self._term:
@@ -97,11 +98,11 @@
         effects = self._handle_event(event, now)
         if now >= self._next_reconcile_at:
             self._update_targets()
-            rest_s = len(self._engines) / const.RECONCILED_ENGINES_PER_S
-            self._next_reconcile_at = now + max(const.MIN_RECONCILE_INTERVAL_S, rest_s)
+            interval_s = len(self._engines) / const.RECONCILED_ENGINES_PER_S
+            self._next_reconcile_at = now + max(const.MIN_RECONCILE_INTERVAL_S, interval_s)
             self._open_queries = self._count_open_queries()
             for engine in self._engines.values():
-                effects.extend(self._proceed(engine, now))
+                effects.extend(self._advance(engine, now))
         effects.append(WakeAt(at=self._next_reconcile_at))
         return effects
 
@@ -139,7 +140,7 @@
             self._handle_state(engine, event.state, now)
         if isinstance(event, OrderEnded) and event.order_id == engine.open_id:
             self._handle_order_end(engine, event, now)
-        return self._proceed(engine, now)
+        return self._advance(engine, now)
 
     def _handle_request(self, request: OrderRequest, now: float) -> list[Effect]:
         engine = self._engines.get(request.endpoint_id)
@@ -150,7 +151,7 @@
         if len(engine.requests) >= const.MAX_PENDING_REQUESTS:
             return [make_failed_end(request, "too many orders wait for this engine")]
         engine.requests.append(request)
-        return self._proceed(engine, now)
+        return self._advance(engine, now)
 
     def _handle_state(self, engine: EngineRecord, state: EngineState | None, now: float) -> None:
         engine.invalidate_state()
@@ -173,21 +174,21 @@
         if ended.outcome is not OrderOutcome.ACCEPTED:
             self._order_backoffs.fail(engine.target.endpoint_id, now)
 
-    def _proceed(self, engine: EngineRecord, now: float) -> list[Effect]:
+    def _advance(self, engine: EngineRecord, now: float) -> list[Effect]:
         effects: list[Effect] = list(pop_ended(engine, now))
         if engine.open_id and now >= engine.open_until:
-            # Lost without a word: what became of it is asked after, not guessed.
+            # No result within the time limit: the outcome is queried, not guessed.
             engine.record_sent(engine.open_id)
             engine.granted = None
             engine.invalidate_state()
             self._query_backoffs.fail(engine.target.endpoint_id, now)
         if engine.phase is EngineQueryPhase.KNOWN:
-            effects.extend(self._order(engine, now))
+            effects.extend(self._send_next_order(engine, now))
         if engine.phase is EngineQueryPhase.UNKNOWN:
             effects.extend(self._query(engine, now))
         return effects
 
-    def _order(self, engine: EngineRecord, now: float) -> list[Effect]:
+    def _send_next_order(self, engine: EngineRecord, now: float) -> list[Effect]:
         order = self._choose_order(engine, now) if self._may_order(engine, now) else None
         if order is None:
             self._expire_state(engine, now)
@@ -214,7 +215,8 @@
         assert engine.state is not None
         held = None if order.artifact is None else engine.state.find(order.artifact)
         if held is not None and held.phase is ArtifactPhase.FAILED:
-            # A load that fails at once each time would take the weight store's rate.
+            # Without backoff, a load that always fails at once would use up the rate limit of
+            # the weight store.
             self._order_backoffs.fail(engine.target.endpoint_id, now)
 
     def _may_order(self, engine: EngineRecord, now: float) -> bool:
@@ -256,12 +258,12 @@
 
     def _expire_state(self, engine: EngineRecord, now: float) -> None:
         assert engine.state is not None
-        is_waiting = is_busy(engine.state) or bool(engine.requests)
-        poll_s = const.BUSY_POLL_INTERVAL_S if is_waiting else const.IDLE_POLL_INTERVAL_S
-        is_unsettled = not engine.target.checks_fencing and (
+        has_pending_work = is_busy(engine.state) or bool(engine.requests)
+        poll_s = const.BUSY_POLL_INTERVAL_S if has_pending_work else const.IDLE_POLL_INTERVAL_S
+        is_from_before_takeover = not engine.target.checks_fencing and (
             engine.state_at < compute_predecessor_expired_at(self._lease) <= now
         )
-        if now >= engine.state_at + poll_s or is_unsettled:
+        if now >= engine.state_at + poll_s or is_from_before_takeover:
             engine.phase = EngineQueryPhase.UNKNOWN
 
     def _query(self, engine: EngineRecord, now: float) -> list[Effect]:
@@ -286,7 +288,9 @@
         ]
 
     def _count_open_queries(self) -> int:
-        return sum(1 for one in self._engines.values() if one.phase is EngineQueryPhase.QUERYING)
+        return sum(
+            1 for engine in self._engines.values() if engine.phase is EngineQueryPhase.QUERYING
+        )
 
     def _make_id(self, what: str) -> str:
         self._sequence += 1
--- a/chivetrack/components/orders/models.py
+++ b/chivetrack/components/orders/models.py
@@ -1,4 +1,4 @@
-"""Orders, the state of engines, and the events and effects of the order desk."""
+"""Models of orders and engine states, and events and effects of the order handler."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class OrderKind(StrEnum):
-    """What an engine is told to do."""
+    """Operation that an engine is ordered to perform."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -18,14 +18,14 @@
 
 
 class ArtifactKind(StrEnum):
-    """What an engine loads."""
+    """Kind of artifact that an engine can load."""
 
     MODEL = "model"
     ADAPTER = "adapter"
 
 
 class ArtifactPhase(StrEnum):
-    """How far an engine is with an artifact."""
+    """Progress of an artifact on an engine."""
 
     LOADING = "loading"
     READY = "ready"
@@ -34,7 +34,7 @@
 
 
 class OrderPhase(StrEnum):
-    """How far an engine is with a one-time order."""
+    """Progress of a one-time order on an engine."""
 
     RUNNING = "running"
     DONE = "done"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True, order=True)
 class Artifact:
-    """A version of a model, or of an adapter of ``model``."""
+    """One version of a model, or of an adapter of ``model``."""
 
     kind: ArtifactKind
     name: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ArtifactName:
-    """A model or an adapter, in whatever version."""
+    """Name of a model or an adapter, for any version."""
 
     kind: ArtifactKind
     name: str
@@ -66,11 +66,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Order:
-    """An order as an engine gets it.
+    """Order in the form that is sent to an engine.
 
-    An engine that checks fencing refuses a number below the highest that it has seen,
-    and takes an ``order_id`` that it knows for a resend. ``subject`` is the chat of a
-    cached context or the request to cancel, ``location`` where a context goes or is.
+    An engine that checks fencing refuses a number below the highest that it has seen. An
+    engine treats an order with a known ``order_id`` as a resend. ``subject`` is the chat of
+    a cached context, or the request to cancel; ``location`` is where a context is exported
+    to or imported from.
     """
 
     order_id: str
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HeldArtifact:
-    """An artifact that an engine has or is busy with."""
+    """Artifact that an engine holds, loads or unloads."""
 
     artifact: Artifact
     phase: ArtifactPhase
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KnownOrder:
-    """A one-time order that an engine remembers."""
+    """One-time order that an engine reports."""
 
     order_id: str
     phase: OrderPhase
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineState:
-    """What an engine says of itself when asked; 0 ``memory_bytes`` means unknown."""
+    """State that an engine reports; ``memory_bytes`` is 0 if unknown."""
 
     incarnation: int
     fencing: int = 0
@@ -112,16 +113,16 @@
     memory_bytes: int = 0
 
     def find(self, artifact: Artifact) -> HeldArtifact | None:
-        """Return what the engine says of an artifact, or ``None``."""
+        """Return the reported state of an artifact, ``None`` if the engine does not hold it."""
         found = [held for held in self.artifacts if held.artifact == artifact]
         return found[0] if found else None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineGoal:
-    """What an engine should hold; an empty role leaves its role alone.
+    """Desired artifacts and role of an engine; with an empty role its role is not changed.
 
-    Of what it has beside, only artifacts under ``managed`` names are unloaded.
+    Of the other artifacts that it holds, only those with ``managed`` names are unloaded.
     """
 
     artifacts: frozenset[Artifact]
@@ -131,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineTarget:
-    """An engine that may be given orders; without a goal only one-time ones."""
+    """Engine that may get orders; without a goal only one-time orders."""
 
     endpoint_id: str
     incarnation: int
@@ -142,9 +143,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SendOrder(Effect):
-    """Send an order, unless ``send_by`` has passed; answered by ``OrderEnded``.
+    """Send an order unless ``send_by`` has passed; its result is ``OrderEnded``.
 
-    Who carries it out reads the clock right before the first byte leaves.
+    The executor must read the clock immediately before it sends the first byte.
     """
 
     endpoint_id: str
@@ -156,10 +157,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QueryEngine(Effect):
-    """Ask an engine for its state; answered by ``EngineAnswered``.
+    """Request the state of an engine; its result is ``EngineAnswered``.
 
-    The question carries the fencing number too: an engine that checks refuses from then
-    on what an earlier holder sent and the network still holds.
+    The query carries the fencing number too. From then on, an engine that checks fencing
+    refuses orders of an earlier holder that are still in transit.
     """
 
     endpoint_id: str
@@ -170,7 +171,11 @@
 
 
 class OrderOutcome(StrEnum):
-    """How sending an order ended. ``NOT_SENT`` is a promise; ``LOST`` tells nothing."""
+    """Outcome of sending an order.
+
+    ``NOT_SENT`` guarantees that the order has not been sent. ``LOST`` means that it is
+    unknown whether the engine received it.
+    """
 
     ACCEPTED = "accepted"
     STALE = "stale"
@@ -181,7 +186,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrderEnded(Event):
-    """Sending an order ended."""
+    """Result of sending an order."""
 
     endpoint_id: str
     order_id: str
@@ -191,7 +196,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineAnswered(Event):
-    """An engine answered, or with no state did not."""
+    """Result of a state query; ``state`` is ``None`` without a valid response."""
 
     endpoint_id: str
     query_id: str
@@ -200,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrderRequest(Event):
-    """Ask for a one-time order; ``request_id`` names it for good, on the engine too."""
+    """Request for a one-time order; ``request_id`` is also its permanent id on the engine."""
 
     request_id: str
     endpoint_id: str
@@ -212,7 +217,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrderRequestEnded(Effect):
-    """A one-time order ended; no phase means that nobody knows whether it ran."""
+    """End of a one-time order; without a phase it is unknown whether it ran."""
 
     request_id: str
     phase: OrderPhase | None
--- a/chivetrack/components/orders/planning.py
+++ b/chivetrack/components/orders/planning.py
@@ -1,4 +1,4 @@
-"""The next order that brings an engine nearer to its goal."""
+"""Plans the next order that brings an engine closer to its goal."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """One order, not yet under an id and a number."""
+    """Content of an order that has no order id and fencing number yet."""
 
     kind: OrderKind
     artifact: Artifact | None = None
@@ -26,17 +26,17 @@
 
 
 def is_busy(state: EngineState) -> bool:
-    """Tell whether an engine is loading or unloading."""
+    """Return whether an engine is loading or unloading an artifact."""
     return any(held.phase in _BUSY for held in state.artifacts)
 
 
 def find_step(
     goal: EngineGoal, state: EngineState, *, may_load: Callable[[Artifact], bool]
 ) -> Step | None:
-    """Return the next step, or ``None`` when there is none or the engine must finish first.
+    """Return the next step, ``None`` if the goal is reached or the engine must finish first.
 
-    What is not wanted goes first, since memory is limited; an adapter goes before its
-    model and comes after it.
+    Unwanted artifacts are unloaded first, because memory is limited. Adapters are unloaded
+    before their model and loaded after it.
     """
     if goal.role and state.role != goal.role:
         return Step(kind=OrderKind.SET_ROLE, role=goal.role)
--- a/chivetrack/components/orders/requests.py
+++ b/chivetrack/components/orders/requests.py
@@ -1,4 +1,4 @@
-"""One-time orders: followed by their id until the engine says how they ended."""
+"""One-time orders, tracked by their id until the engine reports how they ended."""
 
 from chivetrack.components.orders.engine import EngineRecord
 from chivetrack.components.orders.models import (
@@ -11,7 +11,7 @@
 
 
 def make_order(request: OrderRequest, *, fencing: int) -> Order:
-    """Return the order for a request; its id is the same at every resend."""
+    """Return the order for a request; each resend uses the same id."""
     return Order(
         order_id=request.request_id,
         fencing=fencing,
@@ -22,7 +22,7 @@
 
 
 def find_known_order(engine: EngineRecord, request: OrderRequest) -> KnownOrder | None:
-    """Return what the engine said of a request, or ``None``."""
+    """Return the engine's report on a request, ``None`` without one."""
     if engine.state is None:
         return None
     known = [order for order in engine.state.orders if order.order_id == request.request_id]
@@ -30,25 +30,27 @@
 
 
 def find_next_request(engine: EngineRecord) -> OrderRequest | None:
-    """Return the oldest request that the engine does not know of."""
-    return next((one for one in engine.requests if find_known_order(engine, one) is None), None)
+    """Return the oldest request that the engine has not reported."""
+    return next(
+        (request for request in engine.requests if find_known_order(engine, request) is None), None
+    )
 
 
 def pop_ended(engine: EngineRecord, now: float) -> list[OrderRequestEnded]:
-    """Remove and return the requests that ended or ran out of time."""
-    ended = [(one, _find_end(engine, one, now)) for one in engine.requests]
-    engine.requests = [one for one, end in ended if end is None]
-    engine.sent -= {one.request_id for one, end in ended if end is not None}
-    return [end for _, end in ended if end is not None]
+    """Remove the requests that ended or passed their deadline, and return their ends."""
+    ends = [(request, _find_end(engine, request, now)) for request in engine.requests]
+    engine.requests = [request for request, end in ends if end is None]
+    engine.sent -= {request.request_id for request, end in ends if end is not None}
+    return [end for _, end in ends if end is not None]
 
 
 def abandon_all(engine: EngineRecord, error: str) -> list[OrderRequestEnded]:
-    """Return the ends of all requests of an engine that this instance gives up."""
+    """Return the ends of all requests of an engine, which this instance abandons."""
     return [_abandon(engine, request, error) for request in engine.requests]
 
 
 def make_failed_end(request: OrderRequest, error: str) -> OrderRequestEnded:
-    """Return the end of a request that certainly did not run."""
+    """Return the end of a request that certainly has not run."""
     return OrderRequestEnded(request_id=request.request_id, phase=OrderPhase.FAILED, error=error)
 
 
--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -1,4 +1,4 @@
-"""Engines that load slowly, and instances that give them orders over a bad network."""
+"""Simulated engines that load slowly, and instances that order them over a faulty network."""
 
 from dataclasses import dataclass, field, replace
 from typing import Any
@@ -40,6 +40,13 @@
 
 @dataclass(slots=True)
 class Engine:
+    """Simulated engine.
+
+    ``checks`` means that it checks fencing numbers. ``taken`` are the orders that it accepted,
+    ``refusals`` the artifacts whose load the weight store refused. ``announced`` replaces
+    its incarnation in the target.
+    """
+
     name: str
     checks: bool = True
     goal: EngineGoal | None = None
@@ -60,7 +67,7 @@
     taken: list[Order] = field(default_factory=list)
     refused: list[Order] = field(default_factory=list)
 
-    def take(self, order: Order, time: float) -> OrderOutcome:
+    def handle_order(self, order: Order, time: float) -> OrderOutcome:
         if self.checks and order.fencing < self.fencing:
             self.refused.append(order)
             return OrderOutcome.STALE
@@ -134,18 +141,18 @@
 
 
 class OrderHandlerLoop:
-    """A lease with an order desk, as the simulation drives it."""
+    """Loop of a lease holder and an order handler, for the simulation."""
 
-    def __init__(self, *, lease: LeaseHolder, desk: OrderHandler) -> None:
+    def __init__(self, *, lease: LeaseHolder, order_handler: OrderHandler) -> None:
         self.lease = lease
-        self.desk = desk
+        self.order_handler = order_handler
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        return [*self.lease.handle(event, now=now), *self.desk.handle(event, now=now)]
+        return [*self.lease.handle(event, now=now), *self.order_handler.handle(event, now=now)]
 
 
 class EngineSimulation:
-    """The simulation together with engines."""
+    """Simulation of instances and engines."""
 
     def __init__(self, engines: list[Engine], *, seed: int = 1, admission: Any = None) -> None:
         self.engines = {engine.name: engine for engine in engines}
@@ -158,13 +165,13 @@
         self.simulation.on_effect = self.execute
 
         def make_loop(*, lease: LeaseHolder, **_: Any) -> OrderHandlerLoop:
-            desk = OrderHandler(
+            order_handler = OrderHandler(
                 lease=lease,
                 list_targets=lambda: [engine.make_target() for engine in engines],
                 admission=admission or OpenAdmission(),
                 random=self.simulation.random,
             )
-            return OrderHandlerLoop(lease=lease, desk=desk)
+            return OrderHandlerLoop(lease=lease, order_handler=order_handler)
 
         self.simulation.make_loop = make_loop
 
@@ -182,7 +189,7 @@
     def send(self, instance: Instance, effect: SendOrder) -> None:
         def arrive() -> None:
             engine = self.engines[effect.endpoint_id]
-            outcome = engine.take(effect.order, self.simulation.time)
+            outcome = engine.handle_order(effect.order, self.simulation.time)
             if outcome is OrderOutcome.ACCEPTED:
                 self.arrived[engine.name].append(effect.order.fencing)
             self.answer(
@@ -195,7 +202,7 @@
         self.simulation.call_later(self.limit_delay_to_delivery(), arrive)
 
     def limit_delay_to_delivery(self) -> Network:
-        """Return the network with no delay beyond the bound that the desk assumes."""
+        """Return the network with its delay limited to ``MAX_DELIVERY_S``."""
         low, high = self.network.delay
         return replace(self.network, delay=(low, min(high, const.MAX_DELIVERY_S)))
 
--- a/tests/components/orders/test_client.py
+++ b/tests/components/orders/test_client.py
@@ -1,4 +1,4 @@
-"""The HTTP edge of orders against broken answers, as tables."""
+"""HTTP client of orders: valid, invalid and missing responses."""
 
 import socket
 import time
@@ -29,13 +29,13 @@
 )
 
 
-def make_send(address: str, *, left_s: float = 0.5) -> SendOrder:
+def make_send(address: str, *, remaining_s: float = 0.5) -> SendOrder:
     now = time.monotonic()
     return SendOrder(
         endpoint_id="e1",
         address=address,
         order=Order(order_id="o1", fencing=7, kind=OrderKind.LOAD, artifact=MODEL),
-        send_by=now + left_s,
+        send_by=now + remaining_s,
         answer_by=now + 0.5,
     )
 
@@ -50,14 +50,14 @@
         self.client = OrderClient(read_clock=time.monotonic)
 
     def test_orders(self) -> None:
-        """Only what certainly has not left counts as not sent; no answer tells nothing."""
+        """An order counts as not sent only if that is certain; without a response it is lost."""
         table = [
-            ("taken", [make_answer("202")], OrderOutcome.ACCEPTED),
-            ("old number", [make_answer("409")], OrderOutcome.STALE),
-            ("not understood", [make_answer("400")], OrderOutcome.REFUSED),
-            ("failed on the way", [make_answer("500")], OrderOutcome.LOST),
+            ("accepted", [make_answer("202")], OrderOutcome.ACCEPTED),
+            ("stale fencing number", [make_answer("409")], OrderOutcome.STALE),
+            ("invalid order", [make_answer("400")], OrderOutcome.REFUSED),
+            ("failed during execution", [make_answer("500")], OrderOutcome.LOST),
             ("closed without an answer", [], OrderOutcome.LOST),
-            ("silent", [Stall()], OrderOutcome.LOST),
+            ("no response", [Stall()], OrderOutcome.LOST),
         ]
         for title, parts, outcome in table:
             with self.subTest(title), open_server(Script([parts])) as server:
@@ -65,25 +65,25 @@
                 self.assertEqual((outcome, "o1"), (ended.outcome, ended.order_id))
                 self.assertIn(b'"fencing":7', server.requests[0] if server.requests else b"")
 
-    def test_late_order_does_not_leave(self) -> None:
-        """The process was frozen between decision and send; the lease is over by now."""
+    def test_late_order_is_not_sent(self) -> None:
+        """The process was frozen before sending, and the lease may have expired meanwhile."""
         with open_server(Script([[make_answer("202")]])) as server:
-            ended = self.client.send(make_send(server.address, left_s=-0.1))
+            ended = self.client.send(make_send(server.address, remaining_s=-0.1))
             self.assertIs(OrderOutcome.NOT_SENT, ended.outcome)
             self.assertEqual(0, server.connections)
 
-    def test_nobody_listens(self) -> None:
+    def test_refused_connection_counts_as_not_sent(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as closed:
             address = f"http://127.0.0.1:{closed.getsockname()[1]}"
         self.assertIs(OrderOutcome.NOT_SENT, self.client.send(make_send(address)).outcome)
 
     def test_states(self) -> None:
-        """An answer that is no whole state is no answer: nothing is concluded from it."""
+        """An incomplete or invalid response gives no state."""
         body = msgspec.json.encode(STATE)
         table = [
             ("state", make_answer("200", body), STATE),
             ("not JSON", make_answer("200", b"hello"), None),
-            ("another shape", make_answer("200", b"[]"), None),
+            ("another type", make_answer("200", b"[]"), None),
             ("error", make_answer("500", body), None),
             ("cut", make_answer("200", body)[:-5], None),
             ("too long", make_answer("200", body + b" " * const.MAX_STATE_BYTES), None),
--- a/tests/components/orders/test_orders_fuzz.py
+++ b/tests/components/orders/test_orders_fuzz.py
@@ -1,4 +1,4 @@
-"""Orders under faults: never an old number accepted, and in the end the goal is reached."""
+"""Orders under faults: fencing numbers never decrease, and finally the goals are reached."""
 
 import unittest
 
@@ -16,10 +16,11 @@
 
 
 class OrderMachine(RuleBasedStateMachine):
-    """Three instances order two engines about; one of them does not check fencing.
+    """Three instances send orders to two engines, one of which does not check fencing.
 
-    Whatever is frozen, killed, delayed, lost or restarted, the numbers that an engine
-    obeys never fall. Once the faults end, each engine holds what its goal says.
+    Instances are frozen and killed, messages delayed and lost, and engines restarted. The
+    fencing numbers of the orders that an engine accepts never decrease. Once the faults
+    end, each engine holds the artifacts of its goal.
     """
 
     def __init__(self) -> None:
@@ -27,23 +28,23 @@
         self.engines = [Engine("checking"), Engine("trusting", checks=False)]
         for engine in self.engines:
             engine.goal = EngineGoal(artifacts=frozenset(), managed=MANAGED)
-        self.room = EngineSimulation(self.engines)
+        self.world = EngineSimulation(self.engines)
         self.started = 0
 
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed: int) -> None:
-        self.room.simulation.random.seed(seed)
+        self.world.simulation.random.seed(seed)
         for _ in range(3):
             self.start_instance()
-        self.room.run(1.0)
+        self.world.run(1.0)
 
     def start_instance(self) -> None:
         self.started += 1
         rate = (0.995, 1.0, 1.005)[self.started % 3]
-        self.room.simulation.add(f"i{self.started}", rate=rate)
+        self.world.simulation.add(f"i{self.started}", rate=rate)
 
     def get_live(self) -> list[Instance]:
-        return [one for one in self.room.simulation.instances if not one.is_dead]
+        return [entry for entry in self.world.simulation.instances if not entry.is_dead]
 
     @rule(
         pick=st.integers(0, 1),
@@ -57,11 +58,11 @@
 
     @rule(seconds=st.sampled_from([0.3, 1.0, 5.0, 15.0]))
     def wait(self, seconds: float) -> None:
-        self.room.run(seconds)
+        self.world.run(seconds)
 
     @rule(delay=st.sampled_from([0.02, 1.0, 4.0]), loss=st.sampled_from([0.0, 0.3]))
     def disturb_orders(self, delay: float, loss: float) -> None:
-        self.room.network = Network(delay=(0.0, delay), loss=loss)
+        self.world.network = Network(delay=(0.0, delay), loss=loss)
 
     @rule(
         pick=st.integers(0, 2),
@@ -87,20 +88,20 @@
         self.engines[pick].restart()
 
     @invariant()
-    def numbers_never_fall(self) -> None:
-        for name, numbers in self.room.arrived.items():
-            assert numbers == sorted(numbers), f"{name} obeyed {numbers}"
+    def fencing_numbers_never_decrease(self) -> None:
+        for name, numbers in self.world.arrived.items():
+            assert numbers == sorted(numbers), f"{name} accepted {numbers}"
 
     def teardown(self) -> None:
-        self.room.network = Network()
+        self.world.network = Network()
         for instance in self.get_live():
             instance.network = Network()
             instance.is_frozen = False
-        self.room.run(150.0)
-        self.numbers_never_fall()
+        self.world.run(150.0)
+        self.fencing_numbers_never_decrease()
         for engine in self.engines:
             assert engine.goal is not None
-            held = engine.list_ready(self.room.simulation.time)
+            held = engine.list_ready(self.world.simulation.time)
             assert held == engine.goal.artifacts, f"{engine.name} holds {held}"
             assert engine.goal.role in ("", engine.role)
 
