--- a/chivetrack/components/orders/client.py
+++ b/chivetrack/components/orders/client.py
@@ -44,7 +44,7 @@
             error=error,
         )
 
-    def ask(self, effect: QueryEngine) -> EngineAnswered:
+    def query_state(self, effect: QueryEngine) -> EngineAnswered:
         """Request the state of an engine; the state is ``None`` without a valid response."""
         state = self._query(effect)
         return EngineAnswered(endpoint_id=effect.endpoint_id, query_id=effect.query_id, state=state)
--- a/tests/components/orders/test_client.py
+++ b/tests/components/orders/test_client.py
@@ -98,5 +98,5 @@
                     fencing=7,
                     answer_by=answer_by,
                 )
-                self.assertEqual(state, self.client.ask(ask).state)
+                self.assertEqual(state, self.client.query_state(ask).state)
                 self.assertIn(b"?fencing=7 ", server.requests[0])
