--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Division:
+class EndpointPartition:
     """The endpoints of a service as one request finds them.
 
     ``resting`` are sound and get nothing now: evacuated, cold or paused.
@@ -139,7 +139,7 @@
 
     def divide(
         self, service: str, *, passed_over: Collection[str], is_limited: bool, now: float
-    ) -> Division:
+    ) -> EndpointPartition:
         """Return which endpoints a request may go to or ask a permit for, and which rest.
 
         ``is_limited``: the service limits what cold endpoints get. ``passed_over`` are those
@@ -163,10 +163,10 @@
         ready: Sequence[EndpointRecord],
         evacuated: Sequence[EndpointRecord],
         shut: Collection[str],
-    ) -> Division:
+    ) -> EndpointPartition:
         if not shut:
-            return Division(open=ready, resting=evacuated)
-        return Division(
+            return EndpointPartition(open=ready, resting=evacuated)
+        return EndpointPartition(
             open=[one for one in ready if one.endpoint_id not in shut],
             resting=[*evacuated, *(one for one in ready if one.endpoint_id in shut)],
         )
