--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Iterator, Sequence
 from dataclasses import dataclass
 
-from chivetrack.components.announcements.models import EndpointRecord, EndpointState, Lifetime
+from chivetrack.components.announcements.models import EndpointRecord, EndpointState, Incarnation
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.slow_start.cold import ColdTable
@@ -33,8 +33,8 @@
         self._evacuated: dict[str, list[EndpointRecord]] = {}
         self._sources: dict[str, list[EndpointRecord]] = {}
         self._seen_change = -1
-        self._leaving: set[Lifetime] = set()
-        self._paused_until: dict[Lifetime, float] = {}
+        self._leaving: set[Incarnation] = set()
+        self._paused_until: dict[Incarnation, float] = {}
 
     @property
     def is_empty(self) -> bool:
--- a/chivetrack/components/announcements/models.py
+++ b/chivetrack/components/announcements/models.py
@@ -8,7 +8,7 @@
 LAST_SEQUENCE = 2**62
 
 # Endpoint id and ``born`` of its record.
-Lifetime = tuple[str, int]
+Incarnation = tuple[str, int]
 
 
 class EndpointState(StrEnum):
@@ -43,7 +43,7 @@
     models: tuple[str, ...] = ()
 
     @property
-    def lifetime(self) -> Lifetime:
+    def lifetime(self) -> Incarnation:
         """Return what tells this start of the endpoint from all others."""
         return (self.endpoint_id, self.born)
 
--- a/chivetrack/daemon/fleet/crashes.py
+++ b/chivetrack/daemon/fleet/crashes.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from chivetrack.components.announcements.models import EndpointRecord, Lifetime
+from chivetrack.components.announcements.models import EndpointRecord, Incarnation
 from chivetrack.components.quarantine.models import CrashReport
 from chivetrack.daemon.fleet.calls import Call
 from chivetrack.helpers.events import EventLog
@@ -78,8 +78,8 @@
         self._note_crash = note_crash
         self._is_lost_or_replaced = is_lost_or_replaced
         self._probe = probe
-        self._broken: dict[Lifetime, _BrokenAnswers] = {}
-        self._unconfirmed: dict[Lifetime, _BrokenAnswers] = {}
+        self._broken: dict[Incarnation, _BrokenAnswers] = {}
+        self._unconfirmed: dict[Incarnation, _BrokenAnswers] = {}
 
     def note_broken_answer(self, call: Call, record: EndpointRecord) -> None:
         """Note a request that was sent to an endpoint and received no usable answer."""
@@ -105,7 +105,7 @@
         )
         self._note_crash(broken.reports)
 
-    def _probe_endpoint(self, key: Lifetime) -> None:
+    def _probe_endpoint(self, key: Incarnation) -> None:
         gevent.sleep(COLLECT_WINDOW_S)
         broken = self._broken.pop(key)
         result = self._probe(broken.record.address)
@@ -127,7 +127,7 @@
         else:
             self._keep_unconfirmed(key, broken)
 
-    def _keep_unconfirmed(self, key: Lifetime, broken: _BrokenAnswers) -> None:
+    def _keep_unconfirmed(self, key: Incarnation, broken: _BrokenAnswers) -> None:
         broken.probed_at = now = time.monotonic()
         self._unconfirmed = {
             lifetime: unconfirmed
