--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -114,7 +114,7 @@
             if self.merge(record, now=now):
                 self._entries[record.endpoint_id].is_restored = True
 
-    def drop_unheard(self, now: float) -> bool:
+    def mark_unconfirmed_lost(self, now: float) -> bool:
         """Give up restored endpoints that were not heard again; return whether there were."""
         unheard = [
             entry
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -276,7 +276,7 @@
             # Without a leader, this replica may be partitioned and miss all heartbeats.
             if self.host.knows_leader:
                 self._desk.mark_silent_lost()
-            if self._table.drop_unheard(now):
+            if self._table.mark_unconfirmed_lost(now):
                 self._push_soon()
 
     def _exchange(self) -> None:
--- a/tests/components/announcements/test_table.py
+++ b/tests/components/announcements/test_table.py
@@ -101,9 +101,9 @@
         table.restore([make_record(5), make_record(5, endpoint_id="e2")], now=0.0)
         self.assertEqual(len(table.list_changes(0)), 2)
         table.merge(make_record(6), now=1.0)
-        self.assertFalse(table.drop_unheard(2.0))
-        self.assertTrue(table.drop_unheard(3.0))
-        self.assertFalse(table.drop_unheard(4.0))
+        self.assertFalse(table.mark_unconfirmed_lost(2.0))
+        self.assertTrue(table.mark_unconfirmed_lost(3.0))
+        self.assertFalse(table.mark_unconfirmed_lost(4.0))
         states = {one.endpoint_id: one.state for one in table.list_records()}
         self.assertEqual(states, {"e1": EndpointState.READY, "e2": EndpointState.LOST})
         self.assertTrue(table.merge(make_record(6, endpoint_id="e2"), now=5.0))
@@ -187,8 +187,8 @@
         """Guards against pushing to all routers every second after a replica restarts."""
         table = EndpointTable()
         table.restore([make_record(1, state=EndpointState.LOST)], now=0.0)
-        self.assertTrue(table.drop_unheard(RESTORED_FOR_S + 0.1))
-        self.assertFalse(table.drop_unheard(RESTORED_FOR_S + 1.1))
+        self.assertTrue(table.mark_unconfirmed_lost(RESTORED_FOR_S + 0.1))
+        self.assertFalse(table.mark_unconfirmed_lost(RESTORED_FOR_S + 1.1))
 
     def test_lost_endpoint_is_ready_after_next_heartbeat(self) -> None:
         """Guards against endpoints staying unused after a long network partition."""
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -112,7 +112,7 @@
         for message in here.spreading.make_messages(now=1.2):
             if isinstance(message, SpreadHeartbeats):
                 there.take(message, here, 1.2)
-        self.assertFalse(there.table.drop_unheard(RESTORED_FOR_S + 0.1))
+        self.assertFalse(there.table.mark_unconfirmed_lost(RESTORED_FOR_S + 0.1))
 
 
 if __name__ == "__main__":
