--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -21,7 +21,7 @@
 FORGET_AFTER_S = 60.0
 # Endpoints that a replica knows from before its restart have to be heard again: two
 # heartbeats of 1.2 s. Their last word, a departure perhaps, may not have been kept.
-RESTORED_FOR_S = 2.6
+RESTORED_TTL_S = 2.6
 # Longer than a heartbeat: whoever holds the address now would have been heard since.
 SUPERSEDED_AFTER_S = 1.5
 
@@ -119,7 +119,7 @@
         unheard = [
             entry
             for entry in self._entries.values()
-            if entry.is_restored and now - entry.heard_at > RESTORED_FOR_S
+            if entry.is_restored and now - entry.heard_at > RESTORED_TTL_S
         ]
         self._mark_lost(unheard, now)
         for entry in unheard:
--- a/tests/components/announcements/test_table.py
+++ b/tests/components/announcements/test_table.py
@@ -10,7 +10,7 @@
 from chivetrack.components.announcements.table import (
     FORGET_AFTER_S,
     LOST_AFTER_S,
-    RESTORED_FOR_S,
+    RESTORED_TTL_S,
     SILENT_AFTER_S,
     EndpointTable,
 )
@@ -187,8 +187,8 @@
         """Guards against pushing to all routers every second after a replica restarts."""
         table = EndpointTable()
         table.restore([make_record(1, state=EndpointState.LOST)], now=0.0)
-        self.assertTrue(table.mark_unconfirmed_lost(RESTORED_FOR_S + 0.1))
-        self.assertFalse(table.mark_unconfirmed_lost(RESTORED_FOR_S + 1.1))
+        self.assertTrue(table.mark_unconfirmed_lost(RESTORED_TTL_S + 0.1))
+        self.assertFalse(table.mark_unconfirmed_lost(RESTORED_TTL_S + 1.1))
 
     def test_lost_endpoint_is_ready_after_next_heartbeat(self) -> None:
         """Guards against endpoints staying unused after a long network partition."""
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from chivetrack.components.announcements.models import EndpointRecord, EndpointState
-from chivetrack.components.announcements.table import RESTORED_FOR_S, EndpointTable
+from chivetrack.components.announcements.table import RESTORED_TTL_S, EndpointTable
 from chivetrack.components.distribution.const import SPREAD_EVERY_S
 from chivetrack.components.distribution.messages import SpreadHeartbeats, SpreadRecords
 from chivetrack.components.distribution.spreading import Spreading
@@ -112,7 +112,7 @@
         for message in here.spreading.make_messages(now=1.2):
             if isinstance(message, SpreadHeartbeats):
                 there.take(message, here, 1.2)
-        self.assertFalse(there.table.mark_unconfirmed_lost(RESTORED_FOR_S + 0.1))
+        self.assertFalse(there.table.mark_unconfirmed_lost(RESTORED_TTL_S + 0.1))
 
 
 if __name__ == "__main__":
