--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -56,7 +56,7 @@
             checksum = _make_checksum(record)
             entry = _Entry(record=record, change=0, heard_at=now, checksum=checksum)
             self._note_address(record)
-            self._number(entry)
+            self._assign_change_number(entry)
             return True
         if record.position <= entry.record.position:
             return False
@@ -69,7 +69,7 @@
         entry.is_restored = False
         if is_change:
             entry.checksum = _make_checksum(record)
-            self._number(entry)
+            self._assign_change_number(entry)
         return is_change
 
     def hear(self, endpoint_id: str, sequence: int, checksum: int, *, now: float) -> bool:
@@ -92,7 +92,7 @@
         entry = self._entries.get(endpoint_id)
         return 0 if entry is None else entry.checksum
 
-    def _number(self, entry: _Entry) -> None:
+    def _assign_change_number(self, entry: _Entry) -> None:
         """Give an entry the next change number and move it to the end of the order."""
         self.change += 1
         entry.change = self.change
@@ -237,7 +237,7 @@
         is_live = entry.record.state in (EndpointState.READY, EndpointState.DRAINING)
         if not is_live or entry.record.position <= lost.position:
             return False
-        self._number(entry)
+        self._assign_change_number(entry)
         return True
 
     def forget_old(self, now: float) -> list[EndpointRecord]:
