--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -49,7 +49,7 @@
         for record in changed:
             self.cold.note_record(record, now=now)
         self._seen_change = self.table.change
-        self._sort()
+        self._rebuild_lists()
         return changed
 
     def note_leaving(self, record: EndpointRecord) -> bool:
@@ -63,7 +63,7 @@
         if lifetime in self._leaving or known is None or known.born != record.born:
             return False
         self._leaving.add(lifetime)
-        self._sort()
+        self._rebuild_lists()
         return True
 
     def is_lost_or_replaced(self, record: EndpointRecord) -> bool:
@@ -95,10 +95,10 @@
         returned = set(self.evacuations.list_evacuated()) - set(evacuations.list_evacuated())
         self.evacuations = evacuations
         self.cold.assume(self.list_ids_in(returned), until=now + HEARD_AGAIN_S)
-        self._sort()
+        self._rebuild_lists()
         return True
 
-    def _sort(self) -> None:
+    def _rebuild_lists(self) -> None:
         """List the endpoints that get requests, and those that others may fetch parts from.
 
         Engines fetch from each other without a request of ours, so those of an evacuated
