--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -32,7 +32,7 @@
         self._ready: dict[str, list[EndpointRecord]] = {}
         self._evacuated: dict[str, list[EndpointRecord]] = {}
         self._sources: dict[str, list[EndpointRecord]] = {}
-        self._seen_change = -1
+        self._applied_change = -1
         self._leaving: set[Incarnation] = set()
         self._paused_until: dict[Incarnation, float] = {}
 
@@ -43,12 +43,12 @@
 
     def take_changes(self, *, now: float) -> Sequence[EndpointRecord]:
         """Take over what has changed in the table; return the changed records."""
-        if self._seen_change == self.table.change:
+        if self._applied_change == self.table.change:
             return ()
-        changed = self.table.list_changes(self._seen_change)
+        changed = self.table.list_changes(self._applied_change)
         for record in changed:
             self.cold.note_record(record, now=now)
-        self._seen_change = self.table.change
+        self._applied_change = self.table.change
         self._rebuild_lists()
         return changed
 
