--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -55,7 +55,7 @@
         if entry is None:
             checksum = _make_checksum(record)
             entry = _Entry(record=record, change=0, heard_at=now, checksum=checksum)
-            self._note_address(record)
+            self._add_address(record)
             self._assign_change_number(entry)
             return True
         if record.position <= entry.record.position:
@@ -63,7 +63,7 @@
         is_change = _strip(record) != _strip(entry.record)
         if record.address != entry.record.address:
             self._drop_address(entry.record)
-            self._note_address(record)
+            self._add_address(record)
         entry.record = record
         entry.heard_at = now
         entry.is_restored = False
@@ -99,7 +99,7 @@
         self._entries.pop(entry.record.endpoint_id, None)
         self._entries[entry.record.endpoint_id] = entry
 
-    def _note_address(self, record: EndpointRecord) -> None:
+    def _add_address(self, record: EndpointRecord) -> None:
         self._ids_at.setdefault(record.address, set()).add(record.endpoint_id)
 
     def _drop_address(self, record: EndpointRecord) -> None:
