--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -62,7 +62,7 @@
             return False
         is_change = _strip(record) != _strip(entry.record)
         if record.address != entry.record.address:
-            self._drop_address(entry.record)
+            self._remove_address(entry.record)
             self._add_address(record)
         entry.record = record
         entry.heard_at = now
@@ -102,7 +102,7 @@
     def _add_address(self, record: EndpointRecord) -> None:
         self._ids_at.setdefault(record.address, set()).add(record.endpoint_id)
 
-    def _drop_address(self, record: EndpointRecord) -> None:
+    def _remove_address(self, record: EndpointRecord) -> None:
         ids = self._ids_at[record.address]
         ids.discard(record.endpoint_id)
         if not ids:
@@ -254,7 +254,7 @@
         ]
         for record in old:
             del self._entries[record.endpoint_id]
-            self._drop_address(record)
+            self._remove_address(record)
         return old
 
 
