--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -30,7 +30,7 @@
 class _Entry:
     record: EndpointRecord
     change: int
-    heard_at: float
+    last_seen_at: float
     checksum: int
     is_restored: bool = False
 
@@ -54,7 +54,7 @@
         entry = self._entries.get(record.endpoint_id)
         if entry is None:
             checksum = _make_checksum(record)
-            entry = _Entry(record=record, change=0, heard_at=now, checksum=checksum)
+            entry = _Entry(record=record, change=0, last_seen_at=now, checksum=checksum)
             self._add_address(record)
             self._assign_change_number(entry)
             return True
@@ -65,7 +65,7 @@
             self._remove_address(entry.record)
             self._add_address(record)
         entry.record = record
-        entry.heard_at = now
+        entry.last_seen_at = now
         entry.is_restored = False
         if is_change:
             entry.checksum = _make_checksum(record)
@@ -83,7 +83,7 @@
             return False
         if sequence > entry.record.sequence:
             entry.record = msgspec.structs.replace(entry.record, sequence=sequence)
-            entry.heard_at = now
+            entry.last_seen_at = now
             entry.is_restored = False
         return True
 
@@ -119,7 +119,7 @@
         unheard = [
             entry
             for entry in self._entries.values()
-            if entry.is_restored and now - entry.heard_at > RESTORED_TTL_S
+            if entry.is_restored and now - entry.last_seen_at > RESTORED_TTL_S
         ]
         self._mark_lost(unheard, now)
         for entry in unheard:
@@ -140,7 +140,7 @@
             for entry in (self._entries[endpoint_id] for endpoint_id in at_address)
             if entry.record.endpoint_id != record.endpoint_id
             and entry.record.state in (EndpointState.READY, EndpointState.DRAINING)
-            and now - entry.heard_at > SUPERSEDED_AFTER_S
+            and now - entry.last_seen_at > SUPERSEDED_AFTER_S
         ]
         return self._mark_lost(older, now)
 
@@ -199,7 +199,7 @@
         return [
             endpoint_id
             for endpoint_id, entry in self._entries.items()
-            if now - entry.heard_at > SILENT_AFTER_S
+            if now - entry.last_seen_at > SILENT_AFTER_S
             and entry.record.state is not EndpointState.LEFT
         ]
 
@@ -213,7 +213,7 @@
             entry
             for entry in self._entries.values()
             if entry.record.state in (EndpointState.READY, EndpointState.DRAINING)
-            and now - entry.heard_at > LOST_AFTER_S
+            and now - entry.last_seen_at > LOST_AFTER_S
         ]
         return self._mark_lost(silent, now)
 
@@ -250,7 +250,7 @@
             entry.record
             for entry in self._entries.values()
             if entry.record.state in (EndpointState.LEFT, EndpointState.LOST)
-            and now - entry.heard_at > FORGET_AFTER_S
+            and now - entry.last_seen_at > FORGET_AFTER_S
         ]
         for record in old:
             del self._entries[record.endpoint_id]
