--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -60,7 +60,7 @@
             return True
         if record.position <= entry.record.position:
             return False
-        is_change = _strip(record) != _strip(entry.record)
+        is_change = _normalize(record) != _normalize(entry.record)
         if record.address != entry.record.address:
             self._remove_address(entry.record)
             self._add_address(record)
@@ -258,10 +258,10 @@
         return old
 
 
-def _strip(record: EndpointRecord) -> EndpointRecord:
+def _normalize(record: EndpointRecord) -> EndpointRecord:
     """Leave out what changes with every heartbeat."""
     return msgspec.structs.replace(record, sequence=0, cold_s=float(record.cold_s > 0))
 
 
 def _make_checksum(record: EndpointRecord) -> int:
-    return zlib.crc32(msgspec.msgpack.encode(_strip(record)))
+    return zlib.crc32(msgspec.msgpack.encode(_normalize(record)))
