--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -147,26 +147,26 @@
         """
         ready = self.list_ready(service)
         evacuated = self._evacuated.get(service, ())
-        shut = set(passed_over)
+        excluded = set(passed_over)
         if self._paused_until:
-            shut |= {one.endpoint_id for one in ready if self.find_pause(one, now)}
+            excluded |= {one.endpoint_id for one in ready if self.find_pause(one, now)}
         if not is_limited:
-            return self._make_division(ready, evacuated, shut)
+            return self._make_division(ready, evacuated, excluded)
         cold = {one.endpoint_id for one in ready if self.cold.is_cold(one.endpoint_id, now)}
-        shut |= {one for one in cold if self.cold.find_wait(one, now)}
+        excluded |= {one for one in cold if self.cold.find_wait(one, now)}
         if len(passed_over) >= MAX_ASKS:
-            shut |= cold
-        return self._make_division(ready, evacuated, shut)
+            excluded |= cold
+        return self._make_division(ready, evacuated, excluded)
 
     @staticmethod
     def _make_division(
         ready: Sequence[EndpointRecord],
         evacuated: Sequence[EndpointRecord],
-        shut: Collection[str],
+        excluded: Collection[str],
     ) -> EndpointPartition:
-        if not shut:
+        if not excluded:
             return EndpointPartition(open=ready, resting=evacuated)
         return EndpointPartition(
-            open=[one for one in ready if one.endpoint_id not in shut],
-            resting=[*evacuated, *(one for one in ready if one.endpoint_id in shut)],
+            open=[one for one in ready if one.endpoint_id not in excluded],
+            resting=[*evacuated, *(one for one in ready if one.endpoint_id in excluded)],
         )
