--- a/chivetrack/components/announcements/models.py
+++ b/chivetrack/components/announcements/models.py
@@ -43,7 +43,7 @@
     models: tuple[str, ...] = ()
 
     @property
-    def lifetime(self) -> Incarnation:
+    def incarnation(self) -> Incarnation:
         """Return what tells this start of the endpoint from all others."""
         return (self.endpoint_id, self.born)
 
