--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -41,7 +41,7 @@
         """Return whether no endpoint may get requests."""
         return not self._ready
 
-    def take_changes(self, *, now: float) -> Sequence[EndpointRecord]:
+    def apply_changes(self, *, now: float) -> Sequence[EndpointRecord]:
         """Take over what has changed in the table; return the changed records."""
         if self._applied_change == self.table.change:
             return ()
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -167,7 +167,7 @@
         self._ready.wait(timeout_s)
 
     def _note_changes(self) -> None:
-        for record in self.directory.take_changes(now=time.monotonic()):
+        for record in self.directory.apply_changes(now=time.monotonic()):
             self._note_change(record)
 
     def _note_evacuations(self, evacuations: Evacuations) -> None:
--- a/tests/components/announcements/test_directory.py
+++ b/tests/components/announcements/test_directory.py
@@ -24,7 +24,7 @@
     def merge(self, sequence: int, endpoint_id: str, zone: str, cold_s: float = 0.0) -> None:
         record = make_record(sequence, endpoint_id=endpoint_id, zone=zone, cold_s=cold_s)
         self.directory.table.merge(record, now=0.0)
-        self.directory.take_changes(now=0.0)
+        self.directory.apply_changes(now=0.0)
 
     def list_open(self, now: float = 0.0, passed_over: tuple[str, ...] = ()) -> list[str]:
         division = self.directory.divide("llm", passed_over=passed_over, is_limited=True, now=now)
@@ -35,8 +35,8 @@
         self.merge(1, "e1", "z1")
         record = make_record(2, zone="z1", state=EndpointState.DRAINING)
         self.directory.table.merge(record, now=0.0)
-        self.assertEqual([one.state for one in self.directory.take_changes(now=0.0)], ["draining"])
-        self.assertEqual(self.directory.take_changes(now=0.0), ())
+        self.assertEqual([one.state for one in self.directory.apply_changes(now=0.0)], ["draining"])
+        self.assertEqual(self.directory.apply_changes(now=0.0), ())
         self.assertTrue(self.directory.is_empty)
         self.assertEqual(len(self.directory.list_sources("llm")), 1)
 
@@ -50,7 +50,7 @@
         self.assertEqual(len(self.directory.list_sources("llm")), 1)
         successor = make_record(1, zone="z1", born=record.born + 1)
         self.directory.table.merge(successor, now=0.0)
-        self.directory.take_changes(now=0.0)
+        self.directory.apply_changes(now=0.0)
         self.assertFalse(self.directory.note_leaving(record))
         self.assertEqual(self.list_open(), ["e1"])
 
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -47,7 +47,7 @@
         self.simulate_heartbeats(fixture, directory, end_s)
         fixture.table.merge(make_record(1, endpoint_id="new"), now=end_s)
         fixture.exchange(end_s)
-        directory.take_changes(now=end_s)
+        directory.apply_changes(now=end_s)
         names = {record.endpoint_id for record in directory.list_ready("llm")}
         self.assertEqual(names, {"e0", "e1", "e2", "e3", "e4", "new"})
 
