--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -88,7 +88,7 @@
         pauses = [self.find_pause(record, now) for record in self.list_ready(service)]
         return min(pauses, default=0.0)
 
-    def take_evacuations(self, evacuations: Evacuations, *, now: float) -> bool:
+    def apply_evacuations(self, evacuations: Evacuations, *, now: float) -> bool:
         """Put newer zone orders in force; a replica that lags can't take them back."""
         if evacuations.revision <= self.evacuations.revision:
             return False
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -172,7 +172,7 @@
 
     def _note_evacuations(self, evacuations: Evacuations) -> None:
         before = self.directory.evacuations.list_evacuated()
-        if not self.directory.take_evacuations(evacuations, now=time.monotonic()):
+        if not self.directory.apply_evacuations(evacuations, now=time.monotonic()):
             return
         evacuated = evacuations.list_evacuated()
         for endpoint_id in self.directory.list_ids_in(evacuated):
--- a/tests/components/announcements/test_directory.py
+++ b/tests/components/announcements/test_directory.py
@@ -70,10 +70,10 @@
 
     def test_endpoint_that_appears_in_an_evacuated_zone(self) -> None:
         """A release goes on while its zone is empty; the new endpoints must get nothing."""
-        self.assertTrue(self.directory.take_evacuations(make_evacuations(4, z1=True), now=0.0))
+        self.assertTrue(self.directory.apply_evacuations(make_evacuations(4, z1=True), now=0.0))
         self.merge(1, "e1", "z1")
         self.assertEqual(self.list_open(), [])
-        self.assertFalse(self.directory.take_evacuations(make_evacuations(3, z1=False), now=0.0))
+        self.assertFalse(self.directory.apply_evacuations(make_evacuations(3, z1=False), now=0.0))
         self.assertEqual(self.list_open(), [])
         self.assertEqual(self.resting, ["e1"])
 
