--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -52,7 +52,7 @@
         self._rebuild_lists()
         return changed
 
-    def note_leaving(self, record: EndpointRecord) -> bool:
+    def record_leaving(self, record: EndpointRecord) -> bool:
         """Exclude an endpoint that announced its departure in an answer; return if this is new.
 
         Applies to the whole lifetime: heartbeats may report the departure late or never, and
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -250,7 +250,7 @@
             self._events.write(
                 "endpoint_paused", endpoint=record.endpoint_id, pause_s=facts.pause_s
             )
-        if facts.is_leaving and self.directory.note_leaving(record):
+        if facts.is_leaving and self.directory.record_leaving(record):
             self._events.write("endpoint_leaving", endpoint=record.endpoint_id, born=record.born)
             self._forget_endpoint(record.endpoint_id)
 
--- a/tests/components/announcements/test_directory.py
+++ b/tests/components/announcements/test_directory.py
@@ -44,14 +44,14 @@
         """Guards against an old lifetime's answer taking its successor out of use."""
         self.merge(1, "e1", "z1")
         record = make_record(1, zone="z1")
-        self.assertTrue(self.directory.note_leaving(record))
-        self.assertFalse(self.directory.note_leaving(record))
+        self.assertTrue(self.directory.record_leaving(record))
+        self.assertFalse(self.directory.record_leaving(record))
         self.assertEqual(self.list_open(), [])
         self.assertEqual(len(self.directory.list_sources("llm")), 1)
         successor = make_record(1, zone="z1", born=record.born + 1)
         self.directory.table.merge(successor, now=0.0)
         self.directory.apply_changes(now=0.0)
-        self.assertFalse(self.directory.note_leaving(record))
+        self.assertFalse(self.directory.record_leaving(record))
         self.assertEqual(self.list_open(), ["e1"])
 
     def test_paused_endpoint_rests_until_pause_ends(self) -> None:
