--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -73,7 +73,7 @@
             return False
         return known.born > record.born or known.state is EndpointState.LOST
 
-    def note_pause(self, record: EndpointRecord, *, until: float) -> None:
+    def record_pause(self, record: EndpointRecord, *, until: float) -> None:
         """Exclude an endpoint until a time; an earlier time does not shorten its pause."""
         lifetime = record.lifetime
         self._paused_until[lifetime] = max(until, self._paused_until.get(lifetime, until))
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -246,7 +246,7 @@
         if facts.cold_s > 0:
             self.directory.cold.note_told(record.endpoint_id, facts.cold_s, now=time.monotonic())
         if facts.pause_s > 0:
-            self.directory.note_pause(record, until=time.monotonic() + facts.pause_s)
+            self.directory.record_pause(record, until=time.monotonic() + facts.pause_s)
             self._events.write(
                 "endpoint_paused", endpoint=record.endpoint_id, pause_s=facts.pause_s
             )
