--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -137,7 +137,7 @@
         """Return the endpoints that cached parts of prompts may be fetched from."""
         return self._sources.get(service, ())
 
-    def divide(
+    def partition(
         self, service: str, *, passed_over: Collection[str], is_limited: bool, now: float
     ) -> EndpointPartition:
         """Return which endpoints a request may go to or ask a permit for, and which rest.
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -273,7 +273,7 @@
         """Return where a request goes next."""
         now = time.monotonic()
         is_limited = self.find_cold_rate(call.service) > 0
-        division = self.directory.divide(
+        division = self.directory.partition(
             call.service, passed_over=call.passed_over, is_limited=is_limited, now=now
         )
         candidates = self._list_candidates(call, division.open, is_limited, now)
--- a/tests/components/announcements/test_directory.py
+++ b/tests/components/announcements/test_directory.py
@@ -27,7 +27,9 @@
         self.directory.apply_changes(now=0.0)
 
     def list_open(self, now: float = 0.0, passed_over: tuple[str, ...] = ()) -> list[str]:
-        division = self.directory.divide("llm", passed_over=passed_over, is_limited=True, now=now)
+        division = self.directory.partition(
+            "llm", passed_over=passed_over, is_limited=True, now=now
+        )
         self.resting = [one.endpoint_id for one in division.resting]
         return [one.endpoint_id for one in division.open]
 
