--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -72,7 +72,9 @@
             self._assign_change_number(entry)
         return is_change
 
-    def hear(self, endpoint_id: str, sequence: int, checksum: int, *, now: float) -> bool:
+    def handle_relayed_heartbeat(
+        self, endpoint_id: str, sequence: int, checksum: int, *, now: float
+    ) -> bool:
         """Take a heartbeat that another replica got; return whether its record is known here.
 
         ``checksum`` is that of the record there (see ``find_checksum``). Where it differs, or
--- a/chivetrack/components/distribution/spreading.py
+++ b/chivetrack/components/distribution/spreading.py
@@ -61,7 +61,7 @@
         lacked = [
             endpoint_id
             for endpoint_id, sequence, checksum in rows
-            if not self.table.hear(endpoint_id, sequence, checksum, now=now)
+            if not self.table.handle_relayed_heartbeat(endpoint_id, sequence, checksum, now=now)
         ]
         return AskRecords(endpoint_ids=tuple(lacked)) if lacked else None
 
