--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -242,7 +242,7 @@
         self._assign_change_number(entry)
         return True
 
-    def forget_old(self, now: float) -> list[EndpointRecord]:
+    def remove_expired(self, now: float) -> list[EndpointRecord]:
         """Drop endpoints left or lost for ``FORGET_AFTER_S``; return their last records.
 
         Ready and draining endpoints are kept regardless of age: followers receive only
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -269,7 +269,7 @@
                 self.host.write_contacts()
                 self._events.write("distribution_sent", **self._publisher.take_counts())
             now = time.monotonic()
-            for record in self._table.forget_old(now):
+            for record in self._table.remove_expired(now):
                 self._events.write("endpoint_forgotten", **record.describe())
             self._order_due_quarantines()
             self._file.write_soon()
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -272,7 +272,7 @@
 
     def _tidy(self, now: float) -> None:
         self._kept.close_old()
-        for record in self.view.directory.table.forget_old(now):
+        for record in self.view.directory.table.remove_expired(now):
             self._events.write("endpoint_forgotten", **record.describe())
 
     def _run_timers(self) -> None:
--- a/tests/components/announcements/test_table.py
+++ b/tests/components/announcements/test_table.py
@@ -147,8 +147,8 @@
         self.assertIs(lost.state, EndpointState.LOST)
         follower.merge(lost, now=LOST_AFTER_S + 1.0)
         for each in (table, follower):
-            self.assertEqual(each.forget_old(LOST_AFTER_S + FORGET_AFTER_S), [])
-            self.assertEqual(each.forget_old(LOST_AFTER_S + FORGET_AFTER_S + 2.0), [lost])
+            self.assertEqual(each.remove_expired(LOST_AFTER_S + FORGET_AFTER_S), [])
+            self.assertEqual(each.remove_expired(LOST_AFTER_S + FORGET_AFTER_S + 2.0), [lost])
             self.assertIsNone(each.find("e1"))
 
     def test_replica_with_newer_record_refutes_lost_endpoint(self) -> None:
