--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -129,7 +129,7 @@
             entry.is_restored = False
         return bool(unheard)
 
-    def supersede(self, record: EndpointRecord, *, now: float) -> list[EndpointRecord]:
+    def mark_superseded_lost(self, record: EndpointRecord, *, now: float) -> list[EndpointRecord]:
         """Give up endpoints at whose address another one has just announced itself.
 
         An endpoint that crashed says nothing; its successor at the address does. Until
