--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -58,11 +58,11 @@
         Applies to the whole lifetime: heartbeats may report the departure late or never, and
         an earlier heartbeat that arrives afterwards still reports the endpoint as ready.
         """
-        lifetime = record.lifetime
+        incarnation = record.incarnation
         known = self.table.find(record.endpoint_id)
-        if lifetime in self._leaving or known is None or known.born != record.born:
+        if incarnation in self._leaving or known is None or known.born != record.born:
             return False
-        self._leaving.add(lifetime)
+        self._leaving.add(incarnation)
         self._rebuild_lists()
         return True
 
@@ -75,12 +75,12 @@
 
     def record_pause(self, record: EndpointRecord, *, until: float) -> None:
         """Exclude an endpoint until a time; an earlier time does not shorten its pause."""
-        lifetime = record.lifetime
-        self._paused_until[lifetime] = max(until, self._paused_until.get(lifetime, until))
+        incarnation = record.incarnation
+        self._paused_until[incarnation] = max(until, self._paused_until.get(incarnation, until))
 
     def find_pause(self, record: EndpointRecord, now: float) -> float:
         """Return for how many seconds an endpoint stays paused, 0 if it is not."""
-        until = self._paused_until.get(record.lifetime)
+        until = self._paused_until.get(record.incarnation)
         return 0.0 if until is None else max(0.0, until - now)
 
     def find_shortest_pause(self, service: str, now: float) -> float:
@@ -108,19 +108,19 @@
         self._ready = {}
         self._evacuated = {}
         self._sources = {}
-        lifetimes = {record.lifetime for record in self.table.list_records()}
+        lifetimes = {record.incarnation for record in self.table.list_records()}
         self._leaving &= lifetimes
         self._paused_until = {
-            lifetime: until
-            for lifetime, until in self._paused_until.items()
-            if lifetime in lifetimes
+            incarnation: until
+            for incarnation, until in self._paused_until.items()
+            if incarnation in lifetimes
         }
         for record in self.table.list_records():
             if record.state in (EndpointState.READY, EndpointState.DRAINING):
                 self._sources.setdefault(record.service, []).append(record)
             if record.state is not EndpointState.READY:
                 continue
-            if record.lifetime in self._leaving:
+            if record.incarnation in self._leaving:
                 continue
             listed = self._evacuated if record.zone in evacuated else self._ready
             listed.setdefault(record.service, []).append(record)
--- a/chivetrack/daemon/fleet/crashes.py
+++ b/chivetrack/daemon/fleet/crashes.py
@@ -83,7 +83,7 @@
 
     def note_broken_answer(self, call: Call, record: EndpointRecord) -> None:
         """Note a request that was sent to an endpoint and received no usable answer."""
-        key = record.lifetime
+        key = record.incarnation
         broken = self._broken.get(key)
         if broken is None:
             broken = self._broken[key] = _BrokenAnswers(record)
@@ -130,8 +130,8 @@
     def _keep_unconfirmed(self, key: Incarnation, broken: _BrokenAnswers) -> None:
         broken.probed_at = now = time.monotonic()
         self._unconfirmed = {
-            lifetime: unconfirmed
-            for lifetime, unconfirmed in self._unconfirmed.items()
+            incarnation: unconfirmed
+            for incarnation, unconfirmed in self._unconfirmed.items()
             if now - unconfirmed.probed_at <= CONFIRMATION_WINDOW_S
         }
         earlier = self._unconfirmed.pop(key, None)
