--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -110,7 +110,7 @@
         is_change = self._table.merge(record, now=time.monotonic())
         known = self._table.find(record.endpoint_id)
         if is_change:
-            self._pass_on_lost(self._table.supersede(record, now=time.monotonic()))
+            self._pass_on_lost(self._table.mark_superseded_lost(record, now=time.monotonic()))
             self._log(record)
             self._push()
         if known is not None and known.state is not EndpointState.READY and is_change:
