--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -36,7 +36,7 @@
                 fixture.table.merge(make_record(step + 1, endpoint_id=f"e{number}"), now=now)
             fixture.exchange(now)
             directory.take_changes(now=now)
-            directory.table.forget_old(now)
+            directory.table.remove_expired(now)
 
     def test_unchanged_endpoints_are_kept(self) -> None:
         """Guards against routers dropping endpoints unchanged for over ``FORGET_AFTER_S``."""
