--- a/chivetrack/components/announcements/__init__.py
+++ b/chivetrack/components/announcements/__init__.py
@@ -1,1 +1,1 @@
-"""What endpoints say of themselves, and which of two statements is the newer one."""
+"""Announcements of endpoints about themselves, and their order."""
--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -1,4 +1,4 @@
-"""The endpoints of each service that requests may go to just now; free of I/O."""
+"""Selects the endpoints of each service that may currently get requests; performs no I/O."""
 
 from collections.abc import Collection, Iterator, Sequence
 from dataclasses import dataclass
@@ -12,9 +12,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointPartition:
-    """The endpoints of a service as one request finds them.
+    """Endpoints of a service, partitioned for one request.
 
-    ``resting`` are sound and get nothing now: evacuated, cold or paused.
+    ``open`` may get the request. ``resting`` are healthy but excluded at present, because they
+    are evacuated, cold or paused, or refused this request.
     """
 
     open: Sequence[EndpointRecord]
@@ -22,10 +23,10 @@
 
 
 class EndpointDirectory:
-    """Sorts the table of endpoints by service, without the zones that are evacuated."""
+    """Lists endpoints by service, excluding those in evacuated zones."""
 
     def __init__(self) -> None:
-        """Start with no endpoints and no evacuated zones."""
+        """Create a directory without endpoints and evacuated zones."""
         self.table = EndpointTable()
         self.cold = ColdTable()
         self.evacuations = Evacuations()
@@ -38,11 +39,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Return whether no endpoint may get requests."""
+        """Return whether there is no endpoint that may get requests."""
         return not self._ready
 
     def apply_changes(self, *, now: float) -> Sequence[EndpointRecord]:
-        """Take over what has changed in the table; return the changed records."""
+        """Apply the changes of the table since the last call, and return the changed records."""
         if self._applied_change == self.table.change:
             return ()
         changed = self.table.list_changes(self._applied_change)
@@ -55,7 +56,7 @@
     def record_leaving(self, record: EndpointRecord) -> bool:
         """Exclude an endpoint that announced its departure in an answer; return if this is new.
 
-        Applies to the whole lifetime: heartbeats may report the departure late or never, and
+        Applies to the whole incarnation: heartbeats may report the departure late or never, and
         an earlier heartbeat that arrives afterwards still reports the endpoint as ready.
         """
         incarnation = record.incarnation
@@ -67,7 +68,7 @@
         return True
 
     def is_lost_or_replaced(self, record: EndpointRecord) -> bool:
-        """Return whether a lifetime is marked lost or a later one has started under its id."""
+        """Return whether an incarnation is marked lost or a later one has started under its id."""
         known = self.table.find(record.endpoint_id)
         if known is None:
             return False
@@ -89,7 +90,10 @@
         return min(pauses, default=0.0)
 
     def apply_evacuations(self, evacuations: Evacuations, *, now: float) -> bool:
-        """Put newer zone orders in force; a replica that lags can't take them back."""
+        """Apply newer zone orders, ignoring an older state from a lagging replica.
+
+        Returns whether the orders were newer.
+        """
         if evacuations.revision <= self.evacuations.revision:
             return False
         returned = set(self.evacuations.list_evacuated()) - set(evacuations.list_evacuated())
@@ -99,21 +103,21 @@
         return True
 
     def _rebuild_lists(self) -> None:
-        """List the endpoints that get requests, and those that others may fetch parts from.
+        """Rebuild the lists of endpoints that may get requests or serve cached prompt parts.
 
-        Engines fetch from each other without a request of ours, so those of an evacuated
-        zone are still of use to the others.
+        Engines fetch cached parts from each other without involving a router, so engines of
+        an evacuated zone stay useful as sources.
         """
         evacuated = self.evacuations.list_evacuated()
         self._ready = {}
         self._evacuated = {}
         self._sources = {}
-        lifetimes = {record.incarnation for record in self.table.list_records()}
-        self._leaving &= lifetimes
+        incarnations = {record.incarnation for record in self.table.list_records()}
+        self._leaving &= incarnations
         self._paused_until = {
             incarnation: until
             for incarnation, until in self._paused_until.items()
-            if incarnation in lifetimes
+            if incarnation in incarnations
         }
         for record in self.table.list_records():
             if record.state in (EndpointState.READY, EndpointState.DRAINING):
@@ -126,34 +130,38 @@
             listed.setdefault(record.service, []).append(record)
 
     def list_ids_in(self, zones: Collection[str]) -> Iterator[str]:
-        """Yield the ids of the endpoints of some zones."""
-        return (one.endpoint_id for one in self.table.list_records() if one.zone in zones)
+        """Yield the ids of all endpoints in the given zones."""
+        return (record.endpoint_id for record in self.table.list_records() if record.zone in zones)
 
     def list_ready(self, service: str) -> Sequence[EndpointRecord]:
-        """Return the endpoints that may get requests, cold ones among them."""
+        """Return the endpoints that may get requests, including cold ones."""
         return self._ready.get(service, ())
 
     def list_sources(self, service: str) -> Sequence[EndpointRecord]:
-        """Return the endpoints that cached parts of prompts may be fetched from."""
+        """Return the endpoints from which cached parts of prompts may be fetched."""
         return self._sources.get(service, ())
 
     def partition(
         self, service: str, *, passed_over: Collection[str], is_limited: bool, now: float
     ) -> EndpointPartition:
-        """Return which endpoints a request may go to or ask a permit for, and which rest.
+        """Partition the endpoints of a service for one request.
 
-        ``is_limited``: the service limits what cold endpoints get. ``passed_over`` are those
-        that refused this request; after a few it asks for no further one.
+        The open endpoints may get the request, cold ones after a permit was granted.
+        ``is_limited`` means that the service limits requests to cold endpoints.
+        ``passed_over`` are the endpoints that refused this request; after ``MAX_ASKS``
+        refusals, all cold endpoints are excluded.
         """
         ready = self.list_ready(service)
         evacuated = self._evacuated.get(service, ())
         excluded = set(passed_over)
         if self._paused_until:
-            excluded |= {one.endpoint_id for one in ready if self.find_pause(one, now)}
+            excluded |= {record.endpoint_id for record in ready if self.find_pause(record, now)}
         if not is_limited:
             return self._make_division(ready, evacuated, excluded)
-        cold = {one.endpoint_id for one in ready if self.cold.is_cold(one.endpoint_id, now)}
-        excluded |= {one for one in cold if self.cold.find_wait(one, now)}
+        cold = {
+            record.endpoint_id for record in ready if self.cold.is_cold(record.endpoint_id, now)
+        }
+        excluded |= {endpoint_id for endpoint_id in cold if self.cold.find_wait(endpoint_id, now)}
         if len(passed_over) >= MAX_ASKS:
             excluded |= cold
         return self._make_division(ready, evacuated, excluded)
@@ -167,6 +175,6 @@
         if not excluded:
             return EndpointPartition(open=ready, resting=evacuated)
         return EndpointPartition(
-            open=[one for one in ready if one.endpoint_id not in excluded],
-            resting=[*evacuated, *(one for one in ready if one.endpoint_id in excluded)],
+            open=[record for record in ready if record.endpoint_id not in excluded],
+            resting=[*evacuated, *(record for record in ready if record.endpoint_id in excluded)],
         )
--- a/chivetrack/components/announcements/models.py
+++ b/chivetrack/components/announcements/models.py
@@ -1,10 +1,10 @@
-"""Statements of endpoints about themselves."""
+"""Models of endpoint announcements."""
 
 from enum import StrEnum
 
 from chivetrack.helpers.codec import Message, message
 
-# A departure closes its lifetime: no statement of the same lifetime comes after it.
+# Sequence of a departure: no announcement of the same incarnation can be newer.
 LAST_SEQUENCE = 2**62
 
 # Endpoint id and ``born`` of its record.
@@ -12,7 +12,7 @@
 
 
 class EndpointState(StrEnum):
-    """What an endpoint says that it is; ``LOST`` is said of one that is not heard any more."""
+    """Announced state of an endpoint; ``LOST`` is set by replicas when heartbeats stop."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -22,12 +22,12 @@
 
 @message("announcements.record")
 class EndpointRecord(Message, frozen=True, array_like=True):
-    """The newest known statement of an endpoint.
+    """Announcement of an endpoint.
 
-    ``born`` is the Unix millisecond of the endpoint's start; it tells two lifetimes
-    under one id apart. ``sequence`` counts the statements of a lifetime. ``slots`` is
-    how many requests run at once, ``cold_s`` for how long the endpoint stays slow after
-    its start (seconds, as of the statement).
+    ``born`` is the start time of the endpoint in Unix milliseconds; it distinguishes
+    incarnations with the same id. ``sequence`` counts the announcements of an incarnation.
+    ``slots`` is the number of requests that the endpoint runs concurrently. ``cold_s`` is the
+    remaining time (s) during which it is slow after its start, as of the announcement.
     """
 
     endpoint_id: str
@@ -44,19 +44,20 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return what tells this start of the endpoint from all others."""
+        """Return the key that identifies this incarnation of the endpoint."""
         return (self.endpoint_id, self.born)
 
     @property
     def position(self) -> tuple[int, int, bool]:
-        """Return what orders two statements of one endpoint.
+        """Return the sort key that orders announcements of one endpoint.
 
-        That it is lost comes after its last word, and before any further one.
+        The state ``LOST`` is newer than the last announcement before it and older than any
+        later announcement.
         """
         return (self.born, self.sequence, self.state is EndpointState.LOST)
 
     def describe(self) -> dict[str, str | int]:
-        """Return what a line about this endpoint says."""
+        """Return the fields that log events about this endpoint contain."""
         return {
             "endpoint": self.endpoint_id,
             "service": self.service,
--- a/chivetrack/components/announcements/packing.py
+++ b/chivetrack/components/announcements/packing.py
@@ -1,4 +1,4 @@
-"""Packs many records of endpoints into few bytes."""
+"""Packs endpoint records into a compact binary form."""
 
 from collections.abc import Iterable
 from operator import attrgetter
@@ -10,10 +10,10 @@
 
 
 def pack_records(records: Iterable[EndpointRecord]) -> bytes:
-    """Return records in compressed form, in the order of service, zone and address."""
+    """Return records in compressed form, sorted by service, zone and address."""
     return pack_rows(sorted(records, key=attrgetter("service", "zone", "address")))
 
 
 def unpack_records(payload: bytes) -> Result[list[EndpointRecord], str]:
-    """Return the records that ``pack_records`` was given; the error side says what is wrong."""
+    """Return the records packed by ``pack_records``, or an error message if it is invalid."""
     return unpack_rows(payload, EndpointRecord)
--- a/chivetrack/components/announcements/table.py
+++ b/chivetrack/components/announcements/table.py
@@ -1,4 +1,4 @@
-"""The endpoints that an instance knows of, merged from statements in any order."""
+"""Table of all known endpoints, merged from announcements that arrive in any order."""
 
 import zlib
 from collections.abc import Iterable, Iterator
@@ -12,17 +12,19 @@
     EndpointState,
 )
 
-# Three heartbeats of 1.2 s and one that comes late: an endpoint that is silent for longer
-# has crashed or is cut off from every replica.
+# Three heartbeat intervals of 1.2 s plus the delay of a late heartbeat. An endpoint that has
+# sent no heartbeat for this time (silent) has crashed or is cut off from every replica.
 SILENT_AFTER_S = 5.0
 # Longer than any network partition that an endpoint is expected to survive.
 LOST_AFTER_S = 60.0
-# Delayed statements have arrived by then and can't add a removed endpoint again.
+# Delayed announcements have arrived by then, so they cannot add a removed endpoint again.
 FORGET_AFTER_S = 60.0
-# Endpoints that a replica knows from before its restart have to be heard again: two
-# heartbeats of 1.2 s. Their last word, a departure perhaps, may not have been kept.
+# Endpoints that a replica restored after its restart must send a heartbeat within two
+# intervals of 1.2 s, because their last announcement, for example a departure, may not have
+# been stored.
 RESTORED_TTL_S = 2.6
-# Longer than a heartbeat: whoever holds the address now would have been heard since.
+# Longer than a heartbeat interval: an endpoint that still has its address would have sent a
+# heartbeat since.
 SUPERSEDED_AFTER_S = 1.5
 
 
@@ -36,21 +38,21 @@
 
 
 class EndpointTable:
-    """Keeps the newest statement of each endpoint and numbers the changes.
+    """Keeps the newest announcement of each endpoint and numbers the changes.
 
-    A heartbeat that says nothing new moves only the time at which the endpoint was last
-    heard; followers are sent changes alone. Entries are kept in the order of their changes,
-    so that listing the newest ones doesn't take longer as the fleet grows.
+    A heartbeat without changes only updates the time at which the endpoint was last seen;
+    followers receive only changes. Entries are kept in the order of their changes, so that
+    the cost of listing the newest ones does not grow with the fleet.
     """
 
     def __init__(self) -> None:
-        """Start with no endpoints."""
+        """Create an empty table."""
         self._entries: dict[str, _Entry] = {}
         self._ids_at: dict[str, set[str]] = {}
         self.change = 0
 
     def merge(self, record: EndpointRecord, *, now: float) -> bool:
-        """Take a statement; return whether it changes what followers have to know."""
+        """Merge an announcement; return whether it is a change that followers must receive."""
         entry = self._entries.get(record.endpoint_id)
         if entry is None:
             checksum = _make_checksum(record)
@@ -75,10 +77,10 @@
     def handle_relayed_heartbeat(
         self, endpoint_id: str, sequence: int, checksum: int, *, now: float
     ) -> bool:
-        """Take a heartbeat that another replica got; return whether its record is known here.
+        """Apply a heartbeat that another replica received; return whether its record is known.
 
-        ``checksum`` is that of the record there (see ``find_checksum``). Where it differs, or
-        the endpoint is not known, the whole record is needed.
+        ``checksum`` is that of the other replica's record (see ``find_checksum``). If it
+        differs or the endpoint is unknown, the full record is needed.
         """
         entry = self._entries.get(endpoint_id)
         if entry is None or entry.checksum != checksum:
@@ -90,7 +92,7 @@
         return True
 
     def find_checksum(self, endpoint_id: str) -> int:
-        """Return a checksum of what an endpoint says beside its sequence, 0 if unknown."""
+        """Return a checksum of an endpoint's record without its sequence, 0 if unknown."""
         entry = self._entries.get(endpoint_id)
         return 0 if entry is None else entry.checksum
 
@@ -111,13 +113,13 @@
             del self._ids_at[record.address]
 
     def restore(self, records: Iterable[EndpointRecord], *, now: float) -> None:
-        """Take over what was known before a restart, until it is heard again or lost."""
+        """Merge records stored before a restart; they count as restored until confirmed."""
         for record in records:
             if self.merge(record, now=now):
                 self._entries[record.endpoint_id].is_restored = True
 
     def mark_unconfirmed_lost(self, now: float) -> bool:
-        """Give up restored endpoints that were not heard again; return whether there were."""
+        """Mark restored endpoints without a heartbeat as lost; return whether there were any."""
         unheard = [
             entry
             for entry in self._entries.values()
@@ -130,11 +132,12 @@
         return bool(unheard)
 
     def mark_superseded_lost(self, record: EndpointRecord, *, now: float) -> list[EndpointRecord]:
-        """Give up endpoints at whose address another one has just announced itself.
+        """Mark other endpoints at the address of an announced endpoint as lost.
 
-        An endpoint that crashed says nothing; its successor at the address does. Until
-        then routers would send to it what its successor refuses. One that was heard
-        lately is left alone: the word of the other may have been late.
+        A crashed endpoint sends no departure. Routers would continue to send it requests,
+        which its successor at the address refuses. Endpoints seen within
+        ``SUPERSEDED_AFTER_S`` are kept, because the announcement may have been delayed.
+        Returns the new records.
         """
         at_address = sorted(self._ids_at.get(record.address, ()))
         older = [
@@ -147,10 +150,10 @@
         return self._mark_lost(older, now)
 
     def close(self, endpoint_id: str, *, born: int | None, now: float) -> EndpointRecord | None:
-        """Note that an endpoint has left; return its last record, ``None`` if unknown.
+        """Mark an endpoint as left; return its last record, ``None`` if unknown.
 
-        Without ``born`` the departure is of the lifetime that is known. That of an
-        earlier lifetime says nothing about the present one.
+        Without ``born``, the departure applies to the known incarnation. A departure of an
+        earlier incarnation is ignored.
         """
         entry = self._entries.get(endpoint_id)
         if entry is None:
@@ -168,17 +171,17 @@
         return self._entries[endpoint_id].record
 
     def find(self, endpoint_id: str) -> EndpointRecord | None:
-        """Return the newest statement of an endpoint."""
+        """Return the newest announcement of an endpoint, ``None`` if unknown."""
         entry = self._entries.get(endpoint_id)
         return None if entry is None else entry.record
 
     def list_records(self) -> Iterator[EndpointRecord]:
-        """Yield the newest statement of each endpoint."""
+        """Yield the newest announcement of each endpoint."""
         for entry in self._entries.values():
             yield entry.record
 
     def list_changes(self, after: int) -> list[EndpointRecord]:
-        """Return the statements that changed after a numbered change, oldest change first."""
+        """Return the records that changed after change number ``after``, oldest change first."""
         newer: list[EndpointRecord] = []
         for entry in reversed(self._entries.values()):
             if entry.change <= after:
@@ -188,7 +191,7 @@
         return newer
 
     def count_changes(self, after: int, *, limit: int) -> int:
-        """Return how many statements changed after a numbered change, at most ``limit``."""
+        """Return how many records changed after change number ``after``, at most ``limit``."""
         count = 0
         for entry in reversed(self._entries.values()):
             if entry.change <= after or count == limit:
@@ -197,7 +200,7 @@
         return count
 
     def list_silent(self, now: float) -> list[str]:
-        """Return the endpoints that were not heard of lately and did not say that they left."""
+        """Return the ids of endpoints that are silent and have not left."""
         return [
             endpoint_id
             for endpoint_id, entry in self._entries.items()
@@ -248,20 +251,20 @@
         Ready and draining endpoints are kept regardless of age: followers receive only
         changes, so a running endpoint whose state doesn't change is never refreshed there.
         """
-        old = [
+        expired = [
             entry.record
             for entry in self._entries.values()
             if entry.record.state in (EndpointState.LEFT, EndpointState.LOST)
             and now - entry.last_seen_at > FORGET_AFTER_S
         ]
-        for record in old:
+        for record in expired:
             del self._entries[record.endpoint_id]
             self._remove_address(record)
-        return old
+        return expired
 
 
 def _normalize(record: EndpointRecord) -> EndpointRecord:
-    """Leave out what changes with every heartbeat."""
+    """Return the record without the values that change with every heartbeat."""
     return msgspec.structs.replace(record, sequence=0, cold_s=float(record.cold_s > 0))
 
 
--- a/tests/components/announcements/test_directory.py
+++ b/tests/components/announcements/test_directory.py
@@ -1,4 +1,4 @@
-"""Which endpoints requests may go to after zone orders, statements and refused permits."""
+"""Endpoints that may get requests after zone orders, announcements and refused permits."""
 
 import unittest
 
@@ -30,20 +30,22 @@
         division = self.directory.partition(
             "llm", passed_over=passed_over, is_limited=True, now=now
         )
-        self.resting = [one.endpoint_id for one in division.resting]
-        return [one.endpoint_id for one in division.open]
+        self.resting = [record.endpoint_id for record in division.resting]
+        return [record.endpoint_id for record in division.open]
 
-    def test_leaving_endpoint_gets_nothing_and_is_fetched_from(self) -> None:
+    def test_draining_endpoint_is_only_a_source(self) -> None:
         self.merge(1, "e1", "z1")
         record = make_record(2, zone="z1", state=EndpointState.DRAINING)
         self.directory.table.merge(record, now=0.0)
-        self.assertEqual([one.state for one in self.directory.apply_changes(now=0.0)], ["draining"])
+        self.assertEqual(
+            [record.state for record in self.directory.apply_changes(now=0.0)], ["draining"]
+        )
         self.assertEqual(self.directory.apply_changes(now=0.0), ())
         self.assertTrue(self.directory.is_empty)
         self.assertEqual(len(self.directory.list_sources("llm")), 1)
 
     def test_departure_announced_in_an_answer(self) -> None:
-        """Guards against an old lifetime's answer taking its successor out of use."""
+        """Guards against an answer of an old incarnation excluding its successor."""
         self.merge(1, "e1", "z1")
         record = make_record(1, zone="z1")
         self.assertTrue(self.directory.record_leaving(record))
@@ -71,7 +73,7 @@
         self.assertEqual((self.list_open(now=5.0), self.resting), (["e1"], ["e2"]))
 
     def test_endpoint_that_appears_in_an_evacuated_zone(self) -> None:
-        """A release goes on while its zone is empty; the new endpoints must get nothing."""
+        """Endpoints that a release starts in an evacuated zone must not get requests."""
         self.assertTrue(self.directory.apply_evacuations(make_evacuations(4, z1=True), now=0.0))
         self.merge(1, "e1", "z1")
         self.assertEqual(self.list_open(), [])
@@ -80,7 +82,10 @@
         self.assertEqual(self.resting, ["e1"])
 
     def test_cold_endpoints_after_refusals(self) -> None:
-        """A refused one is left out until its turn, and after two no cold one is asked for."""
+        """An endpoint that refused a permit is excluded until its retry time.
+
+        After two refusals of one request, all cold endpoints are excluded.
+        """
         for number in (1, 2, 3):
             self.merge(1, f"e{number}", "z1", cold_s=3.0)
         self.merge(1, "e4", "z1")
--- a/tests/components/announcements/test_packing.py
+++ b/tests/components/announcements/test_packing.py
@@ -1,4 +1,4 @@
-"""Packed records of endpoints: the same after unpacking, and small."""
+"""Packing of endpoint records: lossless and compact."""
 
 import unittest
 import zlib
@@ -25,7 +25,7 @@
 
 
 class PackingTest(unittest.TestCase):
-    def test_records_come_back_as_they_were(self) -> None:
+    def test_unpacked_records_equal_packed_ones(self) -> None:
         records = [
             *make_fleet(20),
             make_record(7, state=EndpointState.DRAINING, cold_s=1.25, models=("a", "b")),
@@ -36,11 +36,11 @@
         self.assertEqual(unpack_records(pack_records([])).ok, [])
 
     def test_size_of_a_large_table(self) -> None:
-        """Guards against tables of endpoints that take a link of 4 Mbit/s for seconds."""
+        """Guards against tables that occupy a link of 4 Mbit/s for seconds."""
         self.assertLess(len(pack_records(make_fleet(3000))), 15 * 3000)
 
-    def test_bytes_that_are_no_records(self) -> None:
-        """Guards against a router that ends, or holds gigabytes, after a broken update."""
+    def test_invalid_payload_gives_error(self) -> None:
+        """Guards against a router that crashes or uses gigabytes of memory on an invalid update."""
         packed = pack_records(make_fleet(3))
         bomb = zlib.compress(bytes(20 * 1024 * 1024))
         for payload in (b"", b"x", packed[:-3], zlib.compress(b"\x93\x01"), bomb):
--- a/tests/components/announcements/test_table.py
+++ b/tests/components/announcements/test_table.py
@@ -1,4 +1,4 @@
-"""Which of several statements about an endpoint is believed."""
+"""Merging of announcements about an endpoint."""
 
 import itertools
 import unittest
@@ -32,11 +32,11 @@
 
 
 class EndpointTableTest(unittest.TestCase):
-    def test_heartbeat_that_was_delayed_by_a_cut(self) -> None:
-        """An endpoint says that it drains; an earlier 'ready' arrives afterwards.
+    def test_heartbeat_delayed_by_partition(self) -> None:
+        """A "ready" announcement delayed by a partition arrives after a newer "draining" one.
 
-        The late word was held up by a cut. If it won, routers would send new work to an
-        endpoint that was promised none. The sequence tells which is newer.
+        If it took effect, routers would send new requests to a draining endpoint. The
+        sequence determines which announcement is newer.
         """
         table = EndpointTable()
         table.merge(make_record(2, state=EndpointState.DRAINING), now=0.0)
@@ -46,17 +46,17 @@
         self.assertIs(record.state, EndpointState.DRAINING)
 
     def test_restart_under_the_same_id(self) -> None:
-        """A crashed endpoint starts again under its id and counts from 1.
+        """A crashed endpoint restarts with the same id, and its sequence starts at 1.
 
-        By the sequence alone its words would be older than those of its former lifetime
-        and be ignored; the time of its start goes first.
+        By the sequence alone, its announcements would be older than those of its previous
+        incarnation and be ignored, so the start time is compared first.
         """
         table = EndpointTable()
         table.merge(make_record(50), now=0.0)
         self.assertTrue(table.merge(make_record(1, born=2000), now=1.0))
         self.assertFalse(table.merge(make_record(51), now=2.0))
 
-    def test_departure_of_an_earlier_lifetime(self) -> None:
+    def test_departure_of_an_earlier_incarnation(self) -> None:
         table = EndpointTable()
         table.merge(make_record(1, born=2000), now=0.0)
         kept = table.close("e1", born=1000, now=1.0)
@@ -91,11 +91,11 @@
         table.merge(make_record(3, state=EndpointState.DRAINING), now=2.0)
         self.assertEqual([one.sequence for one in table.list_changes(change)], [3])
 
-    def test_restart_of_a_replica_with_what_it_knew(self) -> None:
-        """All replicas lose power; they come back with the endpoints of before.
+    def test_restored_endpoints_need_confirmation(self) -> None:
+        """All replicas lose power and restart with the stored endpoints.
 
-        Routers can serve at once, not only after the next heartbeats. An endpoint whose
-        departure was not kept is not heard again, and is given up before long.
+        Routers can serve requests at once instead of after the next heartbeats. An endpoint
+        whose departure was not stored sends no heartbeat and is marked lost.
         """
         table = EndpointTable()
         table.restore([make_record(5), make_record(5, endpoint_id="e2")], now=0.0)
@@ -108,16 +108,16 @@
         self.assertEqual(states, {"e1": EndpointState.READY, "e2": EndpointState.LOST})
         self.assertTrue(table.merge(make_record(6, endpoint_id="e2"), now=5.0))
 
-    def test_router_that_heard_more_keeps_it(self) -> None:
+    def test_newer_record_is_not_marked_lost(self) -> None:
         table = EndpointTable()
         table.merge(make_record(6), now=0.0)
         self.assertFalse(table.merge(make_record(5, state=EndpointState.LOST), now=1.0))
 
     def test_successor_at_the_address_of_a_crashed_endpoint(self) -> None:
-        """An endpoint crashes; two seconds later another one announces its address.
+        """An endpoint crashes, and two seconds later another one announces its address.
 
-        The crashed one never says that it left. Each request for it was refused by its
-        successor, and after a second refusal the caller was sent away.
+        The crashed endpoint sends no departure. Requests for it were refused by its
+        successor, and after a second refusal the caller got an error.
         """
         table = EndpointTable()
         table.merge(make_record(5), now=0.0)
@@ -129,13 +129,13 @@
         self.assertEqual(table.find("e1"), lost)
         self.assertTrue(table.merge(make_record(6), now=3.0))
 
-    def test_silence(self) -> None:
+    def test_list_silent(self) -> None:
         table = EndpointTable()
         table.merge(make_record(1), now=0.0)
         self.assertEqual(table.list_silent(SILENT_AFTER_S), [])
         self.assertEqual(table.list_silent(SILENT_AFTER_S + 0.1), ["e1"])
 
-    def test_silent_endpoint_is_lost_and_then_forgotten(self) -> None:
+    def test_silent_endpoint_is_marked_lost_and_then_removed(self) -> None:
         """Guards against keeping crashed endpoints forever, on replicas or on followers."""
         table, follower = EndpointTable(), EndpointTable()
         table.merge(make_record(1), now=0.0)
