--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -35,7 +35,7 @@
             for number in range(5):
                 fixture.table.merge(make_record(step + 1, endpoint_id=f"e{number}"), now=now)
             fixture.exchange(now)
-            directory.take_changes(now=now)
+            directory.apply_changes(now=now)
             directory.table.remove_expired(now)
 
     def test_unchanged_endpoints_are_kept(self) -> None:
