--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import chivetrack.components.pipeline.filters  # noqa: F401
-from chivetrack.components.claims.keeper import ClaimKeeper
+from chivetrack.components.claims.keeper import ClaimCoordinator
 from chivetrack.components.configuration.configuration import Configuration
 from chivetrack.components.configuration.models import ConfigurationSettings
 from chivetrack.components.controllers.host import ControllerHost
@@ -248,7 +248,7 @@
         on_outcome=record_outcome,
         on_end=tell_end,
     )
-    claims = ClaimKeeper(
+    claims = ClaimCoordinator(
         make_holder=lambda request_id: (
             f"{identity.instance_id}/{identity.incarnation}/{request_id}"
         ),
--- a/chivetrack/components/claims/keeper.py
+++ b/chivetrack/components/claims/keeper.py
@@ -37,7 +37,7 @@
     data: bytes
 
 
-class ClaimKeeper:
+class ClaimCoordinator:
     """Turns the flow's claim effects into submissions, and their ends into events.
 
     ``make_holder`` gives a text that is unique to one attempt of one router;
--- a/chivetrack/node.py
+++ b/chivetrack/node.py
@@ -9,7 +9,7 @@
 from collections import deque
 from collections.abc import Sequence
 
-from chivetrack.components.claims.keeper import ClaimKeeper
+from chivetrack.components.claims.keeper import ClaimCoordinator
 from chivetrack.components.controllers.host import ControllerHost
 from chivetrack.components.pipeline.admission import AdmissionControl
 from chivetrack.components.pipeline.flow import RequestFlow
@@ -40,7 +40,7 @@
         *,
         flow: RequestFlow,
         proposals: ProposalClient,
-        claims: ClaimKeeper,
+        claims: ClaimCoordinator,
         admission: AdmissionControl,
         controllers: ControllerHost,
         components: Sequence[Component],
--- a/tests/components/claims/test_claims.py
+++ b/tests/components/claims/test_claims.py
@@ -4,7 +4,7 @@
 import unittest
 
 import chivetrack.components.pipeline.filters  # noqa: F401
-from chivetrack.components.claims.keeper import ClaimKeeper
+from chivetrack.components.claims.keeper import ClaimCoordinator
 from chivetrack.components.controllers.host import ControllerHost
 from chivetrack.components.limits.limiter import Limiter
 from chivetrack.components.limits.shares import ShareBook
@@ -64,7 +64,7 @@
         self.node = RouterNode(
             flow=self.bench.flow,
             proposals=proposals,
-            claims=ClaimKeeper(
+            claims=ClaimCoordinator(
                 make_holder=lambda request_id: f"{name}/{request_id}",
                 to_wall_ms=lambda now: int(now * 1000),
             ),
--- a/tests/components/pipeline/test_admission.py
+++ b/tests/components/pipeline/test_admission.py
@@ -4,7 +4,7 @@
 import unittest
 
 import chivetrack.components.pipeline.filters  # noqa: F401
-from chivetrack.components.claims.keeper import ClaimKeeper
+from chivetrack.components.claims.keeper import ClaimCoordinator
 from chivetrack.components.controllers.host import ControllerHost
 from chivetrack.components.limits.limiter import Limiter
 from chivetrack.components.limits.models import WorkspaceLimit
@@ -40,7 +40,7 @@
         self.node = RouterNode(
             flow=self.bench.flow,
             proposals=proposals,
-            claims=ClaimKeeper(make_holder=str, to_wall_ms=int),
+            claims=ClaimCoordinator(make_holder=str, to_wall_ms=int),
             admission=self.admission,
             controllers=ControllerHost(runners=(), proposals=proposals),
             components=(),
