--- a/chivetrack/components/claims/keeper.py
+++ b/chivetrack/components/claims/keeper.py
@@ -99,7 +99,9 @@
         report = AbandonClaim if effect.did_not_run else ReportClaimUnknown
         return report(stamp=stamp, workspace=effect.workspace, key=effect.key, grant=grant)
 
-    def take_end(self, ended: SubmissionEnded, *, now: float) -> ClaimAnswered | Submit | None:
+    def handle_submission_ended(
+        self, ended: SubmissionEnded, *, now: float
+    ) -> ClaimAnswered | Submit | None:
         """Return what follows from the end of a submission of this component."""
         if ended.submission_id.startswith(CLAIM_PREFIX):
             return self._take_claim(ended, now)
