--- a/chivetrack/components/claims/keeper.py
+++ b/chivetrack/components/claims/keeper.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Asked:
+class _PendingClaim:
     """A claim that was asked for; ``data`` is its command."""
 
     ask: AskClaim
@@ -50,7 +50,7 @@
         """Start with no claims."""
         self._make_holder = make_holder
         self._to_wall_ms = to_wall_ms
-        self._asked: dict[str, _Asked] = {}
+        self._asked: dict[str, _PendingClaim] = {}
         self._grants: dict[str, int] = {}
 
     def ask(self, effect: AskClaim, *, now: float) -> Submit:
@@ -65,7 +65,7 @@
             holder=holder,
             run_ms=run_ms,
         )
-        asked = _Asked(ask=effect, data=pack(command))
+        asked = _PendingClaim(ask=effect, data=pack(command))
         self._asked[effect.request_id] = asked
         deadline = now + min(CLAIM_TIMEOUT_S, effect.lifetime_s)
         return self._submit(CLAIM_PREFIX + effect.request_id, asked.data, deadline)
@@ -146,7 +146,7 @@
 
     @staticmethod
     def _answer(
-        asked: _Asked, *, fault: Fault | None = None, stored: StoredAnswer | None = None
+        asked: _PendingClaim, *, fault: Fault | None = None, stored: StoredAnswer | None = None
     ) -> ClaimAnswered:
         return ClaimAnswered(
             request_id=asked.ask.request_id,
