--- a/chivetrack/components/claims/keeper.py
+++ b/chivetrack/components/claims/keeper.py
@@ -50,7 +50,7 @@
         """Start with no claims."""
         self._make_holder = make_holder
         self._to_wall_ms = to_wall_ms
-        self._asked: dict[str, _PendingClaim] = {}
+        self._pending: dict[str, _PendingClaim] = {}
         self._grants: dict[str, int] = {}
 
     def ask(self, effect: AskClaim, *, now: float) -> Submit:
@@ -66,7 +66,7 @@
             run_ms=run_ms,
         )
         asked = _PendingClaim(ask=effect, data=pack(command))
-        self._asked[effect.request_id] = asked
+        self._pending[effect.request_id] = asked
         deadline = now + min(CLAIM_TIMEOUT_S, effect.lifetime_s)
         return self._submit(CLAIM_PREFIX + effect.request_id, asked.data, deadline)
 
@@ -121,14 +121,14 @@
         resend would hear "in progress" until the claim runs out, and then "unknown".
         """
         request_id = ended.submission_id.removeprefix(CLAIM_PREFIX)
-        data = self._asked[request_id].data
+        data = self._pending[request_id].data
         return self._submit(CLEANUP_PREFIX + request_id, data, now + REPORT_TIMEOUT_S)
 
     def _take_claim(self, ended: SubmissionEnded, now: float) -> ClaimAnswered:
         request_id = ended.submission_id.removeprefix(CLAIM_PREFIX)
-        asked = self._asked[request_id]
+        asked = self._pending[request_id]
         if not self.needs_cleanup(ended):
-            del self._asked[request_id]
+            del self._pending[request_id]
         if ended.fault is not None:
             return self._answer(asked, fault=claim_unavailable(ended.fault.retry_after_s))
         answer = unpack(ended.result)
@@ -158,7 +158,7 @@
 
     def _take_cleanup(self, ended: SubmissionEnded, now: float) -> Submit | None:
         request_id = ended.submission_id.removeprefix(CLEANUP_PREFIX)
-        asked = self._asked.pop(request_id)
+        asked = self._pending.pop(request_id)
         answer = unpack(ended.result) if ended.fault is None else None
         if not isinstance(answer, ClaimAnswer) or answer.state is not ClaimState.GRANTED:
             return None
