--- a/chivetrack/components/claims/keeper.py
+++ b/chivetrack/components/claims/keeper.py
@@ -65,10 +65,10 @@
             holder=holder,
             run_ms=run_ms,
         )
-        asked = _PendingClaim(ask=effect, data=pack(command))
-        self._pending[effect.request_id] = asked
+        pending = _PendingClaim(ask=effect, data=pack(command))
+        self._pending[effect.request_id] = pending
         deadline = now + min(CLAIM_TIMEOUT_S, effect.lifetime_s)
-        return self._submit(CLAIM_PREFIX + effect.request_id, asked.data, deadline)
+        return self._submit(CLAIM_PREFIX + effect.request_id, pending.data, deadline)
 
     def end(self, effect: EndClaim, *, now: float) -> Submit | None:
         """Return the submission that reports how a claimed request ended."""
@@ -126,47 +126,47 @@
 
     def _take_claim(self, ended: SubmissionEnded, now: float) -> ClaimAnswered:
         request_id = ended.submission_id.removeprefix(CLAIM_PREFIX)
-        asked = self._pending[request_id]
+        pending = self._pending[request_id]
         if not self.needs_cleanup(ended):
             del self._pending[request_id]
         if ended.fault is not None:
-            return self._answer(asked, fault=claim_unavailable(ended.fault.retry_after_s))
+            return self._answer(pending, fault=claim_unavailable(ended.fault.retry_after_s))
         answer = unpack(ended.result)
         if not isinstance(answer, ClaimAnswer):
-            return self._answer(asked, fault=claim_unavailable(None))
+            return self._answer(pending, fault=claim_unavailable(None))
         if answer.state is ClaimState.GRANTED:
             self._grants[request_id] = answer.grant
-            return self._answer(asked)
+            return self._answer(pending)
         if answer.state is ClaimState.FINISHED and answer.body_kept:
             stored = StoredAnswer(
                 status=answer.status, content_type=answer.content_type, body=answer.body
             )
-            return self._answer(asked, stored=stored)
-        return self._answer(asked, fault=find_claim_fault(answer))
+            return self._answer(pending, stored=stored)
+        return self._answer(pending, fault=find_claim_fault(answer))
 
     @staticmethod
     def _answer(
-        asked: _PendingClaim, *, fault: Fault | None = None, stored: StoredAnswer | None = None
+        pending: _PendingClaim, *, fault: Fault | None = None, stored: StoredAnswer | None = None
     ) -> ClaimAnswered:
         return ClaimAnswered(
-            request_id=asked.ask.request_id,
-            workspace=asked.ask.workspace,
-            key=asked.ask.key,
+            request_id=pending.ask.request_id,
+            workspace=pending.ask.workspace,
+            key=pending.ask.key,
             fault=fault,
             stored=stored,
         )
 
     def _take_cleanup(self, ended: SubmissionEnded, now: float) -> Submit | None:
         request_id = ended.submission_id.removeprefix(CLEANUP_PREFIX)
-        asked = self._pending.pop(request_id)
+        pending = self._pending.pop(request_id)
         answer = unpack(ended.result) if ended.fault is None else None
         if not isinstance(answer, ClaimAnswer) or answer.state is not ClaimState.GRANTED:
             return None
         self._grants[request_id] = answer.grant
         end = EndClaim(
             request_id=request_id,
-            workspace=asked.ask.workspace,
-            key=asked.ask.key,
+            workspace=pending.ask.workspace,
+            key=pending.ask.key,
             did_not_run=True,
         )
         return self.end(end, now=now)
