--- a/chivetrack/components/claims/keeper.py
+++ b/chivetrack/components/claims/keeper.py
@@ -104,7 +104,7 @@
     ) -> ClaimAnswered | Submit | None:
         """Return what follows from the end of a submission of this component."""
         if ended.submission_id.startswith(CLAIM_PREFIX):
-            return self._take_claim(ended, now)
+            return self._handle_claim_ended(ended, now)
         if ended.submission_id.startswith(CLEANUP_PREFIX):
             return self._take_cleanup(ended, now)
         return None
@@ -124,7 +124,7 @@
         data = self._pending[request_id].data
         return self._submit(CLEANUP_PREFIX + request_id, data, now + REPORT_TIMEOUT_S)
 
-    def _take_claim(self, ended: SubmissionEnded, now: float) -> ClaimAnswered:
+    def _handle_claim_ended(self, ended: SubmissionEnded, now: float) -> ClaimAnswered:
         request_id = ended.submission_id.removeprefix(CLAIM_PREFIX)
         pending = self._pending[request_id]
         if not self.needs_cleanup(ended):
