--- a/chivetrack/components/claims/keeper.py
+++ b/chivetrack/components/claims/keeper.py
@@ -106,7 +106,7 @@
         if ended.submission_id.startswith(CLAIM_PREFIX):
             return self._handle_claim_ended(ended, now)
         if ended.submission_id.startswith(CLEANUP_PREFIX):
-            return self._take_cleanup(ended, now)
+            return self._handle_cleanup_ended(ended, now)
         return None
 
     def needs_cleanup(self, ended: SubmissionEnded) -> bool:
@@ -156,7 +156,7 @@
             stored=stored,
         )
 
-    def _take_cleanup(self, ended: SubmissionEnded, now: float) -> Submit | None:
+    def _handle_cleanup_ended(self, ended: SubmissionEnded, now: float) -> Submit | None:
         request_id = ended.submission_id.removeprefix(CLEANUP_PREFIX)
         pending = self._pending.pop(request_id)
         answer = unpack(ended.result) if ended.fault is None else None
