--- a/chivetrack/components/claims/keeper.py
+++ b/chivetrack/components/claims/keeper.py
@@ -130,22 +130,22 @@
         if not self.needs_cleanup(ended):
             del self._pending[request_id]
         if ended.fault is not None:
-            return self._answer(pending, fault=claim_unavailable(ended.fault.retry_after_s))
+            return self._make_answered(pending, fault=claim_unavailable(ended.fault.retry_after_s))
         answer = unpack(ended.result)
         if not isinstance(answer, ClaimAnswer):
-            return self._answer(pending, fault=claim_unavailable(None))
+            return self._make_answered(pending, fault=claim_unavailable(None))
         if answer.state is ClaimState.GRANTED:
             self._grants[request_id] = answer.grant
-            return self._answer(pending)
+            return self._make_answered(pending)
         if answer.state is ClaimState.FINISHED and answer.body_kept:
             stored = StoredAnswer(
                 status=answer.status, content_type=answer.content_type, body=answer.body
             )
-            return self._answer(pending, stored=stored)
-        return self._answer(pending, fault=find_claim_fault(answer))
+            return self._make_answered(pending, stored=stored)
+        return self._make_answered(pending, fault=find_claim_fault(answer))
 
     @staticmethod
-    def _answer(
+    def _make_answered(
         pending: _PendingClaim, *, fault: Fault | None = None, stored: StoredAnswer | None = None
     ) -> ClaimAnswered:
         return ClaimAnswered(
