--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import chivetrack.components.pipeline.filters  # noqa: F401
-from chivetrack.components.claims.keeper import ClaimCoordinator
+from chivetrack.components.claims.coordinator import ClaimCoordinator
 from chivetrack.components.configuration.configuration import Configuration
 from chivetrack.components.configuration.models import ConfigurationSettings
 from chivetrack.components.controllers.host import ControllerHost
--- a/chivetrack/node.py
+++ b/chivetrack/node.py
@@ -9,7 +9,7 @@
 from collections import deque
 from collections.abc import Sequence
 
-from chivetrack.components.claims.keeper import ClaimCoordinator
+from chivetrack.components.claims.coordinator import ClaimCoordinator
 from chivetrack.components.controllers.host import ControllerHost
 from chivetrack.components.pipeline.admission import AdmissionControl
 from chivetrack.components.pipeline.flow import RequestFlow
--- a/tests/components/claims/test_claims.py
+++ b/tests/components/claims/test_claims.py
@@ -4,7 +4,7 @@
 import unittest
 
 import chivetrack.components.pipeline.filters  # noqa: F401
-from chivetrack.components.claims.keeper import ClaimCoordinator
+from chivetrack.components.claims.coordinator import ClaimCoordinator
 from chivetrack.components.controllers.host import ControllerHost
 from chivetrack.components.limits.limiter import Limiter
 from chivetrack.components.limits.shares import ShareBook
