--- a/chivetrack/components/directory/__init__.py
+++ b/chivetrack/components/directory/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration in force, in the form in which the pipeline reads it."""
+"""Read access of the pipeline to the configuration in force."""
--- a/chivetrack/components/directory/directory.py
+++ b/chivetrack/components/directory/directory.py
@@ -1,4 +1,4 @@
-"""Workspaces, policies and models of the configuration view, for the pipeline."""
+"""Looks up workspaces, routing policies and models for the pipeline."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -13,24 +13,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkspaceHandle:
-    """A workspace with its name."""
+    """Named workspace, as the pipeline reads it."""
 
     name: str
     form: Workspace
 
     @property
     def priority(self) -> int:
-        """Return the priority that engines are told."""
+        """Return the priority that is sent to engines with each request."""
         return self.form.priority
 
     @property
     def rate(self) -> float | None:
-        """Return how many requests a second it may send."""
+        """Return the rate limit in requests per second, ``None`` without one."""
         return self.form.rate
 
     @property
     def concurrency(self) -> int | None:
-        """Return how many requests it may have running."""
+        """Return the maximum number of concurrent requests, ``None`` without one."""
         return self.form.concurrency
 
     def allows(self, service: str) -> bool:
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PolicyHandle:
-    """A routing policy; times in seconds."""
+    """Routing policy, as the pipeline reads it; times in seconds."""
 
     form: RoutingPolicy
 
@@ -51,22 +51,22 @@
 
     @property
     def max_attempts(self) -> int:
-        """Return how many endpoints a request may be tried at."""
+        """Return the maximum number of attempts of a request."""
         return self.form.max_attempts
 
     @property
     def timeout_s(self) -> float:
-        """Return how long a request may take in all."""
+        """Return the total time limit of a request."""
         return self.form.timeouts.total_s
 
     @property
     def stall_timeout_s(self) -> float:
-        """Return how long a stream may be silent."""
+        """Return the maximum time between two chunks of a stream."""
         return self.form.timeouts.idle_s
 
     @property
     def locality(self) -> Locality:
-        """Return how near its endpoint a request wants to stay."""
+        """Return how close to its router a request should be served."""
         return self.form.locality
 
     @property
@@ -76,15 +76,15 @@
 
 
 class AnnouncedEndpoints(Protocol):
-    """The endpoints that announced themselves."""
+    """Interface of the registry of announced endpoints."""
 
     @property
     def version(self) -> int:
-        """Return a number that changes with the list."""
+        """Return a number that changes with each change of the lists."""
         ...
 
     def list_services(self) -> Sequence[str]:
-        """Return the services that have endpoints."""
+        """Return the names of services that have endpoints."""
         ...
 
     def list_endpoints(self, service: str) -> Sequence[EndpointState]:
@@ -93,41 +93,41 @@
 
 
 class ConfigDirectory:
-    """Answers the pipeline's questions from the configuration in force.
+    """Looks up configuration in force for the pipeline.
 
-    A model belongs to the service that its ``model`` resource names; without one, to
-    the service whose endpoints announce it.
+    A model belongs to the service named by its ``model`` resource. Without such a resource,
+    it belongs to the service whose endpoints announce it.
     """
 
     def __init__(self, *, view: ConfigView, endpoints: AnnouncedEndpoints) -> None:
-        """Take the configuration and the announced endpoints."""
+        """Create a directory that reads ``view`` and the announced endpoints."""
         self._view = view
         self._endpoints = endpoints
         self._announced: dict[str, str] = {}
         self._announced_version = -1
 
     def find_workspace(self, name: str) -> WorkspaceHandle | None:
-        """Return a workspace by name."""
+        """Return a workspace by name, ``None`` if it does not exist."""
         named = self._view.get_workspace(name)
         return None if named is None else WorkspaceHandle(name=named.name, form=named.form)
 
     def find_workspace_by_key(self, key: str) -> WorkspaceHandle | None:
-        """Return the workspace that a caller's key belongs to."""
+        """Return the workspace to which a caller's key belongs, ``None`` if unknown."""
         named = self._view.find_workspace(key)
         return None if named is None else WorkspaceHandle(name=named.name, form=named.form)
 
     def check_key(self, workspace: WorkspaceHandle, key: str) -> bool:
-        """Return whether a key is one of the workspace's; looks at all of them."""
-        # All are compared, so that the time does not tell which one was nearly right.
-        fits = [check_key(key, stored) for stored in workspace.form.keys]
-        return True in fits
+        """Return whether a key belongs to the workspace, comparing it with all its keys."""
+        # No early exit, so that the response time does not reveal which stored key nearly matched.
+        matches = [check_key(key, stored) for stored in workspace.form.keys]
+        return True in matches
 
     def get_policy(self, workspace: WorkspaceHandle) -> PolicyHandle:
         """Return the routing policy of a workspace."""
         return PolicyHandle(form=self._view.get_policy(workspace.form))
 
     def find_service(self, model: str) -> str | None:
-        """Return the service that serves a model."""
+        """Return the service that serves a model, ``None`` if unknown."""
         for named in self._view.list_named("model"):
             if named.name == model:
                 return str(named.form.service)
@@ -145,5 +145,5 @@
         }
 
     def is_confirmed(self, now: float) -> bool:
-        """Return whether requests may be served with the configuration at hand."""
+        """Return whether requests may be served with the current configuration."""
         return self._view.check_serving(now) is None
--- a/chivetrack/components/directory/limits.py
+++ b/chivetrack/components/directory/limits.py
@@ -1,4 +1,4 @@
-"""The limits in force for a workspace: its own, and those of matching limit resources."""
+"""Limits in force for a workspace, from the workspace and matching limit resources."""
 
 from collections.abc import Iterable, Iterator
 
@@ -12,21 +12,23 @@
 
 
 class ConfiguredLimits:
-    """Reads limits from the configuration; the narrowest of all that match holds.
+    """Reads limits from the configuration; the lowest of all matching limits applies.
 
-    Limit resources for one service or one model are not applied yet: a workspace has
-    one gate for all it sends.
+    Limit resources for a single service or model are not applied yet, because a workspace
+    has one limiter for all its requests.
     """
 
     def __init__(self, *, view: ConfigView) -> None:
-        """Take the configuration."""
+        """Create a reader of the limits in ``view``."""
         self._view = view
 
     def find_limit(self, workspace: WorkspaceView) -> WorkspaceLimit | None:
-        """Return the limits of a workspace, ``None`` without any."""
+        """Return the limits of a workspace, ``None`` if it has no limits."""
         matching = list(self._list_matching(workspace.name))
-        rate = _find_least([workspace.rate, *(each.rate for each in matching)])
-        concurrency = _find_least([workspace.concurrency, *(each.concurrency for each in matching)])
+        rate = _find_lowest([workspace.rate, *(limit.rate for limit in matching)])
+        concurrency = _find_lowest(
+            [workspace.concurrency, *(limit.concurrency for limit in matching)]
+        )
         if rate is None and concurrency is None:
             return None
         return WorkspaceLimit(
@@ -38,10 +40,10 @@
     def _list_matching(self, workspace: str) -> Iterator[Limit]:
         for named in self._view.list_named("limit"):
             limit: Limit = named.form
-            is_whole = limit.service == ANY_NAME and limit.model == ANY_NAME
-            if is_whole and limit.workspace in (workspace, ANY_NAME):
+            applies_to_all = limit.service == ANY_NAME and limit.model == ANY_NAME
+            if applies_to_all and limit.workspace in (workspace, ANY_NAME):
                 yield limit
 
 
-def _find_least(values: Iterable[float | None]) -> float | None:
+def _find_lowest(values: Iterable[float | None]) -> float | None:
     return min((value for value in values if value is not None), default=None)
