--- a/chivetrack/components/claims/coordinator.py
+++ b/chivetrack/components/claims/coordinator.py
@@ -1,4 +1,4 @@
-"""Asks the log for claims and reports how they ended."""
+"""Requests claims from the log and reports how they ended."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -31,30 +31,30 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _PendingClaim:
-    """A claim that was asked for; ``data`` is its command."""
+    """Requested claim; ``data`` is the encoded command."""
 
     ask: AskClaim
     data: bytes
 
 
 class ClaimCoordinator:
-    """Turns the flow's claim effects into submissions, and their ends into events.
+    """Converts claim effects of the flow into submissions, and their ends into events.
 
-    ``make_holder`` gives a text that is unique to one attempt of one router;
-    ``to_wall_ms`` maps ``now`` to milliseconds since 1970 for the store's clock.
+    ``make_holder`` returns an identifier that is unique to one attempt of one router.
+    ``to_wall_ms`` converts ``now`` to Unix time in milliseconds, for the store's clock.
     """
 
     def __init__(
         self, *, make_holder: Callable[[str], str], to_wall_ms: Callable[[float], int]
     ) -> None:
-        """Start with no claims."""
+        """Create a coordinator without claims."""
         self._make_holder = make_holder
         self._to_wall_ms = to_wall_ms
         self._pending: dict[str, _PendingClaim] = {}
         self._grants: dict[str, int] = {}
 
     def ask(self, effect: AskClaim, *, now: float) -> Submit:
-        """Return the submission that asks for a claim."""
+        """Return the submission that requests a claim."""
         holder = self._make_holder(effect.request_id)
         run_ms = int((effect.lifetime_s + CLAIM_MARGIN_S) * MILLISECONDS_PER_SECOND)
         command = Claim(
@@ -71,7 +71,10 @@
         return self._submit(CLAIM_PREFIX + effect.request_id, pending.data, deadline)
 
     def end(self, effect: EndClaim, *, now: float) -> Submit | None:
-        """Return the submission that reports how a claimed request ended."""
+        """Return the submission that reports how a claimed request ended.
+
+        Returns ``None`` if no claim was granted to the request.
+        """
         grant = self._grants.pop(effect.request_id, None)
         if grant is None:
             return None
@@ -102,7 +105,10 @@
     def handle_submission_ended(
         self, ended: SubmissionEnded, *, now: float
     ) -> ClaimAnswered | Submit | None:
-        """Return what follows from the end of a submission of this component."""
+        """Handle the end of a submission.
+
+        Returns the resulting event or follow-up submission, ``None`` if there is none.
+        """
         if ended.submission_id.startswith(CLAIM_PREFIX):
             return self._handle_claim_ended(ended, now)
         if ended.submission_id.startswith(CLEANUP_PREFIX):
@@ -110,15 +116,15 @@
         return None
 
     def needs_cleanup(self, ended: SubmissionEnded) -> bool:
-        """Return whether a claim may have been granted without anybody knowing."""
+        """Return whether a claim may have been granted although its answer was lost."""
         is_claim = ended.submission_id.startswith(CLAIM_PREFIX)
         return is_claim and ended.fault is not None and ended.fault.ran is not Ran.NO
 
     def clean_up(self, ended: SubmissionEnded, *, now: float) -> Submit:
-        """Return the submission that finds out about a claim whose answer was lost.
+        """Return the submission that repeats a claim command whose answer was lost.
 
-        The request was refused and never sent. Were its claim left in the log, its
-        resend would hear "in progress" until the claim runs out, and then "unknown".
+        The request was refused and not sent. If its claim stayed in the log, a resend would
+        get "in progress" until the claim expires, and then "unknown".
         """
         request_id = ended.submission_id.removeprefix(CLAIM_PREFIX)
         data = self._pending[request_id].data
--- a/chivetrack/components/claims/faults.py
+++ b/chivetrack/components/claims/faults.py
@@ -1,4 +1,4 @@
-"""What the caller of a request with an idempotency key is told."""
+"""Faults that are reported to callers of requests with idempotency keys."""
 
 from chivetrack.components.claims.const import IN_PROGRESS_RETRY_S
 from chivetrack.components.store.outcomes import ClaimAnswer, ClaimState
@@ -6,7 +6,7 @@
 
 
 def claim_unavailable(retry_after_s: float | None) -> Fault:
-    """Return the fault when the log gave no claim; the request was not dispatched."""
+    """Return the fault for a claim that the log did not grant; the request was not sent."""
     return Fault(
         code="claim_unavailable",
         message="The idempotency key could not be claimed; the request was not sent.",
@@ -50,5 +50,5 @@
 
 
 def find_claim_fault(answer: ClaimAnswer) -> Fault:
-    """Return the fault for a claim that was not granted and has no kept answer."""
+    """Return the fault for a claim that was not granted and has no stored answer."""
     return _FAULTS.get(answer.state, claim_unavailable(IN_PROGRESS_RETRY_S))
--- a/tests/components/claims/test_claims.py
+++ b/tests/components/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""At most once, with claims in the log: routers die, answers are lost, callers resend."""
+"""At-most-once execution with claims in the log, under lost answers and router crashes."""
 
 import random
 import unittest
@@ -34,28 +34,28 @@
 
 
 class FakeLog:
-    """One store behind a network that refuses, loses and delays."""
+    """Store behind a network that refuses, loses and delays messages."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._index = 0
         self.store = Store()
 
-    def take(self, message: ForwardProposal) -> ProposalAnswer | None:
-        fate = self._rng.random()
-        if fate < 0.15:
+    def handle_proposal(self, message: ForwardProposal) -> ProposalAnswer | None:
+        draw = self._rng.random()
+        if draw < 0.15:
             return ProposalAnswer(message.number, Verdict.REFUSED)
-        if fate < 0.3:
+        if draw < 0.3:
             return None
         self._index += 1
         result = self.store.apply(self._index, message.data)
-        if fate < 0.45:
+        if draw < 0.45:
             return None
         return ProposalAnswer(message.number, Verdict.ACCEPTED, result)
 
 
 class FakeRouter:
-    """A router node on fakes; ``name`` is unique to one run of its process."""
+    """Router node with fake components; ``name`` is unique to one start of its process."""
 
     def __init__(self, name: str, rng: random.Random) -> None:
         self.name = name
@@ -85,7 +85,7 @@
 
 
 class World:
-    """Two routers, one log, one caller that sends the same keyed request again and again."""
+    """Two routers, one log and one caller that resends the same keyed request."""
 
     def __init__(self, test: unittest.TestCase, seed: int) -> None:
         self.test = test
@@ -94,7 +94,7 @@
         self.now = 1.0
         self.started = 0
         self.routers = [self.start_router() for _ in range(2)]
-        self.mail: list[tuple[FakeRouter, ProposalAnswer]] = []
+        self.pending_answers: list[tuple[FakeRouter, ProposalAnswer]] = []
         self.attempts: list[tuple[FakeRouter, StartAttempt]] = []
         self.requests = 0
         self.runs = 0
@@ -104,16 +104,16 @@
         self.started += 1
         return FakeRouter(f"router-{self.started}", self.rng)
 
-    def post(self, router: FakeRouter, event: Event) -> None:
-        self.take(router, router.node.handle(event, now=self.now))
+    def send_event(self, router: FakeRouter, event: Event) -> None:
+        self.apply_effects(router, router.node.handle(event, now=self.now))
 
-    def take(self, router: FakeRouter, effects: list[Effect]) -> None:
+    def apply_effects(self, router: FakeRouter, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendMessage):
                 assert isinstance(effect.message, ForwardProposal)
-                answer = self.log.take(effect.message)
+                answer = self.log.handle_proposal(effect.message)
                 if answer is not None:
-                    self.mail.append((router, answer))
+                    self.pending_answers.append((router, answer))
             elif isinstance(effect, StartAttempt):
                 self.attempts.append((router, effect))
             elif isinstance(effect, RelayAnswer):
@@ -121,7 +121,7 @@
             elif isinstance(effect, ReplayAnswer):
                 self.test.assertEqual(effect.answer.body, self.answer, "not the first answer")
             elif isinstance(effect, Refuse) and effect.fault.ran is Ran.YES:
-                self.test.assertEqual(self.runs, 1, "said that it ran, but it did not")
+                self.test.assertEqual(self.runs, 1, "reported as executed, but it was not")
 
     def finish(self, router: FakeRouter, request_id: str) -> None:
         whole = self.rng.random() < 0.8
@@ -131,27 +131,27 @@
         event = AnswerEnded(
             request_id=request_id, attempt=self.current, whole=whole, status=200, body=body
         )
-        self.post(router, event)
+        self.send_event(router, event)
 
-    def play_attempt(self) -> None:
+    def run_attempt(self) -> None:
         router, start = self.attempts.pop(self.rng.randrange(len(self.attempts)))
         if router not in self.routers:
-            # The router died after its request had gone out: the endpoint may run it.
+            # The router crashed after sending its request, so the endpoint may execute it.
             self.count_run(self.rng.random() < 0.5)
             return
         number = start.attempt.number
-        fate = self.rng.random()
-        if fate < 0.4:
+        draw = self.rng.random()
+        if draw < 0.4:
             outcome = self.rng.choice([AttemptOutcome.NOT_SENT, AttemptOutcome.REFUSED])
             self.fail(router, start, outcome)
-        elif fate < 0.6:
+        elif draw < 0.6:
             self.count_run(self.rng.random() < 0.5)
             self.fail(router, start, AttemptOutcome.MAYBE_RAN)
         else:
             self.count_run(True)
             self.current = number
             event = AttemptAnswered(request_id=start.request_id, attempt=number, status=200)
-            self.post(router, event)
+            self.send_event(router, event)
 
     def count_run(self, ran: bool) -> None:
         self.runs += ran
@@ -162,9 +162,9 @@
             request_id=start.request_id,
             attempt=start.attempt.number,
             outcome=outcome,
-            message="played",
+            message="injected",
         )
-        self.post(router, event)
+        self.send_event(router, event)
 
     def step(self) -> None:
         self.now += self.rng.random()
@@ -173,28 +173,30 @@
         if choice < 0.2:
             self.requests += 1
             request = make_request(idempotency_key="quote-7")
-            self.post(router, RequestArrived(request_id=f"q{self.requests}", request=request))
-        elif choice < 0.5 and self.mail:
-            target, answer = self.mail.pop(self.rng.randrange(len(self.mail)))
+            self.send_event(router, RequestArrived(request_id=f"q{self.requests}", request=request))
+        elif choice < 0.5 and self.pending_answers:
+            target, answer = self.pending_answers.pop(self.rng.randrange(len(self.pending_answers)))
             if target in self.routers:
-                self.post(target, MessageReceived(source="a", message=answer))
+                self.send_event(target, MessageReceived(source="a", message=answer))
         elif choice < 0.75 and self.attempts:
-            self.play_attempt()
+            self.run_attempt()
         elif choice < 0.8:
-            self.post(router, CallerGone(request_id=f"q{self.rng.randint(1, 1 + self.requests)}"))
+            self.send_event(
+                router, CallerGone(request_id=f"q{self.rng.randint(1, 1 + self.requests)}")
+            )
         elif choice < 0.85:
             self.routers[self.routers.index(router)] = self.start_router()
         else:
-            self.post(router, TimeReached())
+            self.send_event(router, TimeReached())
 
 
 class AtMostOnceFuzzTest(unittest.TestCase):
     def test_a_keyed_request_runs_at_most_once(self) -> None:
-        """A caller sends a quote with a key, hears nothing and sends it again.
+        """A caller sends a request with an idempotency key, gets no answer and resends it.
 
-        The resends go through two routers that die and restart; the log refuses,
-        loses commands and loses answers; callers leave. Whatever the order, the quote
-        runs at most once, and a replayed answer is the first one.
+        The resends go through two routers that crash and restart. The log refuses commands
+        and loses commands and answers, and callers disconnect. In any order of events, the
+        request runs at most once, and a replayed answer is the first one.
         """
         ran = 0
         for seed in range(SEEDS):
@@ -203,4 +205,4 @@
                 for _ in range(STEPS):
                     world.step()
                 ran += world.runs
-        self.assertGreater(ran, SEEDS // 4, "the fuzz hardly ran anything")
+        self.assertGreater(ran, SEEDS // 4, "too few requests were executed")
