--- a/chivetrack/components/evacuation/__init__.py
+++ b/chivetrack/components/evacuation/__init__.py
@@ -1,1 +1,4 @@
-"""Operators' orders that a zone's endpoints get nothing new, as replicated state."""
+"""Evacuation of zones by operators, as replicated state.
+
+The endpoints of an evacuated zone get no new requests.
+"""
--- a/chivetrack/components/evacuation/models.py
+++ b/chivetrack/components/evacuation/models.py
@@ -1,4 +1,4 @@
-"""Evacuated zones, and the orders that change them."""
+"""Evacuated zones and the orders that change them."""
 
 import msgspec
 
@@ -7,10 +7,10 @@
 
 @message("evacuation.order")
 class ZoneOrder(Message, frozen=True, array_like=True):
-    """Evacuate a zone, or take it back.
+    """Order to evacuate a zone or to withdraw its evacuation.
 
-    ``seen_revision`` is that of the zone at the replica which was asked, when it was asked.
-    ``at`` is the time of day there (Unix seconds).
+    ``seen_revision`` is the revision of the zone at the replica that received the order, at
+    the time of receipt. ``at`` is that time (Unix seconds).
     """
 
     zone: str
@@ -21,7 +21,7 @@
 
 @message("evacuation.outcome")
 class OrderOutcome(Message, frozen=True, array_like=True):
-    """What became of an order; ``is_in_force`` is false for one that a newer one overtook."""
+    """Result of an order; ``is_in_force`` is false if a newer order superseded it."""
 
     revision: int
     is_in_force: bool
@@ -29,10 +29,10 @@
 
 @message("evacuation.zone")
 class ZoneState(Message, frozen=True, array_like=True):
-    """The last order for a zone; ``revision`` is its index in the log.
+    """Latest order for a zone; ``revision`` is its index in the log.
 
-    It stays after the zone is taken back: without it a late order could not be told
-    from a new one.
+    It is kept after the evacuation is withdrawn, because otherwise a delayed order could
+    not be distinguished from a new one.
     """
 
     zone: str
@@ -41,7 +41,7 @@
     since: float
 
     def describe(self) -> dict[str, str | bool | int | float]:
-        """Return what is shown of a zone to operators."""
+        """Return the state of the zone in the form shown to operators."""
         return {
             "zone": self.zone,
             "evacuated": self.is_evacuated,
@@ -52,44 +52,44 @@
 
 @message("evacuation.zones")
 class Evacuations(Message, frozen=True, array_like=True):
-    """All zones that were ever ordered to be evacuated."""
+    """All zones for which there has been an order."""
 
     zones: tuple[ZoneState, ...] = ()
 
     @property
     def revision(self) -> int:
-        """Return the revision of the newest order, 0 without any."""
-        return max((one.revision for one in self.zones), default=0)
+        """Return the revision of the newest order, 0 if there is none."""
+        return max((state.revision for state in self.zones), default=0)
 
     def list_evacuated(self) -> tuple[str, ...]:
-        """Return the names of the zones whose endpoints get nothing new."""
-        return tuple(one.zone for one in self.zones if one.is_evacuated)
+        """Return the names of the zones whose endpoints get no new requests."""
+        return tuple(state.zone for state in self.zones if state.is_evacuated)
 
     @property
     def evacuated_since(self) -> float:
-        """Return when the oldest evacuation in force was ordered (Unix s), 0 without any."""
-        return min((one.since for one in self.zones if one.is_evacuated), default=0.0)
+        """Return when the oldest evacuation in force was ordered (Unix s), 0 if there is none."""
+        return min((state.since for state in self.zones if state.is_evacuated), default=0.0)
 
     def find(self, zone: str) -> ZoneState:
-        """Return the state of a zone, also of one that no order was for."""
+        """Return the state of a zone; without an order its revision is 0."""
         unknown = ZoneState(zone=zone, is_evacuated=False, revision=0, since=0.0)
-        return next((one for one in self.zones if one.zone == zone), unknown)
+        return next((state for state in self.zones if state.zone == zone), unknown)
 
     def apply(self, order: ZoneOrder, index: int) -> tuple["Evacuations", OrderOutcome]:
-        """Return the state after an order at ``index`` of the log, and what became of it.
+        """Return the state after an order at ``index`` of the log, and the order's result.
 
-        A repeated order changes nothing. Held up behind a cut or in a frozen replica, a
-        resend of the first order can come after the zone was taken back and has been
-        acknowledged as such; its replica had not seen that, so it is dropped.
+        A repeated order changes nothing. A resend delayed by a partition or a frozen replica
+        may arrive after the evacuation was withdrawn and the withdrawal acknowledged. The
+        replica that received the resend had not seen the withdrawal, so it is dropped.
         """
-        known = self.find(order.zone)
-        if known.is_evacuated == order.is_evacuated:
-            return self, OrderOutcome(revision=known.revision, is_in_force=True)
-        if known.revision > order.seen_revision:
-            return self, OrderOutcome(revision=known.revision, is_in_force=False)
+        current = self.find(order.zone)
+        if current.is_evacuated == order.is_evacuated:
+            return self, OrderOutcome(revision=current.revision, is_in_force=True)
+        if current.revision > order.seen_revision:
+            return self, OrderOutcome(revision=current.revision, is_in_force=False)
         changed = ZoneState(
             zone=order.zone, is_evacuated=order.is_evacuated, revision=index, since=order.at
         )
-        others = tuple(one for one in self.zones if one.zone != order.zone)
+        others = tuple(state for state in self.zones if state.zone != order.zone)
         zones = msgspec.structs.replace(self, zones=(*others, changed))
         return zones, OrderOutcome(revision=index, is_in_force=True)
