--- a/chivetrack/components/claims/coordinator.py
+++ b/chivetrack/components/claims/coordinator.py
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _PendingClaim:
-    """Requested claim; ``data`` is the encoded command."""
+    """Requested claim with the effect that requested it; ``data`` is the encoded command."""
 
-    ask: AskClaim
+    effect: AskClaim
     data: bytes
 
 
@@ -65,7 +65,7 @@
             holder=holder,
             run_ms=run_ms,
         )
-        pending = _PendingClaim(ask=effect, data=pack(command))
+        pending = _PendingClaim(effect=effect, data=pack(command))
         self._pending[effect.request_id] = pending
         deadline = now + min(CLAIM_TIMEOUT_S, effect.lifetime_s)
         return self._submit(CLAIM_PREFIX + effect.request_id, pending.data, deadline)
@@ -153,9 +153,9 @@
         pending: _PendingClaim, *, fault: Fault | None = None, stored: StoredAnswer | None = None
     ) -> ClaimAnswered:
         return ClaimAnswered(
-            request_id=pending.ask.request_id,
-            workspace=pending.ask.workspace,
-            key=pending.ask.key,
+            request_id=pending.effect.request_id,
+            workspace=pending.effect.workspace,
+            key=pending.effect.key,
             fault=fault,
             stored=stored,
         )
@@ -167,10 +167,10 @@
         if not isinstance(answer, ClaimAnswer) or answer.state is not ClaimState.GRANTED:
             return None
         self._grants[request_id] = answer.grant
-        end = EndClaim(
+        effect = EndClaim(
             request_id=request_id,
-            workspace=pending.ask.workspace,
-            key=pending.ask.key,
+            workspace=pending.effect.workspace,
+            key=pending.effect.key,
             did_not_run=True,
         )
-        return self.end(end, now=now)
+        return self.end(effect, now=now)
--- a/tests/components/announcements/test_table.py
+++ b/tests/components/announcements/test_table.py
@@ -89,7 +89,7 @@
         self.assertEqual(table.change, change)
         self.assertEqual(table.list_changes(change), [])
         table.merge(make_record(3, state=EndpointState.DRAINING), now=2.0)
-        self.assertEqual([one.sequence for one in table.list_changes(change)], [3])
+        self.assertEqual([record.sequence for record in table.list_changes(change)], [3])
 
     def test_restored_endpoints_need_confirmation(self) -> None:
         """All replicas lose power and restart with the stored endpoints.
@@ -104,7 +104,7 @@
         self.assertFalse(table.mark_unconfirmed_lost(2.0))
         self.assertTrue(table.mark_unconfirmed_lost(3.0))
         self.assertFalse(table.mark_unconfirmed_lost(4.0))
-        states = {one.endpoint_id: one.state for one in table.list_records()}
+        states = {record.endpoint_id: record.state for record in table.list_records()}
         self.assertEqual(states, {"e1": EndpointState.READY, "e2": EndpointState.LOST})
         self.assertTrue(table.merge(make_record(6, endpoint_id="e2"), now=5.0))
 
--- a/tests/components/drains/test_drains.py
+++ b/tests/components/drains/test_drains.py
@@ -140,15 +140,15 @@
     def test_unchanged_state_is_not_written_again(self) -> None:
         self.add_fleet()
         self.fleet.loads["e1"] = 1
-        (one,) = self.start()
+        (instance,) = self.start()
         self.drain("d", "e1")
         self.drain("e", "e2", floor=1.0)
         self.simulation.run(10.0)
         revision = self.simulation.store.revision
-        reconcile_count = one.controller.reconcile_count
+        reconcile_count = instance.controller.reconcile_count
         self.simulation.run(20.0)
         self.assertEqual(revision, self.simulation.store.revision)
-        self.assertGreater(one.controller.reconcile_count, reconcile_count)
+        self.assertGreater(instance.controller.reconcile_count, reconcile_count)
 
 
 class FloorTest(DrainTestCase):
@@ -270,10 +270,10 @@
     def test_deleted_drain_leaves_no_state(self) -> None:
         """The status is the only state of a drain and is deleted with the resource."""
         self.add_fleet()
-        (one,) = self.start()
+        (instance,) = self.start()
         self.drain("d", "e1")
         self.simulation.run(1.0)
-        one.is_dead = True
+        instance.is_dead = True
         self.simulation.delete(KIND, "d")
         self.assertIsNone(self.simulation.store.table.get(KIND, "d"))
 
@@ -291,7 +291,7 @@
 
     def test_killed_between_write_and_answer(self) -> None:
         self.add_fleet(2)
-        one, two = self.start("one", "two")
+        first, second = self.start("one", "two")
         holder = self.find_holder()
         holder.network = Network(delay=(0.3, 0.3))
         self.drain("first", "e1")
@@ -309,9 +309,9 @@
         revision confirmed after the grant, both halves would be drained.
         """
         self.add_fleet(2)
-        one, two = self.start("one", "two")
+        first, second = self.start("one", "two")
         holder = self.find_holder()
-        other = two if holder is one else one
+        other = second if holder is first else first
         self.drain("second", "e2", start=datetime.fromtimestamp(START_MS / 1000 + 9, UTC))
         self.simulation.run(0.5)
         other.network = Network(table_lag=30.0)
@@ -356,13 +356,13 @@
         waits, so the second would be allowed to start, and both halves would be drained.
         """
         self.add_fleet(2)
-        (one,) = self.start()
+        (instance,) = self.start()
         self.drain("first", "e1", floor=0.6)
         self.simulation.run(3.0)
-        one.network = Network(delay=(5.0, 5.0))
+        instance.network = Network(delay=(5.0, 5.0))
         self.fleet.add("e3")
         self.simulation.run(0.6)
-        one.network = Network()
+        instance.network = Network()
         del self.fleet.endpoints["e3"]
         self.drain("second", "e2")
         for _ in range(100):
--- a/tests/components/endpoints/test_breaker.py
+++ b/tests/components/endpoints/test_breaker.py
@@ -223,8 +223,13 @@
 class DrainTest(RegistryCase):
     def test_drains_mark_as_leaving_and_end(self) -> None:
         zone = Drain(name="drain/zone", zones=frozenset({"fukuoka-hall"}))
-        one = Drain(name="drain/one", endpoint_ids=frozenset({"e-2"}))
-        cases = [([one], {"e-2"}), ([zone], set(NAMES)), ([zone, one], set(NAMES)), ([], set())]
+        single = Drain(name="drain/one", endpoint_ids=frozenset({"e-2"}))
+        cases = [
+            ([single], {"e-2"}),
+            ([zone], set(NAMES)),
+            ([zone, single], set(NAMES)),
+            ([], set()),
+        ]
         for drains, expected in cases:
             with self.subTest(drains=[drain.name for drain in drains]):
                 version, before = self.registry.version, self.list_unavailable()
--- a/tests/components/orders/test_client.py
+++ b/tests/components/orders/test_client.py
@@ -91,12 +91,12 @@
         for title, answer, state in table:
             with self.subTest(title), open_server(Script([[answer]])) as server:
                 answer_by = time.monotonic() + 0.5
-                ask = QueryEngine(
+                query = QueryEngine(
                     endpoint_id="e1",
                     address=server.address,
                     query_id="a1",
                     fencing=7,
                     answer_by=answer_by,
                 )
-                self.assertEqual(state, self.client.query_state(ask).state)
+                self.assertEqual(state, self.client.query_state(query).state)
                 self.assertIn(b"?fencing=7 ", server.requests[0])
