--- a/chivetrack/components/claims/coordinator.py
+++ b/chivetrack/components/claims/coordinator.py
@@ -70,7 +70,7 @@
         deadline = now + min(CLAIM_TIMEOUT_S, effect.lifetime_s)
         return self._submit(CLAIM_PREFIX + effect.request_id, pending.data, deadline)
 
-    def end(self, effect: EndClaim, *, now: float) -> Submit | None:
+    def report_end(self, effect: EndClaim, *, now: float) -> Submit | None:
         """Return the submission that reports how a claimed request ended.
 
         Returns ``None`` if no claim was granted to the request.
@@ -173,4 +173,4 @@
             key=pending.effect.key,
             did_not_run=True,
         )
-        return self.end(effect, now=now)
+        return self.report_end(effect, now=now)
--- a/chivetrack/node.py
+++ b/chivetrack/node.py
@@ -99,7 +99,7 @@
         if isinstance(effect, AskClaim):
             return self._proposals.handle(self._claims.ask(effect, now=now), now=now)
         if isinstance(effect, EndClaim):
-            report = self._claims.end(effect, now=now)
+            report = self._claims.report_end(effect, now=now)
             return [] if report is None else self._proposals.handle(report, now=now)
         assert isinstance(effect, SubmissionEnded)
         return self._follow_submission(effect, now)
