--- a/chivetrack/components/claims/coordinator.py
+++ b/chivetrack/components/claims/coordinator.py
@@ -53,7 +53,7 @@
         self._pending: dict[str, _PendingClaim] = {}
         self._grants: dict[str, int] = {}
 
-    def ask(self, effect: AskClaim, *, now: float) -> Submit:
+    def request_claim(self, effect: AskClaim, *, now: float) -> Submit:
         """Return the submission that requests a claim."""
         holder = self._make_holder(effect.request_id)
         run_ms = int((effect.lifetime_s + CLAIM_MARGIN_S) * MILLISECONDS_PER_SECOND)
--- a/chivetrack/node.py
+++ b/chivetrack/node.py
@@ -97,7 +97,7 @@
 
     def _follow(self, effect: Effect, now: float) -> list[Effect]:
         if isinstance(effect, AskClaim):
-            return self._proposals.handle(self._claims.ask(effect, now=now), now=now)
+            return self._proposals.handle(self._claims.request_claim(effect, now=now), now=now)
         if isinstance(effect, EndClaim):
             report = self._claims.report_end(effect, now=now)
             return [] if report is None else self._proposals.handle(report, now=now)
