--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -157,17 +157,17 @@
         if self._paused_until:
             excluded |= {record.endpoint_id for record in ready if self.find_pause(record, now)}
         if not is_limited:
-            return self._make_division(ready, evacuated, excluded)
+            return self._make_partition(ready, evacuated, excluded)
         cold = {
             record.endpoint_id for record in ready if self.cold.is_cold(record.endpoint_id, now)
         }
         excluded |= {endpoint_id for endpoint_id in cold if self.cold.find_wait(endpoint_id, now)}
         if len(passed_over) >= MAX_ASKS:
             excluded |= cold
-        return self._make_division(ready, evacuated, excluded)
+        return self._make_partition(ready, evacuated, excluded)
 
     @staticmethod
-    def _make_division(
+    def _make_partition(
         ready: Sequence[EndpointRecord],
         evacuated: Sequence[EndpointRecord],
         excluded: Collection[str],
--- a/tests/components/announcements/test_directory.py
+++ b/tests/components/announcements/test_directory.py
@@ -27,11 +27,11 @@
         self.directory.apply_changes(now=0.0)
 
     def list_open(self, now: float = 0.0, passed_over: tuple[str, ...] = ()) -> list[str]:
-        division = self.directory.partition(
+        partition = self.directory.partition(
             "llm", passed_over=passed_over, is_limited=True, now=now
         )
-        self.resting = [record.endpoint_id for record in division.resting]
-        return [record.endpoint_id for record in division.open]
+        self.resting = [record.endpoint_id for record in partition.resting]
+        return [record.endpoint_id for record in partition.open]
 
     def test_draining_endpoint_is_only_a_source(self) -> None:
         self.merge(1, "e1", "z1")
