--- a/tests/components/model_placement/test_placement.py
+++ b/tests/components/model_placement/test_placement.py
@@ -192,8 +192,8 @@
         self.run_until(lambda: len(self.site.list_ready(NEW)) == 3)
         self.find_holder().is_dead = True
         former.network = Network()
-        send = self.site.ask
-        self.site.ask = lambda instance, effect: (  # type: ignore[method-assign]
+        send = self.site.query
+        self.site.query = lambda instance, effect: (  # type: ignore[method-assign]
             None if effect.endpoint_id == "e0" else send(instance, effect)
         )
         self.site.run(FAILOVER_S)
@@ -280,12 +280,12 @@
         loads = self.count_orders()
         self.find_holder().is_dead = True
         silent = self.site.engines[self.site.list_ready(OLD)[0]]
-        send = self.site.ask
-        self.site.ask = lambda instance, effect: (  # type: ignore[method-assign]
+        send = self.site.query
+        self.site.query = lambda instance, effect: (  # type: ignore[method-assign]
             None if effect.endpoint_id == silent.name else send(instance, effect)
         )
         self.site.run(FAILOVER_S + 10.0)
-        self.site.ask = send  # type: ignore[method-assign]
+        self.site.query = send  # type: ignore[method-assign]
         self.site.run(60.0)
         self.assertEqual(loads, self.count_orders())
 
@@ -295,13 +295,13 @@
         self.site.set_model(copies=3)
         self.run_until(lambda: self.count_orders() == 3)
         self.find_holder().is_dead = True
-        send = self.site.ask
+        send = self.site.query
         silent = next(e.name for e in self.site.engines.values() if e.held)
-        self.site.ask = lambda instance, effect: (  # type: ignore[method-assign]
+        self.site.query = lambda instance, effect: (  # type: ignore[method-assign]
             None if effect.endpoint_id == silent else send(instance, effect)
         )
         self.site.run(FAILOVER_S)
-        self.site.ask = send  # type: ignore[method-assign]
+        self.site.query = send  # type: ignore[method-assign]
         self.site.run(100.0)
         self.assertEqual(3, self.count_orders())
 
--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -182,7 +182,7 @@
         if isinstance(effect, SendOrder):
             self.send(instance, effect)
         elif isinstance(effect, QueryEngine):
-            self.ask(instance, effect)
+            self.query(instance, effect)
         elif isinstance(effect, OrderRequestEnded):
             self.ended.append(effect)
 
@@ -206,7 +206,7 @@
         low, high = self.network.delay
         return replace(self.network, delay=(low, min(high, const.MAX_DELIVERY_S)))
 
-    def ask(self, instance: Instance, effect: QueryEngine) -> None:
+    def query(self, instance: Instance, effect: QueryEngine) -> None:
         def arrive() -> None:
             engine = self.engines[effect.endpoint_id]
             if engine.checks:
