--- a/chivetrack/components/drains/models.py
+++ b/chivetrack/components/drains/models.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainReport:
-    """Full status of a drain; routers read only its phase and reason.
+    """Full status of a drain; routers read only its phase.
 
     ``target`` and ``floor`` are copied from the specification for which the floor was
     checked. ``reserved`` is the capacity that the drain takes out of service; it is kept
