--- a/chivetrack/components/consensus/const.py
+++ b/chivetrack/components/consensus/const.py
@@ -8,7 +8,7 @@
 ELECTION_MIN_S: Final = 0.600
 ELECTION_MAX_S: Final = 1.200
 # The first tries may come before the others listen; after these, the usual bounds hold.
-FIRST_TRIES: Final = 4
+FIRST_ELECTION_ATTEMPTS: Final = 4
 
 MAX_VOTERS: Final = 9
 
--- a/chivetrack/components/consensus/state.py
+++ b/chivetrack/components/consensus/state.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from chivetrack.components.consensus.const import FIRST_TRIES
+from chivetrack.components.consensus.const import FIRST_ELECTION_ATTEMPTS
 from chivetrack.components.consensus.log import Log
 from chivetrack.components.consensus.messages import PeerMessage
 from chivetrack.components.consensus.models import (
@@ -45,7 +45,7 @@
         self.durable_index = self.log.last_index
         self.leader_heard_at = float("-inf")
         self.election_at = float("inf")
-        self.first_tries = FIRST_TRIES
+        self.first_tries = FIRST_ELECTION_ATTEMPTS
         self.halted = False
         self.now = 0.0
         self.out = Outbox()
--- a/tests/components/consensus/test_core.py
+++ b/tests/components/consensus/test_core.py
@@ -5,7 +5,7 @@
 from typing import TypeVar
 
 from chivetrack.components.consensus import Consensus
-from chivetrack.components.consensus.const import FIRST_TRIES
+from chivetrack.components.consensus.const import FIRST_ELECTION_ATTEMPTS
 from chivetrack.components.consensus.log import Log
 from chivetrack.components.consensus.members import Member, Members, make_voters
 from chivetrack.components.consensus.messages import (
@@ -400,8 +400,8 @@
                 asked.append(now)
             now += 0.01
         waits = [after - before for before, after in zip([0.0, *asked], asked, strict=False)]
-        self.assertLess(max(waits[:FIRST_TRIES]), 0.42)
-        self.assertGreater(min(waits[FIRST_TRIES:]), 0.58)
+        self.assertLess(max(waits[:FIRST_ELECTION_ATTEMPTS]), 0.42)
+        self.assertGreater(min(waits[FIRST_ELECTION_ATTEMPTS:]), 0.58)
 
     def test_replica_that_belongs_to_no_log_tells_nothing_again(self) -> None:
         """A replica waits to be let in; each election timeout it finds that it has no vote.
