--- a/chivetrack/components/consensus/state.py
+++ b/chivetrack/components/consensus/state.py
@@ -45,7 +45,7 @@
         self.durable_index = self.log.last_index
         self.leader_heard_at = float("-inf")
         self.election_at = float("inf")
-        self.first_tries = FIRST_ELECTION_ATTEMPTS
+        self.first_election_attempts_left = FIRST_ELECTION_ATTEMPTS
         self.halted = False
         self.now = 0.0
         self.out = Outbox()
@@ -105,8 +105,8 @@
         """Start the election timeout again, at random so that candidates rarely collide."""
         timing = self.timing
         low, high = timing.election_min_s, timing.election_max_s
-        if self.first_tries > 0 and self.leader_heard_at == float("-inf"):
-            self.first_tries -= 1
+        if self.first_election_attempts_left > 0 and self.leader_heard_at == float("-inf"):
+            self.first_election_attempts_left -= 1
             low, high = timing.first_election_min_s, timing.first_election_max_s
         self.election_at = self.now + self.random.uniform(low, high)
 
