--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -193,7 +193,7 @@
             if self._elections.count_pre_vote(message):
                 self._campaign(transfer=False)
             return
-        if isinstance(message, VoteRequest) and state.hears_leader and not message.transfer:
+        if isinstance(message, VoteRequest) and state.has_recent_leader and not message.transfer:
             # Whoever hears a leader lets no other replica topple it.
             return
         if message.term > state.term:
--- a/chivetrack/components/consensus/elections.py
+++ b/chivetrack/components/consensus/elections.py
@@ -68,7 +68,7 @@
         state = self._state
         granted = (
             state.is_member
-            and not state.hears_leader
+            and not state.has_recent_leader
             and request.term >= state.term
             and state.is_up_to_date(request.last_index, request.last_term)
         )
--- a/chivetrack/components/consensus/state.py
+++ b/chivetrack/components/consensus/state.py
@@ -61,7 +61,7 @@
         return self.log.members.find(self.replica_id) is not None
 
     @property
-    def hears_leader(self) -> bool:
+    def has_recent_leader(self) -> bool:
         """Tell whether a leader lives, as far as this replica can know."""
         if self.role is Role.LEADER:
             return True
