--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -241,7 +241,7 @@
         if self._leadership is not None:
             raise AssertionError(f"{leader_id} leads in term {state.term} as well")
         self._become_follower(state.term, leader_id)
-        state.leader_heard_at = state.now
+        state.leader_last_seen_at = state.now
         state.reset_election()
 
     def _note_persisted(self, event: Persisted) -> None:
--- a/chivetrack/components/consensus/state.py
+++ b/chivetrack/components/consensus/state.py
@@ -43,7 +43,7 @@
         self._told: LeadershipChanged | None = None
         self.commit_index = recovered.snapshot.index
         self.durable_index = self.log.last_index
-        self.leader_heard_at = float("-inf")
+        self.leader_last_seen_at = float("-inf")
         self.election_at = float("inf")
         self.first_election_attempts_left = FIRST_ELECTION_ATTEMPTS
         self.halted = False
@@ -65,7 +65,7 @@
         """Tell whether a leader lives, as far as this replica can know."""
         if self.role is Role.LEADER:
             return True
-        return self.now < self.leader_heard_at + self.timing.election_min_s
+        return self.now < self.leader_last_seen_at + self.timing.election_min_s
 
     def get_instance(self, replica_id: str) -> str:
         """Return the instance of a replica; its id if it is not a member (yet)."""
@@ -105,7 +105,7 @@
         """Start the election timeout again, at random so that candidates rarely collide."""
         timing = self.timing
         low, high = timing.election_min_s, timing.election_max_s
-        if self.first_election_attempts_left > 0 and self.leader_heard_at == float("-inf"):
+        if self.first_election_attempts_left > 0 and self.leader_last_seen_at == float("-inf"):
             self.first_election_attempts_left -= 1
             low, high = timing.first_election_min_s, timing.first_election_max_s
         self.election_at = self.now + self.random.uniform(low, high)
