--- a/chivetrack/components/consensus/state.py
+++ b/chivetrack/components/consensus/state.py
@@ -40,7 +40,7 @@
         self.vote = recovered.hard_state.vote
         self.role = Role.FOLLOWER
         self.leader_id = ""
-        self._told: LeadershipChanged | None = None
+        self._last_reported: LeadershipChanged | None = None
         self.commit_index = recovered.snapshot.index
         self.durable_index = self.log.last_index
         self.leader_last_seen_at = float("-inf")
@@ -92,8 +92,8 @@
             leader_id=leader_id,
             leader_instance=self.get_leader_instance(),
         )
-        if change != self._told:
-            self._told = change
+        if change != self._last_reported:
+            self._last_reported = change
             self.out.add(change)
 
     def send(self, message: PeerMessage, *, instance: str = "") -> None:
