--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -213,7 +213,7 @@
         match message:
             case AppendRequest():
                 self._note_leader(message.sender)
-                self._follower.take_append(message)
+                self._follower.handle_append(message)
             case SnapshotChunk():
                 self._note_leader(message.sender)
                 self._follower.take_chunk(message)
--- a/chivetrack/components/consensus/follower.py
+++ b/chivetrack/components/consensus/follower.py
@@ -43,7 +43,7 @@
         """
         self._answer(msgspec.structs.replace(request, round=0), success=False)
 
-    def take_append(self, request: AppendRequest) -> None:
+    def handle_append(self, request: AppendRequest) -> None:
         """Append the entries if the log agrees with the leader's before them."""
         state = self._state
         if not self._accepts_members(request.entries):
