--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -216,7 +216,7 @@
                 self._follower.handle_append(message)
             case SnapshotChunk():
                 self._note_leader(message.sender)
-                self._follower.take_chunk(message)
+                self._follower.handle_chunk(message)
             case VoteRequest():
                 self._elections.answer_vote(message)
             case VoteAnswer():
--- a/chivetrack/components/consensus/follower.py
+++ b/chivetrack/components/consensus/follower.py
@@ -111,7 +111,7 @@
             )
         )
 
-    def take_chunk(self, chunk: SnapshotChunk) -> None:
+    def handle_chunk(self, chunk: SnapshotChunk) -> None:
         """Add a chunk; install the snapshot with the last one."""
         if not self._accepts_first(chunk.members):
             return
