--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -232,7 +232,7 @@
         if self._leadership is None:
             return
         if isinstance(message, AppendAnswer):
-            self._leadership.take_answer(message)
+            self._leadership.handle_append_answer(message)
         if isinstance(message, SnapshotAnswer):
             self._leadership.take_chunk_answer(message)
 
--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -190,9 +190,9 @@
             return
         state.send(TimeoutNow(sender=state.replica_id, receiver=target, term=state.term))
 
-    def take_answer(self, answer: AppendAnswer) -> None:
+    def handle_append_answer(self, answer: AppendAnswer) -> None:
         """Take the answer to an append."""
-        self._replication.take_answer(answer)
+        self._replication.handle_append_answer(answer)
         self.advance()
 
     def take_chunk_answer(self, answer: SnapshotAnswer) -> None:
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -111,7 +111,7 @@
     def _send(self, progress: Progress, message: AppendRequest | SnapshotChunk) -> None:
         self._state.out.send_early(SendMessage(target=progress.instance_id, message=message))
 
-    def take_answer(self, answer: AppendAnswer) -> None:
+    def handle_append_answer(self, answer: AppendAnswer) -> None:
         """Note how far a replica is and send it more."""
         progress = self.progress.get(answer.sender)
         if progress is None or progress.regressed:
