--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -234,7 +234,7 @@
         if isinstance(message, AppendAnswer):
             self._leadership.handle_append_answer(message)
         if isinstance(message, SnapshotAnswer):
-            self._leadership.take_chunk_answer(message)
+            self._leadership.handle_chunk_answer(message)
 
     def _note_leader(self, leader_id: str) -> None:
         state = self._state
--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -195,9 +195,9 @@
         self._replication.handle_append_answer(answer)
         self.advance()
 
-    def take_chunk_answer(self, answer: SnapshotAnswer) -> None:
+    def handle_chunk_answer(self, answer: SnapshotAnswer) -> None:
         """Take the answer to a snapshot chunk."""
-        self._replication.take_chunk_answer(answer)
+        self._replication.handle_chunk_answer(answer)
         self.advance()
 
     def take_snapshot(self, snapshot: Snapshot) -> None:
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -224,7 +224,7 @@
         )
         self._send(progress, message)
 
-    def take_chunk_answer(self, answer: SnapshotAnswer) -> None:
+    def handle_chunk_answer(self, answer: SnapshotAnswer) -> None:
         """Send the next chunk, or go on with entries after the last one."""
         progress = self.progress.get(answer.sender)
         if progress is None or progress.regressed:
