--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -302,7 +302,7 @@
 
     def _send_snapshot(self, event: SnapshotLoaded) -> None:
         if self._leadership is not None:
-            self._leadership.take_snapshot(event.snapshot)
+            self._leadership.send_snapshot(event.snapshot)
 
     def get_status(self, *, now: float) -> ConsensusStatus:
         """Return what this replica knows."""
--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -200,9 +200,9 @@
         self._replication.handle_chunk_answer(answer)
         self.advance()
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def send_snapshot(self, snapshot: Snapshot) -> None:
         """Send a snapshot that was read from disk."""
-        self._replication.take_snapshot(snapshot)
+        self._replication.send_snapshot(snapshot)
 
     def wake(self) -> None:
         """Do what the time asks for."""
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -186,7 +186,7 @@
             self._is_loading = True
             self._state.out.add(SnapshotWanted())
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def send_snapshot(self, snapshot: Snapshot) -> None:
         """Send a snapshot that was read to all that wait for it."""
         self._is_loading = False
         for progress in self.progress.values():
