--- a/chivetrack/components/consensus/progress.py
+++ b/chivetrack/components/consensus/progress.py
@@ -58,7 +58,7 @@
         blocked = self.probing or self.regressed or self.needs_snapshot
         return not blocked and len(self.in_flight) < MAX_APPENDS_IN_FLIGHT
 
-    def note_sent(self, last_index: int) -> None:
+    def record_sent(self, last_index: int) -> None:
         """Note that entries up to ``last_index`` are on their way."""
         self.in_flight.append(last_index)
         self.next_index = last_index + 1
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -83,7 +83,7 @@
                 return
             entries = log.list_batch(progress.next_index)
             self._send_append(progress, entries)
-            progress.note_sent(entries[-1].index)
+            progress.record_sent(entries[-1].index)
 
     def send_heartbeat(self, progress: Progress) -> None:
         """Send an append without entries; while probing it is the probe."""
