--- a/chivetrack/components/consensus/progress.py
+++ b/chivetrack/components/consensus/progress.py
@@ -63,7 +63,7 @@
         self.in_flight.append(last_index)
         self.next_index = last_index + 1
 
-    def note_match(self, index: int, round_number: int) -> None:
+    def record_match(self, index: int, round_number: int) -> None:
         """Note that the replica's log agrees up to ``index``."""
         if index > self.match_index:
             self.match_index = index
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -128,7 +128,7 @@
     def _take_success(self, progress: Progress, answer: AppendAnswer) -> None:
         if answer.match_index >= self._state.log.base_index:
             progress.end_transfer()
-        progress.note_match(answer.match_index, self.round)
+        progress.record_match(answer.match_index, self.round)
         progress.knows_membership = answer.member
         self.send_entries(progress)
 
@@ -235,7 +235,7 @@
             return
         if answer.done:
             progress.end_transfer()
-            progress.note_match(answer.index, self.round)
+            progress.record_match(answer.index, self.round)
             self.send_entries(progress)
             return
         if answer.received != transfer.offset:
