--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -119,7 +119,7 @@
         if self._has_regressed(progress, answer):
             self._exclude(progress)
             return
-        self._note_contact(progress, answer.round)
+        self._record_contact(progress, answer.round)
         if answer.success:
             self._take_success(progress, answer)
         else:
@@ -175,7 +175,7 @@
         end = self._state.log.find_term_end(answer.conflict_term, before)
         return answer.conflict_index if end is None else end + 1
 
-    def _note_contact(self, progress: Progress, round_number: int) -> None:
+    def _record_contact(self, progress: Progress, round_number: int) -> None:
         progress.last_contact = self._state.now
         progress.acknowledged_round = max(progress.acknowledged_round, round_number)
 
@@ -229,7 +229,7 @@
         progress = self.progress.get(answer.sender)
         if progress is None or progress.regressed:
             return
-        self._note_contact(progress, answer.round)
+        self._record_contact(progress, answer.round)
         transfer = progress.transfer
         if transfer is None or answer.index != transfer.snapshot.index:
             return
