--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -212,10 +212,10 @@
     def _take_current(self, message: PeerMessage) -> None:
         match message:
             case AppendRequest():
-                self._note_leader(message.sender)
+                self._record_leader(message.sender)
                 self._follower.handle_append(message)
             case SnapshotChunk():
-                self._note_leader(message.sender)
+                self._record_leader(message.sender)
                 self._follower.handle_chunk(message)
             case VoteRequest():
                 self._elections.answer_vote(message)
@@ -236,7 +236,7 @@
         if isinstance(message, SnapshotAnswer):
             self._leadership.handle_chunk_answer(message)
 
-    def _note_leader(self, leader_id: str) -> None:
+    def _record_leader(self, leader_id: str) -> None:
         state = self._state
         if self._leadership is not None:
             raise AssertionError(f"{leader_id} leads in term {state.term} as well")
