--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -106,7 +106,7 @@
             case MessageReceived(message=PeerMessage() as message):
                 self._take_message(message)
             case Persisted():
-                self._note_persisted(event)
+                self._handle_persisted(event)
             case Propose():
                 self._propose(event)
             case ReadRequested():
@@ -244,7 +244,7 @@
         state.leader_last_seen_at = state.now
         state.reset_election()
 
-    def _note_persisted(self, event: Persisted) -> None:
+    def _handle_persisted(self, event: Persisted) -> None:
         state = self._state
         if state.log.find_term(event.last_index) == event.last_term:
             state.durable_index = max(state.durable_index, event.last_index)
