--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -104,7 +104,7 @@
     def _dispatch(self, event: Event) -> None:
         match event:
             case MessageReceived(message=PeerMessage() as message):
-                self._take_message(message)
+                self._handle_message(message)
             case Persisted():
                 self._handle_persisted(event)
             case Propose():
@@ -181,7 +181,7 @@
         state.set_role(Role.LEADER, state.replica_id)
         self._leadership = Leadership(state=state)
 
-    def _take_message(self, message: PeerMessage) -> None:
+    def _handle_message(self, message: PeerMessage) -> None:
         state = self._state
         if message.receiver != state.replica_id:
             return
