--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -201,7 +201,7 @@
         if message.term < state.term:
             self._refuse_old(message)
             return
-        self._take_current(message)
+        self._handle_current_term(message)
 
     def _refuse_old(self, message: PeerMessage) -> None:
         if isinstance(message, AppendRequest):
@@ -209,7 +209,7 @@
         if isinstance(message, VoteRequest):
             self._elections.answer_vote(message)
 
-    def _take_current(self, message: PeerMessage) -> None:
+    def _handle_current_term(self, message: PeerMessage) -> None:
         match message:
             case AppendRequest():
                 self._record_leader(message.sender)
