--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -226,9 +226,9 @@
                 if self._state.is_voter:
                     self._campaign(transfer=True)
             case _:
-                self._take_answer(message)
+                self._handle_answer(message)
 
-    def _take_answer(self, message: PeerMessage) -> None:
+    def _handle_answer(self, message: PeerMessage) -> None:
         if self._leadership is None:
             return
         if isinstance(message, AppendAnswer):
