--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -199,11 +199,11 @@
         if message.term > state.term:
             self._become_follower(message.term, "")
         if message.term < state.term:
-            self._refuse_old(message)
+            self._reject_old_term(message)
             return
         self._handle_current_term(message)
 
-    def _refuse_old(self, message: PeerMessage) -> None:
+    def _reject_old_term(self, message: PeerMessage) -> None:
         if isinstance(message, AppendRequest):
             self._follower.refuse_append(message)
         if isinstance(message, VoteRequest):
