--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -121,11 +121,11 @@
             return
         self._record_contact(progress, answer.round)
         if answer.success:
-            self._take_success(progress, answer)
+            self._handle_success(progress, answer)
         else:
             self._take_refusal(progress, answer)
 
-    def _take_success(self, progress: Progress, answer: AppendAnswer) -> None:
+    def _handle_success(self, progress: Progress, answer: AppendAnswer) -> None:
         if answer.match_index >= self._state.log.base_index:
             progress.end_transfer()
         progress.record_match(answer.match_index, self.round)
