--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -123,7 +123,7 @@
         if answer.success:
             self._handle_success(progress, answer)
         else:
-            self._take_refusal(progress, answer)
+            self._handle_rejection(progress, answer)
 
     def _handle_success(self, progress: Progress, answer: AppendAnswer) -> None:
         if answer.match_index >= self._state.log.base_index:
@@ -132,7 +132,7 @@
         progress.knows_membership = answer.member
         self.send_entries(progress)
 
-    def _take_refusal(self, progress: Progress, answer: AppendAnswer) -> None:
+    def _handle_rejection(self, progress: Progress, answer: AppendAnswer) -> None:
         if progress.needs_snapshot or self._is_late(progress, answer):
             return
         progress.start_probing(self._find_next_index(answer))
