--- a/chivetrack/components/consensus/follower.py
+++ b/chivetrack/components/consensus/follower.py
@@ -50,14 +50,14 @@
             return
         if request.previous_index < state.log.base_index:
             # All here up to the base is committed, so the leader's log agrees there.
-            self._take_entries(request, state.log.base_index)
+            self._store_entries(request, state.log.base_index)
             return
         if state.log.find_term(request.previous_index) != request.previous_term:
             self._answer(request, success=False)
             return
-        self._take_entries(request, request.previous_index)
+        self._store_entries(request, request.previous_index)
 
-    def _take_entries(self, request: AppendRequest, after: int) -> None:
+    def _store_entries(self, request: AppendRequest, after: int) -> None:
         state = self._state
         match_index = max(after, request.previous_index + len(request.entries))
         new = self._drop_known([one for one in request.entries if one.index > after])
