--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -133,7 +133,7 @@
         self.send_entries(progress)
 
     def _handle_rejection(self, progress: Progress, answer: AppendAnswer) -> None:
-        if progress.needs_snapshot or self._is_late(progress, answer):
+        if progress.needs_snapshot or self._is_stale(progress, answer):
             return
         progress.start_probing(self._find_next_index(answer))
         if progress.next_index <= self._state.log.base_index:
@@ -161,7 +161,7 @@
         progress.end_transfer()
         self._state.out.add(ReplicaRegressed(replica_id=progress.replica_id))
 
-    def _is_late(self, progress: Progress, answer: AppendAnswer) -> bool:
+    def _is_stale(self, progress: Progress, answer: AppendAnswer) -> bool:
         """Tell whether a refusal is of a message that no longer matters."""
         if progress.probing:
             return answer.previous_index != self._get_previous_index(progress)
