--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -20,7 +20,7 @@
         """Start with the members of the log, none of them known to agree."""
         self._state = state
         self.round = 0
-        self._is_loading = False
+        self._is_loading_snapshot = False
         self.progress: dict[str, Progress] = {}
         self.sync_members()
 
@@ -182,13 +182,13 @@
     def _start_transfer(self, progress: Progress) -> None:
         progress.start_probing(progress.next_index)
         progress.wants_snapshot = True
-        if not self._is_loading:
-            self._is_loading = True
+        if not self._is_loading_snapshot:
+            self._is_loading_snapshot = True
             self._state.out.add(SnapshotWanted())
 
     def send_snapshot(self, snapshot: Snapshot) -> None:
         """Send a snapshot that was read to all that wait for it."""
-        self._is_loading = False
+        self._is_loading_snapshot = False
         for progress in self.progress.values():
             if progress.wants_snapshot:
                 progress.wants_snapshot = False
