--- a/chivetrack/components/consensus/follower.py
+++ b/chivetrack/components/consensus/follower.py
@@ -115,7 +115,7 @@
         """Add a chunk; install the snapshot with the last one."""
         if not self._accepts_first(chunk.members):
             return
-        if self._holds(chunk):
+        if self._has_snapshot_entries(chunk):
             self._answer_chunk(chunk, received=chunk.total, done=True)
             return
         download = self._download
@@ -129,7 +129,7 @@
             self._install(chunk, bytes(download.data))
         self._answer_chunk(chunk, received=received, done=done)
 
-    def _holds(self, chunk: SnapshotChunk) -> bool:
+    def _has_snapshot_entries(self, chunk: SnapshotChunk) -> bool:
         """Tell whether the log holds all of a snapshot; then it is committed too.
 
         Installing it nevertheless would drop the entries after it, which this
