--- a/chivetrack/components/consensus/follower.py
+++ b/chivetrack/components/consensus/follower.py
@@ -113,7 +113,7 @@
 
     def handle_chunk(self, chunk: SnapshotChunk) -> None:
         """Add a chunk; install the snapshot with the last one."""
-        if not self._accepts_first(chunk.members):
+        if not self._accepts_first_members(chunk.members):
             return
         if self._has_snapshot_entries(chunk):
             self._answer_chunk(chunk, received=chunk.total, done=True)
@@ -177,10 +177,10 @@
                 continue
             members = decode_members(entry)
             if members.find(self._state.replica_id) is not None:
-                return self._accepts_first(members)
+                return self._accepts_first_members(members)
         return True
 
-    def _accepts_first(self, members: Members) -> bool:
+    def _accepts_first_members(self, members: Members) -> bool:
         """Halt if the first members that name this replica name it as a voter.
 
         New replicas join as learners. An empty disk under the id of a voter has
