--- a/chivetrack/components/consensus/progress.py
+++ b/chivetrack/components/consensus/progress.py
@@ -24,7 +24,7 @@
     Afterwards entries are sent ahead of their answers, ``in_flight`` holds the last
     index of each such message. ``match_round`` is the heartbeat round in which
     ``match_index`` became known. ``knows_membership``: its log names it as a member.
-    ``wants_snapshot``: it needs the snapshot, which is not read from disk yet.
+    ``awaits_snapshot``: it needs the snapshot, which is not read from disk yet.
     """
 
     replica_id: str
@@ -39,17 +39,17 @@
     regressed: bool = False
     knows_membership: bool = False
     in_flight: deque[int] = field(default_factory=deque)
-    wants_snapshot: bool = False
+    awaits_snapshot: bool = False
     transfer: SnapshotTransfer | None = None
 
     @property
     def needs_snapshot(self) -> bool:
         """Tell whether a snapshot is wanted for it or on its way."""
-        return self.wants_snapshot or self.transfer is not None
+        return self.awaits_snapshot or self.transfer is not None
 
     def end_transfer(self) -> None:
         """Go on with entries."""
-        self.wants_snapshot = False
+        self.awaits_snapshot = False
         self.transfer = None
 
     @property
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -181,7 +181,7 @@
 
     def _start_transfer(self, progress: Progress) -> None:
         progress.start_probing(progress.next_index)
-        progress.wants_snapshot = True
+        progress.awaits_snapshot = True
         if not self._is_loading_snapshot:
             self._is_loading_snapshot = True
             self._state.out.add(SnapshotWanted())
@@ -190,8 +190,8 @@
         """Send a snapshot that was read to all that wait for it."""
         self._is_loading_snapshot = False
         for progress in self.progress.values():
-            if progress.wants_snapshot:
-                progress.wants_snapshot = False
+            if progress.awaits_snapshot:
+                progress.awaits_snapshot = False
                 progress.transfer = SnapshotTransfer(snapshot=snapshot, sent_at=self._state.now)
                 self._send_chunk(progress, progress.transfer)
 
