--- a/chivetrack/components/consensus/__init__.py
+++ b/chivetrack/components/consensus/__init__.py
@@ -13,7 +13,7 @@
   removed gets no entries until that is committed.
 - A leader that has heard no majority for the longest election timeout steps down
   before it looks at the event at hand.
-- No snapshot is held in memory; ``SnapshotWanted`` asks for it.
+- No snapshot is held in memory; ``LoadSnapshot`` asks for it.
 """
 
 from chivetrack.components.consensus.core import Consensus
--- a/chivetrack/components/consensus/models.py
+++ b/chivetrack/components/consensus/models.py
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SnapshotLoaded(Event):
-    """The latest snapshot on disk, with its data, as ``SnapshotWanted`` asked."""
+    """The latest snapshot on disk, with its data, as ``LoadSnapshot`` asked."""
 
     snapshot: Snapshot
 
@@ -207,7 +207,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SnapshotWanted(Effect):
+class LoadSnapshot(Effect):
     """Read the latest snapshot from disk and hand in ``SnapshotLoaded``.
 
     The core keeps no snapshot in memory: at full size it is as large as the state.
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -7,7 +7,7 @@
     SnapshotAnswer,
     SnapshotChunk,
 )
-from chivetrack.components.consensus.models import ReplicaRegressed, Snapshot, SnapshotWanted
+from chivetrack.components.consensus.models import LoadSnapshot, ReplicaRegressed, Snapshot
 from chivetrack.components.consensus.progress import Progress, SnapshotTransfer
 from chivetrack.components.consensus.state import State
 from chivetrack.core import SendMessage
@@ -184,7 +184,7 @@
         progress.awaits_snapshot = True
         if not self._is_loading_snapshot:
             self._is_loading_snapshot = True
-            self._state.out.add(SnapshotWanted())
+            self._state.out.add(LoadSnapshot())
 
     def send_snapshot(self, snapshot: Snapshot) -> None:
         """Send a snapshot that was read to all that wait for it."""
--- a/chivetrack/components/replica/core.py
+++ b/chivetrack/components/replica/core.py
@@ -22,7 +22,7 @@
     It applies without waiting for the sync of a ``Persist``: what is committed is on
     the disks of a majority whether or not it is on this one. All other effects
     must wait as ``Consensus`` says. Whoever drives it handles ``Persist``,
-    ``SnapshotWanted``, ``SendMessage``, ``WakeAt``, ``ProposalAnswered``, ``ReadReady``,
+    ``LoadSnapshot``, ``SendMessage``, ``WakeAt``, ``ProposalAnswered``, ``ReadReady``,
     ``ReadRefused`` and, as it likes, ``LeadershipChanged``, ``TransferRefused`` and
     ``ReplicaRegressed``.
     """
--- a/chivetrack/components/replica/replica.py
+++ b/chivetrack/components/replica/replica.py
@@ -10,6 +10,7 @@
 from chivetrack.components.consensus.models import (
     ChangeMembers,
     LeadershipChanged,
+    LoadSnapshot,
     Persist,
     Persisted,
     Proposal,
@@ -20,7 +21,6 @@
     ReplicaRegressed,
     Snapshot,
     SnapshotLoaded,
-    SnapshotWanted,
     TransferLeadership,
     TransferRefused,
 )
@@ -191,7 +191,7 @@
         match effect:
             case SendMessage():
                 self._send(effect)
-            case SnapshotWanted():
+            case LoadSnapshot():
                 self._load_snapshot()
             case WakeAt():
                 self._wake_at = min(self._wake_at, effect.at)
--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -179,7 +179,7 @@
                 network.wake(self, effect.at)
             case models.Apply():
                 self.apply(effect.entries)
-            case models.SnapshotWanted():
+            case models.LoadSnapshot():
                 network.call_later(0.001, self.make_loader())
             case models.RestoreSnapshot():
                 self.restore(effect.snapshot)
