--- a/chivetrack/components/consensus/elections.py
+++ b/chivetrack/components/consensus/elections.py
@@ -77,7 +77,7 @@
                 sender=state.replica_id,
                 receiver=request.sender,
                 term=state.term,
-                asked_term=request.term,
+                request_term=request.term,
                 granted=granted,
             )
         )
@@ -111,7 +111,7 @@
     def count_pre_vote(self, answer: PreVoteAnswer) -> bool:
         """Count an answer; return whether the pre-vote is won by it."""
         state = self._state
-        wanted = state.role is Role.PRE_CANDIDATE and answer.asked_term == state.term
+        wanted = state.role is Role.PRE_CANDIDATE and answer.request_term == state.term
         if not (wanted and answer.granted):
             return False
         self._granted.add(answer.sender)
--- a/chivetrack/components/consensus/messages.py
+++ b/chivetrack/components/consensus/messages.py
@@ -47,9 +47,9 @@
 
 @message("log.pre_vote_answer")
 class PreVoteAnswer(PeerMessage, frozen=True, array_like=True):
-    """Answer a pre-vote; ``asked_term`` is the term of the request."""
+    """Answer a pre-vote; ``request_term`` is the term of the request."""
 
-    asked_term: int
+    request_term: int
     granted: bool
 
 
