--- a/chivetrack/components/consensus/outbox.py
+++ b/chivetrack/components/consensus/outbox.py
@@ -13,7 +13,7 @@
         self._clear()
 
     def _clear(self) -> None:
-        self._early: list[Effect] = []
+        self._before_sync: list[Effect] = []
         self._late: list[Effect] = []
         self._entries: list[Entry] = []
         self._truncate_from: int | None = None
@@ -31,7 +31,7 @@
         The leader syncs in parallel with its followers and counts itself only once
         ``Persisted`` comes in.
         """
-        self._early.append(effect)
+        self._before_sync.append(effect)
 
     def change_hard_state(self) -> None:
         """Mark the term or the vote as changed."""
@@ -57,9 +57,9 @@
         early_first = persist is None or persist.hard_state is None
         saved = [] if persist is None else [persist]
         if early_first:
-            effects = [*self._early, *saved, *self._late]
+            effects = [*self._before_sync, *saved, *self._late]
         else:
-            effects = [*saved, *self._early, *self._late]
+            effects = [*saved, *self._before_sync, *self._late]
         self._clear()
         return effects
 
