--- a/chivetrack/components/consensus/outbox.py
+++ b/chivetrack/components/consensus/outbox.py
@@ -14,7 +14,7 @@
 
     def _clear(self) -> None:
         self._before_sync: list[Effect] = []
-        self._late: list[Effect] = []
+        self._after_sync: list[Effect] = []
         self._entries: list[Entry] = []
         self._truncate_from: int | None = None
         self._snapshot: Snapshot | None = None
@@ -23,7 +23,7 @@
 
     def add(self, effect: Effect) -> None:
         """Add an effect that waits for the sync."""
-        self._late.append(effect)
+        self._after_sync.append(effect)
 
     def send_early(self, effect: SendMessage) -> None:
         """Add a message that may leave before the sync: a leader's append.
@@ -57,9 +57,9 @@
         early_first = persist is None or persist.hard_state is None
         saved = [] if persist is None else [persist]
         if early_first:
-            effects = [*self._before_sync, *saved, *self._late]
+            effects = [*self._before_sync, *saved, *self._after_sync]
         else:
-            effects = [*saved, *self._before_sync, *self._late]
+            effects = [*saved, *self._before_sync, *self._after_sync]
         self._clear()
         return effects
 
