--- a/chivetrack/components/consensus/outbox.py
+++ b/chivetrack/components/consensus/outbox.py
@@ -25,7 +25,7 @@
         """Add an effect that waits for the sync."""
         self._after_sync.append(effect)
 
-    def send_early(self, effect: SendMessage) -> None:
+    def send_before_sync(self, effect: SendMessage) -> None:
         """Add a message that may leave before the sync: a leader's append.
 
         The leader syncs in parallel with its followers and counts itself only once
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -109,7 +109,7 @@
         return max(progress.next_index - 1, self._state.log.base_index)
 
     def _send(self, progress: Progress, message: AppendRequest | SnapshotChunk) -> None:
-        self._state.out.send_early(SendMessage(target=progress.instance_id, message=message))
+        self._state.out.send_before_sync(SendMessage(target=progress.instance_id, message=message))
 
     def handle_append_answer(self, answer: AppendAnswer) -> None:
         """Note how far a replica is and send it more."""
