--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -98,7 +98,7 @@
         self._check_quorum()
         self._dispatch(event)
         if not state.halted:
-            self._arm()
+            self._schedule_wake()
         return state.out.drain(state.get_hard_state(), state.log.last_index, state.log.last_term)
 
     def _dispatch(self, event: Event) -> None:
@@ -141,7 +141,7 @@
         if self._elections.start_pre_vote():
             self._campaign(transfer=False)
 
-    def _arm(self) -> None:
+    def _schedule_wake(self) -> None:
         """Ask to be woken, unless an earlier wake-up is still to come."""
         state = self._state
         due = state.election_at
