--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -164,7 +164,7 @@
         until = self._state.now + self._state.timing.election_max_s
         self._transfer = _Transfer(target=target, until=until)
         self._replication.send_entries(progress)
-        self._hand_over()
+        self._try_hand_over()
 
     def _choose_target(self) -> str:
         state = self._state
@@ -177,7 +177,7 @@
         best = max(able, key=lambda one: one.match_index, default=None)
         return "" if best is None else best.replica_id
 
-    def _hand_over(self) -> None:
+    def _try_hand_over(self) -> None:
         state = self._state
         if self._transfer is None:
             return
@@ -232,7 +232,7 @@
             if self._state.log.members_index <= self._state.commit_index:
                 self._replication.drop_removed()
         self._confirm_reads()
-        self._hand_over()
+        self._try_hand_over()
 
     def _commit(self) -> None:
         state = self._state
