--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -273,9 +273,9 @@
         waits = bool(self._reads) and self._reads[-1].round > self._replication.round
         if waits and self._confirmed_round == self._replication.round:
             self._replication.start_round()
-            self._confirm_alone()
+            self._confirm_as_sole_voter()
 
-    def _confirm_alone(self) -> None:
+    def _confirm_as_sole_voter(self) -> None:
         """Go on at once where this replica is the only voter."""
         if not self._list_other_voters():
             self._confirm_reads()
