--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -237,14 +237,14 @@
     def _commit(self) -> None:
         state = self._state
         voters = state.log.members.list_voters()
-        matches = sorted((self._get_match(one) for one in voters), reverse=True)
+        matches = sorted((self._get_match_index(one) for one in voters), reverse=True)
         index = matches[state.log.members.get_majority() - 1]
         # An entry of an earlier term may be on a majority and yet be overwritten;
         # it is committed only together with a later one of the own term.
         if state.log.find_term(index) == state.term:
             state.advance_commit(index)
 
-    def _get_match(self, replica_id: str) -> int:
+    def _get_match_index(self, replica_id: str) -> int:
         if replica_id == self._state.replica_id:
             return self._state.durable_index
         return self._replication.progress[replica_id].match_index
@@ -309,7 +309,7 @@
             replica_id=replica_id,
             instance_id=state.get_instance(replica_id),
             voter=state.log.members.is_voter(replica_id),
-            match_index=self._get_match(replica_id),
+            match_index=self._get_match_index(replica_id),
             last_contact_age_s=0.0 if progress is None else now - progress.last_contact,
             regressed=progress is not None and progress.regressed,
         )
