--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -267,7 +267,7 @@
             rounds.append(self._replication.round)
         rounds.sort(reverse=True)
         self._confirmed_round = rounds[state.log.members.get_majority() - 1]
-        while self._reads and self._is_ready(self._reads[0]):
+        while self._reads and self._is_read_ready(self._reads[0]):
             read = self._reads.popleft()
             state.out.add(ReadReady(read_id=read.read_id, index=read.index))
         waits = bool(self._reads) and self._reads[-1].round > self._replication.round
@@ -280,7 +280,7 @@
         if not self._list_other_voters():
             self._confirm_reads()
 
-    def _is_ready(self, read: _Read) -> bool:
+    def _is_read_ready(self, read: _Read) -> bool:
         confirmed = read.round <= self._confirmed_round
         return confirmed and read.index <= self._state.commit_index
 
