--- a/chivetrack/components/consensus/changes.py
+++ b/chivetrack/components/consensus/changes.py
@@ -9,7 +9,9 @@
 from chivetrack.components.consensus.state import State
 
 
-def find_refusal(state: State, event: ChangeMembers, progress: Mapping[str, Progress]) -> Refusal:
+def find_member_change_refusal(
+    state: State, event: ChangeMembers, progress: Mapping[str, Progress]
+) -> Refusal:
     """Return why a change is refused, or ``NONE``."""
     if state.log.members_index > state.commit_index:
         return Refusal.CHANGE_PENDING
--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from chivetrack.components.consensus.changes import find_refusal
+from chivetrack.components.consensus.changes import find_member_change_refusal
 from chivetrack.components.consensus.const import (
     MAX_ENTRY_BYTES,
     MAX_UNCOMMITTED_BYTES,
@@ -130,7 +130,7 @@
             # may still be undecided: two changes at once can have disjoint quorums.
             refusal = Refusal.NOT_READY
         if refusal is Refusal.NONE:
-            refusal = find_refusal(state, event, self._replication.progress)
+            refusal = find_member_change_refusal(state, event, self._replication.progress)
         if refusal is not Refusal.NONE:
             self._refuse(event.proposal_id, refusal)
             return
