--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -33,7 +33,7 @@
         self.reads: dict[int, models.ReadReady | models.ReadRefused] = {}
         self.acknowledged = 0
 
-    def note_leader(self, term: int, replica_id: str) -> None:
+    def record_leader(self, term: int, replica_id: str) -> None:
         known = self.leaders.setdefault(term, replica_id)
         assert known == replica_id, f"two leaders in term {term}: {known}, {replica_id}"
 
@@ -196,7 +196,7 @@
             case models.ReadRefused():
                 network.oracle.reads[effect.read_id] = effect
             case models.LeadershipChanged(role=models.Role.LEADER):
-                network.oracle.note_leader(effect.term, self.replica_id)
+                network.oracle.record_leader(effect.term, self.replica_id)
             case models.ReplicaRegressed():
                 self.regressed.append(effect.replica_id)
 
