--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -37,7 +37,7 @@
         known = self.leaders.setdefault(term, replica_id)
         assert known == replica_id, f"two leaders in term {term}: {known}, {replica_id}"
 
-    def note_applied(self, entry: Entry) -> None:
+    def record_applied(self, entry: Entry) -> None:
         known = self.committed.setdefault(entry.index, entry)
         assert known == entry, f"committed entry {entry.index} changed"
 
@@ -203,7 +203,7 @@
     def apply(self, entries: tuple[Entry, ...]) -> None:
         for entry in entries:
             assert entry.index == self.applied + 1, "applied out of order"
-            self.network.oracle.note_applied(entry)
+            self.network.oracle.record_applied(entry)
             self.applied = entry.index
             if entry.kind is EntryKind.DATA:
                 self.values.append(entry.data)
