--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -41,7 +41,7 @@
         known = self.committed.setdefault(entry.index, entry)
         assert known == entry, f"committed entry {entry.index} changed"
 
-    def note_ended(self, ended: models.ProposalEnded) -> None:
+    def record_ended(self, ended: models.ProposalEnded) -> None:
         assert ended.proposal_id not in self.outcomes, "a proposal ended twice"
         self.outcomes[ended.proposal_id] = ended
         if ended.outcome is not models.Outcome.COMMITTED:
@@ -190,7 +190,7 @@
         network = self.network
         match effect:
             case models.ProposalEnded():
-                network.oracle.note_ended(effect)
+                network.oracle.record_ended(effect)
             case models.ReadReady():
                 network.oracle.note_read(effect, self.applied)
             case models.ReadRefused():
