--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -51,7 +51,7 @@
         if data is not None:
             assert self.committed[ended.index].data == data, "another entry was acknowledged"
 
-    def note_read(self, ready: models.ReadReady, applied: int) -> None:
+    def record_read(self, ready: models.ReadReady, applied: int) -> None:
         self.reads[ready.read_id] = ready
         assert ready.index >= self.read_floor[ready.read_id], "a read misses a write"
         assert applied >= ready.index, "a read is ready before its index is applied"
@@ -192,7 +192,7 @@
             case models.ProposalEnded():
                 network.oracle.record_ended(effect)
             case models.ReadReady():
-                network.oracle.note_read(effect, self.applied)
+                network.oracle.record_read(effect, self.applied)
             case models.ReadRefused():
                 network.oracle.reads[effect.read_id] = effect
             case models.LeadershipChanged(role=models.Role.LEADER):
