--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -209,7 +209,7 @@
                 self.values.append(entry.data)
             if entry.index % SNAPSHOT_EVERY == 0:
                 data = b",".join(self.values)
-                self.network.call_later(0.0, self.make_taker(entry.index, data))
+                self.network.call_later(0.0, self.make_snapshot_callback(entry.index, data))
 
     def make_loader(self) -> Callable[[], None]:
         life = self.life
@@ -220,7 +220,7 @@
 
         return load
 
-    def make_taker(self, index: int, data: bytes) -> Callable[[], None]:
+    def make_snapshot_callback(self, index: int, data: bytes) -> Callable[[], None]:
         life = self.life
 
         def take() -> None:
