--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -180,7 +180,7 @@
             case models.Apply():
                 self.apply(effect.entries)
             case models.LoadSnapshot():
-                network.call_later(0.001, self.make_loader())
+                network.call_later(0.001, self.make_load_callback())
             case models.RestoreSnapshot():
                 self.restore(effect.snapshot)
             case _:
@@ -211,7 +211,7 @@
                 data = b",".join(self.values)
                 self.network.call_later(0.0, self.make_snapshot_callback(entry.index, data))
 
-    def make_loader(self) -> Callable[[], None]:
+    def make_load_callback(self) -> Callable[[], None]:
         life = self.life
 
         def load() -> None:
