--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -154,7 +154,7 @@
             if isinstance(effect, models.Persist):
                 self.sync(effect)
             else:
-                self.carry_out(effect)
+                self.execute(effect)
 
     def sync(self, persist: models.Persist) -> None:
         self.syncing = True
@@ -170,7 +170,7 @@
 
         self.network.call_later(self.network.get_sync_s(), finish)
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         network = self.network
         match effect:
             case SendMessage():
