--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -96,14 +96,14 @@
         self.network = network
         self.replica_id = replica_id
         self.disk = disk
-        self.life = 0
+        self.incarnation = 0
         self.frozen: list[Event] | None = None
         self.consensus: Consensus | None = None
         self.regressed: list[str] = []
         self.start()
 
     def start(self) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.frozen = None
         self.waiting: deque[Effect] = deque()
         self.syncing = False
@@ -118,7 +118,7 @@
         self.take(TimeReached())
 
     def crash(self) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.consensus = None
 
     def freeze(self) -> None:
@@ -158,10 +158,10 @@
 
     def sync(self, persist: models.Persist) -> None:
         self.syncing = True
-        life = self.life
+        incarnation = self.incarnation
 
         def finish() -> None:
-            if self.life != life:
+            if self.incarnation != incarnation:
                 return
             self.disk.save(persist)
             self.syncing = False
@@ -212,19 +212,19 @@
                 self.network.call_later(0.0, self.make_snapshot_callback(entry.index, data))
 
     def make_load_callback(self) -> Callable[[], None]:
-        life = self.life
+        incarnation = self.incarnation
 
         def load() -> None:
-            if self.life == life:
+            if self.incarnation == incarnation:
                 self.take(models.SnapshotLoaded(snapshot=self.disk.snapshot))
 
         return load
 
     def make_snapshot_callback(self, index: int, data: bytes) -> Callable[[], None]:
-        life = self.life
+        incarnation = self.incarnation
 
         def take() -> None:
-            if self.life == life:
+            if self.incarnation == incarnation:
                 self.take(models.SnapshotTaken(index=index, data=data))
 
         return take
@@ -264,10 +264,10 @@
         return self.random.uniform(*self.sync)
 
     def wake(self, node: Node, at: float) -> None:
-        life = node.life
+        incarnation = node.incarnation
 
         def call() -> None:
-            if node.life == life:
+            if node.incarnation == incarnation:
                 node.take(TimeReached())
 
         self.call_later(max(0.0, at - self.now), call)
