--- a/tests/components/consensus/test_core.py
+++ b/tests/components/consensus/test_core.py
@@ -77,7 +77,7 @@
         self.effects = self.consensus.handle(event, now=self.now)
         return self.effects
 
-    def take(self, message: PeerMessage) -> list[Effect]:
+    def receive(self, message: PeerMessage) -> list[Effect]:
         return self.handle(MessageReceived(source=message.sender, message=message))
 
     def list_effects(self, kind: type[EffectT]) -> list[EffectT]:
@@ -96,13 +96,13 @@
         """Win an election with the vote of b; the empty entry is not synced yet."""
         term = self.consensus.get_status(now=self.now).term
         self.handle(TimeReached(), after=1.3)
-        self.take(PreVoteAnswer("b", "a", term, term, True))
-        self.take(VoteAnswer("b", "a", term + 1, True))
+        self.receive(PreVoteAnswer("b", "a", term, term, True))
+        self.receive(VoteAnswer("b", "a", term + 1, True))
         assert self.consensus.is_leader
 
     def ack(self, sender: str, match_index: int, *, round_number: int = 1) -> list[Effect]:
         term = self.consensus.get_status(now=self.now).term
-        return self.take(
+        return self.receive(
             AppendAnswer(
                 sender, "a", term, True, 0, match_index, 0, 0, match_index, True, round_number
             )
@@ -113,7 +113,7 @@
     ) -> None:
         term = self.consensus.get_status(now=self.now).term
         previous = self.consensus.get_status(now=self.now).last_index - 1
-        self.take(
+        self.receive(
             AppendAnswer(
                 sender, "a", term, False, previous, 0, 1, 0, last_index, member, round_number
             )
@@ -122,7 +122,7 @@
     def append(
         self, previous: tuple[int, int], entries: tuple[Entry, ...], *, term: int, commit: int = 0
     ) -> list[Effect]:
-        return self.take(AppendRequest("b", "a", term, *previous, entries, commit, 3))
+        return self.receive(AppendRequest("b", "a", term, *previous, entries, commit, 3))
 
 
 class VoteTest(unittest.TestCase):
@@ -140,36 +140,36 @@
         for name, (request, granted) in cases.items():
             with self.subTest(name):
                 subject = Subject(2, 2, term=2)
-                subject.take(request)
+                subject.receive(request)
                 answer = subject.get_answer()
                 assert isinstance(answer, VoteAnswer)
                 self.assertEqual(answer.granted, granted)
 
     def test_one_vote_in_a_term(self) -> None:
         subject = Subject()
-        subject.take(VoteRequest("b", "a", 2, 5, 1, False))
+        subject.receive(VoteRequest("b", "a", 2, 5, 1, False))
         self.assertIsInstance(subject.effects[0], Persist, "a vote is synced before it is sent")
-        subject.take(VoteRequest("c", "a", 2, 9, 1, False))
+        subject.receive(VoteRequest("c", "a", 2, 9, 1, False))
         self.assertFalse(getattr(subject.get_answer(), "granted", None))
 
     def test_live_leader_is_not_toppled(self) -> None:
         subject = Subject(term=2)
         subject.append((1, 1), (), term=2)
-        subject.take(VoteRequest("c", "a", 3, 9, 2, False))
+        subject.receive(VoteRequest("c", "a", 3, 9, 2, False))
         self.assertEqual(subject.list_effects(SendMessage), [])
-        subject.take(PreVoteRequest("c", "a", 2, 9, 2))
+        subject.receive(PreVoteRequest("c", "a", 2, 9, 2))
         self.assertFalse(getattr(subject.get_answer(), "granted", None))
-        subject.take(VoteRequest("c", "a", 3, 9, 2, True))
+        subject.receive(VoteRequest("c", "a", 3, 9, 2, True))
         self.assertTrue(getattr(subject.get_answer(), "granted", None), "the leader wanted it")
 
     def test_empty_disk_does_not_vote(self) -> None:
         subject = Subject(members=make_voters("b", "c"))
-        subject.take(VoteRequest("b", "a", 2, 5, 1, False))
+        subject.receive(VoteRequest("b", "a", 2, 5, 1, False))
         self.assertFalse(getattr(subject.get_answer(), "granted", None))
 
     def test_message_for_the_id_before_is_ignored(self) -> None:
         subject = Subject()
-        self.assertEqual(subject.take(VoteRequest("b", "a.old", 2, 5, 1, False)), [])
+        self.assertEqual(subject.receive(VoteRequest("b", "a.old", 2, 5, 1, False)), [])
 
     def test_new_term_is_synced_before_it_is_seen(self) -> None:
         learner = Member(replica_id="d", instance_id="d", voter=False)
@@ -209,7 +209,7 @@
         """A late snapshot chunk covers entries that are here. Installing it would drop
         those after it, which were acknowledged."""
         subject = Subject(2, 2, 2, term=2)
-        subject.take(SnapshotChunk("b", "a", 2, 3, 2, VOTERS, 0, 1, b"x", 1))
+        subject.receive(SnapshotChunk("b", "a", 2, 3, 2, VOTERS, 0, 1, b"x", 1))
         self.assertEqual(subject.consensus.get_status(now=0).last_index, 4)
         self.assertEqual(subject.consensus.commit_index, 3)
         self.assertTrue(getattr(subject.get_answer(), "done", None))
@@ -221,7 +221,7 @@
             for at in (0, 2)
         ]
         for number, done in ((1, False), (0, False), (0, False), (1, True)):
-            subject.take(chunks[number])
+            subject.receive(chunks[number])
             answer = (
                 subject.get_answer() if not done else subject.list_effects(SendMessage)[0].message
             )
@@ -239,11 +239,11 @@
         subject.consensus = Consensus(
             replica_id="a", random=Random(1), timing=Timing(), recovered=recovered
         )
-        subject.take(SnapshotChunk("b", "a", 2, 9, 2, VOTERS, 0, 1, b"x", 1))
+        subject.receive(SnapshotChunk("b", "a", 2, 9, 2, VOTERS, 0, 1, b"x", 1))
         self.assertEqual(subject.list_effects(SendMessage), [])
         self.assertEqual(subject.list_effects(ReplicaRegressed)[0].replica_id, "a")
         self.assertTrue(subject.consensus.get_status(now=0).halted)
-        subject.take(VoteRequest("b", "a", 3, 9, 2, False))
+        subject.receive(VoteRequest("b", "a", 3, 9, 2, False))
         self.assertEqual(subject.effects, [])
 
     def test_refusal_of_an_old_term_confirms_no_round(self) -> None:
@@ -280,8 +280,8 @@
         leads, its own entry 3 must not count as synced because 4 once was."""
         subject = Subject(2, 2, 2, term=3)
         subject.append((1, 1), make_entries(3), term=3)
-        subject.take(TimeoutNow("b", "a", 3))
-        subject.take(VoteAnswer("b", "a", 4, True))
+        subject.receive(TimeoutNow("b", "a", 3))
+        subject.receive(VoteAnswer("b", "a", 4, True))
         subject.ack("b", 3)
         self.assertEqual(subject.consensus.commit_index, 1)
 
@@ -340,7 +340,7 @@
         proposal = Proposal(proposal_id=1, data=b"x")
         self.subject.handle(Propose(proposals=(proposal,)))
         self.assertEqual(self.subject.list_effects(ProposalEnded), [])
-        self.subject.take(AppendRequest("c", "a", 9, 1, 1, (), 1, 1))
+        self.subject.receive(AppendRequest("c", "a", 9, 1, 1, (), 1, 1))
         ended = self.subject.list_effects(ProposalEnded)
         self.assertEqual([one.outcome for one in ended], [Outcome.UNKNOWN])
         self.subject.handle(Propose(proposals=(Proposal(proposal_id=2, data=b"y"),)))
