--- a/tests/components/network.py
+++ b/tests/components/network.py
@@ -18,7 +18,7 @@
 
     at: float
     source: str
-    life: int
+    incarnation: int
     target: str
     kind: str
     charged_bytes: int
