--- a/tests/components/network.py
+++ b/tests/components/network.py
@@ -29,7 +29,7 @@
     at: float
     order: int
     node: str = field(compare=False)
-    life: int = field(compare=False)
+    incarnation: int = field(compare=False)
     component: int | None = field(compare=False)
     event: Event = field(compare=False)
 
