--- a/tests/components/network.py
+++ b/tests/components/network.py
@@ -37,7 +37,7 @@
 @dataclass(slots=True)
 class _Node:
     components: list[Component]
-    life: int
+    incarnation: int
     clock_offset_s: float
     wakes: dict[int, float] = field(default_factory=dict)
     held: list[_Due] = field(default_factory=list)
