--- a/tests/components/network.py
+++ b/tests/components/network.py
@@ -59,7 +59,7 @@
         self._nodes: dict[str, _Node] = {}
         self._queue: list[_Due] = []
         self._orders = itertools.count()
-        self._lives = itertools.count()
+        self._incarnations = itertools.count()
 
     def start(
         self, name: str, components: Iterable[Component], *, clock_offset_s: float = 0.0
@@ -68,7 +68,7 @@
 
         Its clock shows ``clock_offset_s`` more than the network's time.
         """
-        self._nodes[name] = _Node(list(components), next(self._lives), clock_offset_s)
+        self._nodes[name] = _Node(list(components), next(self._incarnations), clock_offset_s)
         for index in range(len(self._nodes[name].components)):
             self._wake(name, index, self.now)
 
