--- a/tests/components/network.py
+++ b/tests/components/network.py
@@ -40,7 +40,7 @@
     incarnation: int
     clock_offset_s: float
     wakes: dict[int, float] = field(default_factory=dict)
-    held: list[_Due] = field(default_factory=list)
+    deferred: list[_Due] = field(default_factory=list)
     frozen: bool = False
 
 
@@ -84,8 +84,8 @@
         """Let a frozen node go on; what waited comes all at once."""
         node = self._nodes[name]
         node.frozen = False
-        held, node.held = node.held, []
-        for due in held:
+        deferred, node.deferred = node.deferred, []
+        for due in deferred:
             due.at = self.now
             heapq.heappush(self._queue, due)
 
@@ -127,7 +127,7 @@
         if node is None or node.life != due.life:
             return
         if node.frozen:
-            node.held.append(due)
+            node.deferred.append(due)
             return
         if due.component is not None:
             if node.wakes.get(due.component) == due.at:
