--- a/tests/components/network.py
+++ b/tests/components/network.py
@@ -141,9 +141,9 @@
         node = self._nodes[name]
         now = self.now + node.clock_offset_s
         for effect in node.components[index].handle(event, now=now):
-            self._carry_out(name, index, effect)
+            self._execute(name, index, effect)
 
-    def _carry_out(self, name: str, index: int, effect: Effect) -> None:
+    def _execute(self, name: str, index: int, effect: Effect) -> None:
         if isinstance(effect, SendMessage):
             self._send(name, effect)
         if isinstance(effect, Wake):
