--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -115,7 +115,7 @@
             recovered=self.disk.recover(),
         )
         self.restore(self.disk.snapshot)
-        self.take(TimeReached())
+        self.handle(TimeReached())
 
     def crash(self) -> None:
         self.incarnation += 1
@@ -128,7 +128,7 @@
     def thaw(self) -> None:
         events, self.frozen = self.frozen or [], None
         for event in events:
-            self.take(event)
+            self.handle(event)
 
     @property
     def is_leader(self) -> bool:
@@ -138,7 +138,7 @@
         self.applied = snapshot.index
         self.values = [one for one in snapshot.data.split(b",") if one]
 
-    def take(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         if self.consensus is None:
             return
         if self.frozen is not None:
@@ -165,7 +165,9 @@
                 return
             self.disk.save(persist)
             self.syncing = False
-            self.take(models.Persisted(last_index=persist.last_index, last_term=persist.last_term))
+            self.handle(
+                models.Persisted(last_index=persist.last_index, last_term=persist.last_term)
+            )
             self.work()
 
         self.network.call_later(self.network.get_sync_s(), finish)
@@ -216,18 +218,18 @@
 
         def load() -> None:
             if self.incarnation == incarnation:
-                self.take(models.SnapshotLoaded(snapshot=self.disk.snapshot))
+                self.handle(models.SnapshotLoaded(snapshot=self.disk.snapshot))
 
         return load
 
     def make_snapshot_callback(self, index: int, data: bytes) -> Callable[[], None]:
         incarnation = self.incarnation
 
-        def take() -> None:
+        def handle() -> None:
             if self.incarnation == incarnation:
-                self.take(models.SnapshotTaken(index=index, data=data))
+                self.handle(models.SnapshotTaken(index=index, data=data))
 
-        return take
+        return handle
 
 
 class Network:
@@ -268,7 +270,7 @@
 
         def call() -> None:
             if node.incarnation == incarnation:
-                node.take(TimeReached())
+                node.handle(TimeReached())
 
         self.call_later(max(0.0, at - self.now), call)
 
@@ -284,7 +286,7 @@
     def _deliver(self, source: str, effect: SendMessage) -> None:
         node = self.nodes.get(effect.target)
         if node is not None and (source, effect.target) not in self.cuts:
-            node.take(MessageReceived(source=source, message=effect.message))
+            node.handle(MessageReceived(source=source, message=effect.message))
 
     def cut(self, *replica_ids: str) -> None:
         """Swallow all messages between these and the others, both ways."""
@@ -329,11 +331,13 @@
 
     def propose(self, node: Node, data: bytes | None = None) -> int:
         proposal = self._make_proposal(data)
-        node.take(models.Propose(proposals=(proposal,)))
+        node.handle(models.Propose(proposals=(proposal,)))
         return proposal.proposal_id
 
     def propose_many(self, node: Node, count: int) -> None:
-        node.take(models.Propose(proposals=tuple(self._make_proposal(None) for _ in range(count))))
+        node.handle(
+            models.Propose(proposals=tuple(self._make_proposal(None) for _ in range(count)))
+        )
 
     def _make_proposal(self, data: bytes | None) -> models.Proposal:
         proposal_id = next(self._ids)
@@ -351,13 +355,13 @@
     def read(self, node: Node) -> int:
         read_id = next(self._ids)
         self.oracle.read_floor[read_id] = self.oracle.acknowledged
-        node.take(models.ReadRequested(read_id=read_id))
+        node.handle(models.ReadRequested(read_id=read_id))
         return read_id
 
     def change(self, node: Node, kind: ChangeKind, replica_id: str) -> int:
         proposal_id = next(self._ids)
         member = Member(replica_id=replica_id, instance_id=replica_id, voter=False)
-        node.take(models.ChangeMembers(proposal_id=proposal_id, kind=kind, member=member))
+        node.handle(models.ChangeMembers(proposal_id=proposal_id, kind=kind, member=member))
         return proposal_id
 
     def change_and_wait(
@@ -368,7 +372,7 @@
         return self.oracle.outcomes[proposal_id]
 
     def transfer(self, node: Node, target: str = "") -> None:
-        node.take(models.TransferLeadership(target=target))
+        node.handle(models.TransferLeadership(target=target))
 
     def settle(self) -> None:
         """Heal all, commit once more and wait until every member has applied it."""
