--- a/chivetrack/components/consensus/__init__.py
+++ b/chivetrack/components/consensus/__init__.py
@@ -1,19 +1,19 @@
-"""The replicated log: a consensus core after Raft (Ongaro and Ousterhout), without I/O.
+"""The replicated log: a Raft consensus core (Ongaro and Ousterhout), without I/O.
 
-``Consensus.handle`` takes an event at a time and returns effects; ``models`` lists
-both, ``messages`` what travels between replicas. What differs from the plain
-algorithm, and why:
+``Consensus.handle`` processes one event and returns effects. Events and effects are
+defined in ``models``, the messages between replicas in ``messages``. Differences from
+the published algorithm, and the reasons:
 
-- A replica on an empty disk starts outside: it neither votes nor counts before its
-  log names it as a learner, and halts if its first members name it as a voter. Ids
-  of removed replicas are never taken in again.
-- Reads are confirmed by a heartbeat round that begins after the read was asked for,
-  not by a lease: a frozen process cannot tell that its lease has passed.
-- A member change holds from the moment it is appended. A replica that is being
-  removed gets no entries until that is committed.
-- A leader that has heard no majority for the longest election timeout steps down
-  before it looks at the event at hand.
-- No snapshot is held in memory; ``LoadSnapshot`` asks for it.
+- A replica that starts on an empty disk is not a member: it neither votes nor counts
+  towards a quorum until its log names it as a learner. It halts if the first member
+  list that it receives names it as a voter. Ids of removed replicas are never reused.
+- Reads are confirmed by a heartbeat round that begins after the read was requested,
+  not by a lease: a process that was frozen cannot detect that its lease has expired.
+- A member change takes effect as soon as it is appended. A replica that is being
+  removed is sent no entries until its removal is committed.
+- A leader that has had no contact with a majority for the longest election timeout
+  steps down before it processes the next event.
+- No snapshot is held in memory; the ``LoadSnapshot`` effect requests it from disk.
 """
 
 from chivetrack.components.consensus.core import Consensus
--- a/chivetrack/components/consensus/changes.py
+++ b/chivetrack/components/consensus/changes.py
@@ -1,4 +1,4 @@
-"""Which member changes a leader refuses, and why."""
+"""Validation of member changes by the leader."""
 
 from collections.abc import Mapping
 
@@ -12,7 +12,7 @@
 def find_member_change_refusal(
     state: State, event: ChangeMembers, progress: Mapping[str, Progress]
 ) -> Refusal:
-    """Return why a change is refused, or ``NONE``."""
+    """Return the reason to refuse a member change, or ``Refusal.NONE``."""
     if state.log.members_index > state.commit_index:
         return Refusal.CHANGE_PENDING
     members = state.log.members
@@ -49,20 +49,22 @@
 
 
 def _is_caught_up(state: State, progress: Progress) -> bool:
-    """Tell whether a learner holds nearly all, and at least the entry that took it in.
+    """Return whether a learner holds enough of the log to become a voter.
 
-    An empty voter adds nothing to safety but raises the quorum: one more loss and
-    nothing can be committed any more.
+    It must hold the entry that added it and all but the last ``MAX_PROMOTION_LAG``
+    committed entries. A voter that lacks entries raises the quorum without adding
+    redundancy: after one more loss nothing could be committed.
     """
-    wanted = state.commit_index - MAX_PROMOTION_LAG
-    able = progress.knows_membership and not progress.regressed
-    return able and progress.match_index >= wanted
+    minimum_index = state.commit_index - MAX_PROMOTION_LAG
+    is_eligible = progress.knows_membership and not progress.regressed
+    return is_eligible and progress.match_index >= minimum_index
 
 
 def _check_quorum(state: State, after: Members, progress: Mapping[str, Progress]) -> Refusal:
-    """Refuse a change after which the replicas that answer now are no quorum.
+    """Refuse a change after which the reachable replicas would not form a quorum.
 
-    It could not be committed, and would block every later change.
+    Such a change could not be committed and would block every later change. A replica
+    is reachable if it had contact within the longest election timeout.
     """
     recent = state.now - state.timing.election_max_s
     alive = {
--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -1,4 +1,4 @@
-"""The entry to the replicated log: an event at a time, and the effects it has."""
+"""Entry point of the replicated log: processes events and returns effects."""
 
 from random import Random
 
@@ -44,10 +44,11 @@
 class Consensus:
     """One replica of the log.
 
-    Carry out the effects in their order, those after a ``Persist`` only once it is
-    synced; this holds across events too. If a sync fails, drop them all, throw the
-    object away and start a new one from what is on disk. After a start, hand in a
-    ``TimeReached`` to arm the first timer.
+    The caller must execute the effects in order, and those after a ``Persist`` only
+    once it is synced; this also holds across events. If a sync fails, the caller must
+    discard all pending effects and this object, and create a new one from the state on
+    disk. After a start, the caller passes in a ``TimeReached`` event to set the first
+    timer.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         recovered: Recovered,
         limits: Limits | None = None,
     ) -> None:
-        """Start as a follower with what was on disk."""
+        """Start as a follower with the state recovered from disk."""
         self._state = State(
             replica_id=replica_id,
             random=random,
@@ -84,11 +85,11 @@
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this replica believes that it leads."""
+        """Return whether this replica is the leader, as far as it knows."""
         return self._state.role is Role.LEADER
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take one event at time ``now`` (seconds, never going back)."""
+        """Process one event at time ``now`` (seconds, monotonic) and return its effects."""
         state = self._state
         state.now = now
         if state.halted:
@@ -142,7 +143,7 @@
             self._campaign(transfer=False)
 
     def _schedule_wake(self) -> None:
-        """Ask to be woken, unless an earlier wake-up is still to come."""
+        """Request a wake-up for the next timer, unless an earlier one is pending."""
         state = self._state
         due = state.election_at
         if self._leadership is not None:
@@ -153,10 +154,11 @@
             state.out.add(WakeAt(at=due))
 
     def _check_quorum(self) -> None:
-        """Step down without a majority in reach, before anything else is done.
+        """Step down if this leader has lost contact with a majority.
 
-        A leader that was frozen or cut off would take proposals that cannot be
-        committed, and keep callers from the leader elected meanwhile.
+        Runs before the event is processed. A leader that was frozen or partitioned
+        would otherwise accept proposals that it cannot commit, and callers would not
+        look for the leader elected in the meantime.
         """
         if self._leadership is not None and not self._leadership.has_quorum_contact():
             self._become_follower(self._state.term, "")
@@ -189,12 +191,14 @@
             self._elections.answer_pre_vote(message)
             return
         if isinstance(message, PreVoteAnswer) and message.granted:
-            # The term of the answer is lower where this replica has campaigned before.
+            # Checked before the terms are compared: the voter's term is lower than the
+            # own one if this replica was a candidate before.
             if self._elections.count_pre_vote(message):
                 self._campaign(transfer=False)
             return
         if isinstance(message, VoteRequest) and state.has_recent_leader and not message.transfer:
-            # Whoever hears a leader lets no other replica topple it.
+            # A replica in contact with a leader ignores candidates, so that they can't
+            # depose that leader.
             return
         if message.term > state.term:
             self._become_follower(message.term, "")
@@ -239,7 +243,7 @@
     def _record_leader(self, leader_id: str) -> None:
         state = self._state
         if self._leadership is not None:
-            raise AssertionError(f"{leader_id} leads in term {state.term} as well")
+            raise AssertionError(f"{leader_id} is a second leader in term {state.term}")
         self._become_follower(state.term, leader_id)
         state.leader_last_seen_at = state.now
         state.reset_election()
@@ -305,7 +309,7 @@
             self._leadership.send_snapshot(event.snapshot)
 
     def get_status(self, *, now: float) -> ConsensusStatus:
-        """Return what this replica knows."""
+        """Return a status snapshot of this replica; on the leader, also of all members."""
         state = self._state
         leadership = self._leadership
         return ConsensusStatus(
--- a/chivetrack/components/consensus/elections.py
+++ b/chivetrack/components/consensus/elections.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes and who may have them."""
+"""Elections: pre-votes and votes, as candidate and as voter."""
 
 from chivetrack.components.consensus.messages import (
     PreVoteAnswer,
@@ -11,18 +11,18 @@
 
 
 class Elections:
-    """Campaigns of this replica and its votes for others."""
+    """Runs elections for this replica and answers vote requests of others."""
 
     def __init__(self, *, state: State) -> None:
-        """Start with no campaign."""
+        """Create the election state without a running election."""
         self._state = state
         self._granted: set[str] = set()
 
     def start_pre_vote(self) -> bool:
-        """Ask whether an election could be won; return whether it is won already.
+        """Request pre-votes; return whether a majority has granted them already.
 
-        Without this, a replica that was cut off comes back with a higher term and
-        topples a healthy leader, again and again.
+        Without pre-votes, a replica that was partitioned would return with a higher term
+        and repeatedly depose a healthy leader.
         """
         state = self._state
         state.reset_election()
@@ -44,7 +44,10 @@
         return self._has_won()
 
     def start_vote(self, *, transfer: bool) -> bool:
-        """Become a candidate of the next term; return whether it is won already."""
+        """Become a candidate in the next term; return whether the election is won already.
+
+        ``transfer`` marks an election that the leader itself requested.
+        """
         state = self._state
         state.reset_election()
         state.set_term(state.term + 1, state.replica_id)
@@ -64,7 +67,7 @@
         return self._has_won()
 
     def answer_pre_vote(self, request: PreVoteRequest) -> None:
-        """Grant a pre-vote unless a leader lives or the candidate lacks entries."""
+        """Grant a pre-vote unless a leader is in contact or the candidate lacks entries."""
         state = self._state
         granted = (
             state.is_member
@@ -83,11 +86,11 @@
         )
 
     def answer_vote(self, request: VoteRequest) -> None:
-        """Vote at most once in a term, and only for a log that holds all of this one.
+        """Vote at most once per term, and only for a log at least as up to date as the own.
 
-        A replica whose log does not name it has an empty disk. Were it the disk of
-        a voter that was lost, it might vote twice in one term, so it does not vote.
-        A learner does: it may have been promoted and not know it yet.
+        A replica that its own log does not name as a member started on an empty disk.
+        It does not vote: it may be a voter that lost its disk, and could vote twice in
+        one term. A learner does vote: it may have been promoted without knowing it yet.
         """
         state = self._state
         granted = (
@@ -109,19 +112,19 @@
         )
 
     def count_pre_vote(self, answer: PreVoteAnswer) -> bool:
-        """Count an answer; return whether the pre-vote is won by it."""
+        """Count an answer; return whether a majority has granted the pre-vote."""
         state = self._state
-        wanted = state.role is Role.PRE_CANDIDATE and answer.request_term == state.term
-        if not (wanted and answer.granted):
+        is_expected = state.role is Role.PRE_CANDIDATE and answer.request_term == state.term
+        if not (is_expected and answer.granted):
             return False
         self._granted.add(answer.sender)
         return self._has_won()
 
     def count_vote(self, answer: VoteAnswer) -> bool:
-        """Count an answer; return whether the election is won by it."""
+        """Count an answer; return whether the election is won."""
         state = self._state
-        wanted = state.role is Role.CANDIDATE and answer.term == state.term
-        if not (wanted and answer.granted):
+        is_expected = state.role is Role.CANDIDATE and answer.term == state.term
+        if not (is_expected and answer.granted):
             return False
         self._granted.add(answer.sender)
         return self._has_won()
--- a/chivetrack/components/consensus/follower.py
+++ b/chivetrack/components/consensus/follower.py
@@ -1,4 +1,4 @@
-"""What a replica does with entries and snapshots from a leader."""
+"""Handling of entries and snapshots that a leader sends."""
 
 from dataclasses import dataclass, field
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Download:
-    """A snapshot of which some chunks are here."""
+    """A partly received snapshot."""
 
     term: int
     index: int
@@ -28,28 +28,28 @@
 
 
 class Follower:
-    """Takes entries and snapshots over into the log."""
+    """Writes entries and snapshots from the leader into the log."""
 
     def __init__(self, *, state: State) -> None:
-        """Start with no snapshot on its way."""
+        """Create a follower without a snapshot in transfer."""
         self._state = state
         self._download: _Download | None = None
 
     def refuse_append(self, request: AppendRequest) -> None:
-        """Tell a leader of an old term which term it is.
+        """Reject an append of an earlier term; the answer carries the current term.
 
-        Round 0 confirms nothing: the sender may lead again by now, in this term,
-        and has used the same round number before.
+        The answer has round 0, which confirms no round: the sender may meanwhile lead in
+        the current term and count its rounds from the start again.
         """
         self._answer(msgspec.structs.replace(request, round=0), success=False)
 
     def handle_append(self, request: AppendRequest) -> None:
-        """Append the entries if the log agrees with the leader's before them."""
+        """Append the entries if the log matches the leader's at ``previous_index``."""
         state = self._state
         if not self._accepts_members(request.entries):
             return
         if request.previous_index < state.log.base_index:
-            # All here up to the base is committed, so the leader's log agrees there.
+            # Everything up to the base is committed, so the leader's log matches there.
             self._store_entries(request, state.log.base_index)
             return
         if state.log.find_term(request.previous_index) != request.previous_term:
@@ -69,10 +69,10 @@
         self._answer(request, success=True, match_index=match_index)
 
     def _drop_known(self, entries: list[Entry]) -> list[Entry]:
-        """Return the entries from the first on that the log lacks.
+        """Return the entries from the first one that the log lacks.
 
-        A late message holds only a part of what is here already. Cutting the log
-        after it would drop entries that were acknowledged.
+        A delayed message may hold only entries that the log has already. Truncating the
+        log after them would drop later entries that were acknowledged.
         """
         for position, entry in enumerate(entries):
             if self._state.log.find_term(entry.index) != entry.term:
@@ -112,7 +112,7 @@
         )
 
     def handle_chunk(self, chunk: SnapshotChunk) -> None:
-        """Add a chunk; install the snapshot with the last one."""
+        """Store a chunk; install the snapshot once the last chunk has arrived."""
         if not self._accepts_first_members(chunk.members):
             return
         if self._has_snapshot_entries(chunk):
@@ -130,9 +130,9 @@
         self._answer_chunk(chunk, received=received, done=done)
 
     def _has_snapshot_entries(self, chunk: SnapshotChunk) -> bool:
-        """Tell whether the log holds all of a snapshot; then it is committed too.
+        """Return whether the log has all entries of a snapshot, and commit them if so.
 
-        Installing it nevertheless would drop the entries after it, which this
+        Installing the snapshot in that case would drop the entries after it, which this
         replica may have acknowledged.
         """
         state = self._state
@@ -181,11 +181,12 @@
         return True
 
     def _accepts_first_members(self, members: Members) -> bool:
-        """Halt if the first members that name this replica name it as a voter.
+        """Halt if the first member list that names this replica names it as a voter.
 
-        New replicas join as learners. An empty disk under the id of a voter has
-        forgotten votes and entries that others count on: two leaders in one term,
-        or a committed entry gone. Halted, it acknowledges nothing and never votes.
+        New replicas join as learners, so such a replica is a voter that lost its disk.
+        It has forgotten votes and entries that others rely on; with it, two leaders
+        could be elected in one term, or a committed entry could be lost. A halted
+        replica acknowledges nothing and never votes.
         """
         state = self._state
         if state.is_member or not members.is_voter(state.replica_id):
--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""What only a leader does: proposals, reads, member changes, commits, hand-over."""
+"""Duties of the leader: proposals, reads, member changes, commits, leadership transfer."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Pending:
-    """A proposal in the log that is not committed yet."""
+    """A proposal that is appended but not committed; ``size`` in bytes."""
 
     index: int
     proposal_id: int
@@ -53,17 +53,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Transfer:
-    """A hand-over that is given up at ``until``."""
+    """A leadership transfer to ``target`` that is abandoned at time ``deadline``."""
 
     target: str
-    until: float
+    deadline: float
 
 
 class Leadership:
-    """One leader's term of office; thrown away when it ends."""
+    """The state of this replica while it leads in one term; discarded afterwards."""
 
     def __init__(self, *, state: State) -> None:
-        """Append an empty entry: only entries of the own term are committed by counting."""
+        """Append an empty entry and send the first heartbeats.
+
+        A leader may count replicas only for entries of its own term; once the empty
+        entry is committed, all earlier entries are committed with it.
+        """
         self._state = state
         self._replication = Replication(state=state)
         self._pending: deque[_Pending] = deque()
@@ -90,7 +94,7 @@
         return index
 
     def propose(self, proposals: tuple[Proposal, ...]) -> None:
-        """Append proposals and send them on."""
+        """Append proposals and send them to the other replicas."""
         for proposal in proposals:
             refusal = self._find_refusal(proposal.data)
             if refusal is not Refusal.NONE:
@@ -122,12 +126,12 @@
         )
 
     def change_members(self, event: ChangeMembers) -> None:
-        """Append a member change; it holds from the moment it is appended."""
+        """Append a member change, which takes effect at once, or refuse it."""
         state = self._state
         refusal = self._find_refusal()
         if refusal is Refusal.NONE and state.commit_index < self._first_index:
-            # Until an entry of this term is committed, a change of an earlier leader
-            # may still be undecided: two changes at once can have disjoint quorums.
+            # Until an entry of this term is committed, a member change of an earlier
+            # leader may be undecided; two changes at once can have disjoint quorums.
             refusal = Refusal.NOT_READY
         if refusal is Refusal.NONE:
             refusal = find_member_change_refusal(state, event, self._replication.progress)
@@ -141,40 +145,43 @@
         self._replication.broadcast_entries()
 
     def read(self, read_id: int) -> None:
-        """Queue a read for a heartbeat round that begins after it was asked for.
+        """Queue a read until a heartbeat round that begins after the request is confirmed.
 
-        A leader behind a silent cut still believes that it leads; the round proves
-        that no other was elected before the read came.
+        A leader in a network partition does not know that it was replaced. The round
+        proves that no other leader was elected before the read was requested.
         """
         replication = self._replication
-        idle = self._confirmed_round == replication.round
+        no_round_pending = self._confirmed_round == replication.round
         index = max(self._state.commit_index, self._first_index)
         self._reads.append(_Read(read_id=read_id, round=replication.round + 1, index=index))
-        if idle:
+        if no_round_pending:
             replication.start_round()
         self.advance()
 
     def transfer(self, target: str) -> None:
-        """Stop taking proposals and hand over once the target holds every entry."""
+        """Refuse further proposals and hand over once the target holds every entry.
+
+        Without a ``target``, the reachable voter with the most entries is chosen.
+        """
         target = target or self._choose_target()
         progress = self._replication.progress.get(target)
         if progress is None or not self._state.log.members.is_voter(target):
             self._state.out.add(TransferRefused(refusal=Refusal.NOT_A_MEMBER))
             return
-        until = self._state.now + self._state.timing.election_max_s
-        self._transfer = _Transfer(target=target, until=until)
+        deadline = self._state.now + self._state.timing.election_max_s
+        self._transfer = _Transfer(target=target, deadline=deadline)
         self._replication.send_entries(progress)
         self._try_hand_over()
 
     def _choose_target(self) -> str:
         state = self._state
         recent = state.now - state.timing.election_min_s
-        able = [
+        candidates = [
             one
             for one in self._replication.progress.values()
             if state.log.members.is_voter(one.replica_id) and one.last_contact >= recent
         ]
-        best = max(able, key=lambda one: one.match_index, default=None)
+        best = max(candidates, key=lambda one: one.match_index, default=None)
         return "" if best is None else best.replica_id
 
     def _try_hand_over(self) -> None:
@@ -186,44 +193,44 @@
         if progress is None or progress.match_index < state.log.last_index:
             return
         if state.commit_index < state.log.last_index:
-            # Proposals that end with this leader end as committed, not as unknown.
+            # Wait, so that pending proposals end as committed and not as unknown.
             return
         state.send(TimeoutNow(sender=state.replica_id, receiver=target, term=state.term))
 
     def handle_append_answer(self, answer: AppendAnswer) -> None:
-        """Take the answer to an append."""
+        """Process the answer to an append request."""
         self._replication.handle_append_answer(answer)
         self.advance()
 
     def handle_chunk_answer(self, answer: SnapshotAnswer) -> None:
-        """Take the answer to a snapshot chunk."""
+        """Process the answer to a snapshot chunk."""
         self._replication.handle_chunk_answer(answer)
         self.advance()
 
     def send_snapshot(self, snapshot: Snapshot) -> None:
-        """Send a snapshot that was read from disk."""
+        """Send a snapshot that was read from disk to the replicas that wait for it."""
         self._replication.send_snapshot(snapshot)
 
     def wake(self) -> None:
-        """Do what the time asks for."""
+        """Start a heartbeat round or abandon a transfer if its time has come."""
         state = self._state
         if state.now >= self.heartbeat_at:
             self.heartbeat_at = state.now + state.timing.heartbeat_s
             self._replication.start_round()
-        if self._transfer is not None and state.now >= self._transfer.until:
+        if self._transfer is not None and state.now >= self._transfer.deadline:
             self._transfer = None
             state.out.add(TransferRefused(refusal=Refusal.NOT_CAUGHT_UP))
 
     def has_quorum_contact(self) -> bool:
-        """Tell whether a majority was heard within the longest election timeout."""
+        """Return whether a majority had contact within the longest election timeout."""
         state = self._state
         oldest = state.now - state.timing.election_max_s
         progress = self._replication.progress.values()
-        heard = {one.replica_id for one in progress if one.last_contact >= oldest}
-        return state.log.members.has_quorum(heard | {state.replica_id})
+        reachable = {one.replica_id for one in progress if one.last_contact >= oldest}
+        return state.log.members.has_quorum(reachable | {state.replica_id})
 
     def advance(self) -> None:
-        """Commit what a majority has synced, end proposals and reads."""
+        """Commit what a majority has synced, then complete proposals and reads."""
         before = self._state.commit_index
         self._commit()
         self._end_proposals()
@@ -239,8 +246,8 @@
         voters = state.log.members.list_voters()
         matches = sorted((self._get_match_index(one) for one in voters), reverse=True)
         index = matches[state.log.members.get_majority() - 1]
-        # An entry of an earlier term may be on a majority and yet be overwritten;
-        # it is committed only together with a later one of the own term.
+        # An entry of an earlier term may be stored on a majority and still be overwritten.
+        # It is committed only together with a later entry of the current term.
         if state.log.find_term(index) == state.term:
             state.advance_commit(index)
 
@@ -276,7 +283,7 @@
             self._confirm_as_sole_voter()
 
     def _confirm_as_sole_voter(self) -> None:
-        """Go on at once where this replica is the only voter."""
+        """Confirm the new round at once if this replica is the only voter."""
         if not self._list_other_voters():
             self._confirm_reads()
 
@@ -289,7 +296,11 @@
         return [one for one in voters if one != self._state.replica_id]
 
     def end(self) -> None:
-        """End what is pending: proposals may still be committed by the next leader."""
+        """Complete what is pending when leadership ends.
+
+        Proposals end as unknown, since the next leader may still commit them; reads are
+        refused.
+        """
         state = self._state
         for one in self._pending:
             state.out.add(ProposalEnded(proposal_id=one.proposal_id, outcome=Outcome.UNKNOWN))
@@ -297,7 +308,7 @@
             state.out.add(ReadRefused(read_id=read.read_id))
 
     def list_replicas(self, now: float) -> tuple[ReplicaStatus, ...]:
-        """Return how far each member is."""
+        """Return the replication status of each member."""
         return tuple(
             self._make_status(one.replica_id, now) for one in self._state.log.members.members
         )
--- a/chivetrack/components/consensus/log.py
+++ b/chivetrack/components/consensus/log.py
@@ -1,4 +1,4 @@
-"""The entries in memory: those after the last compaction, and the members at each index."""
+"""Log entries in memory since the last compaction, and the members at each index."""
 
 from collections.abc import Sequence
 
@@ -10,12 +10,15 @@
 
 
 def drop_data(snapshot: Snapshot) -> Snapshot:
-    """Return a snapshot without the state in it."""
+    """Return the snapshot without its ``data``."""
     return Snapshot(index=snapshot.index, term=snapshot.term, members=snapshot.members)
 
 
 def decode_members(entry: Entry) -> Members:
-    """Return the members that an entry of kind ``MEMBERS`` holds."""
+    """Return the members stored in an entry of kind ``MEMBERS``.
+
+    Raises ``ValueError`` if the data decodes to something else.
+    """
     members = unpack(entry.data)
     if not isinstance(members, Members):
         raise ValueError(f"entry {entry.index} holds no members")
@@ -23,10 +26,10 @@
 
 
 class Log:
-    """Entries ``first_index`` to ``last_index``, behind a snapshot."""
+    """The entries after ``base_index`` up to ``last_index``, and the latest snapshot."""
 
     def __init__(self, *, recovered: Recovered, limits: Limits) -> None:
-        """Start with what was on disk."""
+        """Create the log from the state recovered from disk."""
         self._limits = limits
         self.snapshot = drop_data(recovered.snapshot)
         self._base_index = recovered.snapshot.index
@@ -63,11 +66,11 @@
         return self._members[-1][0]
 
     def get_members_at(self, index: int) -> Members:
-        """Return the members as of an index not before the snapshot."""
+        """Return the members in effect at ``index``, which must not precede the snapshot."""
         return next(one for at, one in reversed(self._members) if at <= index)
 
     def find_term(self, index: int) -> int | None:
-        """Return the term of an entry, or ``None`` if it is not (or no longer) here."""
+        """Return the term of an entry, or ``None`` if the log does not hold it."""
         if index == self._base_index:
             return self._base_term
         if not self._base_index < index <= self.last_index:
@@ -75,7 +78,7 @@
         return self._entries[index - self._base_index - 1].term
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Append entries that follow the last one."""
+        """Append entries; raises ``ValueError`` if they do not follow the last one."""
         for entry in entries:
             if entry.index != self.last_index + 1:
                 raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
@@ -84,16 +87,16 @@
                 self._members.append((entry.index, decode_members(entry)))
 
     def truncate(self, index: int) -> None:
-        """Drop all entries from ``index`` on, and the members they brought."""
+        """Drop all entries from ``index`` on, with the member changes in them."""
         del self._entries[index - self._base_index - 1 :]
         self._members = [one for one in self._members if one[0] < index]
 
     def list_entries(self, first: int, last: int) -> tuple[Entry, ...]:
-        """Return the entries from ``first`` to ``last``."""
+        """Return the entries from ``first`` to ``last``, both included."""
         return tuple(self._entries[first - self._base_index - 1 : last - self._base_index])
 
     def list_batch(self, first: int) -> tuple[Entry, ...]:
-        """Return entries from ``first`` on, at least one, as many as one message takes."""
+        """Return entries from ``first`` on, up to ``append_bytes`` but at least one."""
         size = 0
         last = first
         while last <= self.last_index:
@@ -104,21 +107,21 @@
         return self.list_entries(first, last - 1)
 
     def find_term_start(self, index: int) -> int:
-        """Return the first index here that has the same term as ``index``."""
+        """Return the first index in the log with the same term as the entry at ``index``."""
         term = self.find_term(index)
         while index - 1 > self._base_index and self.find_term(index - 1) == term:
             index -= 1
         return index
 
     def find_term_end(self, term: int, before: int) -> int | None:
-        """Return the last index up to ``before`` that has this term."""
+        """Return the last index of ``term`` up to ``before``, or ``None``."""
         index = min(before, self.last_index)
         while index > self._base_index and (self.find_term(index) or 0) > term:
             index -= 1
         return index if self.find_term(index) == term else None
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Take over a snapshot of applied entries; keep some entries behind it."""
+        """Drop entries that a new snapshot covers, except for the trailing ones."""
         keep_after = self._find_trailing(snapshot.index)
         self._base_term = self.find_term(keep_after) or 0
         del self._entries[: keep_after - self._base_index]
@@ -128,7 +131,7 @@
         self.snapshot = drop_data(snapshot)
 
     def _find_trailing(self, index: int) -> int:
-        """Return the index after which entries are kept behind a snapshot of ``index``."""
+        """Return the index after which entries are kept, for a snapshot at ``index``."""
         first = max(self._base_index, index - self._limits.trailing_entries)
         size = 0
         while index > first:
@@ -139,7 +142,7 @@
         return index
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Drop all entries and go on after a snapshot from the leader."""
+        """Drop all entries and continue after a snapshot from the leader."""
         self._entries.clear()
         self._base_index = snapshot.index
         self._base_term = snapshot.term
--- a/chivetrack/components/consensus/members.py
+++ b/chivetrack/components/consensus/members.py
@@ -1,4 +1,4 @@
-"""Who replicates the log: voters, learners and the ids that may not come back."""
+"""Members of the log: voters, learners and the retired ids of removed replicas."""
 
 from collections.abc import Collection
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class ChangeKind(StrEnum):
-    """The member changes; each is one committed entry."""
+    """Kinds of member changes; each change is one log entry."""
 
     ADD_LEARNER = "add_learner"
     PROMOTE = "promote"
@@ -16,7 +16,7 @@
 
 @message("log.member")
 class Member(Message, frozen=True, array_like=True):
-    """A replica, and the instance that messages to it are sent to."""
+    """A replica and the instance on which it runs."""
 
     replica_id: str
     instance_id: str
@@ -27,8 +27,8 @@
 class Members(Message, frozen=True, array_like=True):
     """All members at one index of the log.
 
-    ``retired`` are the ids of removed replicas. They are never taken in again: a
-    replica that forgot its votes would come back under such an id.
+    ``retired`` are the ids of removed replicas. They can't be added again: a replica
+    that lost its disk, and with it its votes, could return under such an id.
     """
 
     members: tuple[Member, ...] = ()
@@ -39,7 +39,7 @@
         return next((one for one in self.members if one.replica_id == replica_id), None)
 
     def is_voter(self, replica_id: str) -> bool:
-        """Tell whether this replica is a voter."""
+        """Return whether this replica is a voter."""
         member = self.find(replica_id)
         return member is not None and member.voter
 
@@ -48,11 +48,11 @@
         return [one.replica_id for one in self.members if one.voter]
 
     def get_majority(self) -> int:
-        """Return how many voters are a quorum."""
+        """Return the number of voters in a quorum."""
         return len(self.list_voters()) // 2 + 1
 
     def has_quorum(self, replica_ids: Collection[str]) -> bool:
-        """Tell whether these replicas hold a majority of the voters."""
+        """Return whether these replicas include a majority of the voters."""
         voters = self.list_voters()
         count = sum(1 for voter in voters if voter in replica_ids)
         return bool(voters) and count >= self.get_majority()
@@ -68,7 +68,7 @@
 
 
 def make_voters(*replica_ids: str) -> Members:
-    """Return members that are all voters, each on an instance of the same name."""
+    """Return members that are all voters, each on the instance with the same id."""
     return Members(
         members=tuple(Member(replica_id=one, instance_id=one, voter=True) for one in replica_ids)
     )
--- a/chivetrack/components/consensus/messages.py
+++ b/chivetrack/components/consensus/messages.py
@@ -1,8 +1,8 @@
-"""What replicas send one another, and the entries of the log.
+"""Messages between replicas, and log entries.
 
-Every message names the replica ids at both ends, not only the instances: a replica
-whose disk was lost comes back on the same instance under another id, and must not
-take what was meant for the one before it.
+Every message names the replica ids of sender and receiver, not only the instances: a
+replica that lost its disk is replaced on the same instance under a new id, and must
+not process messages for the previous replica.
 """
 
 from enum import IntEnum
@@ -12,7 +12,7 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry holds."""
+    """Kind of data in an entry."""
 
     DATA = 0
     NOOP = 1
@@ -30,7 +30,7 @@
 
 
 class PeerMessage(Message, frozen=True, array_like=True):
-    """What all messages between replicas start with."""
+    """Base of all messages between replicas; ``term`` is the sender's term."""
 
     sender: str
     receiver: str
@@ -39,7 +39,7 @@
 
 @message("log.pre_vote_request")
 class PreVoteRequest(PeerMessage, frozen=True, array_like=True):
-    """Ask whether an election in ``term`` could be won; changes nothing."""
+    """Request a pre-vote: would the receiver vote for the sender? Changes no state."""
 
     last_index: int
     last_term: int
@@ -47,7 +47,7 @@
 
 @message("log.pre_vote_answer")
 class PreVoteAnswer(PeerMessage, frozen=True, array_like=True):
-    """Answer a pre-vote; ``request_term`` is the term of the request."""
+    """Answer a pre-vote request; ``request_term`` is the term of the request."""
 
     request_term: int
     granted: bool
@@ -55,7 +55,7 @@
 
 @message("log.vote_request")
 class VoteRequest(PeerMessage, frozen=True, array_like=True):
-    """Ask for a vote; ``transfer`` says that the leader itself wanted this election."""
+    """Request a vote; ``transfer`` marks an election that the leader itself requested."""
 
     last_index: int
     last_term: int
@@ -71,10 +71,10 @@
 
 @message("log.append_request")
 class AppendRequest(PeerMessage, frozen=True, array_like=True):
-    """Entries after ``previous_index``; without entries a heartbeat or a probe.
+    """Append entries after ``previous_index``; without entries, a heartbeat or a probe.
 
-    ``round`` numbers the leader's heartbeat rounds. The answer repeats it, which
-    proves that the sender led after the round began.
+    ``round`` is the number of the leader's heartbeat round. The answer repeats it, which
+    proves that the sender still led when the round began.
     """
 
     previous_index: int
@@ -86,12 +86,13 @@
 
 @message("log.append_answer")
 class AppendAnswer(PeerMessage, frozen=True, array_like=True):
-    """Answer an append after ``previous_index``.
+    """Answer an append request.
 
-    With ``success`` the log agrees up to ``match_index``. Without, the log
-    disagrees at ``previous_index``: ``conflict_index`` is the first index of
-    ``conflict_term``, the term found there (0: the log ends before it). ``member``:
-    the log of the answering replica names it as a member.
+    With ``success``, the log matches the leader's up to ``match_index``. Otherwise it
+    differs at ``previous_index``: ``conflict_term`` is the term found there and
+    ``conflict_index`` the first index of that term. If the log has no entry there,
+    ``conflict_term`` is 0 and ``conflict_index`` is the index after its last entry.
+    ``member``: the log of the answering replica names it as a member.
     """
 
     success: bool
@@ -106,7 +107,7 @@
 
 @message("log.snapshot_chunk")
 class SnapshotChunk(PeerMessage, frozen=True, array_like=True):
-    """A piece of a snapshot of the first ``index`` entries."""
+    """Part of a snapshot of the first ``index`` entries; ``offset``, ``total`` in bytes."""
 
     index: int
     index_term: int
@@ -119,7 +120,7 @@
 
 @message("log.snapshot_answer")
 class SnapshotAnswer(PeerMessage, frozen=True, array_like=True):
-    """Answer a chunk: ``received`` bytes are here; ``done`` once it is installed."""
+    """Answer a chunk: ``received`` bytes have arrived; ``done`` once all are installed."""
 
     index: int
     received: int
@@ -129,4 +130,4 @@
 
 @message("log.timeout_now")
 class TimeoutNow(PeerMessage, frozen=True, array_like=True):
-    """Tell a replica to start an election at once, to hand leadership to it."""
+    """Transfer leadership: the receiver starts an election at once."""
--- a/chivetrack/components/consensus/models.py
+++ b/chivetrack/components/consensus/models.py
@@ -19,7 +19,7 @@
 
 
 class Role(StrEnum):
-    """What a replica is at the moment."""
+    """Current role of a replica."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -28,10 +28,10 @@
 
 
 class Outcome(StrEnum):
-    """How a proposal ended.
+    """Outcome of a proposal.
 
-    ``REFUSED`` is a promise: it is in no log and never will be. ``UNKNOWN``: it may
-    be committed later, or never.
+    ``REFUSED`` guarantees that the proposal is in no log and never will be. ``UNKNOWN``:
+    it may or may not be committed later.
     """
 
     COMMITTED = "committed"
@@ -40,7 +40,7 @@
 
 
 class Refusal(StrEnum):
-    """Why a proposal, a member change, a read or a transfer was refused."""
+    """Reason why a proposal, a member change, a read or a transfer was refused."""
 
     NONE = ""
     NOT_LEADER = "not_leader"
@@ -60,12 +60,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Timing:
-    """Intervals in seconds; elections start at random between the two bounds.
+    """Heartbeat interval and bounds of the random election timeout, in seconds.
 
-    The first ones after a start have bounds of their own, until a leader is heard. After
-    all replicas lost power, nobody leads and each further second is one without service.
-    A replica that starts alone disturbs nobody: those who hear a leader refuse its
-    pre-vote.
+    The first elections after a start have their own bounds, until a leader is in contact.
+    After all replicas lost power there is no leader, and the service is down until one
+    is elected. Early elections of a single restarted replica do no harm: replicas in
+    contact with a leader refuse its pre-vote.
     """
 
     heartbeat_s: float = HEARTBEAT_S
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limits:
-    """How much one message carries, and how many entries stay behind a snapshot."""
+    """Size limits of messages, and of the entries kept although a snapshot covers them."""
 
     append_bytes: int = MAX_APPEND_BYTES
     chunk_bytes: int = SNAPSHOT_CHUNK_BYTES
@@ -87,7 +87,7 @@
 
 @message("log.hard_state")
 class HardState(Message, frozen=True, array_like=True):
-    """The term and the vote given in it; synced before any answer that shows them."""
+    """The term and the vote given in it; synced before any message that depends on them."""
 
     term: int = 0
     vote: str = ""
@@ -95,7 +95,7 @@
 
 @message("log.snapshot")
 class Snapshot(Message, frozen=True, array_like=True):
-    """The state machine after the first ``index`` entries, and the members there."""
+    """State of the state machine after the first ``index`` entries, and the members there."""
 
     index: int = 0
     term: int = 0
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Recovered:
-    """What a replica finds on its disk; the default is an empty disk."""
+    """State that a replica recovered from its disk; the default is an empty disk."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot = Snapshot()
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Proposal:
-    """Data to be appended; ``proposal_id`` comes back in ``ProposalEnded``."""
+    """Data to append; ``proposal_id`` identifies it in ``ProposalEnded``."""
 
     proposal_id: int
     data: bytes
@@ -122,14 +122,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Propose(Event):
-    """Append these; many at once cost one sync and one message for each replica."""
+    """Append proposals; a batch costs one sync and one message per replica."""
 
     proposals: tuple[Proposal, ...]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeMembers(Event):
-    """Change one member; ends as a ``ProposalEnded``."""
+    """Change one member; answered by ``ProposalEnded``."""
 
     proposal_id: int
     kind: ChangeKind
@@ -138,21 +138,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReadRequested(Event):
-    """Ask for an index that a linearizable read must wait for."""
+    """Request a linearizable read; answered by ``ReadReady`` or ``ReadRefused``."""
 
     read_id: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TransferLeadership(Event):
-    """Hand leadership to ``target``, or to the replica that is furthest along."""
+    """Transfer leadership to ``target``, or to the voter with the most entries."""
 
     target: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Persisted(Event):
-    """A ``Persist`` is synced; the fields are its ``last_index`` and ``last_term``."""
+    """A ``Persist`` effect is synced; the fields are its ``last_index`` and ``last_term``."""
 
     last_index: int
     last_term: int
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SnapshotTaken(Event):
-    """The state machine gave its state after applying ``index``."""
+    """The state machine took a snapshot after applying the entry at ``index``."""
 
     index: int
     data: bytes
@@ -168,19 +168,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SnapshotLoaded(Event):
-    """The latest snapshot on disk, with its data, as ``LoadSnapshot`` asked."""
+    """The latest snapshot on disk, with its data; answers ``LoadSnapshot``."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Persist(Effect):
-    """Sync this to disk; no later effect may be carried out before it is synced.
+    """Sync changes to disk; no later effect may be executed before the sync is done.
 
-    In this order: ``snapshot`` (with ``reset``, all entries are dropped and the log
-    goes on after it), ``hard_state``, drop all entries from ``truncate_from`` on,
-    append ``entries``. Afterwards hand in ``Persisted`` with the last two fields,
-    the end of the log.
+    Write in this order: save ``snapshot`` (with ``reset``, also drop all entries), save
+    ``hard_state``, drop all entries from ``truncate_from`` on, append ``entries``.
+    Afterwards pass in ``Persisted`` with ``last_index`` and ``last_term``, which
+    describe the last entry of the log.
     """
 
     hard_state: HardState | None = None
@@ -194,31 +194,31 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Apply(Effect):
-    """Apply committed entries, in order; only those of kind ``DATA`` carry any."""
+    """Apply committed entries in order; only those of kind ``DATA`` hold commands."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RestoreSnapshot(Effect):
-    """Replace the state of the state machine."""
+    """Replace the state of the state machine by a snapshot."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadSnapshot(Effect):
-    """Read the latest snapshot from disk and hand in ``SnapshotLoaded``.
+    """Read the latest snapshot from disk and pass in ``SnapshotLoaded``.
 
-    The core keeps no snapshot in memory: at full size it is as large as the state.
+    The core keeps no snapshot in memory: it may be as large as the whole state.
     """
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProposalEnded(Effect):
-    """A proposal or member change ended; if committed, its ``Apply`` came before.
+    """A proposal or member change ended; if committed, its ``Apply`` precedes this effect.
 
-    ``leader`` is the instance to ask instead, if known.
+    ``leader`` is the instance of the current leader, if known.
     """
 
     proposal_id: int
@@ -230,7 +230,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReadReady(Effect):
-    """All that was committed before the read was asked for is applied by now."""
+    """Everything that was committed before the read was requested is applied."""
 
     read_id: int
     index: int
@@ -238,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReadRefused(Effect):
-    """This replica does not lead, or lost the lead meanwhile."""
+    """The read was refused: this replica is not, or no longer, the leader."""
 
     read_id: int
     leader: str = ""
@@ -246,7 +246,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeadershipChanged(Effect):
-    """The term, the role of this replica or the leader it knows has changed."""
+    """The term, the role of this replica or its known leader has changed."""
 
     term: int
     role: Role
@@ -263,10 +263,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReplicaRegressed(Effect):
-    """A replica lacks entries that it had acknowledged: its disk was lost.
+    """A replica lacks entries that it had acknowledged, so its disk was lost.
 
-    It counts for nothing from now on and must be replaced under a new id. The
-    leader tells it of another, an empty replica that halts tells it of itself.
+    It is excluded from quorums from now on and must be replaced under a new id. The
+    leader emits this effect for another replica; an empty replica that halts emits it
+    for itself.
     """
 
     replica_id: str
@@ -274,7 +275,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReplicaStatus:
-    """How far one replica is, as the leader knows; ages in seconds."""
+    """Replication status of one replica, as known to the leader; ages in seconds."""
 
     replica_id: str
     instance_id: str
@@ -286,7 +287,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConsensusStatus:
-    """What this replica knows; ``replicas`` is filled on the leader only."""
+    """Status of this replica; ``replicas`` is filled on the leader only."""
 
     replica_id: str
     role: Role
--- a/chivetrack/components/consensus/outbox.py
+++ b/chivetrack/components/consensus/outbox.py
@@ -1,4 +1,4 @@
-"""Collects the effects of one event in the order in which they must be carried out."""
+"""Collects the effects of one event in the order in which they must be executed."""
 
 from chivetrack.components.consensus.messages import Entry
 from chivetrack.components.consensus.models import HardState, Persist, Snapshot
@@ -6,7 +6,7 @@
 
 
 class Outbox:
-    """Effects before, in and after the one ``Persist`` of an event."""
+    """The effects of one event: before its ``Persist``, in it, and after it."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -22,14 +22,14 @@
         self._hard_state_changed = False
 
     def add(self, effect: Effect) -> None:
-        """Add an effect that waits for the sync."""
+        """Add an effect to be executed after the sync."""
         self._after_sync.append(effect)
 
     def send_before_sync(self, effect: SendMessage) -> None:
-        """Add a message that may leave before the sync: a leader's append.
+        """Add an append request of the leader, which may be sent before the sync.
 
-        The leader syncs in parallel with its followers and counts itself only once
-        ``Persisted`` comes in.
+        The leader syncs in parallel with its followers and counts its own copy only once
+        ``Persisted`` is received.
         """
         self._before_sync.append(effect)
 
@@ -51,9 +51,9 @@
         self._reset = reset
 
     def drain(self, hard_state: HardState, last_index: int, last_term: int) -> list[Effect]:
-        """Return all effects in order and start again empty."""
+        """Return all effects in order and clear the outbox."""
         persist = self._make_persist(hard_state, last_index, last_term)
-        # A message shows its term: none may leave before a new term is synced.
+        # Messages carry the term, so none may be sent before a new term is synced.
         early_first = persist is None or persist.hard_state is None
         saved = [] if persist is None else [persist]
         if early_first:
--- a/chivetrack/components/consensus/progress.py
+++ b/chivetrack/components/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one other replica."""
+"""Replication progress of one replica, as tracked by the leader."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class SnapshotTransfer:
-    """A snapshot on its way to a replica; ``offset`` bytes of it have arrived."""
+    """A snapshot in transfer to a replica, which has received ``offset`` bytes."""
 
     snapshot: Snapshot
     offset: int = 0
@@ -18,13 +18,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Progress:
-    """How far a replica is.
+    """Replication progress of one replica.
 
-    While ``probing``, single empty appends look for the last index that agrees.
-    Afterwards entries are sent ahead of their answers, ``in_flight`` holds the last
-    index of each such message. ``match_round`` is the heartbeat round in which
-    ``match_index`` became known. ``knows_membership``: its log names it as a member.
-    ``awaits_snapshot``: it needs the snapshot, which is not read from disk yet.
+    While ``probing``, the leader sends one empty append request at a time to find the
+    last index at which the logs match. Afterwards requests are pipelined; ``in_flight``
+    holds the last index of each unanswered one. ``match_round`` is the heartbeat round
+    in which ``match_index`` became known. ``knows_membership``: the replica's log names
+    it as a member. ``awaits_snapshot``: the replica needs the snapshot, which is not
+    read from disk yet. ``last_contact`` is the time of its last answer, in seconds.
     """
 
     replica_id: str
@@ -44,27 +45,27 @@
 
     @property
     def needs_snapshot(self) -> bool:
-        """Tell whether a snapshot is wanted for it or on its way."""
+        """Return whether the replica waits for a snapshot or is receiving one."""
         return self.awaits_snapshot or self.transfer is not None
 
     def end_transfer(self) -> None:
-        """Go on with entries."""
+        """End the snapshot transfer, so that entries are sent again."""
         self.awaits_snapshot = False
         self.transfer = None
 
     @property
     def can_send_entries(self) -> bool:
-        """Tell whether entries may be sent now."""
+        """Return whether entries may be sent now."""
         blocked = self.probing or self.regressed or self.needs_snapshot
         return not blocked and len(self.in_flight) < MAX_APPENDS_IN_FLIGHT
 
     def record_sent(self, last_index: int) -> None:
-        """Note that entries up to ``last_index`` are on their way."""
+        """Record that entries up to ``last_index`` were sent."""
         self.in_flight.append(last_index)
         self.next_index = last_index + 1
 
     def record_match(self, index: int, round_number: int) -> None:
-        """Note that the replica's log agrees up to ``index``."""
+        """Record that the replica's log matches up to ``index``."""
         if index > self.match_index:
             self.match_index = index
             self.match_round = round_number
@@ -76,7 +77,7 @@
         self.probing = False
 
     def start_probing(self, next_index: int) -> None:
-        """Look for the agreeing index again, from ``next_index`` downwards."""
+        """Search for the last matching index again, from ``next_index`` downwards."""
         self.in_flight.clear()
         self.probing = True
         self.next_index = max(next_index, self.match_index + 1, 1)
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -1,4 +1,4 @@
-"""How a leader brings other replicas up to date."""
+"""Replication of the log from the leader to the other replicas."""
 
 from chivetrack.components.consensus.messages import (
     AppendAnswer,
@@ -14,10 +14,10 @@
 
 
 class Replication:
-    """Sends entries, heartbeats and snapshots, and keeps the progress of each replica."""
+    """Sends entries, heartbeats and snapshots, and tracks the progress of each replica."""
 
     def __init__(self, *, state: State) -> None:
-        """Start with the members of the log, none of them known to agree."""
+        """Start with all members of the log in the probing state."""
         self._state = state
         self.round = 0
         self._is_loading_snapshot = False
@@ -25,7 +25,7 @@
         self.sync_members()
 
     def sync_members(self) -> None:
-        """Add progress for new members; that of removed ones stays until ``drop_removed``."""
+        """Start tracking new members; removed ones stay tracked until ``drop_removed``."""
         state = self._state
         for member in state.log.members.members:
             known = member.replica_id in self.progress
@@ -39,7 +39,7 @@
             )
 
     def drop_removed(self) -> None:
-        """Forget replicas whose removal is committed, after telling them so."""
+        """Stop tracking replicas whose removal is committed, after sending them the entry."""
         members = self._state.log.members
         for replica_id in [one for one in self.progress if members.find(one) is None]:
             progress = self.progress.pop(replica_id)
@@ -47,30 +47,33 @@
             self.send_heartbeat(progress)
 
     def start_round(self) -> None:
-        """Send a heartbeat with a new round number to all."""
+        """Send a heartbeat with a new round number to all replicas."""
         self.round += 1
         for progress in self.progress.values():
             self.send_heartbeat(progress)
             self._resend_chunk(progress)
 
     def broadcast_entries(self) -> None:
-        """Send new entries to all that can take them."""
+        """Send new entries to all replicas that are ready for them."""
         for progress in self.progress.values():
             self.send_entries(progress)
 
     def broadcast_commit(self) -> None:
-        """Tell idle replicas the new commit index; busy ones get it with the next entries."""
+        """Send the new commit index to replicas with no request in flight.
+
+        The others receive it with the next entries.
+        """
         for progress in self.progress.values():
             behind = progress.sent_commit < self._state.commit_index
             if behind and progress.can_send_entries and not progress.in_flight:
                 self.send_heartbeat(progress)
 
     def send_entries(self, progress: Progress) -> None:
-        """Send what the replica lacks, as far as it may be sent now.
+        """Send entries that the replica lacks, within the limit on requests in flight.
 
-        A replica that is being removed gets nothing more until that is committed.
-        Did it know of its removal, it would start no elections, yet refuse its vote
-        to those who lack the entry: with the leader dead, nobody could be elected.
+        A replica that is being removed is sent nothing until its removal is committed.
+        If it held that entry, it would start no election itself, yet refuse its vote to
+        replicas that lack the entry; after a loss of the leader no one could be elected.
         """
         if self._state.log.members.find(progress.replica_id) is not None:
             self._send_next(progress)
@@ -86,7 +89,7 @@
             progress.record_sent(entries[-1].index)
 
     def send_heartbeat(self, progress: Progress) -> None:
-        """Send an append without entries; while probing it is the probe."""
+        """Send an append request without entries; while probing it is the probe."""
         self._send_append(progress, ())
 
     def _send_append(self, progress: Progress, entries: tuple[Entry, ...]) -> None:
@@ -112,7 +115,7 @@
         self._state.out.send_before_sync(SendMessage(target=progress.instance_id, message=message))
 
     def handle_append_answer(self, answer: AppendAnswer) -> None:
-        """Note how far a replica is and send it more."""
+        """Update the progress of a replica and send it further entries."""
         progress = self.progress.get(answer.sender)
         if progress is None or progress.regressed:
             return
@@ -142,12 +145,12 @@
         self.send_heartbeat(progress)
 
     def _has_regressed(self, progress: Progress, answer: AppendAnswer) -> bool:
-        """Tell whether a replica lost entries or the membership it had acknowledged.
+        """Return whether a replica lost entries or a membership that it had acknowledged.
 
-        The round of the answer began after the acknowledgement was here, so no
-        reordering explains it: the replica was started on an empty disk under its
-        old id. It may have forgotten that it follows a later leader; counting on it
-        could commit with a minority or confirm a read that misses writes.
+        The round of the answer began after the acknowledgement had arrived, so message
+        reordering can't be the cause: the replica was started on an empty disk under its
+        old id. It may have forgotten that it follows a later leader; counting it could
+        commit entries with a minority or confirm a read that misses writes.
         """
         if answer.round <= progress.match_round:
             return False
@@ -162,13 +165,13 @@
         self._state.out.add(ReplicaRegressed(replica_id=progress.replica_id))
 
     def _is_stale(self, progress: Progress, answer: AppendAnswer) -> bool:
-        """Tell whether a refusal is of a message that no longer matters."""
+        """Return whether a rejection answers an outdated request."""
         if progress.probing:
             return answer.previous_index != self._get_previous_index(progress)
         return answer.previous_index <= progress.match_index
 
     def _find_next_index(self, answer: AppendAnswer) -> int:
-        """Skip a whole term with one message instead of one entry."""
+        """Return the next index to probe, skipping a whole term instead of one entry."""
         if not answer.conflict_term:
             return answer.conflict_index
         before = answer.previous_index - 1
@@ -187,7 +190,7 @@
             self._state.out.add(LoadSnapshot())
 
     def send_snapshot(self, snapshot: Snapshot) -> None:
-        """Send a snapshot that was read to all that wait for it."""
+        """Start sending a snapshot read from disk to all replicas that wait for it."""
         self._is_loading_snapshot = False
         for progress in self.progress.values():
             if progress.awaits_snapshot:
@@ -196,13 +199,13 @@
                 self._send_chunk(progress, progress.transfer)
 
     def _resend_chunk(self, progress: Progress) -> None:
-        """Send a lost chunk again, but only to a replica that lives: chunks are large."""
+        """Resend a lost chunk, but only to a replica with recent contact: chunks are large."""
         transfer = progress.transfer
         if transfer is None or progress.regressed:
             return
-        patience = self._state.timing.election_min_s
-        alive = self._state.now < progress.last_contact + patience
-        if alive and self._state.now >= transfer.sent_at + patience:
+        timeout_s = self._state.timing.election_min_s
+        alive = self._state.now < progress.last_contact + timeout_s
+        if alive and self._state.now >= transfer.sent_at + timeout_s:
             self._send_chunk(progress, transfer)
 
     def _send_chunk(self, progress: Progress, transfer: SnapshotTransfer) -> None:
@@ -225,7 +228,7 @@
         self._send(progress, message)
 
     def handle_chunk_answer(self, answer: SnapshotAnswer) -> None:
-        """Send the next chunk, or go on with entries after the last one."""
+        """Send the next chunk, or continue with entries after the last chunk."""
         progress = self.progress.get(answer.sender)
         if progress is None or progress.regressed:
             return
--- a/chivetrack/components/consensus/state.py
+++ b/chivetrack/components/consensus/state.py
@@ -1,4 +1,4 @@
-"""What followers, candidates and leaders share."""
+"""State shared by the follower, candidate and leader roles."""
 
 from random import Random
 
@@ -19,7 +19,10 @@
 
 
 class State:
-    """The state of one replica, and the effects it has to give."""
+    """The state of one replica, and the effects of the current event.
+
+    ``durable_index`` is the last synced index of the own log. Times are in seconds.
+    """
 
     def __init__(
         self,
@@ -30,7 +33,7 @@
         limits: Limits,
         recovered: Recovered,
     ) -> None:
-        """Take over what was on disk; all of it is synced."""
+        """Start from the state recovered from disk, all of which counts as synced."""
         self.replica_id = replica_id
         self.random = random
         self.timing = timing
@@ -52,23 +55,23 @@
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether the own log names this replica as a voter."""
+        """Return whether the own log names this replica as a voter."""
         return self.log.members.is_voter(self.replica_id)
 
     @property
     def is_member(self) -> bool:
-        """Tell whether the own log names this replica at all."""
+        """Return whether the own log names this replica as a voter or learner."""
         return self.log.members.find(self.replica_id) is not None
 
     @property
     def has_recent_leader(self) -> bool:
-        """Tell whether a leader lives, as far as this replica can know."""
+        """Return whether a leader was in contact within the shortest election timeout."""
         if self.role is Role.LEADER:
             return True
         return self.now < self.leader_last_seen_at + self.timing.election_min_s
 
     def get_instance(self, replica_id: str) -> str:
-        """Return the instance of a replica; its id if it is not a member (yet)."""
+        """Return the instance of a replica, or its id if the log names no such member."""
         member = self.log.members.find(replica_id)
         return replica_id if member is None else member.instance_id
 
@@ -77,13 +80,16 @@
         return self.get_instance(self.leader_id) if self.leader_id else ""
 
     def set_term(self, term: int, vote: str) -> None:
-        """Change the term and the vote in it."""
+        """Set the term and the vote given in it; both are synced with the event."""
         self.term = term
         self.vote = vote
         self.out.change_hard_state()
 
     def set_role(self, role: Role, leader_id: str) -> None:
-        """Change the role and the known leader, and tell of it unless that was told before."""
+        """Set the role and the known leader, and report the change.
+
+        A change that equals the last reported one is not reported again.
+        """
         self.role = role
         self.leader_id = leader_id
         change = LeadershipChanged(
@@ -97,12 +103,12 @@
             self.out.add(change)
 
     def send(self, message: PeerMessage, *, instance: str = "") -> None:
-        """Send after the sync."""
+        """Send a message after the sync."""
         target = instance or self.get_instance(message.receiver)
         self.out.add(SendMessage(target=target, message=message))
 
     def reset_election(self) -> None:
-        """Start the election timeout again, at random so that candidates rarely collide."""
+        """Restart the election timeout, at random so that candidates rarely collide."""
         timing = self.timing
         low, high = timing.election_min_s, timing.election_max_s
         if self.first_election_attempts_left > 0 and self.leader_last_seen_at == float("-inf"):
@@ -111,11 +117,11 @@
         self.election_at = self.now + self.random.uniform(low, high)
 
     def is_up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Tell whether a log that ends so holds at least what this one does."""
+        """Return whether a log with this last entry is at least as up to date as the own."""
         return (last_term, last_index) >= (self.log.last_term, self.log.last_index)
 
     def advance_commit(self, index: int) -> None:
-        """Commit up to ``index``, as far as the log goes."""
+        """Commit entries up to ``index``, or up to the end of the log."""
         index = min(index, self.log.last_index)
         if index <= self.commit_index:
             return
@@ -124,5 +130,5 @@
         self.out.add(Apply(entries=entries))
 
     def get_hard_state(self) -> HardState:
-        """Return the term and vote as they go to disk."""
+        """Return the term and vote as stored on disk."""
         return HardState(term=self.term, vote=self.vote)
--- a/tests/components/consensus/chaos.py
+++ b/tests/components/consensus/chaos.py
@@ -1,4 +1,4 @@
-"""Random failures, one method for each kind; deterministic for a seed."""
+"""Random failures, one method per action; deterministic for a seed."""
 
 from collections.abc import Callable
 from random import Random
@@ -12,7 +12,10 @@
 
 
 class Chaos:
-    """Replicas that crash, freeze, are cut off, lose disks and are replaced."""
+    """Replicas that crash, freeze, are partitioned, lose disks and are replaced.
+
+    ``lost`` is the voter whose disk was lost, ``spare`` the replica that replaces it.
+    """
 
     def __init__(self, *, seed: int) -> None:
         self.random = Random(seed)
@@ -35,7 +38,7 @@
         return self.random.choice(list(self.network.nodes.values()))
 
     def propose(self) -> None:
-        """Propose to all that believe they lead, and to one other."""
+        """Propose to every replica that believes it is leader, and to a random one."""
         nodes = [one for one in self.network.nodes.values() if one.is_leader]
         for node in [*nodes, self.pick()]:
             for _ in range(self.random.randint(1, 4)):
@@ -75,7 +78,7 @@
             node.thaw()
 
     def cut(self) -> None:
-        """Cut a random lesser part off, the leader among it at half of the times."""
+        """Partition a random minority; with probability 0.5 the leader is part of it."""
         self.network.cuts.clear()
         nodes = list(self.network.nodes)
         self.random.shuffle(nodes)
@@ -86,7 +89,7 @@
         self.network.cut(*part)
 
     def depose(self) -> None:
-        """Cut the leader off until another is elected and writes; the old one reads."""
+        """Partition the leader until another is elected and writes; then read from both."""
         old = self.network.leader
         if old is None:
             return
@@ -103,7 +106,7 @@
         self.network.heal()
 
     def calm(self) -> None:
-        """Let all work for a while, so that histories get on."""
+        """End all failures and make progress: commit, repair and read."""
         self.heal()
         self.restart()
         self.thaw()
@@ -126,7 +129,7 @@
             self.network.transfer(self.network.leader, self.pick().replica_id)
 
     def lose_disk(self) -> None:
-        """Lose a disk; sometimes the old id starts on an empty one, as it must not."""
+        """Lose a disk; with probability 0.7 the old id wrongly restarts on an empty one."""
         node = self.pick()
         leader = self.network.leader
         if self.lost or leader is None or leader.consensus is None or node is leader:
@@ -143,7 +146,7 @@
             self.network.add(self.lost, Disk())
 
     def repair(self) -> None:
-        """Take the next step of the repair, if the one before is committed."""
+        """Propose the first step of the replacement that is not committed yet."""
         leader = self.network.leader
         if leader is None or not self.lost:
             return
@@ -163,7 +166,7 @@
         self.steps = {}
 
     def finish(self) -> None:
-        """Heal all; what was acknowledged must be there on every member."""
+        """End all failures; every member must have every acknowledged write."""
         self.network.nodes.pop(self.lost, None)
         self.network.settle()
 
--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -1,8 +1,8 @@
-"""Replicas in memory, with a network and disks that fail, beside an oracle.
+"""Replicas in memory, with a network and disks that fail, checked by an oracle.
 
 Only what a ``Persist`` had synced survives a crash. The oracle raises as soon as a
-promise is broken: two leaders in a term, a committed entry that differs or is applied
-out of order, a refused proposal that is committed, a read that misses a write.
+guarantee is violated: two leaders in a term, a committed entry that differs or is
+applied out of order, a refused proposal that is committed, a read that misses a write.
 """
 
 import heapq
@@ -22,7 +22,7 @@
 
 
 class Oracle:
-    """What must hold, whatever fails."""
+    """Checks the guarantees that must hold under all failures."""
 
     def __init__(self) -> None:
         self.leaders: dict[int, str] = {}
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class Disk:
-    """What is synced."""
+    """The synced state of one replica."""
 
     hard_state: models.HardState = field(default_factory=models.HardState)
     snapshot: models.Snapshot = field(default_factory=models.Snapshot)
@@ -90,7 +90,7 @@
 
 
 class Node:
-    """One replica: its disk, its process if it runs, and what it applied."""
+    """One replica: its disk, its process if it runs, and the state that it applied."""
 
     def __init__(self, *, network: "Network", replica_id: str, disk: Disk) -> None:
         self.network = network
@@ -225,15 +225,15 @@
     def make_snapshot_callback(self, index: int, data: bytes) -> Callable[[], None]:
         incarnation = self.incarnation
 
-        def handle() -> None:
+        def hand_in() -> None:
             if self.incarnation == incarnation:
                 self.handle(models.SnapshotTaken(index=index, data=data))
 
-        return handle
+        return hand_in
 
 
 class Network:
-    """Carries messages and time; deterministic for a seed."""
+    """Delivers messages and simulates time; deterministic for a seed."""
 
     def __init__(self, *, seed: int, voters: tuple[str, ...] = ("a", "b", "c")) -> None:
         self.random = Random(seed)
@@ -289,7 +289,7 @@
             node.handle(MessageReceived(source=source, message=effect.message))
 
     def cut(self, *replica_ids: str) -> None:
-        """Swallow all messages between these and the others, both ways."""
+        """Drop all messages between these replicas and the others, in both directions."""
         for one in replica_ids:
             for other in self.nodes:
                 if other not in replica_ids:
@@ -310,13 +310,13 @@
     def run_until(self, condition: Callable[[], bool], *, limit: float = 30.0) -> None:
         end = self.now + limit
         while not condition():
-            assert self._heap and self._heap[0][0] <= end, "nothing came of it"
+            assert self._heap and self._heap[0][0] <= end, "the condition did not come true in time"
             self.now, _, call = heapq.heappop(self._heap)
             call()
 
     @property
     def leader(self) -> Node | None:
-        """The running leader of the highest term."""
+        """Return the running leader of the highest term."""
         leading = [one for one in self.nodes.values() if one.is_leader and one.frozen is None]
         return max(leading, key=lambda one: self.get_term(one), default=None)
 
@@ -375,7 +375,7 @@
         node.handle(models.TransferLeadership(target=target))
 
     def settle(self) -> None:
-        """Heal all, commit once more and wait until every member has applied it."""
+        """End all failures, commit an entry and wait until every member has applied it."""
         self.heal()
         for node in self.nodes.values():
             if node.consensus is None:
@@ -398,7 +398,7 @@
         self.oracle.check_refused()
 
     def list_members(self) -> list[Node]:
-        """The members that still have their disk."""
+        """Return the members that still have their disk."""
         leader = self.leader
         if leader is None or leader.consensus is None:
             return list(self.nodes.values())
--- a/tests/components/consensus/test_core.py
+++ b/tests/components/consensus/test_core.py
@@ -1,4 +1,4 @@
-"""Single events to one replica of a, b and c: what it may and may not answer."""
+"""Unit tests of one replica (a) in a group of a, b and c, driven by single events."""
 
 import unittest
 from random import Random
@@ -49,7 +49,7 @@
 
 
 def make_entries(*terms: int) -> tuple[Entry, ...]:
-    """Entries from index 2 on, with these terms."""
+    """Return entries from index 2 on, with these terms."""
     return tuple(
         Entry(index=index, term=term, kind=EntryKind.DATA, data=b"%d.%d" % (index, term))
         for index, term in enumerate(terms, start=2)
@@ -57,7 +57,7 @@
 
 
 class Subject:
-    """Replica a, driven by hand; syncs are reported only on ``persist``."""
+    """Replica a; a sync counts as done only when ``persist`` is called."""
 
     def __init__(self, *terms: int, term: int = 1, members: Members = VOTERS) -> None:
         self.now = 0.0
@@ -93,7 +93,7 @@
         return self.handle(Persisted(last_index=last.last_index, last_term=last.last_term))
 
     def lead(self) -> None:
-        """Win an election with the vote of b; the empty entry is not synced yet."""
+        """Win an election with the vote of b; the leader's empty entry is not synced yet."""
         term = self.consensus.get_status(now=self.now).term
         self.handle(TimeReached(), after=1.3)
         self.receive(PreVoteAnswer("b", "a", term, term, True))
@@ -127,9 +127,8 @@
 
 class VoteTest(unittest.TestCase):
     def test_requests(self) -> None:
-        """A vote for a log that lacks entries, or a second vote in a term, elects a
-        leader without a committed entry or two leaders; a vote against a live
-        leader topples it."""
+        """A vote for a candidate that lacks entries could elect a leader without a
+        committed entry; a vote in an old term could elect two leaders in that term."""
         cases = {
             "same log": (VoteRequest("b", "a", 3, 3, 2, False), True),
             "longer log": (VoteRequest("b", "a", 3, 9, 2, False), True),
@@ -152,7 +151,7 @@
         subject.receive(VoteRequest("c", "a", 2, 9, 1, False))
         self.assertFalse(getattr(subject.get_answer(), "granted", None))
 
-    def test_live_leader_is_not_toppled(self) -> None:
+    def test_live_leader_is_not_deposed(self) -> None:
         subject = Subject(term=2)
         subject.append((1, 1), (), term=2)
         subject.receive(VoteRequest("c", "a", 3, 9, 2, False))
@@ -160,18 +159,18 @@
         subject.receive(PreVoteRequest("c", "a", 2, 9, 2))
         self.assertFalse(getattr(subject.get_answer(), "granted", None))
         subject.receive(VoteRequest("c", "a", 3, 9, 2, True))
-        self.assertTrue(getattr(subject.get_answer(), "granted", None), "the leader wanted it")
+        self.assertTrue(getattr(subject.get_answer(), "granted", None), "requested by the leader")
 
     def test_empty_disk_does_not_vote(self) -> None:
         subject = Subject(members=make_voters("b", "c"))
         subject.receive(VoteRequest("b", "a", 2, 5, 1, False))
         self.assertFalse(getattr(subject.get_answer(), "granted", None))
 
-    def test_message_for_the_id_before_is_ignored(self) -> None:
+    def test_message_for_a_previous_replica_id_is_ignored(self) -> None:
         subject = Subject()
         self.assertEqual(subject.receive(VoteRequest("b", "a.old", 2, 5, 1, False)), [])
 
-    def test_new_term_is_synced_before_it_is_seen(self) -> None:
+    def test_new_term_is_synced_before_it_is_sent(self) -> None:
         learner = Member(replica_id="d", instance_id="d", voter=False)
         alone = Members(members=(*make_voters("a").members, learner))
         subject = Subject(members=alone)
@@ -182,15 +181,15 @@
 
 
 class FollowerTest(unittest.TestCase):
-    def test_late_append_keeps_what_follows(self) -> None:
-        """An append arrives again, late, after more was acknowledged. Cutting the log
-        after it would drop entries that the leader counts as committed."""
+    def test_late_append_keeps_later_entries(self) -> None:
+        """A duplicate append arrives after later entries were acknowledged. Truncating
+        the log after it would drop entries that the leader counts as committed."""
         subject = Subject(2, 2, 2, term=2)
         subject.append((1, 1), make_entries(2), term=2)
         self.assertEqual(subject.list_effects(Persist), [])
         self.assertEqual(subject.consensus.get_status(now=0).last_index, 4)
 
-    def test_conflict_is_replaced(self) -> None:
+    def test_conflicting_entries_are_replaced(self) -> None:
         subject = Subject(2, 2, 2, term=2)
         new = make_entries(2, 3)[1:]
         subject.append((2, 2), new, term=3)
@@ -198,16 +197,16 @@
         self.assertEqual((persist.truncate_from, persist.entries), (3, new))
         self.assertEqual(persist.last_index, 3)
 
-    def test_commits_only_what_agrees(self) -> None:
-        """A heartbeat agrees up to index 1 and tells a commit index of 3. What is here
-        at 2 and 3 is from a deposed leader and must not be applied."""
+    def test_commits_only_matching_entries(self) -> None:
+        """A heartbeat matches up to index 1 and has commit index 3. The entries at 2
+        and 3 in this log are from a deposed leader and must not be applied."""
         subject = Subject(2, 2, term=2)
         subject.append((1, 1), (), term=3, commit=3)
         self.assertEqual(subject.list_effects(Apply), [])
 
     def test_snapshot_of_known_entries_keeps_the_rest(self) -> None:
-        """A late snapshot chunk covers entries that are here. Installing it would drop
-        those after it, which were acknowledged."""
+        """A late snapshot chunk covers entries that the log has. Installing the snapshot
+        would drop the entries after it, which were acknowledged."""
         subject = Subject(2, 2, 2, term=2)
         subject.receive(SnapshotChunk("b", "a", 2, 3, 2, VOTERS, 0, 1, b"x", 1))
         self.assertEqual(subject.consensus.get_status(now=0).last_index, 4)
@@ -232,8 +231,8 @@
         self.assertEqual((persist.snapshot.data, persist.reset), (b"wxyz", True))
 
     def test_empty_disk_under_the_id_of_a_voter_halts(self) -> None:
-        """The disk of voter a is lost and a starts on an empty one under its old id.
-        Its first members name it as a voter: it acknowledges nothing from then on."""
+        """Voter a lost its disk and starts on an empty one under its old id. The first
+        member list that it receives names it as a voter: it must halt and not vote."""
         recovered = Recovered()
         subject = Subject()
         subject.consensus = Consensus(
@@ -247,8 +246,8 @@
         self.assertEqual(subject.effects, [])
 
     def test_refusal_of_an_old_term_confirms_no_round(self) -> None:
-        """b led in term 2, and leads again in term 4. An append of its term 2 arrives
-        late; the answer shows term 4 and must not look like one to a round of it."""
+        """b led in term 2 and leads again in term 4. An append of term 2 arrives late; the
+        answer carries term 4 and must not confirm a heartbeat round of term 4."""
         subject = Subject(term=4)
         subject.append((1, 1), (), term=2)
         self.assertEqual(getattr(subject.get_answer(), "round", None), 0)
@@ -260,8 +259,8 @@
         self.subject.lead()
 
     def test_entries_of_earlier_terms_are_not_counted(self) -> None:
-        """Entries of term 2 reach a majority under the leader of term 4. Until one of
-        term 4 does, another leader may still overwrite them: they are not committed."""
+        """Entries of term 2 reach a majority under the leader of term 4. Until an entry of
+        term 4 does, another leader may overwrite them, so they are not committed."""
         self.subject.persist()
         self.subject.ack("b", 3)
         self.assertEqual(self.subject.consensus.commit_index, 1)
@@ -276,8 +275,8 @@
         self.assertEqual(self.subject.consensus.commit_index, 4)
 
     def test_replaced_entries_are_not_synced(self) -> None:
-        """Entries up to 4 were synced, then replaced by one at 2. When this replica
-        leads, its own entry 3 must not count as synced because 4 once was."""
+        """Entries up to 4 were synced, then replaced by a single entry at 2. When this
+        replica leads, its new entry 3 must not count as synced because 4 once was."""
         subject = Subject(2, 2, 2, term=3)
         subject.append((1, 1), make_entries(3), term=3)
         subject.receive(TimeoutNow("b", "a", 3))
@@ -307,8 +306,8 @@
         self.assertEqual(self.subject.list_effects(ReadReady)[0].read_id, 8)
 
     def test_read_of_a_new_leader_waits_for_its_first_entry(self) -> None:
-        """The leader before answered writes that this one holds but does not know to
-        be committed. A read at its own commit index would miss them."""
+        """The previous leader acknowledged writes that this one holds but does not know
+        to be committed. A read at its own commit index would miss them."""
         self.subject.persist()
         self.subject.handle(ReadRequested(read_id=7))
         self.subject.ack("b", 3, round_number=9)
@@ -317,9 +316,9 @@
         self.assertEqual(self.subject.list_effects(ReadReady), [ReadReady(read_id=7, index=4)])
 
     def test_lost_entries_exclude_a_replica(self) -> None:
-        """b acknowledged entry 4; later it refuses and its log ends at 0. Its disk was
-        lost, it counts no more. A late refusal from before the acknowledgement says
-        nothing."""
+        """b acknowledged entry 4; later it rejects an append and its log ends at 0. Its
+        disk was lost, so it is excluded. A delayed rejection from before the
+        acknowledgement must not exclude it."""
         self.subject.ack("b", 4, round_number=1)
         self.subject.refuse("b", 0, round_number=1)
         self.assertEqual(self.subject.list_effects(ReplicaRegressed), [])
@@ -335,8 +334,8 @@
         )
 
     def test_proposals_end_once(self) -> None:
-        """Committed after the majority; unknown when leadership is lost; refused with
-        the leader's name where there was none."""
+        """A pending proposal ends as unknown when leadership is lost; one proposed to a
+        follower is refused with the id of the leader."""
         proposal = Proposal(proposal_id=1, data=b"x")
         self.subject.handle(Propose(proposals=(proposal,)))
         self.assertEqual(self.subject.list_effects(ProposalEnded), [])
@@ -348,8 +347,8 @@
         self.assertEqual([(one.outcome, one.leader) for one in ended], [(Outcome.REFUSED, "c")])
 
     def test_hand_over_waits_for_commits(self) -> None:
-        """b holds every entry but the last is not committed yet. Handing over now would
-        end its proposal as unknown for no reason."""
+        """b holds every entry, but the last one is not committed yet. A transfer now would
+        needlessly end its proposal as unknown."""
         persist = self.subject.list_effects(Persist)[0]
         self.subject.ack("b", 4)
         self.subject.handle(TransferLeadership(target="b"))
@@ -370,7 +369,7 @@
 
 class LogTest(unittest.TestCase):
     def test_entries_behind_a_snapshot(self) -> None:
-        """As many stay as both limits allow; the term before them stays known."""
+        """Both limits bound the entries kept; the term before them stays known."""
         cases = {"entries": (Limits(trailing_entries=3), 6), "bytes": (Limits(trailing_bytes=7), 7)}
         for name, (limits, base) in cases.items():
             with self.subTest(name):
@@ -383,41 +382,41 @@
 
 
 class FirstElectionTest(unittest.TestCase):
-    def test_first_tries_come_soon_and_then_the_usual_bounds_hold(self) -> None:
-        """All replicas lost power; each starts and finds nobody to lead.
+    def test_first_attempts_are_early_and_later_ones_use_the_usual_bounds(self) -> None:
+        """All replicas lost power and restart without a leader.
 
-        With the usual timeout nothing is served for another second. The first tries come
-        within their own bounds; where they stay without an answer, the usual ones follow,
-        so that a replica that is alone does not send requests for votes all the time.
+        With the usual election timeout the service would be down for another second. The
+        first attempts have shorter bounds. Unanswered ones are followed by attempts at
+        the usual bounds, so that a single replica does not send vote requests too often.
         """
         timing = Timing(first_election_min_s=0.1, first_election_max_s=0.4)
         recovered = Recovered(snapshot=Snapshot(index=1, term=1, members=make_voters("a", "b")))
         replica = Consensus(replica_id="a", random=Random(1), timing=timing, recovered=recovered)
-        now, asked = 0.0, []
+        now, attempts = 0.0, []
         while now < 8.0:
             effects = replica.handle(TimeReached(), now=now)
             if any(isinstance(one, SendMessage) for one in effects):
-                asked.append(now)
+                attempts.append(now)
             now += 0.01
-        waits = [after - before for before, after in zip([0.0, *asked], asked, strict=False)]
+        waits = [after - before for before, after in zip([0.0, *attempts], attempts, strict=False)]
         self.assertLess(max(waits[:FIRST_ELECTION_ATTEMPTS]), 0.42)
         self.assertGreater(min(waits[FIRST_ELECTION_ATTEMPTS:]), 0.58)
 
-    def test_replica_that_belongs_to_no_log_tells_nothing_again(self) -> None:
-        """A replica waits to be let in; each election timeout it finds that it has no vote.
+    def test_replica_outside_the_log_reports_no_change_twice(self) -> None:
+        """A replica that is not a member yet reaches its election timeout again and again.
 
-        Its lines said each time that it knows no leader, which had not changed.
+        Each time it reported that it knows no leader, although this had not changed.
         """
         replica = Consensus(
             replica_id="a", random=Random(1), timing=Timing(), recovered=Recovered()
         )
-        told = [
+        reported = [
             effect
             for step in range(100)
             for effect in replica.handle(TimeReached(), now=step * 0.1)
             if isinstance(effect, LeadershipChanged)
         ]
-        self.assertLessEqual(len(told), 1)
+        self.assertLessEqual(len(reported), 1)
 
 
 if __name__ == "__main__":
--- a/tests/components/consensus/test_failures.py
+++ b/tests/components/consensus/test_failures.py
@@ -1,4 +1,4 @@
-"""What callers see when replicas, disks and links fail; all in ``network.py``."""
+"""Outcomes for callers when replicas, disks and links fail, simulated by ``network.py``."""
 
 import unittest
 
@@ -24,7 +24,7 @@
         return node
 
     def replace(self, old: str, new: str) -> None:
-        """Add a learner, drop the lost voter, promote the learner."""
+        """Add a learner, remove the lost voter, promote the learner."""
         leader = self.leader
         node = self.add_learner(new, leader)
         self.network.run_until(lambda: node.applied >= leader.applied)
@@ -36,11 +36,11 @@
         node.crash()
         del self.network.nodes[node.replica_id]
 
-    def test_leader_on_the_lesser_side_of_a_silent_cut(self) -> None:
-        """A cut swallows all messages of the leader; it goes on believing that it
-        leads. The others elect another, which takes a write. A read at the old leader
-        must not be answered without that write, and its own write ends as unknown
-        within the longest election timeout, not after the cut."""
+    def test_leader_on_the_minority_side_of_a_partition(self) -> None:
+        """A partition drops all messages of the leader, which still believes that it
+        leads. The others elect a new leader, which commits a write. A read at the old
+        leader must not miss that write, and a write at the old leader must end as unknown
+        within the longest election timeout, not only after the partition."""
         self.network.commit(self.leader)
         self.network.cut(self.leader.replica_id)
         write = self.network.propose(self.leader)
@@ -55,8 +55,8 @@
 
     def test_frozen_leader_that_wakes(self) -> None:
         """The leader is frozen for longer than any election timeout while another is
-        elected; no message tells it so. What it is asked first when it wakes is
-        refused at once: nothing gets into its log, so "refused" is true."""
+        elected, and receives no message about it. The first requests after it wakes must
+        be refused at once, before anything is appended to its log."""
         self.network.cut(self.leader.replica_id)
         self.leader.freeze()
         self.network.run(5.0)
@@ -67,9 +67,9 @@
         self.assertIsInstance(self.network.oracle.reads[read], ReadRefused)
         self.network.settle()
 
-    def test_replica_that_was_cut_off_does_not_topple_the_leader(self) -> None:
-        """A follower is cut off for ten seconds and starts elections all the while.
-        When it is back the same leader leads in the same term."""
+    def test_replica_that_was_partitioned_does_not_depose_the_leader(self) -> None:
+        """A follower is partitioned for ten seconds and starts elections repeatedly.
+        When it returns, the same leader must still lead in the same term."""
         term = self.network.get_term(self.leader)
         self.network.cut(self.others[0].replica_id)
         self.network.run(10.0)
@@ -79,9 +79,9 @@
         self.assertEqual(self.network.get_term(self.leader), term)
 
     def test_empty_disk_under_the_old_id(self) -> None:
-        """A write is on the disks of the leader and b. The disk of b is lost and b
-        starts empty under its old id; then the leader dies. c, which missed the write,
-        must not be elected with the vote of b, which has forgotten it."""
+        """A write is on the disks of the leader and of one follower, ``kept``. ``kept``
+        loses its disk and restarts empty under its old id; then the leader crashes. The
+        other follower, which missed the write, must not be elected with its vote."""
         kept, late = self.others
         self.network.cut(late.replica_id)
         self.network.commit(self.leader)
@@ -99,9 +99,9 @@
         self.network.settle()
 
     def test_second_loss_right_after_a_repair(self) -> None:
-        """The disk of c is lost and d takes its place. As soon as the change is
-        committed the disk of b is lost too. Every acknowledged write is there, and
-        a third loss leaves one of three, which may commit nothing."""
+        """One follower loses its disk and is replaced by d. As soon as the change is
+        committed, the other follower loses its disk too. Every acknowledged write must be
+        preserved; after a third loss one of three is left, which must commit nothing."""
         for _ in range(25):
             self.network.commit(self.leader)
         self.lose(self.others[0])
@@ -119,7 +119,7 @@
         self.network.settle()
 
     def test_refused_changes(self) -> None:
-        """Changes that would lose the quorum or take in a replica that knows nothing."""
+        """Changes that would lose the quorum or promote a replica that lacks entries."""
         first, second = (one.replica_id for one in self.others)
         self.network.commit(self.leader)
         self.add_learner("d", self.leader)
@@ -145,8 +145,7 @@
         self.assertIs(ended.refusal, Refusal.RETIRED_ID)
 
     def test_one_change_at_a_time(self) -> None:
-        """Two changes at once could each be committed by a quorum that knows nothing
-        of the other."""
+        """Two concurrent changes could be committed by disjoint quorums."""
         self.network.commit(self.leader)
         self.network.change(self.leader, ChangeKind.ADD_LEARNER, "d")
         second = self.network.change(self.leader, ChangeKind.ADD_LEARNER, "e")
@@ -160,8 +159,9 @@
         self.assertIs(fresh.oracle.outcomes[early].refusal, Refusal.NOT_READY)
 
     def test_leader_dies_during_a_member_change(self) -> None:
-        """The leader appends the removal of b, reaches only b, and dies. Whether the
-        change happened or not, all agree, and the next change goes through."""
+        """The leader appends the removal of a follower, reaches only that follower, and
+        crashes. Whether or not the change is committed, all members must agree on it, and
+        the next change must succeed."""
         self.network.commit(self.leader)
         removed, other = self.others
         self.network.cut(other.replica_id)
@@ -182,8 +182,8 @@
         return node.consensus.get_status(now=self.network.now).members
 
     def test_hand_over(self) -> None:
-        """A graceful stop hands leadership over in a few round trips. Writes before it
-        are committed, those after it are refused, none is unknown."""
+        """A graceful stop transfers leadership within a few round trips. Writes before it
+        are committed, those after it are refused, none ends as unknown."""
         before = self.network.propose(self.leader)
         start = self.network.now
         self.network.transfer(self.leader)
@@ -194,7 +194,7 @@
         self.assertIs(self.get_outcome(before), Outcome.COMMITTED)
         self.assertIs(self.get_outcome(after), Outcome.REFUSED)
 
-    def test_hand_over_to_a_dead_replica_is_given_up(self) -> None:
+    def test_hand_over_to_a_dead_replica_is_abandoned(self) -> None:
         self.others[0].crash()
         self.network.propose(self.leader)
         self.network.transfer(self.leader, self.others[0].replica_id)
@@ -202,8 +202,8 @@
         self.network.commit(self.leader)
 
     def test_late_replica_gets_a_snapshot_in_chunks(self) -> None:
-        """A replica was away while the log it lacks was compacted; two of five messages
-        are lost. It gets the snapshot in pieces, then the entries after it."""
+        """A replica was down while the entries that it lacks were compacted; two of five
+        messages are lost. It must receive the snapshot in chunks, then later entries."""
         late = self.others[0]
         late.crash()
         self.network.propose_many(self.leader, 500)
--- a/tests/components/network.py
+++ b/tests/components/network.py
@@ -1,4 +1,7 @@
-"""A seeded network in memory: drops, delays, doubles, reorders, cuts, freezes, restarts."""
+"""A seeded in-memory network that loses, delays, duplicates and reorders messages.
+
+Links can be cut, and nodes killed, frozen and restarted.
+"""
 
 import heapq
 import itertools
@@ -14,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """One message as it left a node; ``life`` differs for each start of a node."""
+    """One message that a node sent; ``incarnation`` differs for each start of a node."""
 
     at: float
     source: str
@@ -45,7 +48,7 @@
 
 
 class Network:
-    """Drives nodes of several components each; times are seconds from 0."""
+    """Runs nodes of several components each; times are in seconds and start at 0."""
 
     def __init__(self, *, seed: int, delay_s: tuple[float, float] = (0.001, 0.004)) -> None:
         """Create a network without faults."""
@@ -64,24 +67,24 @@
     def start(
         self, name: str, components: Iterable[Component], *, clock_offset_s: float = 0.0
     ) -> None:
-        """Start a node, or start it anew in place of its earlier life.
+        """Start a node, in place of an earlier one of the same name.
 
-        Its clock shows ``clock_offset_s`` more than the network's time.
+        Its clock is ``clock_offset_s`` ahead of the network's time.
         """
         self._nodes[name] = _Node(list(components), next(self._incarnations), clock_offset_s)
         for index in range(len(self._nodes[name].components)):
             self._wake(name, index, self.now)
 
     def kill(self, name: str) -> None:
-        """End a node without notice."""
+        """Remove a node without notice to the others."""
         self._nodes.pop(name, None)
 
     def freeze(self, name: str) -> None:
-        """Stop a node's processor; what comes in waits."""
+        """Suspend a node; its events are deferred until it is thawed."""
         self._nodes[name].frozen = True
 
     def thaw(self, name: str) -> None:
-        """Let a frozen node go on; what waited comes all at once."""
+        """Resume a frozen node; all deferred events are delivered at once."""
         node = self._nodes[name]
         node.frozen = False
         deferred, node.deferred = node.deferred, []
@@ -90,7 +93,7 @@
             heapq.heappush(self._queue, due)
 
     def cut(self, group: Iterable[str], others: Iterable[str], *, one_way: bool = False) -> None:
-        """Lose everything between two groups."""
+        """Drop all messages between two groups, or only those from ``group``."""
         listed = tuple(others)
         for left in group:
             for right in listed:
@@ -99,7 +102,7 @@
                     self._cut.add((right, left))
 
     def heal(self) -> None:
-        """Take back all cuts."""
+        """Restore all cut links."""
         self._cut.clear()
 
     def run_until(self, end: float) -> None:
@@ -115,7 +118,7 @@
         self.run_until(self.now + seconds)
 
     def get_bytes(self, source: str, first: float, last: float) -> int:
-        """Return the bytes that a node was charged for in ``[first, last)``."""
+        """Return the bytes that ``source`` sent in ``[first, last)``, with overhead."""
         return sum(
             sent.charged_bytes
             for sent in self.sent
@@ -124,7 +127,7 @@
 
     def _run(self, due: _Due) -> None:
         node = self._nodes.get(due.node)
-        if node is None or node.life != due.life:
+        if node is None or node.incarnation != due.incarnation:
             return
         if node.frozen:
             node.deferred.append(due)
@@ -161,8 +164,8 @@
         data = encode(effect.message)
         kind = get_kind(effect.message)
         size = len(data) + TRANSPORT_OVERHEAD_BYTES
-        life = self._nodes[source].life
-        self.sent.append(Sent(self.now, source, life, effect.target, kind, size))
+        incarnation = self._nodes[source].incarnation
+        self.sent.append(Sent(self.now, source, incarnation, effect.target, kind, size))
         copies = 2 if self._random.random() < self.duplicate else 1
         for _ in range(copies):
             if (source, effect.target) in self._cut or self._random.random() < self.drop:
@@ -175,5 +178,5 @@
         node = self._nodes.get(name)
         if node is None:
             return
-        due = _Due(at, next(self._orders), name, node.life, component, event)
+        due = _Due(at, next(self._orders), name, node.incarnation, component, event)
         heapq.heappush(self._queue, due)
