--- a/tests/components/gossip/fleet.py
+++ b/tests/components/gossip/fleet.py
@@ -58,7 +58,7 @@
                 sum(
                     s.charged_bytes
                     for s in sent[i:]
-                    if s.at < first.at + 1.0 and s.life == first.life
+                    if s.at < first.at + 1.0 and s.incarnation == first.incarnation
                 )
                 for i, first in enumerate(sent)
             ),
