--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -16,7 +16,7 @@
 from chivetrack.components.gossip.models import News, Urgency
 from chivetrack.components.membership.const import FLEET_TOPICS
 from chivetrack.components.membership.membership import Membership
-from chivetrack.components.membership.models import Instance, Life, Seed
+from chivetrack.components.membership.models import Instance, Seed, StateVersion
 from chivetrack.core import Component, Effect, Event, WakeAt
 from tests.components.network import Network
 
@@ -120,7 +120,7 @@
             region=REGION,
             zone=name.rsplit("-", 1)[0],
             roles=("router",),
-            life=Life(1764709000, 0),
+            life=StateVersion(1764709000, 0),
         )
         seeds = [
             Seed(instance_id=seed, address="10.0.0.1:7000", region=REGION)
--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -34,7 +34,7 @@
 from chivetrack.components.load.exchange import LoadExchange
 from chivetrack.components.membership.const import FLEET_TOPICS
 from chivetrack.components.membership.membership import Membership
-from chivetrack.components.membership.models import Instance, InstanceStatus, Life, Seed
+from chivetrack.components.membership.models import Instance, InstanceStatus, Seed, StateVersion
 from chivetrack.components.pipeline.admission import AdmissionControl
 from chivetrack.components.pipeline.attempts import AttemptRetries
 from chivetrack.components.pipeline.chain import FILTERS, Filter, FilterChain
@@ -192,7 +192,7 @@
         region=identity.region,
         zone=identity.zone,
         roles=identity.roles,
-        life=Life(identity.incarnation, 0),
+        life=StateVersion(identity.incarnation, 0),
         since=now,
     )
     membership = Membership(gossip=gossip, own=own, seeds=options.seeds, random=random_source)
--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -9,7 +9,7 @@
     SUSPECT_AFTER_S,
     SUSPECT_GAPS,
 )
-from chivetrack.components.membership.models import Instance, InstanceStatus, Life
+from chivetrack.components.membership.models import Instance, InstanceStatus, StateVersion
 from chivetrack.components.membership.wire import InstanceRecord
 
 
@@ -36,9 +36,9 @@
     noticed_at: float = float("-inf")
 
     @property
-    def life(self) -> Life:
+    def life(self) -> StateVersion:
         """Return which life of the instance this is."""
-        return Life(self.record.incarnation, self.record.refutation)
+        return StateVersion(self.record.incarnation, self.record.refutation)
 
     @property
     def is_counted(self) -> bool:
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -27,9 +27,9 @@
     Instance,
     InstanceCallback,
     InstanceStatus,
-    Life,
     RegionSummary,
     Seed,
+    StateVersion,
 )
 from chivetrack.components.membership.prober import Prober
 from chivetrack.components.membership.regions import Regions
@@ -273,7 +273,7 @@
 
     def _receive(self, source: str, message: Message, now: float) -> None:
         if isinstance(message, Notice):
-            self._refute(Life(message.incarnation, message.refutation), now)
+            self._refute(StateVersion(message.incarnation, message.refutation), now)
             return
         self._prober.receive(source, message, now)
 
@@ -302,7 +302,7 @@
         if member is None:
             self._add_member(news, record, heard_at)
             return
-        life = Life(record.incarnation, record.refutation)
+        life = StateVersion(record.incarnation, record.refutation)
         # Gossip gives no older record; one of the same life only matters if it leaves.
         if life < member.life or (life == member.life and not record.leaving):
             return
@@ -337,13 +337,13 @@
             return
         if not isinstance(verdict, Verdict) or not verdict.witnesses:
             return
-        life = Life(verdict.incarnation, verdict.refutation)
+        life = StateVersion(verdict.incarnation, verdict.refutation)
         if verdict.target == self._own.instance_id:
             self._refute(life, news.now)
             return
         self._accept_verdict(verdict, life, news)
 
-    def _accept_verdict(self, verdict: Verdict, life: Life, news: News) -> None:
+    def _accept_verdict(self, verdict: Verdict, life: StateVersion, news: News) -> None:
         member = self._members.get(verdict.target)
         if member is None or not member.is_counted or life < member.life:
             return
@@ -355,11 +355,11 @@
         reason = f"found dead by {news.origin} and {', '.join(verdict.witnesses)}"
         self._change(member, InstanceStatus.DEAD, reason, news.now)
 
-    def _refute(self, accused: Life, now: float) -> None:
+    def _refute(self, accused: StateVersion, now: float) -> None:
         """Rise above an accusation; one of an earlier life needs no answer."""
         if self._leaving or accused < self._own.life:
             return
-        life = Life(self._own.life.incarnation, accused.refutation + 1)
+        life = StateVersion(self._own.life.incarnation, accused.refutation + 1)
         self._own = replace(self._own, life=life)
         self._publish_own(now, Urgency.LEAVING)
         self._tell_own()
--- a/chivetrack/components/membership/models.py
+++ b/chivetrack/components/membership/models.py
@@ -15,7 +15,7 @@
     LEFT = "left"
 
 
-class Life(NamedTuple):
+class StateVersion(NamedTuple):
     """Orders what is said of an instance; the higher one holds.
 
     ``incarnation`` rises with every start, ``refutation`` with every false accusation
@@ -44,7 +44,7 @@
     region: str
     zone: str
     roles: tuple[str, ...]
-    life: Life
+    life: StateVersion
     status: InstanceStatus = InstanceStatus.ALIVE
     since: float = 0.0
     reason: str = ""
--- a/tests/components/membership/fleet.py
+++ b/tests/components/membership/fleet.py
@@ -5,7 +5,7 @@
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.membership.const import FLEET_TOPICS
 from chivetrack.components.membership.membership import Membership
-from chivetrack.components.membership.models import Instance, InstanceStatus, Life, Seed
+from chivetrack.components.membership.models import Instance, InstanceStatus, Seed, StateVersion
 from tests.components.network import Network
 
 
@@ -53,7 +53,7 @@
             region=region,
             zone=self.zone_of[name],
             roles=("router",),
-            life=Life(incarnation, 0),
+            life=StateVersion(incarnation, 0),
         )
         membership = Membership(gossip=gossip, own=own, seeds=self.seeds, random=stream)
         membership.subscribe(lambda told: self.told.append((self.network.now, name, told)))
