--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -120,7 +120,7 @@
             region=REGION,
             zone=name.rsplit("-", 1)[0],
             roles=("router",),
-            life=StateVersion(1764709000, 0),
+            state_version=StateVersion(1764709000, 0),
         )
         seeds = [
             Seed(instance_id=seed, address="10.0.0.1:7000", region=REGION)
--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -192,7 +192,7 @@
         region=identity.region,
         zone=identity.zone,
         roles=identity.roles,
-        life=StateVersion(identity.incarnation, 0),
+        state_version=StateVersion(identity.incarnation, 0),
         since=now,
     )
     membership = Membership(gossip=gossip, own=own, seeds=options.seeds, random=random_source)
--- a/chivetrack/components/fleet/roster.py
+++ b/chivetrack/components/fleet/roster.py
@@ -45,7 +45,7 @@
     def _note_change(self, instance: Instance) -> None:
         self._changed = True
         if instance.status not in _LIVING:
-            self._load.drop_router(instance.instance_id, instance.life.incarnation)
+            self._load.drop_router(instance.instance_id, instance.state_version.incarnation)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Pass on what has changed; cheap when nothing has."""
--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -36,7 +36,7 @@
     noticed_at: float = float("-inf")
 
     @property
-    def life(self) -> StateVersion:
+    def state_version(self) -> StateVersion:
         """Return which life of the instance this is."""
         return StateVersion(self.record.incarnation, self.record.refutation)
 
@@ -87,7 +87,7 @@
             region=self.record.region,
             zone=self.record.zone,
             roles=self.record.roles,
-            life=self.life,
+            state_version=self.state_version,
             status=self.status,
             since=self.since,
             reason=self.reason,
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -229,11 +229,11 @@
         if heard_at <= member.since or now < member.noticed_at + NOTICE_EVERY_S:
             return
         member.noticed_at = now
-        self._prober.send(member.instance_id, Notice(*member.life), now)
+        self._prober.send(member.instance_id, Notice(*member.state_version), now)
 
     def _declare_dead(self, member: Member, now: float) -> None:
         witnesses = tuple(sorted(member.denials))
-        verdict = Verdict(member.instance_id, *member.life, witnesses)
+        verdict = Verdict(member.instance_id, *member.state_version, witnesses)
         self._gossip.publish(
             TOPIC_VERDICT, member.instance_id, encode(verdict), Urgency.LEAVING, now=now
         )
@@ -302,11 +302,13 @@
         if member is None:
             self._add_member(news, record, heard_at)
             return
-        life = StateVersion(record.incarnation, record.refutation)
+        state_version = StateVersion(record.incarnation, record.refutation)
         # Gossip gives no older record; one of the same life only matters if it leaves.
-        if life < member.life or (life == member.life and not record.leaving):
+        if state_version < member.state_version or (
+            state_version == member.state_version and not record.leaving
+        ):
             return
-        is_new_life = life > member.life
+        is_new_life = state_version > member.state_version
         member.record = record
         if is_new_life:
             member.heard_at = max(member.heard_at, heard_at)
@@ -337,15 +339,15 @@
             return
         if not isinstance(verdict, Verdict) or not verdict.witnesses:
             return
-        life = StateVersion(verdict.incarnation, verdict.refutation)
+        state_version = StateVersion(verdict.incarnation, verdict.refutation)
         if verdict.target == self._own.instance_id:
-            self._refute(life, news.now)
+            self._refute(state_version, news.now)
             return
-        self._accept_verdict(verdict, life, news)
+        self._accept_verdict(verdict, state_version, news)
 
-    def _accept_verdict(self, verdict: Verdict, life: StateVersion, news: News) -> None:
+    def _accept_verdict(self, verdict: Verdict, state_version: StateVersion, news: News) -> None:
         member = self._members.get(verdict.target)
-        if member is None or not member.is_counted or life < member.life:
+        if member is None or not member.is_counted or state_version < member.state_version:
             return
         heard_at = self._gossip.get_life(verdict.target)
         latest = max(member.heard_at, heard_at if heard_at is not None else member.heard_at)
@@ -357,17 +359,17 @@
 
     def _refute(self, accused: StateVersion, now: float) -> None:
         """Rise above an accusation; one of an earlier life needs no answer."""
-        if self._leaving or accused < self._own.life:
+        if self._leaving or accused < self._own.state_version:
             return
-        life = StateVersion(self._own.life.incarnation, accused.refutation + 1)
-        self._own = replace(self._own, life=life)
+        state_version = StateVersion(self._own.state_version.incarnation, accused.refutation + 1)
+        self._own = replace(self._own, state_version=state_version)
         self._publish_own(now, Urgency.LEAVING)
         self._tell_own()
 
     def _publish_own(self, now: float, urgency: Urgency) -> None:
         own = self._own
         record = InstanceRecord(
-            own.address, own.region, own.zone, own.roles, *own.life, self._leaving
+            own.address, own.region, own.zone, own.roles, *own.state_version, self._leaving
         )
         self._gossip.publish(TOPIC_INSTANCE, "", encode(record), urgency, now=now)
 
--- a/chivetrack/components/membership/models.py
+++ b/chivetrack/components/membership/models.py
@@ -44,7 +44,7 @@
     region: str
     zone: str
     roles: tuple[str, ...]
-    life: StateVersion
+    state_version: StateVersion
     status: InstanceStatus = InstanceStatus.ALIVE
     since: float = 0.0
     reason: str = ""
--- a/tests/components/membership/fleet.py
+++ b/tests/components/membership/fleet.py
@@ -53,7 +53,7 @@
             region=region,
             zone=self.zone_of[name],
             roles=("router",),
-            life=StateVersion(incarnation, 0),
+            state_version=StateVersion(incarnation, 0),
         )
         membership = Membership(gossip=gossip, own=own, seeds=self.seeds, random=stream)
         membership.subscribe(lambda told: self.told.append((self.network.now, name, told)))
