--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -17,14 +17,14 @@
 class Member:
     """Another instance, when it last showed life and who could not reach it.
 
-    ``heard_at`` is the last sign of life by any way, ``denials`` are the witnesses that
+    ``last_seen_at`` is the last sign of life by any way, ``denials`` are the witnesses that
     failed to reach it since it was suspected, ``is_probed`` tells whether this instance
     itself tried in the round that is under way.
     """
 
     instance_id: str
     record: InstanceRecord
-    heard_at: float
+    last_seen_at: float
     since: float
     status: InstanceStatus = InstanceStatus.ALIVE
     reason: str = ""
@@ -47,11 +47,11 @@
 
     def hear(self, at: float) -> None:
         """Note a sign of life that the instance gave at ``at``."""
-        if at <= self.heard_at:
+        if at <= self.last_seen_at:
             return
-        gap = at - self.heard_at
+        gap = at - self.last_seen_at
         self.gap_s += GAP_WEIGHT * (gap - self.gap_s)
-        self.heard_at = at
+        self.last_seen_at = at
 
     def is_silent(self, now: float) -> bool:
         """Return whether it was heard of for too long, measured by its own habit.
@@ -60,7 +60,7 @@
         longer to come round.
         """
         limit = max(SUSPECT_AFTER_S, min(MAX_SUSPECT_AFTER_S, SUSPECT_GAPS * self.gap_s))
-        return now - self.heard_at > limit
+        return now - self.last_seen_at > limit
 
     def change(self, status: InstanceStatus, reason: str, now: float) -> None:
         """Take on a status."""
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -155,7 +155,7 @@
             return
         self._prober.drop_all()
         for member in self._members.values():
-            member.heard_at = max(member.heard_at, now)
+            member.last_seen_at = max(member.last_seen_at, now)
             member.clear_round()
 
     def _tick(self, now: float) -> None:
@@ -175,10 +175,10 @@
 
     def _take_signs_of_life(self, now: float) -> None:
         for member in self._members.values():
-            heard_at = self._gossip.get_life(member.instance_id)
-            if heard_at is None:
+            last_seen_at = self._gossip.get_life(member.instance_id)
+            if last_seen_at is None:
                 continue
-            member.hear(heard_at)
+            member.hear(last_seen_at)
             # A round that is under way ends with any sign of life, whoever relays it.
             if member.status is InstanceStatus.SUSPECT and not member.is_silent(now):
                 self._change(member, InstanceStatus.ALIVE, "showed life", now)
@@ -192,7 +192,7 @@
             return
         candidates = list_candidates(member, self._members.values(), now)
         if member.status is InstanceStatus.ALIVE:
-            silence = now - member.heard_at
+            silence = now - member.last_seen_at
             self._change(member, InstanceStatus.SUSPECT, f"silent for {silence:.1f} s", now)
             spread_s = min(MAX_PROBE_SPREAD_S, PROBE_SPREAD_S * len(self._members))
             member.round_ends = now + self._random.uniform(0.0, spread_s)
@@ -223,10 +223,10 @@
 
     def _notice_the_dead(self, member: Member, now: float) -> None:
         """Tell an instance that counts as dead and yet shows life, so that it refutes."""
-        heard_at = self._gossip.get_life(member.instance_id)
-        if member.status is not InstanceStatus.DEAD or heard_at is None:
+        last_seen_at = self._gossip.get_life(member.instance_id)
+        if member.status is not InstanceStatus.DEAD or last_seen_at is None:
             return
-        if heard_at <= member.since or now < member.noticed_at + NOTICE_EVERY_S:
+        if last_seen_at <= member.since or now < member.noticed_at + NOTICE_EVERY_S:
             return
         member.noticed_at = now
         self._prober.send(member.instance_id, Notice(*member.state_version), now)
@@ -288,7 +288,7 @@
         member = self._members.get(instance_id)
         if member is None or not member.is_counted:
             return
-        member.heard_at = max(member.heard_at, now)
+        member.last_seen_at = max(member.last_seen_at, now)
         self._change(member, InstanceStatus.ALIVE, reason, now)
 
     # News
@@ -297,10 +297,10 @@
         record = _decode_record(news.payload)
         if record is None:
             return
-        heard_at = news.now - news.age_s
+        last_seen_at = news.now - news.age_s
         member = self._members.get(news.origin)
         if member is None:
-            self._add_member(news, record, heard_at)
+            self._add_member(news, record, last_seen_at)
             return
         state_version = StateVersion(record.incarnation, record.refutation)
         # Gossip gives no older record; one of the same life only matters if it leaves.
@@ -311,19 +311,19 @@
         is_new_life = state_version > member.state_version
         member.record = record
         if is_new_life:
-            member.heard_at = max(member.heard_at, heard_at)
+            member.last_seen_at = max(member.last_seen_at, last_seen_at)
         if record.leaving:
             self._change(member, InstanceStatus.LEFT, "left on its own word", news.now)
         elif is_new_life:
             self._change(member, InstanceStatus.ALIVE, "showed a new life", news.now)
 
-    def _add_member(self, news: News, record: InstanceRecord, heard_at: float) -> None:
+    def _add_member(self, news: News, record: InstanceRecord, last_seen_at: float) -> None:
         # The record may be old; whether it lives shows from now on.
         status = InstanceStatus.LEFT if record.leaving else InstanceStatus.ALIVE
         member = Member(
             instance_id=news.origin,
             record=record,
-            heard_at=max(heard_at, news.now),
+            last_seen_at=max(last_seen_at, news.now),
             since=news.now,
             status=status,
         )
@@ -349,8 +349,10 @@
         member = self._members.get(verdict.target)
         if member is None or not member.is_counted or state_version < member.state_version:
             return
-        heard_at = self._gossip.get_life(verdict.target)
-        latest = max(member.heard_at, heard_at if heard_at is not None else member.heard_at)
+        last_seen_at = self._gossip.get_life(verdict.target)
+        latest = max(
+            member.last_seen_at, last_seen_at if last_seen_at is not None else member.last_seen_at
+        )
         # Whoever has a sign of life from after the verdict knows better than its judges.
         if latest > news.now - news.age_s:
             return
--- a/chivetrack/components/membership/models.py
+++ b/chivetrack/components/membership/models.py
@@ -57,7 +57,7 @@
     region: str
     routers: int
     contacts: tuple[Seed, ...]
-    heard_at: float
+    last_seen_at: float
 
 
 InstanceCallback = Callable[[Instance], None]
--- a/chivetrack/components/membership/regions.py
+++ b/chivetrack/components/membership/regions.py
@@ -30,7 +30,7 @@
 
     def list_summaries(self, now: float) -> list[RegionSummary]:
         """Return the other regions whose summary is not outdated."""
-        listed = [s for s in self._summaries.values() if now < s.heard_at + SUMMARY_LEASE_S]
+        listed = [s for s in self._summaries.values() if now < s.last_seen_at + SUMMARY_LEASE_S]
         return sorted(listed, key=lambda summary: summary.region)
 
     def list_peers(self, now: float) -> list[Peer]:
@@ -72,10 +72,10 @@
             record = decode("membership.region", news.payload)
         except DecodeError:
             return
-        heard_at = news.now - news.age_s
+        last_seen_at = news.now - news.age_s
         held = self._summaries.get(news.key)
         # Two instances may both take themselves for the first for a while.
-        if not isinstance(record, RegionRecord) or (held and held.heard_at > heard_at):
+        if not isinstance(record, RegionRecord) or (held and held.last_seen_at > last_seen_at):
             return
         self._summaries[news.key] = RegionSummary(
             region=news.key,
@@ -84,5 +84,5 @@
                 Seed(instance_id=c.instance_id, address=c.address, region=news.key)
                 for c in record.contacts
             ),
-            heard_at=heard_at,
+            last_seen_at=last_seen_at,
         )
--- a/tests/components/membership/test_suspicion.py
+++ b/tests/components/membership/test_suspicion.py
@@ -12,10 +12,10 @@
 from chivetrack.components.membership.wire import InstanceRecord
 
 
-def make_member(name: str, *, heard_at: float = 0.0) -> Member:
+def make_member(name: str, *, last_seen_at: float = 0.0) -> Member:
     """Make a member whose zone is the first letter of its name."""
     record = InstanceRecord(f"{name}:1", "region", name[0], (), 1, 0, False)
-    return Member(instance_id=name, record=record, heard_at=heard_at, since=0.0)
+    return Member(instance_id=name, record=record, last_seen_at=last_seen_at, since=0.0)
 
 
 class SilenceTest(unittest.TestCase):
@@ -35,9 +35,9 @@
     def test_most_silent_means_that_this_one_is_cut_off(self) -> None:
         for silent, total, isolated in [(0, 4, False), (2, 4, False), (3, 4, True), (1, 1, True)]:
             with self.subTest(silent=silent, total=total):
-                members = [make_member(f"a{i}", heard_at=100.0) for i in range(total)]
+                members = [make_member(f"a{i}", last_seen_at=100.0) for i in range(total)]
                 for member in members[:silent]:
-                    member.heard_at = 0.0
+                    member.last_seen_at = 0.0
                 self.assertIs(is_isolated(members, 100.0), isolated)
 
 
