--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -45,7 +45,7 @@
         """Return whether it is expected to show life."""
         return self.status in (InstanceStatus.ALIVE, InstanceStatus.SUSPECT)
 
-    def hear(self, at: float) -> None:
+    def record_contact(self, at: float) -> None:
         """Note a sign of life that the instance gave at ``at``."""
         if at <= self.last_seen_at:
             return
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -178,7 +178,7 @@
             last_seen_at = self._gossip.get_life(member.instance_id)
             if last_seen_at is None:
                 continue
-            member.hear(last_seen_at)
+            member.record_contact(last_seen_at)
             # A round that is under way ends with any sign of life, whoever relays it.
             if member.status is InstanceStatus.SUSPECT and not member.is_silent(now):
                 self._change(member, InstanceStatus.ALIVE, "showed life", now)
--- a/tests/components/membership/test_suspicion.py
+++ b/tests/components/membership/test_suspicion.py
@@ -29,7 +29,7 @@
             with self.subTest(gap_s=gap_s, silence_s=silence_s):
                 member = make_member("a1")
                 for count in range(1, 200):
-                    member.hear(count * gap_s)
+                    member.record_contact(count * gap_s)
                 self.assertIs(member.is_silent(199 * gap_s + silence_s), is_silent)
 
     def test_most_silent_means_that_this_one_is_cut_off(self) -> None:
