--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -71,7 +71,7 @@
             gossip=gossip,
             own_zone=own.zone,
             random=random,
-            on_reached=self._hear,
+            on_reached=self._handle_reached,
             on_denied=self._deny,
         )
         self._callbacks: list[InstanceCallback] = []
@@ -284,7 +284,7 @@
         if witness in member.asked:
             member.denials[witness] = now
 
-    def _hear(self, instance_id: str, reason: str, now: float) -> None:
+    def _handle_reached(self, instance_id: str, reason: str, now: float) -> None:
         member = self._members.get(instance_id)
         if member is None or not member.is_counted:
             return
