--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -72,7 +72,7 @@
             own_zone=own.zone,
             random=random,
             on_reached=self._handle_reached,
-            on_denied=self._deny,
+            on_denied=self._handle_denied,
         )
         self._callbacks: list[InstanceCallback] = []
         self._last_event: float | None = None
@@ -277,7 +277,7 @@
             return
         self._prober.receive(source, message, now)
 
-    def _deny(self, instance_id: str, witness: str, now: float) -> None:
+    def _handle_denied(self, instance_id: str, witness: str, now: float) -> None:
         member = self._members.get(instance_id)
         if member is None or member.status is not InstanceStatus.SUSPECT:
             return
