--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -29,7 +29,7 @@
     status: InstanceStatus = InstanceStatus.ALIVE
     reason: str = ""
     gap_s: float = FIRST_GAP_S
-    asked: set[str] = field(default_factory=set)
+    asked_witnesses: set[str] = field(default_factory=set)
     denials: dict[str, float] = field(default_factory=dict)
     round_ends: float = float("-inf")
     is_probed: bool = False
@@ -74,7 +74,7 @@
 
     def clear_round(self) -> None:
         """Forget what witnesses said."""
-        self.asked.clear()
+        self.asked_witnesses.clear()
         self.denials.clear()
         self.round_ends = float("-inf")
         self.is_probed = False
--- a/chivetrack/components/membership/prober.py
+++ b/chivetrack/components/membership/prober.py
@@ -67,7 +67,7 @@
         for witness in witnesses:
             request = WitnessRequest(self._rounds, member.instance_id)
             if self.send(witness.instance_id, request, now):
-                member.asked.add(witness.instance_id)
+                member.asked_witnesses.add(witness.instance_id)
 
     def receive(self, source: str, message: Message, now: float) -> None:
         """Take in a probe, a request or an answer."""
--- a/chivetrack/components/membership/suspicion.py
+++ b/chivetrack/components/membership/suspicion.py
@@ -28,7 +28,7 @@
     zones would make all of the other zone look dead.
     """
     shuffled = random.sample(candidates, len(candidates))
-    shuffled.sort(key=lambda member: member.instance_id in target.asked)
+    shuffled.sort(key=lambda member: member.instance_id in target.asked_witnesses)
     others = [member for member in shuffled if member.record.zone != own_zone]
     chosen = others[:1]
     chosen.extend(member for member in shuffled if member not in chosen)
--- a/tests/components/membership/test_suspicion.py
+++ b/tests/components/membership/test_suspicion.py
@@ -67,6 +67,6 @@
         candidates = [make_member(f"a{index}") for index in range(8)] + [make_member("b1")]
         for seed in range(20):
             target = make_member("c1")
-            target.asked = {f"a{index}" for index in range(6)}
+            target.asked_witnesses = {f"a{index}" for index in range(6)}
             chosen = choose_witnesses(target, candidates, own_zone="a", random=random.Random(seed))
             self.assertEqual({member.instance_id for member in chosen}, {"b1", "a6", "a7"})
