--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -33,7 +33,7 @@
     denials: dict[str, float] = field(default_factory=dict)
     round_ends: float = float("-inf")
     is_probed: bool = False
-    noticed_at: float = float("-inf")
+    notified_at: float = float("-inf")
 
     @property
     def state_version(self) -> StateVersion:
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -226,9 +226,9 @@
         last_seen_at = self._gossip.get_life(member.instance_id)
         if member.status is not InstanceStatus.DEAD or last_seen_at is None:
             return
-        if last_seen_at <= member.since or now < member.noticed_at + NOTICE_EVERY_S:
+        if last_seen_at <= member.since or now < member.notified_at + NOTICE_EVERY_S:
             return
-        member.noticed_at = now
+        member.notified_at = now
         self._prober.send(member.instance_id, Notice(*member.state_version), now)
 
     def _declare_dead(self, member: Member, now: float) -> None:
