--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -132,7 +132,7 @@
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Take in a message, or watch over the others."""
-        self._notice_freeze(now)
+        self._handle_freeze(now)
         if isinstance(event, MessageReceived):
             self._receive(event.source, event.message, now)
         if isinstance(event, TimeReached) and now >= self._next_tick:
@@ -145,7 +145,7 @@
 
     # Time
 
-    def _notice_freeze(self, now: float) -> None:
+    def _handle_freeze(self, now: float) -> None:
         """Give everyone a new start after this process did not run for a while.
 
         All others look silent to it, and it would accuse the whole fleet on waking.
