--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -214,14 +214,14 @@
         return sum(1 for m in self._members.values() if m.is_probed and now < m.round_ends)
 
     def _watch_gone(self, member: Member, now: float) -> None:
-        self._notice_the_dead(member, now)
+        self._notify_if_dead(member, now)
         if now < member.since + FORGET_AFTER_S:
             return
         self._gossip.retract(TOPIC_VERDICT, member.instance_id, Urgency.REST, now=now)
         self._gossip.forget(member.instance_id)
         del self._members[member.instance_id]
 
-    def _notice_the_dead(self, member: Member, now: float) -> None:
+    def _notify_if_dead(self, member: Member, now: float) -> None:
         """Tell an instance that counts as dead and yet shows life, so that it refutes."""
         last_seen_at = self._gossip.get_life(member.instance_id)
         if member.status is not InstanceStatus.DEAD or last_seen_at is None:
