--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -164,7 +164,7 @@
             self._publish_own(now, Urgency.ANNOUNCEMENT)
         if now >= self._gossip.get_last_load() + ALIVE_EVERY_S and not self._leaving:
             self._gossip.publish(TOPIC_ALIVE, "", b"", Urgency.LOAD, now=now)
-        self._take_signs_of_life(now)
+        self._update_last_seen(now)
         self._isolated = is_isolated(self._members.values(), now)
         self._prober.tick(now)
         for member in list(self._members.values()):
@@ -173,7 +173,7 @@
         self._regions.publish(self._own.instance_id, self.list_instances(), now)
         self._set_peers(now)
 
-    def _take_signs_of_life(self, now: float) -> None:
+    def _update_last_seen(self, now: float) -> None:
         for member in self._members.values():
             last_seen_at = self._gossip.get_life(member.instance_id)
             if last_seen_at is None:
