--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -168,7 +168,7 @@
         self._isolated = is_isolated(self._members.values(), now)
         self._prober.tick(now)
         for member in list(self._members.values()):
-            self._watch(member, now)
+            self._check_member(member, now)
         self._greet(now)
         self._regions.publish(self._own.instance_id, self.list_instances(), now)
         self._set_peers(now)
@@ -183,7 +183,7 @@
             if member.status is InstanceStatus.SUSPECT and not member.is_silent(now):
                 self._change(member, InstanceStatus.ALIVE, "showed life", now)
 
-    def _watch(self, member: Member, now: float) -> None:
+    def _check_member(self, member: Member, now: float) -> None:
         if member.status in (InstanceStatus.DEAD, InstanceStatus.LEFT):
             self._watch_gone(member, now)
             return
