--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -185,7 +185,7 @@
 
     def _check_member(self, member: Member, now: float) -> None:
         if member.status in (InstanceStatus.DEAD, InstanceStatus.LEFT):
-            self._watch_gone(member, now)
+            self._check_gone(member, now)
             return
         may_accuse = self._is_settled(now) and not self._isolated and not self._leaving
         if not may_accuse or not member.is_silent(now):
@@ -213,7 +213,7 @@
     def _count_rounds(self, now: float) -> int:
         return sum(1 for m in self._members.values() if m.is_probed and now < m.round_ends)
 
-    def _watch_gone(self, member: Member, now: float) -> None:
+    def _check_gone(self, member: Member, now: float) -> None:
         self._notify_if_dead(member, now)
         if now < member.since + FORGET_AFTER_S:
             return
