--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -328,7 +328,7 @@
             status=status,
         )
         self._members[news.origin] = member
-        self._tell(member)
+        self._notify(member)
 
     def _receive_verdict(self, news: News) -> None:
         if news.payload is None:
@@ -379,9 +379,9 @@
         changed = member.status is not status
         member.change(status, reason, now)
         if changed:
-            self._tell(member)
+            self._notify(member)
 
-    def _tell(self, member: Member) -> None:
+    def _notify(self, member: Member) -> None:
         for callback in tuple(self._callbacks):
             callback(member.make_instance())
 
