--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -366,7 +366,7 @@
         state_version = StateVersion(self._own.state_version.incarnation, accused.refutation + 1)
         self._own = replace(self._own, state_version=state_version)
         self._publish_own(now, Urgency.LEAVING)
-        self._tell_own()
+        self._notify_own()
 
     def _publish_own(self, now: float, urgency: Urgency) -> None:
         own = self._own
@@ -385,7 +385,7 @@
         for callback in tuple(self._callbacks):
             callback(member.make_instance())
 
-    def _tell_own(self) -> None:
+    def _notify_own(self) -> None:
         for callback in tuple(self._callbacks):
             callback(self._own)
 
