--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -169,7 +169,7 @@
         self._prober.tick(now)
         for member in list(self._members.values()):
             self._check_member(member, now)
-        self._greet(now)
+        self._contact_absent(now)
         self._regions.publish(self._own.instance_id, self.list_instances(), now)
         self._set_peers(now)
 
@@ -240,7 +240,7 @@
         reason = f"silent here, not reached by {', '.join(witnesses)}"
         self._change(member, InstanceStatus.DEAD, reason, now)
 
-    def _greet(self, now: float) -> None:
+    def _contact_absent(self, now: float) -> None:
         """Knock at a seed or a dead instance now and then.
 
         Without that two sides that took each other for dead would never meet again.
