--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -77,7 +77,7 @@
         self._callbacks: list[InstanceCallback] = []
         self._last_event: float | None = None
         self._next_tick = float("-inf")
-        self._greeted_at = float("-inf")
+        self._contacted_absent_at = float("-inf")
         self._joined_at: float | None = None
         self._leaving = False
         self._isolated = False
@@ -245,9 +245,9 @@
 
         Without that two sides that took each other for dead would never meet again.
         """
-        if now < self._greeted_at + GREET_EVERY_S:
+        if now < self._contacted_absent_at + GREET_EVERY_S:
             return
-        self._greeted_at = now
+        self._contacted_absent_at = now
         dead = [m for m in self._members.values() if m.status is InstanceStatus.DEAD]
         # A seed is known by its address only; which member it is shows when they meet.
         met = {member.record.address for member in self._members.values()}
