--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -8,13 +8,13 @@
 from chivetrack.components.gossip.models import News, Peer, Urgency
 from chivetrack.components.membership.const import (
     ALIVE_EVERY_S,
-    FORGET_AFTER_S,
     FROZEN_AFTER_S,
     GREET_EVERY_S,
     MAX_PROBE_SPREAD_S,
     MAX_ROUNDS,
     NOTICE_EVERY_S,
     PROBE_SPREAD_S,
+    REMOVE_GONE_AFTER_S,
     START_GRACE_EACH_S,
     START_GRACE_S,
     TICK_S,
@@ -215,7 +215,7 @@
 
     def _check_gone(self, member: Member, now: float) -> None:
         self._notify_if_dead(member, now)
-        if now < member.since + FORGET_AFTER_S:
+        if now < member.since + REMOVE_GONE_AFTER_S:
             return
         self._gossip.retract(TOPIC_VERDICT, member.instance_id, Urgency.REST, now=now)
         self._gossip.forget(member.instance_id)
