--- a/chivetrack/components/membership/const.py
+++ b/chivetrack/components/membership/const.py
@@ -39,7 +39,7 @@
 # A gap between two events of this component that shows that the process did not run.
 FROZEN_AFTER_S: Final = 1.5
 
-GREET_EVERY_S: Final = 3.0
+CONTACT_ABSENT_INTERVAL_S: Final = 3.0
 NOTICE_EVERY_S: Final = 1.0
 REMOVE_GONE_AFTER_S: Final = 120.0
 SUMMARY_EVERY_S: Final = 5.0
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -8,8 +8,8 @@
 from chivetrack.components.gossip.models import News, Peer, Urgency
 from chivetrack.components.membership.const import (
     ALIVE_EVERY_S,
+    CONTACT_ABSENT_INTERVAL_S,
     FROZEN_AFTER_S,
-    GREET_EVERY_S,
     MAX_PROBE_SPREAD_S,
     MAX_ROUNDS,
     NOTICE_EVERY_S,
@@ -245,7 +245,7 @@
 
         Without that two sides that took each other for dead would never meet again.
         """
-        if now < self._contacted_absent_at + GREET_EVERY_S:
+        if now < self._contacted_absent_at + CONTACT_ABSENT_INTERVAL_S:
             return
         self._contacted_absent_at = now
         dead = [m for m in self._members.values() if m.status is InstanceStatus.DEAD]
