--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -12,7 +12,7 @@
     FROZEN_AFTER_S,
     MAX_PROBE_SPREAD_S,
     MAX_ROUNDS,
-    NOTICE_EVERY_S,
+    NOTICE_INTERVAL_S,
     PROBE_SPREAD_S,
     REMOVE_GONE_AFTER_S,
     START_GRACE_EACH_S,
@@ -226,7 +226,7 @@
         last_seen_at = self._gossip.get_life(member.instance_id)
         if member.status is not InstanceStatus.DEAD or last_seen_at is None:
             return
-        if last_seen_at <= member.since or now < member.notified_at + NOTICE_EVERY_S:
+        if last_seen_at <= member.since or now < member.notified_at + NOTICE_INTERVAL_S:
             return
         member.notified_at = now
         self._prober.send(member.instance_id, Notice(*member.state_version), now)
