--- a/chivetrack/components/membership/const.py
+++ b/chivetrack/components/membership/const.py
@@ -9,7 +9,7 @@
 FLEET_TOPICS: Final = frozenset({TOPIC_REGION})
 
 TICK_S: Final = 0.25
-ALIVE_EVERY_S: Final = 1.0
+ALIVE_INTERVAL_S: Final = 1.0
 
 # An instance is suspected after this silence, or after so many times its usual gap
 # between signs of life where that is longer.
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -7,7 +7,7 @@
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.gossip.models import News, Peer, Urgency
 from chivetrack.components.membership.const import (
-    ALIVE_EVERY_S,
+    ALIVE_INTERVAL_S,
     CONTACT_ABSENT_INTERVAL_S,
     FROZEN_AFTER_S,
     MAX_PROBE_SPREAD_S,
@@ -162,7 +162,7 @@
         if self._joined_at is None:
             self._joined_at = now
             self._publish_own(now, Urgency.ANNOUNCEMENT)
-        if now >= self._gossip.get_last_load() + ALIVE_EVERY_S and not self._leaving:
+        if now >= self._gossip.get_last_load() + ALIVE_INTERVAL_S and not self._leaving:
             self._gossip.publish(TOPIC_ALIVE, "", b"", Urgency.LOAD, now=now)
         self._update_last_seen(now)
         self._isolated = is_isolated(self._members.values(), now)
