--- a/chivetrack/components/membership/regions.py
+++ b/chivetrack/components/membership/regions.py
@@ -6,7 +6,7 @@
 from chivetrack.components.gossip.models import News, Peer, Urgency
 from chivetrack.components.membership.const import (
     SUMMARY_CONTACTS,
-    SUMMARY_EVERY_S,
+    SUMMARY_INTERVAL_S,
     SUMMARY_LEASE_S,
     TOPIC_REGION,
 )
@@ -43,7 +43,7 @@
 
     def publish(self, own_id: str, instances: Iterable[Instance], now: float) -> None:
         """Publish the summary if this is the first live instance of its region by name."""
-        if now < self._published_at + SUMMARY_EVERY_S:
+        if now < self._published_at + SUMMARY_INTERVAL_S:
             return
         self._published_at = now
         if not (self._has_far_seeds or self._summaries):
