--- a/chivetrack/components/membership/const.py
+++ b/chivetrack/components/membership/const.py
@@ -28,7 +28,7 @@
 # After its start an instance suspects nobody for this time and so much more for each
 # member. While many start together and learn each other's names, signs of life are slow.
 START_GRACE_S: Final = 5.0
-START_GRACE_EACH_S: Final = 0.7
+START_GRACE_PER_MEMBER_S: Final = 0.7
 
 WITNESSES: Final = 3
 NEEDED_DENIALS: Final = 2
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -15,7 +15,7 @@
     NOTICE_INTERVAL_S,
     PROBE_SPREAD_S,
     REMOVE_GONE_AFTER_S,
-    START_GRACE_EACH_S,
+    START_GRACE_PER_MEMBER_S,
     START_GRACE_S,
     TICK_S,
     TOPIC_ALIVE,
@@ -207,7 +207,7 @@
         self._prober.start_round(member, candidates, now)
 
     def _is_settled(self, now: float) -> bool:
-        grace_s = START_GRACE_S + START_GRACE_EACH_S * len(self._members)
+        grace_s = START_GRACE_S + START_GRACE_PER_MEMBER_S * len(self._members)
         return self._joined_at is not None and now >= self._joined_at + grace_s
 
     def _count_rounds(self, now: float) -> int:
