--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -10,7 +10,7 @@
     ALIVE_INTERVAL_S,
     CONTACT_ABSENT_INTERVAL_S,
     FROZEN_AFTER_S,
-    MAX_PROBE_SPREAD_S,
+    MAX_PROBE_JITTER_S,
     MAX_ROUNDS,
     NOTICE_INTERVAL_S,
     PROBE_JITTER_PER_MEMBER_S,
@@ -194,7 +194,7 @@
         if member.status is InstanceStatus.ALIVE:
             silence = now - member.last_seen_at
             self._change(member, InstanceStatus.SUSPECT, f"silent for {silence:.1f} s", now)
-            spread_s = min(MAX_PROBE_SPREAD_S, PROBE_JITTER_PER_MEMBER_S * len(self._members))
+            spread_s = min(MAX_PROBE_JITTER_S, PROBE_JITTER_PER_MEMBER_S * len(self._members))
             member.round_ends = now + self._random.uniform(0.0, spread_s)
             return
         if now < member.round_ends:
