--- a/chivetrack/components/membership/const.py
+++ b/chivetrack/components/membership/const.py
@@ -33,7 +33,7 @@
 WITNESSES: Final = 3
 NEEDED_DENIALS: Final = 2
 PROBE_TIMEOUT_S: Final = 0.6
-ROUND_S: Final = 1.5
+PROBE_ROUND_S: Final = 1.5
 DIRECT_CONTACT_S: Final = 0.5
 
 # A gap between two events of this component that shows that the process did not run.
--- a/chivetrack/components/membership/prober.py
+++ b/chivetrack/components/membership/prober.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from chivetrack.components.gossip.gossip import Gossip
-from chivetrack.components.membership.const import DIRECT_CONTACT_S, ROUND_S
+from chivetrack.components.membership.const import DIRECT_CONTACT_S, PROBE_ROUND_S
 from chivetrack.components.membership.member import Member
 from chivetrack.components.membership.suspicion import choose_witnesses
 from chivetrack.components.membership.wire import Ping, Pong, WitnessAnswer, WitnessRequest
@@ -59,7 +59,7 @@
     def start_round(self, member: Member, candidates: list[Member], now: float) -> None:
         """Probe a member, and ask witnesses to."""
         self._rounds += 1
-        member.round_ends = now + ROUND_S
+        member.round_ends = now + PROBE_ROUND_S
         member.is_probed = self.send(member.instance_id, Ping(-self._rounds), now)
         witnesses = choose_witnesses(
             member, candidates, own_zone=self._own_zone, random=self._random
