--- a/chivetrack/components/membership/const.py
+++ b/chivetrack/components/membership/const.py
@@ -23,7 +23,7 @@
 # probes, longer where there are more, and most get the verdict of another meanwhile.
 PROBE_JITTER_PER_MEMBER_S: Final = 0.1
 MAX_PROBE_JITTER_S: Final = 4.0
-MAX_ROUNDS: Final = 3
+MAX_PROBE_ROUNDS: Final = 3
 
 # After its start an instance suspects nobody for this time and so much more for each
 # member. While many start together and learn each other's names, signs of life are slow.
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -11,7 +11,7 @@
     CONTACT_ABSENT_INTERVAL_S,
     FROZEN_AFTER_S,
     MAX_PROBE_JITTER_S,
-    MAX_ROUNDS,
+    MAX_PROBE_ROUNDS,
     NOTICE_INTERVAL_S,
     PROBE_JITTER_PER_MEMBER_S,
     REMOVE_GONE_AFTER_S,
@@ -202,7 +202,7 @@
         if member.is_probed and is_confirmed(member, candidates, own_zone=self._own.zone):
             self._declare_dead(member, now)
             return
-        if self._count_rounds(now) >= MAX_ROUNDS:
+        if self._count_rounds(now) >= MAX_PROBE_ROUNDS:
             return
         self._prober.start_round(member, candidates, now)
 
