--- a/chivetrack/components/membership/suspicion.py
+++ b/chivetrack/components/membership/suspicion.py
@@ -3,7 +3,7 @@
 import random as random_module
 from collections.abc import Iterable
 
-from chivetrack.components.membership.const import NEEDED_DENIALS, WITNESSES
+from chivetrack.components.membership.const import NEEDED_DENIALS, WITNESSES_PER_ROUND
 from chivetrack.components.membership.member import Member
 from chivetrack.components.membership.models import InstanceStatus
 
@@ -32,7 +32,7 @@
     others = [member for member in shuffled if member.record.zone != own_zone]
     chosen = others[:1]
     chosen.extend(member for member in shuffled if member not in chosen)
-    return chosen[:WITNESSES]
+    return chosen[:WITNESSES_PER_ROUND]
 
 
 def is_confirmed(target: Member, candidates: list[Member], *, own_zone: str) -> bool:
