--- a/chivetrack/components/membership/suspicion.py
+++ b/chivetrack/components/membership/suspicion.py
@@ -3,7 +3,7 @@
 import random as random_module
 from collections.abc import Iterable
 
-from chivetrack.components.membership.const import NEEDED_DENIALS, WITNESSES_PER_ROUND
+from chivetrack.components.membership.const import REQUIRED_DENIALS, WITNESSES_PER_ROUND
 from chivetrack.components.membership.member import Member
 from chivetrack.components.membership.models import InstanceStatus
 
@@ -43,7 +43,7 @@
     """
     zones = {member.instance_id: member.record.zone for member in candidates}
     denials = [name for name in target.denials if name in zones]
-    needed = min(NEEDED_DENIALS, len(candidates))
+    needed = min(REQUIRED_DENIALS, len(candidates))
     if needed == 0 or len(denials) < needed:
         return False
     has_other_zone = any(zone != own_zone for zone in zones.values())
