--- a/chivetrack/components/membership/const.py
+++ b/chivetrack/components/membership/const.py
@@ -14,7 +14,7 @@
 # An instance is suspected after this silence, or after so many times its usual gap
 # between signs of life where that is longer.
 SUSPECT_AFTER_S: Final = 2.5
-SUSPECT_GAPS: Final = 8.0
+SUSPECT_AFTER_MEAN_GAPS: Final = 8.0
 MAX_SUSPECT_AFTER_S: Final = 10.0
 GAP_WEIGHT: Final = 0.1
 FIRST_GAP_S: Final = 0.5
--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -6,8 +6,8 @@
     FIRST_GAP_S,
     GAP_WEIGHT,
     MAX_SUSPECT_AFTER_S,
+    SUSPECT_AFTER_MEAN_GAPS,
     SUSPECT_AFTER_S,
-    SUSPECT_GAPS,
 )
 from chivetrack.components.membership.models import Instance, InstanceStatus, StateVersion
 from chivetrack.components.membership.wire import InstanceRecord
@@ -59,7 +59,7 @@
         A fixed limit would suspect everyone in a large region, where signs of life take
         longer to come round.
         """
-        limit = max(SUSPECT_AFTER_S, min(MAX_SUSPECT_AFTER_S, SUSPECT_GAPS * self.gap_s))
+        limit = max(SUSPECT_AFTER_S, min(MAX_SUSPECT_AFTER_S, SUSPECT_AFTER_MEAN_GAPS * self.gap_s))
         return now - self.last_seen_at > limit
 
     def change(self, status: InstanceStatus, reason: str, now: float) -> None:
