--- a/chivetrack/components/membership/const.py
+++ b/chivetrack/components/membership/const.py
@@ -16,7 +16,7 @@
 SUSPECT_AFTER_S: Final = 2.5
 SUSPECT_AFTER_MEAN_GAPS: Final = 8.0
 MAX_SUSPECT_AFTER_S: Final = 10.0
-GAP_WEIGHT: Final = 0.1
+GAP_SMOOTHING_FACTOR: Final = 0.1
 FIRST_GAP_S: Final = 0.5
 
 # All find an instance silent at about the same time. Each waits a random time before it
--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -4,7 +4,7 @@
 
 from chivetrack.components.membership.const import (
     FIRST_GAP_S,
-    GAP_WEIGHT,
+    GAP_SMOOTHING_FACTOR,
     MAX_SUSPECT_AFTER_S,
     SUSPECT_AFTER_MEAN_GAPS,
     SUSPECT_AFTER_S,
@@ -50,7 +50,7 @@
         if at <= self.last_seen_at:
             return
         gap = at - self.last_seen_at
-        self.gap_s += GAP_WEIGHT * (gap - self.gap_s)
+        self.gap_s += GAP_SMOOTHING_FACTOR * (gap - self.gap_s)
         self.last_seen_at = at
 
     def is_silent(self, now: float) -> bool:
