--- a/chivetrack/components/membership/const.py
+++ b/chivetrack/components/membership/const.py
@@ -17,7 +17,7 @@
 SUSPECT_AFTER_MEAN_GAPS: Final = 8.0
 MAX_SUSPECT_AFTER_S: Final = 10.0
 GAP_SMOOTHING_FACTOR: Final = 0.1
-FIRST_GAP_S: Final = 0.5
+INITIAL_MEAN_GAP_S: Final = 0.5
 
 # All find an instance silent at about the same time. Each waits a random time before it
 # probes, longer where there are more, and most get the verdict of another meanwhile.
--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 
 from chivetrack.components.membership.const import (
-    FIRST_GAP_S,
     GAP_SMOOTHING_FACTOR,
+    INITIAL_MEAN_GAP_S,
     MAX_SUSPECT_AFTER_S,
     SUSPECT_AFTER_MEAN_GAPS,
     SUSPECT_AFTER_S,
@@ -28,7 +28,7 @@
     since: float
     status: InstanceStatus = InstanceStatus.ALIVE
     reason: str = ""
-    gap_s: float = FIRST_GAP_S
+    gap_s: float = INITIAL_MEAN_GAP_S
     asked_witnesses: set[str] = field(default_factory=set)
     denials: dict[str, float] = field(default_factory=dict)
     round_ends: float = float("-inf")
