--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -28,7 +28,7 @@
     since: float
     status: InstanceStatus = InstanceStatus.ALIVE
     reason: str = ""
-    gap_s: float = INITIAL_MEAN_GAP_S
+    mean_gap_s: float = INITIAL_MEAN_GAP_S
     asked_witnesses: set[str] = field(default_factory=set)
     denials: dict[str, float] = field(default_factory=dict)
     round_ends: float = float("-inf")
@@ -50,7 +50,7 @@
         if at <= self.last_seen_at:
             return
         gap = at - self.last_seen_at
-        self.gap_s += GAP_SMOOTHING_FACTOR * (gap - self.gap_s)
+        self.mean_gap_s += GAP_SMOOTHING_FACTOR * (gap - self.mean_gap_s)
         self.last_seen_at = at
 
     def is_silent(self, now: float) -> bool:
@@ -59,7 +59,9 @@
         A fixed limit would suspect everyone in a large region, where signs of life take
         longer to come round.
         """
-        limit = max(SUSPECT_AFTER_S, min(MAX_SUSPECT_AFTER_S, SUSPECT_AFTER_MEAN_GAPS * self.gap_s))
+        limit = max(
+            SUSPECT_AFTER_S, min(MAX_SUSPECT_AFTER_S, SUSPECT_AFTER_MEAN_GAPS * self.mean_gap_s)
+        )
         return now - self.last_seen_at > limit
 
     def change(self, status: InstanceStatus, reason: str, now: float) -> None:
