--- a/chivetrack/components/membership/prober.py
+++ b/chivetrack/components/membership/prober.py
@@ -8,7 +8,7 @@
 from chivetrack.components.membership.member import Member
 from chivetrack.components.membership.suspicion import choose_witnesses
 from chivetrack.components.membership.wire import Ping, Pong, WitnessAnswer, WitnessRequest
-from chivetrack.components.membership.witness import Errand, Errands
+from chivetrack.components.membership.witness import Errands, ProbeTask
 from chivetrack.core import Effect, SendMessage
 from chivetrack.helpers.codec import Message, encode
 
@@ -101,7 +101,7 @@
         if not self.send(request.target, Ping(number), now):
             self._errands.finish(number, request.target)
 
-    def _answer(self, errand: Errand, *, reached: bool, now: float) -> None:
+    def _answer(self, errand: ProbeTask, *, reached: bool, now: float) -> None:
         answer = WitnessAnswer(errand.asker_number, errand.target, reached)
         self.send(errand.asker, answer, now)
 
--- a/chivetrack/components/membership/witness.py
+++ b/chivetrack/components/membership/witness.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Errand:
+class ProbeTask:
     """A probe that this instance makes for another one."""
 
     asker: str
@@ -20,25 +20,25 @@
 
     def __init__(self) -> None:
         """Start with none."""
-        self._errands: dict[int, Errand] = {}
+        self._errands: dict[int, ProbeTask] = {}
         self._last_number = 0
 
     def start(self, *, asker: str, asker_number: int, target: str, now: float) -> int:
         """Note a probe and return its number."""
         self._last_number += 1
-        self._errands[self._last_number] = Errand(
+        self._errands[self._last_number] = ProbeTask(
             asker=asker, asker_number=asker_number, target=target, due=now + PROBE_TIMEOUT_S
         )
         return self._last_number
 
-    def finish(self, number: int, target: str) -> Errand | None:
+    def finish(self, number: int, target: str) -> ProbeTask | None:
         """Return and drop the probe that an answer from ``target`` ends."""
         errand = self._errands.get(number)
         if errand is None or errand.target != target:
             return None
         return self._errands.pop(number)
 
-    def take_overdue(self, now: float) -> list[Errand]:
+    def take_overdue(self, now: float) -> list[ProbeTask]:
         """Return and drop the probes that got no answer in time."""
         overdue = [number for number, errand in self._errands.items() if now >= errand.due]
         return [self._errands.pop(number) for number in overdue]
