--- a/chivetrack/components/membership/prober.py
+++ b/chivetrack/components/membership/prober.py
@@ -8,7 +8,7 @@
 from chivetrack.components.membership.member import Member
 from chivetrack.components.membership.suspicion import choose_witnesses
 from chivetrack.components.membership.wire import Ping, Pong, WitnessAnswer, WitnessRequest
-from chivetrack.components.membership.witness import Errands, ProbeTask
+from chivetrack.components.membership.witness import ProbeTask, ProbeTasks
 from chivetrack.core import Effect, SendMessage
 from chivetrack.helpers.codec import Message, encode
 
@@ -38,7 +38,7 @@
         self._random = random
         self._on_reached = on_reached
         self._on_denied = on_denied
-        self._errands = Errands()
+        self._errands = ProbeTasks()
         self._outgoing: list[Effect] = []
         self._rounds = 0
 
--- a/chivetrack/components/membership/witness.py
+++ b/chivetrack/components/membership/witness.py
@@ -15,7 +15,7 @@
     due: float
 
 
-class Errands:
+class ProbeTasks:
     """The probes under way, by their own numbers."""
 
     def __init__(self) -> None:
