--- a/chivetrack/components/membership/prober.py
+++ b/chivetrack/components/membership/prober.py
@@ -53,8 +53,8 @@
 
     def tick(self, now: float) -> None:
         """Answer for the probes that got no answer in time."""
-        for errand in self._errands.take_overdue(now):
-            self._answer(errand, reached=False, now=now)
+        for task in self._errands.take_overdue(now):
+            self._answer(task, reached=False, now=now)
 
     def start_round(self, member: Member, candidates: list[Member], now: float) -> None:
         """Probe a member, and ask witnesses to."""
@@ -84,9 +84,9 @@
         if pong.number < 0:
             self._on_reached(source, "answered a probe", now)
             return
-        errand = self._errands.finish(pong.number, source)
-        if errand is not None:
-            self._answer(errand, reached=True, now=now)
+        task = self._errands.finish(pong.number, source)
+        if task is not None:
+            self._answer(task, reached=True, now=now)
 
     def _receive_request(self, source: str, request: WitnessRequest, now: float) -> None:
         contact = self._gossip.get_direct_contact(request.target)
@@ -101,9 +101,9 @@
         if not self.send(request.target, Ping(number), now):
             self._errands.finish(number, request.target)
 
-    def _answer(self, errand: ProbeTask, *, reached: bool, now: float) -> None:
-        answer = WitnessAnswer(errand.asker_number, errand.target, reached)
-        self.send(errand.asker, answer, now)
+    def _answer(self, task: ProbeTask, *, reached: bool, now: float) -> None:
+        answer = WitnessAnswer(task.asker_number, task.target, reached)
+        self.send(task.asker, answer, now)
 
     def _receive_answer(self, source: str, answer: WitnessAnswer, now: float) -> None:
         if answer.reached:
--- a/chivetrack/components/membership/witness.py
+++ b/chivetrack/components/membership/witness.py
@@ -33,14 +33,14 @@
 
     def finish(self, number: int, target: str) -> ProbeTask | None:
         """Return and drop the probe that an answer from ``target`` ends."""
-        errand = self._errands.get(number)
-        if errand is None or errand.target != target:
+        task = self._errands.get(number)
+        if task is None or task.target != target:
             return None
         return self._errands.pop(number)
 
     def take_overdue(self, now: float) -> list[ProbeTask]:
         """Return and drop the probes that got no answer in time."""
-        overdue = [number for number, errand in self._errands.items() if now >= errand.due]
+        overdue = [number for number, task in self._errands.items() if now >= task.due]
         return [self._errands.pop(number) for number in overdue]
 
     def drop_all(self) -> None:
