--- a/chivetrack/components/membership/prober.py
+++ b/chivetrack/components/membership/prober.py
@@ -38,7 +38,7 @@
         self._random = random
         self._on_reached = on_reached
         self._on_denied = on_denied
-        self._errands = ProbeTasks()
+        self._tasks = ProbeTasks()
         self._outgoing: list[Effect] = []
         self._rounds = 0
 
@@ -49,11 +49,11 @@
 
     def drop_all(self) -> None:
         """Forget all probes for others."""
-        self._errands.drop_all()
+        self._tasks.drop_all()
 
     def tick(self, now: float) -> None:
         """Answer for the probes that got no answer in time."""
-        for task in self._errands.take_overdue(now):
+        for task in self._tasks.take_overdue(now):
             self._answer(task, reached=False, now=now)
 
     def start_round(self, member: Member, candidates: list[Member], now: float) -> None:
@@ -84,7 +84,7 @@
         if pong.number < 0:
             self._on_reached(source, "answered a probe", now)
             return
-        task = self._errands.finish(pong.number, source)
+        task = self._tasks.finish(pong.number, source)
         if task is not None:
             self._answer(task, reached=True, now=now)
 
@@ -93,13 +93,13 @@
         if contact is not None and now - contact < DIRECT_CONTACT_S:
             self.send(source, WitnessAnswer(request.number, request.target, True), now)
             return
-        number = self._errands.start(
+        number = self._tasks.start(
             asker=source, asker_number=request.number, target=request.target, now=now
         )
         # A probe that was never sent must not end in "not reached": a witness with a
         # spent budget would help to declare a live instance dead.
         if not self.send(request.target, Ping(number), now):
-            self._errands.finish(number, request.target)
+            self._tasks.finish(number, request.target)
 
     def _answer(self, task: ProbeTask, *, reached: bool, now: float) -> None:
         answer = WitnessAnswer(task.asker_number, task.target, reached)
--- a/chivetrack/components/membership/witness.py
+++ b/chivetrack/components/membership/witness.py
@@ -20,29 +20,29 @@
 
     def __init__(self) -> None:
         """Start with none."""
-        self._errands: dict[int, ProbeTask] = {}
+        self._tasks: dict[int, ProbeTask] = {}
         self._last_number = 0
 
     def start(self, *, asker: str, asker_number: int, target: str, now: float) -> int:
         """Note a probe and return its number."""
         self._last_number += 1
-        self._errands[self._last_number] = ProbeTask(
+        self._tasks[self._last_number] = ProbeTask(
             asker=asker, asker_number=asker_number, target=target, due=now + PROBE_TIMEOUT_S
         )
         return self._last_number
 
     def finish(self, number: int, target: str) -> ProbeTask | None:
         """Return and drop the probe that an answer from ``target`` ends."""
-        task = self._errands.get(number)
+        task = self._tasks.get(number)
         if task is None or task.target != target:
             return None
-        return self._errands.pop(number)
+        return self._tasks.pop(number)
 
     def take_overdue(self, now: float) -> list[ProbeTask]:
         """Return and drop the probes that got no answer in time."""
-        overdue = [number for number, task in self._errands.items() if now >= task.due]
-        return [self._errands.pop(number) for number in overdue]
+        overdue = [number for number, task in self._tasks.items() if now >= task.due]
+        return [self._tasks.pop(number) for number in overdue]
 
     def drop_all(self) -> None:
         """Forget all probes: a process that was frozen can't tell lost from late."""
-        self._errands.clear()
+        self._tasks.clear()
