--- a/chivetrack/components/membership/prober.py
+++ b/chivetrack/components/membership/prober.py
@@ -94,7 +94,7 @@
             self.send(source, WitnessAnswer(request.number, request.target, True), now)
             return
         number = self._tasks.start(
-            requester=source, asker_number=request.number, target=request.target, now=now
+            requester=source, request_number=request.number, target=request.target, now=now
         )
         # A probe that was never sent must not end in "not reached": a witness with a
         # spent budget would help to declare a live instance dead.
@@ -102,7 +102,7 @@
             self._tasks.finish(number, request.target)
 
     def _answer(self, task: ProbeTask, *, reached: bool, now: float) -> None:
-        answer = WitnessAnswer(task.asker_number, task.target, reached)
+        answer = WitnessAnswer(task.request_number, task.target, reached)
         self.send(task.requester, answer, now)
 
     def _receive_answer(self, source: str, answer: WitnessAnswer, now: float) -> None:
--- a/chivetrack/components/membership/witness.py
+++ b/chivetrack/components/membership/witness.py
@@ -10,7 +10,7 @@
     """A probe that this instance makes for another one."""
 
     requester: str
-    asker_number: int
+    request_number: int
     target: str
     due: float
 
@@ -23,11 +23,14 @@
         self._tasks: dict[int, ProbeTask] = {}
         self._last_number = 0
 
-    def start(self, *, requester: str, asker_number: int, target: str, now: float) -> int:
+    def start(self, *, requester: str, request_number: int, target: str, now: float) -> int:
         """Note a probe and return its number."""
         self._last_number += 1
         self._tasks[self._last_number] = ProbeTask(
-            requester=requester, asker_number=asker_number, target=target, due=now + PROBE_TIMEOUT_S
+            requester=requester,
+            request_number=request_number,
+            target=target,
+            due=now + PROBE_TIMEOUT_S,
         )
         return self._last_number
 
