--- a/chivetrack/components/membership/prober.py
+++ b/chivetrack/components/membership/prober.py
@@ -53,7 +53,7 @@
 
     def tick(self, now: float) -> None:
         """Answer for the probes that got no answer in time."""
-        for task in self._tasks.take_overdue(now):
+        for task in self._tasks.pop_overdue(now):
             self._answer(task, reached=False, now=now)
 
     def start_round(self, member: Member, candidates: list[Member], now: float) -> None:
--- a/chivetrack/components/membership/witness.py
+++ b/chivetrack/components/membership/witness.py
@@ -41,7 +41,7 @@
             return None
         return self._tasks.pop(number)
 
-    def take_overdue(self, now: float) -> list[ProbeTask]:
+    def pop_overdue(self, now: float) -> list[ProbeTask]:
         """Return and drop the probes that got no answer in time."""
         overdue = [number for number, task in self._tasks.items() if now >= task.due]
         return [self._tasks.pop(number) for number in overdue]
