--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -138,7 +138,7 @@
         if isinstance(event, TimeReached) and now >= self._next_tick:
             self._next_tick = now + TICK_S
             self._tick(now)
-        effects = self._prober.take_effects()
+        effects = self._prober.pop_effects()
         if isinstance(event, TimeReached):
             effects.append(WakeAt(at=self._next_tick))
         return effects
--- a/chivetrack/components/membership/prober.py
+++ b/chivetrack/components/membership/prober.py
@@ -42,7 +42,7 @@
         self._outgoing: list[Effect] = []
         self._rounds = 0
 
-    def take_effects(self) -> list[Effect]:
+    def pop_effects(self) -> list[Effect]:
         """Return and drop the messages to be sent."""
         effects, self._outgoing = self._outgoing, []
         return effects
