--- a/tests/components/membership/fleet.py
+++ b/tests/components/membership/fleet.py
@@ -19,7 +19,7 @@
         self.region_of: dict[str, str] = {}
         self.memberships: dict[str, Membership] = {}
         self.gossips: dict[str, Gossip] = {}
-        self.told: list[tuple[float, str, Instance]] = []
+        self.reported: list[tuple[float, str, Instance]] = []
         self.seeds: list[Seed] = []
         self.add_region(region, zones)
         for name in self.zone_of:
@@ -56,7 +56,9 @@
             state_version=StateVersion(incarnation, 0),
         )
         membership = Membership(gossip=gossip, own=own, seeds=self.seeds, random=stream)
-        membership.subscribe(lambda told: self.told.append((self.network.now, name, told)))
+        membership.subscribe(
+            lambda reported: self.reported.append((self.network.now, name, reported))
+        )
         self.memberships[name], self.gossips[name] = membership, gossip
         self.network.start(name, [gossip, membership])
 
@@ -72,4 +74,4 @@
         ]
 
     def list_told_dead(self) -> set[str]:
-        return {i.instance_id for _, _, i in self.told if i.status is InstanceStatus.DEAD}
+        return {i.instance_id for _, _, i in self.reported if i.status is InstanceStatus.DEAD}
--- a/tests/components/membership/test_fuzz.py
+++ b/tests/components/membership/test_fuzz.py
@@ -83,17 +83,17 @@
                 world = _World(seed)
                 world.network.run_for(10)
                 for _ in range(90):
-                    seen = len(world.fleet.told)
+                    seen = len(world.fleet.reported)
                     world.step()
                     self.check_accusations(world, seen)
                 self.check_end(world)
 
     def check_accusations(self, world: _World, seen: int) -> None:
-        for at, viewer, told in world.fleet.told[seen:]:
-            if told.status is not InstanceStatus.DEAD:
+        for at, viewer, reported in world.fleet.reported[seen:]:
+            if reported.status is not InstanceStatus.DEAD:
                 continue
-            excused_at = world.excused.get(told.instance_id, float("-inf"))
-            self.assertLess(at - excused_at, GRACE_S, (viewer, told))
+            excused_at = world.excused.get(reported.instance_id, float("-inf"))
+            self.assertLess(at - excused_at, GRACE_S, (viewer, reported))
 
     def check_end(self, world: _World) -> None:
         world.network.heal()
--- a/tests/components/membership/test_membership.py
+++ b/tests/components/membership/test_membership.py
@@ -90,8 +90,12 @@
         others = [name for name in fleet.memberships if name != "kyushu-1-0"]
         fleet.network.cut(["kyushu-1-0"], others)
         fleet.network.run_for(10)
-        dead = [(viewer, told) for _, viewer, told in fleet.told if told.status is DEAD]
-        accusers = {viewer for viewer, told in dead if told.reason.startswith("silent here")}
+        dead = [
+            (viewer, reported) for _, viewer, reported in fleet.reported if reported.status is DEAD
+        ]
+        accusers = {
+            viewer for viewer, reported in dead if reported.reason.startswith("silent here")
+        }
         self.assertLess(len(accusers), 8)
         for name in accusers:
             fleet.start(name, incarnation=2)
@@ -142,7 +146,7 @@
             known = gossip.get_life
             gossip.get_life = lambda o, known=known: None if o == "kyushu-1-0" else known(o)
         fleet.network.run_for(20)
-        suspected = [i for _, _, i in fleet.told if i.status is InstanceStatus.SUSPECT]
+        suspected = [i for _, _, i in fleet.reported if i.status is InstanceStatus.SUSPECT]
         self.assertGreater(len(suspected), 8)
         self.assertEqual(fleet.list_told_dead(), set())
 
