--- a/tests/components/membership/fleet.py
+++ b/tests/components/membership/fleet.py
@@ -73,5 +73,5 @@
             if viewer != target and self.get_status(viewer, target) is status
         ]
 
-    def list_told_dead(self) -> set[str]:
+    def list_reported_dead(self) -> set[str]:
         return {i.instance_id for _, _, i in self.reported if i.status is InstanceStatus.DEAD}
--- a/tests/components/membership/test_membership.py
+++ b/tests/components/membership/test_membership.py
@@ -30,7 +30,7 @@
         fleet.network.kill("kyushu-0-2")
         self.assertEqual(len(fleet.find_viewers("kyushu-0-2", LEFT)), 8)
         fleet.network.run_for(30)
-        self.assertEqual(fleet.list_told_dead(), set())
+        self.assertEqual(fleet.list_reported_dead(), set())
 
     def test_a_gone_instance_is_forgotten_at_last(self) -> None:
         fleet = MembershipFleet([2, 2])
@@ -67,7 +67,7 @@
                     for victim in dead:
                         viewers = fleet.find_viewers(victim, DEAD)
                         self.assertEqual(viewers, list(fleet.memberships), victim)
-                    self.assertEqual(fleet.list_told_dead(), set(dead))
+                    self.assertEqual(fleet.list_reported_dead(), set(dead))
 
     def test_a_restart_is_taken_back_at_once(self) -> None:
         fleet = MembershipFleet([3, 3, 3])
@@ -107,7 +107,7 @@
 
 class FalseAccusationTest(unittest.TestCase):
     def check_nobody_dead(self, fleet: MembershipFleet) -> None:
-        self.assertEqual(fleet.list_told_dead(), set())
+        self.assertEqual(fleet.list_reported_dead(), set())
         for name in fleet.memberships:
             self.assertEqual(len(fleet.find_viewers(name, ALIVE)), len(fleet.memberships) - 1)
 
@@ -148,7 +148,7 @@
         fleet.network.run_for(20)
         suspected = [i for _, _, i in fleet.reported if i.status is InstanceStatus.SUSPECT]
         self.assertGreater(len(suspected), 8)
-        self.assertEqual(fleet.list_told_dead(), set())
+        self.assertEqual(fleet.list_reported_dead(), set())
 
     def test_a_verdict_is_no_match_for_a_later_sign_of_life(self) -> None:
         """A verdict of 5 s ago comes in about a router that was heard of since."""
@@ -190,7 +190,7 @@
         fleet.network.cut(["kyushu-0-0"], others)
         fleet.network.run_for(30)
         self.assertTrue(fleet.memberships["kyushu-0-0"].is_isolated)
-        self.assertEqual(fleet.list_told_dead(), {"kyushu-0-0"})
+        self.assertEqual(fleet.list_reported_dead(), {"kyushu-0-0"})
         fleet.network.heal()
         fleet.network.run_for(12)
         self.assertFalse(fleet.memberships["kyushu-0-0"].is_isolated)
@@ -204,7 +204,7 @@
         rest = [name for name in fleet.memberships if name not in cut]
         fleet.network.cut(cut, rest)
         fleet.network.run_for(20)
-        self.assertEqual(fleet.list_told_dead(), set(cut))
+        self.assertEqual(fleet.list_reported_dead(), set(cut))
         fleet.network.heal()
         fleet.network.run_for(15)
         for name in fleet.memberships:
@@ -227,7 +227,7 @@
                     fleet.network.run_for(0.05)
                     self.assertFalse(fleet.memberships["kyushu-1-1"].is_isolated)
                     fleet.network.run_for(4)
-                    self.assertLessEqual(fleet.list_told_dead(), {"kyushu-1-1"})
+                    self.assertLessEqual(fleet.list_reported_dead(), {"kyushu-1-1"})
                     for name in fleet.memberships:
                         self.assertEqual(len(fleet.find_viewers(name, ALIVE)), 8, name)
 
@@ -247,7 +247,7 @@
             fleet.network.run_for(0.1)
             if step == 150:
                 fleet.network.sent.clear()
-        self.assertEqual(fleet.list_told_dead(), set())
+        self.assertEqual(fleet.list_reported_dead(), set())
         for name in fleet.memberships:
             self.assertEqual(len(fleet.find_viewers(name, ALIVE)), 17, name)
         probes = [sent for sent in fleet.network.sent if sent.kind != "gossip.frame"]
