--- a/chivetrack/components/membership/__init__.py
+++ b/chivetrack/components/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances there are, and which of them live."""
+"""Membership: the known instances of the fleet, and failure detection among them."""
--- a/chivetrack/components/membership/member.py
+++ b/chivetrack/components/membership/member.py
@@ -1,4 +1,4 @@
-"""What is known of one other instance."""
+"""State kept for one other instance."""
 
 from dataclasses import dataclass, field
 
@@ -15,11 +15,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class Member:
-    """Another instance, when it last showed life and who could not reach it.
+    """Another instance, its last contact, and the witnesses that could not reach it.
 
-    ``last_seen_at`` is the last sign of life by any way, ``denials`` are the witnesses that
-    failed to reach it since it was suspected, ``is_probed`` tells whether this instance
-    itself tried in the round that is under way.
+    ``last_seen_at`` is the time of the last heartbeat or contact, direct or relayed.
+    ``mean_gap_s`` is the exponential mean of the gaps between heartbeats.
+    ``denials`` maps witnesses that failed to reach the instance since it was suspected to
+    the time of their answer. ``is_probed``: this instance has sent a probe of its own in
+    the current round, which ends at ``round_ends``.
     """
 
     instance_id: str
@@ -37,16 +39,16 @@
 
     @property
     def state_version(self) -> StateVersion:
-        """Return which life of the instance this is."""
+        """Return the version of the latest record."""
         return StateVersion(self.record.incarnation, self.record.refutation)
 
     @property
     def is_counted(self) -> bool:
-        """Return whether it is expected to show life."""
+        """Return whether heartbeats of the instance are expected: it is alive or suspect."""
         return self.status in (InstanceStatus.ALIVE, InstanceStatus.SUSPECT)
 
     def record_contact(self, at: float) -> None:
-        """Note a sign of life that the instance gave at ``at``."""
+        """Record a heartbeat that the instance sent at ``at``."""
         if at <= self.last_seen_at:
             return
         gap = at - self.last_seen_at
@@ -54,10 +56,10 @@
         self.last_seen_at = at
 
     def is_silent(self, now: float) -> bool:
-        """Return whether it was heard of for too long, measured by its own habit.
+        """Return whether the instance has sent no heartbeat for too long.
 
-        A fixed limit would suspect everyone in a large region, where signs of life take
-        longer to come round.
+        The limit grows with the mean gap between heartbeats: in a large region gossip
+        takes longer to relay them, and a fixed limit would suspect every instance.
         """
         limit = max(
             SUSPECT_AFTER_S, min(MAX_SUSPECT_AFTER_S, SUSPECT_AFTER_MEAN_GAPS * self.mean_gap_s)
@@ -65,7 +67,7 @@
         return now - self.last_seen_at > limit
 
     def change(self, status: InstanceStatus, reason: str, now: float) -> None:
-        """Take on a status."""
+        """Set the status and its reason."""
         self.reason = reason
         if status is self.status:
             return
@@ -75,14 +77,14 @@
             self.clear_round()
 
     def clear_round(self) -> None:
-        """Forget what witnesses said."""
+        """Reset the probe round and the answers of witnesses."""
         self.asked_witnesses.clear()
         self.denials.clear()
         self.round_ends = float("-inf")
         self.is_probed = False
 
     def make_instance(self) -> Instance:
-        """Return it as others see it."""
+        """Return the instance as subscribers see it."""
         return Instance(
             instance_id=self.instance_id,
             address=self.record.address,
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -1,4 +1,4 @@
-"""The membership component: joins, leaves, suspects, refutes."""
+"""The membership component: join, leave, failure detection and refutation."""
 
 import random as random_module
 from collections.abc import Sequence
@@ -55,12 +55,17 @@
 
 
 class Membership:
-    """The instances of the own region, each with what is believed of it."""
+    """The instances of the own region with their status, as this instance sees it.
+
+    An instance is silent if it has sent no heartbeat for longer than
+    ``Member.is_silent`` allows. A silent instance becomes suspect, is probed by this
+    instance and by witnesses, and is declared dead if they can't reach it either.
+    """
 
     def __init__(
         self, *, gossip: Gossip, own: Instance, seeds: Sequence[Seed], random: random_module.Random
     ) -> None:
-        """Create a membership that knows its seeds only; it joins when time is handed in."""
+        """Create a membership that knows only its seeds; it joins at the first tick."""
         self._gossip = gossip
         self._own = own
         self._seeds = {seed.instance_id: seed for seed in seeds}
@@ -86,11 +91,11 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Return whether this instance seems to be the one that is cut off."""
+        """Return whether this instance itself seems to be cut off from the others."""
         return self._isolated
 
     def list_instances(self) -> list[Instance]:
-        """Return all known instances of the region, this one among them, by id."""
+        """Return all known instances of the region, including this one, sorted by id."""
         listed = [member.make_instance() for member in self._members.values()]
         return sorted([*listed, self._own], key=lambda instance: instance.instance_id)
 
@@ -100,11 +105,11 @@
         return [each.instance_id for each in self.list_instances() if each.status not in gone]
 
     def list_regions(self, *, now: float) -> list[RegionSummary]:
-        """Return what is known of other regions."""
+        """Return the current summaries of other regions."""
         return self._regions.list_summaries(now)
 
     def find_address(self, instance_id: str, *, now: float) -> str | None:
-        """Return where to send messages for an instance, a seed or a far contact."""
+        """Return the address of an instance, a seed or a contact in another region."""
         member = self._members.get(instance_id)
         if member is not None:
             return member.record.address
@@ -115,7 +120,7 @@
         return None
 
     def subscribe(self, callback: InstanceCallback) -> Unsubscribe:
-        """Call back with every instance whose entry changes."""
+        """Call ``callback`` with every instance whose status changes."""
         self._callbacks.append(callback)
 
         def unsubscribe() -> None:
@@ -125,13 +130,17 @@
         return unsubscribe
 
     def leave(self, *, now: float) -> None:
-        """Say that this instance leaves; keep handing in time for a second after that."""
+        """Announce that this instance leaves.
+
+        The caller must pass in ``TimeReached`` events for another second, so that the
+        announcement spreads.
+        """
         self._leaving = True
         self._own = replace(self._own, status=InstanceStatus.LEFT, since=now)
         self._publish_own(now, Urgency.LEAVING)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take in a message, or watch over the others."""
+        """Process a message, or check the other instances on a tick."""
         self._handle_freeze(now)
         if isinstance(event, MessageReceived):
             self._receive(event.source, event.message, now)
@@ -146,9 +155,9 @@
     # Time
 
     def _handle_freeze(self, now: float) -> None:
-        """Give everyone a new start after this process did not run for a while.
+        """Reset all last contact times if this process did not run for a while.
 
-        All others look silent to it, and it would accuse the whole fleet on waking.
+        All other instances look silent to it then, and it would suspect the whole fleet.
         """
         last, self._last_event = self._last_event, now
         if last is None or now - last < FROZEN_AFTER_S:
@@ -179,16 +188,16 @@
             if last_seen_at is None:
                 continue
             member.record_contact(last_seen_at)
-            # A round that is under way ends with any sign of life, whoever relays it.
+            # A heartbeat ends the suspicion also in the middle of a probe round.
             if member.status is InstanceStatus.SUSPECT and not member.is_silent(now):
-                self._change(member, InstanceStatus.ALIVE, "showed life", now)
+                self._change(member, InstanceStatus.ALIVE, "heartbeat received", now)
 
     def _check_member(self, member: Member, now: float) -> None:
         if member.status in (InstanceStatus.DEAD, InstanceStatus.LEFT):
             self._check_gone(member, now)
             return
-        may_accuse = self._is_settled(now) and not self._isolated and not self._leaving
-        if not may_accuse or not member.is_silent(now):
+        may_suspect = self._is_settled(now) and not self._isolated and not self._leaving
+        if not may_suspect or not member.is_silent(now):
             return
         candidates = list_candidates(member, self._members.values(), now)
         if member.status is InstanceStatus.ALIVE:
@@ -222,7 +231,7 @@
         del self._members[member.instance_id]
 
     def _notify_if_dead(self, member: Member, now: float) -> None:
-        """Tell an instance that counts as dead and yet shows life, so that it refutes."""
+        """Notify an instance that is declared dead but sends heartbeats, so that it refutes."""
         last_seen_at = self._gossip.get_life(member.instance_id)
         if member.status is not InstanceStatus.DEAD or last_seen_at is None:
             return
@@ -241,21 +250,22 @@
         self._change(member, InstanceStatus.DEAD, reason, now)
 
     def _contact_absent(self, now: float) -> None:
-        """Knock at a seed or a dead instance now and then.
+        """Contact up to two seeds or dead instances at regular intervals.
 
-        Without that two sides that took each other for dead would never meet again.
+        Otherwise two sides of a partition that declared each other dead would never
+        reconnect.
         """
         if now < self._contacted_absent_at + CONTACT_ABSENT_INTERVAL_S:
             return
         self._contacted_absent_at = now
         dead = [m for m in self._members.values() if m.status is InstanceStatus.DEAD]
-        # A seed is known by its address only; which member it is shows when they meet.
-        met = {member.record.address for member in self._members.values()}
-        met.add(self._own.address)
+        # The settings name seeds by address; the instance id is known only after contact.
+        known_addresses = {member.record.address for member in self._members.values()}
+        known_addresses.add(self._own.address)
         absent = [
             Peer(instance_id=seed.instance_id, region=seed.region)
             for seed in self._seeds.values()
-            if seed.address not in met
+            if seed.address not in known_addresses
         ]
         absent.extend(Peer(instance_id=m.instance_id, region=m.record.region) for m in dead)
         for peer in self._random.sample(absent, min(2, len(absent))):
@@ -281,7 +291,7 @@
         member = self._members.get(instance_id)
         if member is None or member.status is not InstanceStatus.SUSPECT:
             return
-        if witness in member.asked:
+        if witness in member.asked_witnesses:
             member.denials[witness] = now
 
     def _handle_reached(self, instance_id: str, reason: str, now: float) -> None:
@@ -303,7 +313,7 @@
             self._add_member(news, record, last_seen_at)
             return
         state_version = StateVersion(record.incarnation, record.refutation)
-        # Gossip gives no older record; one of the same life only matters if it leaves.
+        # Gossip delivers no older record; one of the same version matters only if it leaves.
         if state_version < member.state_version or (
             state_version == member.state_version and not record.leaving
         ):
@@ -313,12 +323,12 @@
         if is_new_life:
             member.last_seen_at = max(member.last_seen_at, last_seen_at)
         if record.leaving:
-            self._change(member, InstanceStatus.LEFT, "left on its own word", news.now)
+            self._change(member, InstanceStatus.LEFT, "announced that it leaves", news.now)
         elif is_new_life:
-            self._change(member, InstanceStatus.ALIVE, "showed a new life", news.now)
+            self._change(member, InstanceStatus.ALIVE, "restarted or refuted a verdict", news.now)
 
     def _add_member(self, news: News, record: InstanceRecord, last_seen_at: float) -> None:
-        # The record may be old; whether it lives shows from now on.
+        # The record may be old, so the silence is counted from now on.
         status = InstanceStatus.LEFT if record.leaving else InstanceStatus.ALIVE
         member = Member(
             instance_id=news.origin,
@@ -353,14 +363,14 @@
         latest = max(
             member.last_seen_at, last_seen_at if last_seen_at is not None else member.last_seen_at
         )
-        # Whoever has a sign of life from after the verdict knows better than its judges.
+        # A heartbeat from after the verdict overrides it.
         if latest > news.now - news.age_s:
             return
-        reason = f"found dead by {news.origin} and {', '.join(verdict.witnesses)}"
+        reason = f"declared dead by {news.origin} and {', '.join(verdict.witnesses)}"
         self._change(member, InstanceStatus.DEAD, reason, news.now)
 
     def _refute(self, accused: StateVersion, now: float) -> None:
-        """Rise above an accusation; one of an earlier life needs no answer."""
+        """Refute a verdict by publishing a higher version; ignore one of an earlier version."""
         if self._leaving or accused < self._own.state_version:
             return
         state_version = StateVersion(self._own.state_version.incarnation, accused.refutation + 1)
--- a/chivetrack/components/membership/models.py
+++ b/chivetrack/components/membership/models.py
@@ -1,4 +1,4 @@
-"""Instances as this one sees them."""
+"""Models of instances and regions as seen by this instance."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class InstanceStatus(StrEnum):
-    """What is believed of an instance."""
+    """Status of an instance, as seen by this instance."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -16,10 +16,10 @@
 
 
 class StateVersion(NamedTuple):
-    """Orders what is said of an instance; the higher one holds.
+    """Version of the state of an instance; the higher version overrides the lower one.
 
-    ``incarnation`` rises with every start, ``refutation`` with every false accusation
-    that the instance refuted since.
+    ``incarnation`` rises with every start, ``refutation`` with every verdict that the
+    instance has refuted since that start.
     """
 
     incarnation: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Seed:
-    """An instance that is known from the settings."""
+    """An instance that the settings name, or a contact in another region."""
 
     instance_id: str
     address: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Instance:
-    """One instance; ``since`` is this instance's time at which its status began."""
+    """One instance; ``since`` is the local time of the last status change, in seconds."""
 
     instance_id: str
     address: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RegionSummary:
-    """What is known of another region: how many routers, and whom to talk to."""
+    """Summary of another region: the number of live instances and some to contact."""
 
     region: str
     routers: int
--- a/chivetrack/components/membership/prober.py
+++ b/chivetrack/components/membership/prober.py
@@ -1,4 +1,4 @@
-"""Sends probes and answers them, for this instance and on behalf of others."""
+"""Sends and answers probes, for this instance and on behalf of others."""
 
 import random as random_module
 from collections.abc import Callable
@@ -17,10 +17,10 @@
 
 
 class Prober:
-    """Finds out whether instances can be reached, from here and by way of witnesses.
+    """Checks whether instances can be reached, directly and through witnesses.
 
-    Calls ``on_reached`` with an instance, how it was reached and the time, ``on_denied``
-    with an instance, the witness that could not reach it and the time.
+    Calls ``on_reached`` with the instance id, the reason text and the time, and
+    ``on_denied`` with the instance id, the witness that could not reach it and the time.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         on_reached: ReachedCallback,
         on_denied: DeniedCallback,
     ) -> None:
-        """Create a prober with nothing under way."""
+        """Create a prober without running probes."""
         self._gossip = gossip
         self._own_zone = own_zone
         self._random = random
@@ -43,21 +43,21 @@
         self._rounds = 0
 
     def pop_effects(self) -> list[Effect]:
-        """Return and drop the messages to be sent."""
+        """Return and clear the messages to be sent."""
         effects, self._outgoing = self._outgoing, []
         return effects
 
     def drop_all(self) -> None:
-        """Forget all probes for others."""
+        """Drop all probes made on behalf of others."""
         self._tasks.drop_all()
 
     def tick(self, now: float) -> None:
-        """Answer for the probes that got no answer in time."""
+        """Report a failure to the requesters of all probes that have timed out."""
         for task in self._tasks.pop_overdue(now):
             self._answer(task, reached=False, now=now)
 
     def start_round(self, member: Member, candidates: list[Member], now: float) -> None:
-        """Probe a member, and ask witnesses to."""
+        """Start a round: probe a member and request probes from witnesses."""
         self._rounds += 1
         member.round_ends = now + PROBE_ROUND_S
         member.is_probed = self.send(member.instance_id, Ping(-self._rounds), now)
@@ -70,7 +70,7 @@
                 member.asked_witnesses.add(witness.instance_id)
 
     def receive(self, source: str, message: Message, now: float) -> None:
-        """Take in a probe, a request or an answer."""
+        """Process a probe, a witness request or an answer."""
         if isinstance(message, Ping):
             self.send(source, Pong(message.number), now)
         elif isinstance(message, Pong):
@@ -96,8 +96,8 @@
         number = self._tasks.start(
             requester=source, request_number=request.number, target=request.target, now=now
         )
-        # A probe that was never sent must not end in "not reached": a witness with a
-        # spent budget would help to declare a live instance dead.
+        # A probe that could not be sent must not be reported as failed: a witness whose
+        # traffic budget is spent would help to declare a live instance dead.
         if not self.send(request.target, Ping(number), now):
             self._tasks.finish(number, request.target)
 
@@ -107,16 +107,17 @@
 
     def _receive_answer(self, source: str, answer: WitnessAnswer, now: float) -> None:
         if answer.reached:
-            how = f"not heard from here, but reached by {source}"
-            self._on_reached(answer.target, how, now)
+            reason = f"no heartbeat received here, but reached by {source}"
+            self._on_reached(answer.target, reason, now)
             return
         self._on_denied(answer.target, source, now)
 
     def send(self, target: str, message: Message, now: float) -> bool:
-        """Send if the budget pays for it; if not, the next round makes up for it.
+        """Send a message if the traffic budget allows; return whether it was sent.
 
-        Answers are not held to the share of probes: an instance that is asked a lot would
-        fail to answer, and count as dead for it.
+        A message that is not sent is made up for by the next round. Answers are not limited
+        to the budget share of probes: an instance that receives many probes would fail to
+        answer and be declared dead.
         """
         budget = self._gossip.budget
         is_answer = isinstance(message, Pong | WitnessAnswer)
--- a/chivetrack/components/membership/regions.py
+++ b/chivetrack/components/membership/regions.py
@@ -1,4 +1,4 @@
-"""What regions tell each other: one summary each."""
+"""Exchange of region summaries: each region publishes one to the others."""
 
 from collections.abc import Iterable
 
@@ -16,10 +16,13 @@
 
 
 class Regions:
-    """Publishes the own region's summary if it is this instance's turn; keeps the others'."""
+    """Publishes the summary of the own region and stores those of other regions.
+
+    Only the live instance with the lowest id of a region publishes its summary.
+    """
 
     def __init__(self, *, gossip: Gossip, own_region: str, seeds: Iterable[Seed]) -> None:
-        """Listen to the summaries of other regions."""
+        """Subscribe to the summaries of other regions."""
         self._has_far_seeds = any(seed.region != own_region for seed in seeds)
         self._gossip = gossip
         self._own_region = own_region
@@ -29,12 +32,12 @@
         gossip.subscribe(TOPIC_REGION, self._receive)
 
     def list_summaries(self, now: float) -> list[RegionSummary]:
-        """Return the other regions whose summary is not outdated."""
+        """Return the summaries of other regions that have not expired."""
         listed = [s for s in self._summaries.values() if now < s.last_seen_at + SUMMARY_LEASE_S]
         return sorted(listed, key=lambda summary: summary.region)
 
     def list_peers(self, now: float) -> list[Peer]:
-        """Return the contacts in other regions."""
+        """Return the contacts in other regions as gossip peers."""
         return [
             Peer(instance_id=contact.instance_id, region=contact.region)
             for summary in self.list_summaries(now)
@@ -42,7 +45,7 @@
         ]
 
     def publish(self, own_id: str, instances: Iterable[Instance], now: float) -> None:
-        """Publish the summary if this is the first live instance of its region by name."""
+        """Publish the summary if this is the live instance with the lowest id in its region."""
         if now < self._published_at + SUMMARY_INTERVAL_S:
             return
         self._published_at = now
@@ -74,7 +77,7 @@
             return
         last_seen_at = news.now - news.age_s
         held = self._summaries.get(news.key)
-        # Two instances may both take themselves for the first for a while.
+        # Two instances may both publish for a while; the later summary wins.
         if not isinstance(record, RegionRecord) or (held and held.last_seen_at > last_seen_at):
             return
         self._summaries[news.key] = RegionSummary(
--- a/chivetrack/components/membership/suspicion.py
+++ b/chivetrack/components/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Who is asked to witness, and when their word is enough."""
+"""Choice of witnesses, and the rules for confirming a suspicion."""
 
 import random as random_module
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 
 def list_candidates(target: Member, members: Iterable[Member], now: float) -> list[Member]:
-    """Return the instances that could witness: alive and not silent themselves."""
+    """Return the instances that can act as witnesses: alive and not silent."""
     return [
         member
         for member in members
@@ -22,10 +22,11 @@
 def choose_witnesses(
     target: Member, candidates: list[Member], *, own_zone: str, random: random_module.Random
 ) -> list[Member]:
-    """Return whom to ask next: those not asked yet first, one of another zone among them.
+    """Return the witnesses of the next round, at least one of another zone if possible.
 
-    Instances of one zone share switches; if they alone were asked, a cut between two
-    zones would make all of the other zone look dead.
+    Witnesses that were not asked yet come first. Instances of one zone share switches: if
+    all witnesses were in the own zone, a cut between two zones would make all instances
+    of the other zone look dead.
     """
     shuffled = random.sample(candidates, len(candidates))
     shuffled.sort(key=lambda member: member.instance_id in target.asked_witnesses)
@@ -38,8 +39,10 @@
 def is_confirmed(target: Member, candidates: list[Member], *, own_zone: str) -> bool:
     """Return whether enough witnesses failed to reach the target.
 
-    With no witness at all nothing is confirmed: an instance that alone remains can't
-    tell its own cut link from the other's death.
+    Required are ``REQUIRED_DENIALS`` denials, or all if there are fewer candidates, and
+    one from another zone if there is a candidate there. Without any candidate nothing is
+    confirmed: a single remaining instance can't distinguish the failure of its own link
+    from a failure of the target.
     """
     zones = {member.instance_id: member.record.zone for member in candidates}
     denials = [name for name in target.denials if name in zones]
@@ -51,7 +54,7 @@
 
 
 def is_isolated(members: Iterable[Member], now: float) -> bool:
-    """Return whether most instances are silent, so that it is this one that is cut off."""
+    """Return whether most instances are silent, so that this one counts as cut off."""
     counted = [member for member in members if member.is_counted]
     silent = sum(1 for member in counted if member.is_silent(now))
     return 2 * silent > len(counted)
--- a/chivetrack/components/membership/wire.py
+++ b/chivetrack/components/membership/wire.py
@@ -1,11 +1,11 @@
-"""What instances tell each other about instances."""
+"""Messages and gossip records about instances and regions."""
 
 from chivetrack.helpers.codec import Message, message
 
 
 @message("membership.instance")
 class InstanceRecord(Message, frozen=True, array_like=True):
-    """What an instance says of itself."""
+    """Record that an instance publishes about itself."""
 
     address: str
     region: str
@@ -18,7 +18,7 @@
 
 @message("membership.verdict")
 class Verdict(Message, frozen=True, array_like=True):
-    """An instance was found dead by its accuser and by witnesses."""
+    """Declares an instance dead, as found by the publisher and the witnesses."""
 
     target: str
     incarnation: int
@@ -28,7 +28,7 @@
 
 @message("membership.ping")
 class Ping(Message, frozen=True, array_like=True):
-    """Asks for a ``Pong`` with the same number."""
+    """Requests a ``Pong`` with the same number."""
 
     number: int
 
@@ -42,7 +42,7 @@
 
 @message("membership.witness-request")
 class WitnessRequest(Message, frozen=True, array_like=True):
-    """Asks an instance to probe another one."""
+    """Requests an instance to probe another one."""
 
     number: int
     target: str
@@ -50,7 +50,7 @@
 
 @message("membership.witness-answer")
 class WitnessAnswer(Message, frozen=True, array_like=True):
-    """Says whether the witness reached the target."""
+    """Reports whether the witness reached the target."""
 
     number: int
     target: str
@@ -59,14 +59,14 @@
 
 @message("membership.notice")
 class Notice(Message, frozen=True, array_like=True):
-    """Tells an instance that it counts as dead, so that it can refute."""
+    """Notifies an instance that it was declared dead, so that it can refute."""
 
     incarnation: int
     refutation: int
 
 
 class Contact(Message, frozen=True, array_like=True):
-    """An instance of a region that others may talk to."""
+    """An instance that other regions may contact."""
 
     instance_id: str
     address: str
@@ -74,7 +74,7 @@
 
 @message("membership.region")
 class RegionRecord(Message, frozen=True, array_like=True):
-    """The one thing that other regions are told of a region's instances."""
+    """Summary of a region for other regions: live instances and contacts."""
 
     routers: int
     contacts: tuple[Contact, ...]
--- a/tests/components/membership/fleet.py
+++ b/tests/components/membership/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of memberships on the network in memory."""
+"""A fleet of ``Membership`` components on the in-memory network."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 class MembershipFleet:
-    """Routers in zones, all with the same two seeds, and every status they ever told."""
+    """Routers in zones, with two seeds per region, and every status change they reported."""
 
     def __init__(self, zones: list[int], *, seed: int = 1, region: str = "kyushu") -> None:
         self.network = Network(seed=seed)
@@ -56,9 +56,7 @@
             state_version=StateVersion(incarnation, 0),
         )
         membership = Membership(gossip=gossip, own=own, seeds=self.seeds, random=stream)
-        membership.subscribe(
-            lambda reported: self.reported.append((self.network.now, name, reported))
-        )
+        membership.subscribe(lambda change: self.reported.append((self.network.now, name, change)))
         self.memberships[name], self.gossips[name] = membership, gossip
         self.network.start(name, [gossip, membership])
 
--- a/tests/components/membership/test_fuzz.py
+++ b/tests/components/membership/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Membership under random faults, against an oracle that knows who lives."""
+"""Membership under random faults, checked against the true state of the routers."""
 
 import random
 import unittest
@@ -10,7 +10,11 @@
 
 
 class _World:
-    """Routers that are killed, frozen, restarted, and links that fail one at a time."""
+    """Routers that are killed, frozen and restarted, and links that fail one at a time.
+
+    ``excused`` is the last time at which a router was down or frozen; for ``GRACE_S``
+    after that it may be declared dead.
+    """
 
     def __init__(self, seed: int) -> None:
         self.source = random.Random(seed)
@@ -34,7 +38,10 @@
         self.network.run_for(1)
 
     def choose_running(self) -> str | None:
-        """Return a running router, unless so many are out that the rest may feel cut off."""
+        """Return a running router, or ``None`` if three are out already.
+
+        With more routers out, the others could regard themselves as cut off.
+        """
         if len(self.down) + len(self.frozen) >= 3:
             return None
         running = [n for n in self.names if n not in self.down and n not in self.frozen]
@@ -73,10 +80,10 @@
 
 class MembershipFuzzTest(unittest.TestCase):
     def test_against_the_oracle(self) -> None:
-        """Routers die, freeze and return while links fail and frames are lost.
+        """Routers are killed, frozen and restarted while links fail and frames are lost.
 
-        Nobody may be called dead who was up all the time, whatever its links; in the
-        end, with the links whole, all agree with the truth.
+        No router that was up all the time may be declared dead, whatever links failed. At
+        the end, with all links restored, every router must know the true status of all.
         """
         for seed in range(10):
             with self.subTest(seed=seed):
--- a/tests/components/membership/test_membership.py
+++ b/tests/components/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under deaths, cuts, bad links, freezes and restarts."""
+"""Membership under crashes, partitions, lossy links, freezes and restarts."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
         for name in fleet.memberships:
             self.assertEqual(len(fleet.find_viewers(name, ALIVE)), 8, name)
 
-    def test_leaving_is_told_and_accuses_nobody(self) -> None:
+    def test_leaving_is_reported_and_no_one_is_declared_dead(self) -> None:
         fleet = MembershipFleet([3, 3, 3])
         fleet.network.run_for(10)
         fleet.memberships["kyushu-0-2"].leave(now=fleet.network.now)
@@ -32,7 +32,7 @@
         fleet.network.run_for(30)
         self.assertEqual(fleet.list_reported_dead(), set())
 
-    def test_a_gone_instance_is_forgotten_at_last(self) -> None:
+    def test_a_dead_instance_is_removed_in_the_end(self) -> None:
         fleet = MembershipFleet([2, 2])
         fleet.network.run_for(10)
         fleet.network.kill("kyushu-1-1")
@@ -43,10 +43,10 @@
 
 class DeathTest(unittest.TestCase):
     def test_the_dead_are_found_in_bounded_time(self) -> None:
-        """One, two or a whole zone of routers die without a word, some frames being lost.
+        """One router, two routers or a whole zone crash; in one case frames are lost.
 
-        Until they are found, peers spend a part of their budget on them. All survivors
-        have to agree within 10 seconds, and on nobody else.
+        Until they are declared dead, peers spend part of their traffic budget on them. All
+        survivors must declare exactly these routers dead within 10 seconds.
         """
         cases = {
             "one": (["kyushu-0-0"], 0.0),
@@ -69,7 +69,7 @@
                         self.assertEqual(viewers, list(fleet.memberships), victim)
                     self.assertEqual(fleet.list_reported_dead(), set(dead))
 
-    def test_a_restart_is_taken_back_at_once(self) -> None:
+    def test_a_restarted_router_is_alive_again_at_once(self) -> None:
         fleet = MembershipFleet([3, 3, 3])
         fleet.network.run_for(10)
         fleet.network.kill("kyushu-0-0")
@@ -79,11 +79,11 @@
         fleet.network.run_for(5)
         self.assertEqual(len(fleet.find_viewers("kyushu-0-0", ALIVE)), 8)
 
-    def test_a_dead_one_returns_though_its_accusers_restarted(self) -> None:
-        """A cut-off router is found dead; those who published the verdict restart.
+    def test_a_dead_router_returns_although_the_publishers_restarted(self) -> None:
+        """A cut-off router is declared dead; the publishers of the verdict restart.
 
         Their verdict is gone from gossip, so the router never sees what it has to refute,
-        and whoever believed it would go on doing so. They tell it themselves.
+        and the others would regard it as dead for ever. They must notify it directly.
         """
         fleet = MembershipFleet([3, 3, 3])
         fleet.network.run_for(10)
@@ -106,16 +106,16 @@
 
 
 class FalseAccusationTest(unittest.TestCase):
-    def check_nobody_dead(self, fleet: MembershipFleet) -> None:
+    def check_no_one_dead(self, fleet: MembershipFleet) -> None:
         self.assertEqual(fleet.list_reported_dead(), set())
         for name in fleet.memberships:
             self.assertEqual(len(fleet.find_viewers(name, ALIVE)), len(fleet.memberships) - 1)
 
-    def test_bad_links_kill_nobody(self) -> None:
+    def test_failed_links_declare_no_one_dead(self) -> None:
         """Links between two routers fail, one way or both, up to three at a time.
 
-        The one behind the link looks silent to the other for a while only if no third
-        one relays; a witness that reaches it ends the suspicion.
+        A router behind a failed link looks silent only until a third router relays its
+        heartbeats; a witness that reaches it ends the suspicion.
         """
         for seed in range(6):
             with self.subTest(seed=seed):
@@ -131,13 +131,13 @@
                     fleet.network.run_for(8)
                 fleet.network.heal()
                 fleet.network.run_for(5)
-                self.check_nobody_dead(fleet)
+                self.check_no_one_dead(fleet)
 
-    def test_a_router_that_relays_miss_is_saved_by_a_witness(self) -> None:
-        """Gossip about one router stops, as if squeezed out, and one link to it is cut.
+    def test_a_router_without_relayed_heartbeats_is_reached_by_a_witness(self) -> None:
+        """Gossip about one router stops, as if displaced by other data; one link is cut.
 
-        All others find it silent, and the one behind the cut can't probe it either.
-        Declared dead on that alone, one bad link would throw out a live router.
+        All others find the router silent, and the one behind the cut link can't probe it
+        either. Without witnesses, one failed link would declare a live router dead.
         """
         fleet = MembershipFleet([2, 2, 2])
         fleet.network.run_for(10)
@@ -150,8 +150,8 @@
         self.assertGreater(len(suspected), 8)
         self.assertEqual(fleet.list_reported_dead(), set())
 
-    def test_a_verdict_is_no_match_for_a_later_sign_of_life(self) -> None:
-        """A verdict of 5 s ago comes in about a router that was heard of since."""
+    def test_a_later_heartbeat_overrides_a_verdict(self) -> None:
+        """A verdict of 5 s ago arrives about a router that has sent a heartbeat since."""
         fleet = MembershipFleet([2, 2])
         fleet.network.run_for(10)
         target, viewer, now = "kyushu-1-1", "kyushu-0-0", fleet.network.now
@@ -163,7 +163,7 @@
         self.assertIs(fleet.get_status(viewer, target), ALIVE)
 
     def test_a_witness_without_budget_denies_nothing(self) -> None:
-        """A witness is asked while its budget is spent, so that its probe is never sent."""
+        """A witness whose traffic budget is spent can't send the requested probe."""
         fleet = MembershipFleet([2, 2])
         fleet.network.run_for(10)
         witness, now = "kyushu-0-0", fleet.network.now
@@ -178,11 +178,11 @@
         answers = [e for e in effects if isinstance(getattr(e, "message", None), WitnessAnswer)]
         self.assertEqual(answers, [])
 
-    def test_a_cut_off_router_accuses_nobody(self) -> None:
-        """One router is cut off for 30 s: to it all others are silent.
+    def test_a_cut_off_router_declares_no_one_dead(self) -> None:
+        """One router is cut off for 30 s, so that all others are silent to it.
 
-        It must take itself for the one that is cut off. The others find it dead, and
-        take it back when the cut is healed, since it refutes.
+        It must detect that it is cut off itself. The others declare it dead; after the
+        cut is healed, it refutes the verdict and is alive again.
         """
         fleet = MembershipFleet([3, 3, 3])
         fleet.network.run_for(10)
@@ -197,7 +197,7 @@
         for name in fleet.memberships:
             self.assertEqual(len(fleet.find_viewers(name, ALIVE)), 8, name)
 
-    def test_the_smaller_side_of_a_cut_accuses_nobody(self) -> None:
+    def test_the_smaller_side_of_a_cut_declares_no_one_dead(self) -> None:
         fleet = MembershipFleet([3, 3, 3])
         fleet.network.run_for(10)
         cut = [name for name in fleet.memberships if fleet.zone_of[name] == "kyushu-zone-2"]
@@ -210,11 +210,11 @@
         for name in fleet.memberships:
             self.assertEqual(len(fleet.find_viewers(name, ALIVE)), 8, name)
 
-    def test_a_frozen_router_wakes_without_accusing(self) -> None:
-        """A router stops for 3 or 20 s and goes on where it was.
+    def test_a_frozen_router_declares_no_one_dead_on_waking(self) -> None:
+        """A router is frozen for 3 or 20 s and continues.
 
-        To it everyone has been silent; to the others it may have died. It must accuse
-        nobody on waking, and be taken back with a higher refutation if it was found dead.
+        All others have been silent to it, and they may have declared it dead. It must
+        suspect no one on waking, and refute the verdict if it was declared dead.
         """
         for seconds in (3, 20):
             for seed in range(4):
@@ -233,12 +233,12 @@
 
 
 class StartTest(unittest.TestCase):
-    def test_many_that_start_together_accuse_nobody(self) -> None:
-        """18 routers start at once, each with load counts, as after a power cut.
+    def test_many_that_start_together_declare_no_one_dead(self) -> None:
+        """18 routers start at once, each with load counts, as after a power failure.
 
-        All learn each other's names inside 4 KB/s and signs of life are slow meanwhile.
-        Suspicions would bring probes, which squeeze out more signs of life, without end:
-        live routers would be found dead and no news come through.
+        All exchange their records within a budget of 4 KB/s, which delays heartbeats.
+        Suspicions would cause probes, which displace more heartbeats, in a feedback loop:
+        live routers would be declared dead and no updates be delivered.
         """
         fleet = MembershipFleet([6, 6, 6])
         for step in range(300):
--- a/tests/components/membership/test_suspicion.py
+++ b/tests/components/membership/test_suspicion.py
@@ -1,4 +1,4 @@
-"""When silence counts, whom to ask and whose word is enough."""
+"""Tests of silence detection, the choice of witnesses and the confirmation of deaths."""
 
 import random
 import unittest
@@ -20,9 +20,9 @@
 
 class SilenceTest(unittest.TestCase):
     def test_is_measured_by_the_usual_gap(self) -> None:
-        """In a large region signs of life come round every second rather than every tenth.
+        """In a large region heartbeats arrive every second instead of every 0.1 s.
 
-        A fixed limit would suspect everyone whenever two of them are lost.
+        A fixed limit would suspect every instance that loses two heartbeats.
         """
         cases = [(0.2, 2.4, False), (0.2, 2.6, True), (1.0, 4.0, False), (1.0, 8.5, True)]
         for gap_s, silence_s, is_silent in cases:
@@ -43,9 +43,9 @@
 
 class WitnessTest(unittest.TestCase):
     def test_needs_two_denials_and_another_zone(self) -> None:
-        """Two routers of zone a, behind one bad switch, deny one in zone c.
+        """Two routers of zone a, behind one failed switch, can't reach a router in zone c.
 
-        Their word alone would throw out all of zone c whenever that switch fails.
+        Their denials alone would declare all of zone c dead whenever that switch fails.
         """
         cases: list[tuple[str, str, bool]] = [
             ("", "", False),
