--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -49,7 +49,7 @@
     members: Members
 
 
-class Formation:
+class LogBootstrap:
     """Agrees on the first members among the instances that the settings name.
 
     A log is founded only when every one of them has said that it is blank and sees
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -22,7 +22,7 @@
 )
 from chivetrack.components.document.store import DocumentStore
 from chivetrack.components.replica import Replica
-from chivetrack.components.replica.formation import Formation, Hello
+from chivetrack.components.replica.formation import Hello, LogBootstrap
 from chivetrack.components.replica.repair import JoinAnswer, JoinRequest, Repair
 from chivetrack.components.storage import Storage
 from chivetrack.components.storage.const import IDENTITY_NAME
@@ -258,7 +258,7 @@
     def _form(self, storage: Storage, recovered: Recovered) -> Recovered:
         """Found the log with the others, or learn that it exists; return the state to go on."""
         founders = storage.identity.founders
-        formation = Formation(
+        formation = LogBootstrap(
             instance_id=self._instance_id,
             replica_id=self.replica_id,
             instances=founders or self._seeds,
--- a/chivetrack/daemon/founding.py
+++ b/chivetrack/daemon/founding.py
@@ -13,7 +13,7 @@
 from chivetrack.components.consensus.members import Members
 from chivetrack.components.consensus.models import Persist, Recovered, Snapshot, Timing
 from chivetrack.components.replica import Replica, ReplicaCore
-from chivetrack.components.replica.formation import Formation, Founded, Hello, Stranger
+from chivetrack.components.replica.formation import Founded, Hello, LogBootstrap, Stranger
 from chivetrack.components.replica.models import StateMachine
 from chivetrack.components.storage import Storage, create_folder, open_storage
 from chivetrack.components.storage.backup import make_replica_id
@@ -58,7 +58,7 @@
 class Founding:
     """Takes part in founding the log until it exists."""
 
-    def __init__(self, *, formation: Formation, replica_id: str, send: Send) -> None:
+    def __init__(self, *, formation: LogBootstrap, replica_id: str, send: Send) -> None:
         """Take the decision, the own id and the way out."""
         self._formation = formation
         self._replica_id = replica_id
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -22,7 +22,7 @@
 from chivetrack.components.fleet.models import LeadershipSeen
 from chivetrack.components.proposals.models import ForwardProposal, ForwardRead
 from chivetrack.components.replica import Replica
-from chivetrack.components.replica.formation import Formation, Hello
+from chivetrack.components.replica.formation import Hello, LogBootstrap
 from chivetrack.components.storage import Storage
 from chivetrack.components.storage.exceptions import StorageError
 from chivetrack.components.store.clock import ProposerClock
@@ -147,7 +147,7 @@
 
     def _form(self, storage: Storage, recovered: Recovered) -> Recovered:
         """Wait until the log exists; return the state to start from."""
-        formation = Formation(
+        formation = LogBootstrap(
             instance_id=self._instance_id,
             replica_id=self.replica_id,
             instances=self._first_instances,
--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -7,9 +7,9 @@
 from chivetrack.components.consensus.members import Member, Members
 from chivetrack.components.replica.formation import (
     HELLO_INTERVAL_S,
-    Formation,
     Founded,
     Hello,
+    LogBootstrap,
     Stranger,
 )
 from chivetrack.core import Effect, MessageReceived, SendMessage, TimeReached
@@ -30,10 +30,10 @@
         self.founded: dict[str, Members] = {}
         self.strangers: dict[str, Members] = {}
 
-    def start(self, name: str) -> Formation:
+    def start(self, name: str) -> LogBootstrap:
         self.starts += 1
         replica_id = f"{name}.{self.starts}"
-        return Formation(instance_id=name, replica_id=replica_id, instances=NAMES)
+        return LogBootstrap(instance_id=name, replica_id=replica_id, instances=NAMES)
 
     def take(self, name: str, effects: list[Effect]) -> None:
         for effect in effects:
@@ -143,7 +143,7 @@
 class Life:
     """One process of an instance, from its start to its kill."""
 
-    def __init__(self, disk: Disk, formation: Formation) -> None:
+    def __init__(self, disk: Disk, formation: LogBootstrap) -> None:
         self.disk = disk
         self.formation = formation
 
@@ -177,7 +177,7 @@
         if disk is None:
             self.ids += 1
             disk = self.disks[name] = Disk(f"{name}.{self.ids}", is_first_start)
-        formation = Formation(
+        formation = LogBootstrap(
             instance_id=name,
             replica_id=disk.replica_id,
             instances=NAMES,
@@ -320,7 +320,7 @@
 
         That one may have changed its mind since. Only words of the same round count.
         """
-        formation = Formation(instance_id="a", replica_id="a.1", instances=NAMES)
+        formation = LogBootstrap(instance_id="a", replica_id="a.1", instances=NAMES)
         seen = tuple(Member(f"{name}.{1 + (name == 'b')}", name, True) for name in NAMES)
 
         def hear(name: str, replica_id: str, round_number: int) -> list[Effect]:
@@ -337,8 +337,8 @@
 
         It takes part with those that the first start named, as the others tell it.
         """
-        first = Formation(instance_id="a", replica_id="a.1", instances=("a", "b"))
-        late = Formation(
+        first = LogBootstrap(instance_id="a", replica_id="a.1", instances=("a", "b"))
+        late = LogBootstrap(
             instance_id="b", replica_id="b.1", instances=("d", "e"), contacts=("a",), is_first=False
         )
         pair = {"a": first, "b": late}
