--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Stranger(Effect):
+class NotAMember(Effect):
     """The log exists without this replica, which has to be added."""
 
     members: Members
@@ -159,7 +159,7 @@
     def _follow(self, members: Members) -> list[Effect]:
         self._ended = True
         if members.find(self._own.replica_id) is None:
-            return [Stranger(members=members)]
+            return [NotAMember(members=members)]
         return [Founded(members=members)]
 
     def _has_all_blank(self) -> bool:
--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -10,7 +10,7 @@
     Founded,
     Hello,
     LogBootstrap,
-    Stranger,
+    NotAMember,
 )
 from chivetrack.core import Effect, MessageReceived, SendMessage, TimeReached
 
@@ -41,7 +41,7 @@
                 self.mail.append(effect)
             elif isinstance(effect, Founded):
                 self.founded[name] = effect.members
-            elif isinstance(effect, Stranger):
+            elif isinstance(effect, NotAMember):
                 self.strangers[name] = effect.members
 
     def tick(self) -> None:
