--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Founded(Effect):
+class LogBootstrapped(Effect):
     """The log begins with these members, this replica among them."""
 
     members: Members
@@ -160,7 +160,7 @@
         self._ended = True
         if members.find(self._own.replica_id) is None:
             return [NotAMember(members=members)]
-        return [Founded(members=members)]
+        return [LogBootstrapped(members=members)]
 
     def _has_all_blank(self) -> bool:
         return len(self._blank) == len(self._instances)
@@ -177,7 +177,7 @@
         if any(self._seen_by.get(name) != members for name in others):
             return []
         self._ended = True
-        return [Founded(members=Members(members=members))]
+        return [LogBootstrapped(members=Members(members=members))]
 
     def _list_seen(self) -> tuple[Member, ...]:
         return tuple(self._blank[name] for name in sorted(self._blank))
--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -7,9 +7,9 @@
 from chivetrack.components.consensus.members import Member, Members
 from chivetrack.components.replica.formation import (
     HELLO_INTERVAL_S,
-    Founded,
     Hello,
     LogBootstrap,
+    LogBootstrapped,
     NotAMember,
 )
 from chivetrack.core import Effect, MessageReceived, SendMessage, TimeReached
@@ -39,7 +39,7 @@
         for effect in effects:
             if isinstance(effect, SendMessage):
                 self.mail.append(effect)
-            elif isinstance(effect, Founded):
+            elif isinstance(effect, LogBootstrapped):
                 self.founded[name] = effect.members
             elif isinstance(effect, NotAMember):
                 self.strangers[name] = effect.members
@@ -198,7 +198,7 @@
             if isinstance(effect, SendMessage) and effect.target in self.lives:
                 assert isinstance(effect.message, Hello)
                 self.mail.append((life, self.lives[effect.target], effect.message))
-            elif isinstance(effect, Founded):
+            elif isinstance(effect, LogBootstrapped):
                 life.disk.members = effect.members
                 self.made.add(effect.members)
 
@@ -330,7 +330,7 @@
         words = (("b", "b.1", 0), ("b", "b.2", 0), ("b", "b.2", 1), ("c", "c.1", 0))
         for word in words:
             self.assertEqual(hear(*word), [])
-        self.assertEqual(hear("c", "c.1", 1), [Founded(members=Members(members=seen))])
+        self.assertEqual(hear("c", "c.1", 1), [LogBootstrapped(members=Members(members=seen))])
 
     def test_founder_whose_settings_name_others_by_now(self) -> None:
         """A killed founder comes back, and its settings name newer seeds.
@@ -354,5 +354,5 @@
         self.assertEqual(len(founded), 1)
 
     def list_sent(self, effects: list[Effect], founded: set[Members]) -> list[SendMessage]:
-        founded |= {one.members for one in effects if isinstance(one, Founded)}
+        founded |= {one.members for one in effects if isinstance(one, LogBootstrapped)}
         return [one for one in effects if isinstance(one, SendMessage)]
