--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -101,7 +101,7 @@
         self._first: set[str] = {self._own.instance_id} if self._is_first else set()
 
     @property
-    def is_doubtful(self) -> bool:
+    def may_have_lost_log(self) -> bool:
         """Return whether all founders are blank and a log may yet have been lost with them."""
         return self._has_all_blank() and not self._is_provably_first()
 
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -283,7 +283,7 @@
         """Tell, now and then, that only an operator can know whether a log was lost."""
         while True:
             gevent.sleep(DOUBT_EVERY_S)
-            if founding.is_doubtful:
+            if founding.may_have_lost_log:
                 self._events.write("founding_doubtful", tolerated_losses=self._tolerated_losses)
 
     def _serve(self, storage: Storage, recovered: Recovered) -> None:
--- a/chivetrack/daemon/founding.py
+++ b/chivetrack/daemon/founding.py
@@ -67,9 +67,9 @@
         self.members = Members()
 
     @property
-    def is_doubtful(self) -> bool:
+    def may_have_lost_log(self) -> bool:
         """Return whether a log may have been lost with all founders' disks."""
-        return self._formation.is_doubtful
+        return self._formation.may_have_lost_log
 
     @property
     def is_member(self) -> bool:
--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -313,7 +313,7 @@
             fleet.kill(name, loses_disk=True)
         fleet.run(40)
         self.assertEqual(fleet.made, {log})
-        self.assertTrue(all(one.formation.is_doubtful for one in fleet.lives.values()))
+        self.assertTrue(all(one.formation.may_have_lost_log for one in fleet.lives.values()))
 
     def test_late_word_of_an_earlier_round(self) -> None:
         """A founder lost its disk; what another one said before comes after the new round began.
