--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -21,7 +21,7 @@
     ``seen`` are the blank replicas it knows of, itself among them. ``members`` is set
     once the log exists. ``founders`` are the instances that found the log together, as far
     as the sender knows; with ``knows_founders`` it has that from the first start.
-    ``is_first``: its disk has been the same since the first start. ``round`` grows each
+    ``has_first_disk``: its disk has been the same since the first start. ``round`` grows each
     time that the disk of a founder is seen to be lost.
     """
 
@@ -31,7 +31,7 @@
     members: Members | None = None
     founders: tuple[str, ...] = ()
     knows_founders: bool = True
-    is_first: bool = True
+    has_first_disk: bool = True
     round: int = 0
 
 
@@ -73,20 +73,20 @@
         replica_id: str,
         instances: Sequence[str],
         contacts: Collection[str] = (),
-        is_first: bool = True,
+        has_first_disk: bool = True,
         tolerated_losses: int = 0,
     ) -> None:
         """Take the own ids and the ids of all first instances.
 
-        ``contacts`` are told as well. ``is_first``: this disk has been the same since the
+        ``contacts`` are told as well. ``has_first_disk``: this disk has been the same since the
         first start, which ``instances`` are from; otherwise they are a guess.
         ``tolerated_losses`` is how many disks may be lost at once.
         """
         self._own = Member(replica_id=replica_id, instance_id=instance_id, voter=True)
         self._contacts = set(contacts)
-        self._is_first = is_first
+        self._is_first = has_first_disk
         self._tolerated_losses = tolerated_losses
-        self._knows_founders = is_first
+        self._knows_founders = has_first_disk
         self._instances = tuple(sorted(instances))
         self._start_round(0)
         self._next_hello = float("-inf")
@@ -153,7 +153,7 @@
             replica_id=hello.replica_id, instance_id=hello.instance_id, voter=True
         )
         self._seen_by[hello.instance_id] = hello.seen
-        if hello.is_first:
+        if hello.has_first_disk:
             self._first.add(hello.instance_id)
 
     def _follow(self, members: Members) -> list[Effect]:
@@ -192,7 +192,7 @@
             seen=self._list_seen(),
             founders=self._instances,
             knows_founders=self._knows_founders,
-            is_first=self._is_first,
+            has_first_disk=self._is_first,
             round=self._round,
         )
         targets = (self._contacts | set(self._instances)) - {self._own.instance_id}
--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -136,7 +136,7 @@
     """What a power cut leaves: an id, whether it is of the first start, the log's members."""
 
     replica_id: str
-    is_first: bool
+    has_first_disk: bool
     members: Members | None = None
 
 
@@ -181,7 +181,7 @@
             instance_id=name,
             replica_id=disk.replica_id,
             instances=NAMES,
-            is_first=disk.is_first,
+            has_first_disk=disk.has_first_disk,
             tolerated_losses=self.tolerated_losses,
         )
         self.lives[name] = Life(disk, formation)
@@ -339,7 +339,11 @@
         """
         first = LogBootstrap(instance_id="a", replica_id="a.1", instances=("a", "b"))
         late = LogBootstrap(
-            instance_id="b", replica_id="b.1", instances=("d", "e"), contacts=("a",), is_first=False
+            instance_id="b",
+            replica_id="b.1",
+            instances=("d", "e"),
+            contacts=("a",),
+            has_first_disk=False,
         )
         pair = {"a": first, "b": late}
         founded: set[Members] = set()
