--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -84,7 +84,7 @@
         """
         self._own = Member(replica_id=replica_id, instance_id=instance_id, voter=True)
         self._contacts = set(contacts)
-        self._is_first = has_first_disk
+        self._has_first_disk = has_first_disk
         self._tolerated_losses = tolerated_losses
         self._knows_founders = has_first_disk
         self._instances = tuple(sorted(instances))
@@ -98,7 +98,7 @@
         if self._own.instance_id in self._instances:
             self._blank[self._own.instance_id] = self._own
         self._seen_by: dict[str, tuple[Member, ...]] = {}
-        self._first: set[str] = {self._own.instance_id} if self._is_first else set()
+        self._first: set[str] = {self._own.instance_id} if self._has_first_disk else set()
 
     @property
     def may_have_lost_log(self) -> bool:
@@ -192,7 +192,7 @@
             seen=self._list_seen(),
             founders=self._instances,
             knows_founders=self._knows_founders,
-            has_first_disk=self._is_first,
+            has_first_disk=self._has_first_disk,
             round=self._round,
         )
         targets = (self._contacts | set(self._instances)) - {self._own.instance_id}
