--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -27,7 +27,7 @@
 
     instance_id: str
     replica_id: str
-    seen: tuple[Member, ...] = ()
+    known_blank: tuple[Member, ...] = ()
     members: Members | None = None
     founders: tuple[str, ...] = ()
     knows_founders: bool = True
@@ -152,7 +152,7 @@
         self._blank[hello.instance_id] = Member(
             replica_id=hello.replica_id, instance_id=hello.instance_id, voter=True
         )
-        self._seen_by[hello.instance_id] = hello.seen
+        self._seen_by[hello.instance_id] = hello.known_blank
         if hello.has_first_disk:
             self._first.add(hello.instance_id)
 
@@ -189,7 +189,7 @@
         hello = Hello(
             instance_id=self._own.instance_id,
             replica_id=self._own.replica_id,
-            seen=self._list_seen(),
+            known_blank=self._list_seen(),
             founders=self._instances,
             knows_founders=self._knows_founders,
             has_first_disk=self._has_first_disk,
--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -321,16 +321,18 @@
         That one may have changed its mind since. Only words of the same round count.
         """
         formation = LogBootstrap(instance_id="a", replica_id="a.1", instances=NAMES)
-        seen = tuple(Member(f"{name}.{1 + (name == 'b')}", name, True) for name in NAMES)
+        known_blank = tuple(Member(f"{name}.{1 + (name == 'b')}", name, True) for name in NAMES)
 
         def hear(name: str, replica_id: str, round_number: int) -> list[Effect]:
-            hello = Hello(name, replica_id, seen, founders=NAMES, round=round_number)
+            hello = Hello(name, replica_id, known_blank, founders=NAMES, round=round_number)
             return formation.handle(MessageReceived(source=name, message=hello), now=0.0)
 
         words = (("b", "b.1", 0), ("b", "b.2", 0), ("b", "b.2", 1), ("c", "c.1", 0))
         for word in words:
             self.assertEqual(hear(*word), [])
-        self.assertEqual(hear("c", "c.1", 1), [LogBootstrapped(members=Members(members=seen))])
+        self.assertEqual(
+            hear("c", "c.1", 1), [LogBootstrapped(members=Members(members=known_blank))]
+        )
 
     def test_founder_whose_settings_name_others_by_now(self) -> None:
         """A killed founder comes back, and its settings name newer seeds.
