--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -29,7 +29,7 @@
     replica_id: str
     known_blank: tuple[Member, ...] = ()
     members: Members | None = None
-    founders: tuple[str, ...] = ()
+    bootstrap_instances: tuple[str, ...] = ()
     knows_founders: bool = True
     has_first_disk: bool = True
     round: int = 0
@@ -130,13 +130,13 @@
         if self._knows_founders or not hello.knows_founders or self._has_all_blank():
             return
         self._knows_founders = True
-        if hello.founders not in ((), self._instances):
-            self._instances = hello.founders
+        if hello.bootstrap_instances not in ((), self._instances):
+            self._instances = hello.bootstrap_instances
             self._start_round(self._round)
 
     def _is_of_founder(self, hello: Hello) -> bool:
         is_named = hello.instance_id in self._instances
-        return is_named and hello.founders in ((), self._instances)
+        return is_named and hello.bootstrap_instances in ((), self._instances)
 
     def _note_blank(self, hello: Hello) -> None:
         if hello.round < self._round:
@@ -190,7 +190,7 @@
             instance_id=self._own.instance_id,
             replica_id=self._own.replica_id,
             known_blank=self._list_seen(),
-            founders=self._instances,
+            bootstrap_instances=self._instances,
             knows_founders=self._knows_founders,
             has_first_disk=self._has_first_disk,
             round=self._round,
--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -324,7 +324,9 @@
         known_blank = tuple(Member(f"{name}.{1 + (name == 'b')}", name, True) for name in NAMES)
 
         def hear(name: str, replica_id: str, round_number: int) -> list[Effect]:
-            hello = Hello(name, replica_id, known_blank, founders=NAMES, round=round_number)
+            hello = Hello(
+                name, replica_id, known_blank, bootstrap_instances=NAMES, round=round_number
+            )
             return formation.handle(MessageReceived(source=name, message=hello), now=0.0)
 
         words = (("b", "b.1", 0), ("b", "b.2", 0), ("b", "b.2", 1), ("c", "c.1", 0))
