--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -20,7 +20,7 @@
 
     ``seen`` are the blank replicas it knows of, itself among them. ``members`` is set
     once the log exists. ``founders`` are the instances that found the log together, as far
-    as the sender knows; with ``knows_founders`` it has that from the first start.
+    as the sender knows; with ``knows_bootstrap_instances`` it has that from the first start.
     ``has_first_disk``: its disk has been the same since the first start. ``round`` grows each
     time that the disk of a founder is seen to be lost.
     """
@@ -30,7 +30,7 @@
     known_blank: tuple[Member, ...] = ()
     members: Members | None = None
     bootstrap_instances: tuple[str, ...] = ()
-    knows_founders: bool = True
+    knows_bootstrap_instances: bool = True
     has_first_disk: bool = True
     round: int = 0
 
@@ -127,7 +127,7 @@
 
     def _agree_on_founders(self, hello: Hello) -> None:
         """Believe whoever knows the founders, unless the own guess may have come true."""
-        if self._knows_founders or not hello.knows_founders or self._has_all_blank():
+        if self._knows_founders or not hello.knows_bootstrap_instances or self._has_all_blank():
             return
         self._knows_founders = True
         if hello.bootstrap_instances not in ((), self._instances):
@@ -191,7 +191,7 @@
             replica_id=self._own.replica_id,
             known_blank=self._list_seen(),
             bootstrap_instances=self._instances,
-            knows_founders=self._knows_founders,
+            knows_bootstrap_instances=self._knows_founders,
             has_first_disk=self._has_first_disk,
             round=self._round,
         )
