--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -86,7 +86,7 @@
         self._contacts = set(contacts)
         self._has_first_disk = has_first_disk
         self._tolerated_losses = tolerated_losses
-        self._knows_founders = has_first_disk
+        self._knows_bootstrap_instances = has_first_disk
         self._instances = tuple(sorted(instances))
         self._start_round(0)
         self._next_hello = float("-inf")
@@ -127,9 +127,13 @@
 
     def _agree_on_founders(self, hello: Hello) -> None:
         """Believe whoever knows the founders, unless the own guess may have come true."""
-        if self._knows_founders or not hello.knows_bootstrap_instances or self._has_all_blank():
+        if (
+            self._knows_bootstrap_instances
+            or not hello.knows_bootstrap_instances
+            or self._has_all_blank()
+        ):
             return
-        self._knows_founders = True
+        self._knows_bootstrap_instances = True
         if hello.bootstrap_instances not in ((), self._instances):
             self._instances = hello.bootstrap_instances
             self._start_round(self._round)
@@ -191,7 +195,7 @@
             replica_id=self._own.replica_id,
             known_blank=self._list_seen(),
             bootstrap_instances=self._instances,
-            knows_bootstrap_instances=self._knows_founders,
+            knows_bootstrap_instances=self._knows_bootstrap_instances,
             has_first_disk=self._has_first_disk,
             round=self._round,
         )
