--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -110,12 +110,12 @@
         if self._ended:
             return []
         if isinstance(event, MessageReceived) and isinstance(event.message, Hello):
-            return self._take(event.message)
+            return self._handle_hello(event.message)
         if isinstance(event, TimeReached):
             return self._say(now)
         return []
 
-    def _take(self, hello: Hello) -> list[Effect]:
+    def _handle_hello(self, hello: Hello) -> list[Effect]:
         if hello.members is not None:
             return self._follow(hello.members)
         self._contacts.add(hello.instance_id)
