--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -112,7 +112,7 @@
         if isinstance(event, MessageReceived) and isinstance(event.message, Hello):
             return self._handle_hello(event.message)
         if isinstance(event, TimeReached):
-            return self._say(now)
+            return self._send_hello(now)
         return []
 
     def _handle_hello(self, hello: Hello) -> list[Effect]:
@@ -186,7 +186,7 @@
     def _list_seen(self) -> tuple[Member, ...]:
         return tuple(self._blank[name] for name in sorted(self._blank))
 
-    def _say(self, now: float) -> list[Effect]:
+    def _send_hello(self, now: float) -> list[Effect]:
         if now < self._next_hello:
             return [WakeAt(at=self._next_hello)]
         self._next_hello = now + HELLO_INTERVAL_S
