--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -123,7 +123,7 @@
         if not self._is_of_founder(hello):
             return []
         self._note_blank(hello)
-        return self._found()
+        return self._try_bootstrap()
 
     def _agree_on_founders(self, hello: Hello) -> None:
         """Believe whoever knows the founders, unless the own guess may have come true."""
@@ -172,7 +172,7 @@
     def _is_provably_first(self) -> bool:
         return bool(self._first) or len(self._instances) > self._tolerated_losses
 
-    def _found(self) -> list[Effect]:
+    def _try_bootstrap(self) -> list[Effect]:
         is_founder = self._own.instance_id in self._instances
         if not (is_founder and self._has_all_blank() and self._is_provably_first()):
             return []
@@ -203,6 +203,6 @@
         effects: list[Effect] = [
             SendMessage(target=name, message=hello) for name in sorted(targets)
         ]
-        effects.extend(self._found())
+        effects.extend(self._try_bootstrap())
         effects.append(WakeAt(at=self._next_hello))
         return effects
