--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -117,7 +117,7 @@
 
     def _handle_hello(self, hello: Hello) -> list[Effect]:
         if hello.members is not None:
-            return self._follow(hello.members)
+            return self._adopt_members(hello.members)
         self._contacts.add(hello.instance_id)
         self._agree_on_founders(hello)
         if not self._is_of_founder(hello):
@@ -160,7 +160,7 @@
         if hello.has_first_disk:
             self._first.add(hello.instance_id)
 
-    def _follow(self, members: Members) -> list[Effect]:
+    def _adopt_members(self, members: Members) -> list[Effect]:
         self._ended = True
         if members.find(self._own.replica_id) is None:
             return [NotAMember(members=members)]
