--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -122,7 +122,7 @@
         self._agree_on_founders(hello)
         if not self._is_of_founder(hello):
             return []
-        self._note_blank(hello)
+        self._record_blank(hello)
         return self._try_bootstrap()
 
     def _agree_on_founders(self, hello: Hello) -> None:
@@ -142,7 +142,7 @@
         is_named = hello.instance_id in self._instances
         return is_named and hello.bootstrap_instances in ((), self._instances)
 
-    def _note_blank(self, hello: Hello) -> None:
+    def _record_blank(self, hello: Hello) -> None:
         if hello.round < self._round:
             return
         if hello.round > self._round:
