--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -119,13 +119,13 @@
         if hello.members is not None:
             return self._adopt_members(hello.members)
         self._contacts.add(hello.instance_id)
-        self._agree_on_founders(hello)
+        self._adopt_bootstrap_instances(hello)
         if not self._is_of_founder(hello):
             return []
         self._record_blank(hello)
         return self._try_bootstrap()
 
-    def _agree_on_founders(self, hello: Hello) -> None:
+    def _adopt_bootstrap_instances(self, hello: Hello) -> None:
         """Believe whoever knows the founders, unless the own guess may have come true."""
         if (
             self._knows_bootstrap_instances
