--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -120,7 +120,7 @@
             return self._adopt_members(hello.members)
         self._contacts.add(hello.instance_id)
         self._adopt_bootstrap_instances(hello)
-        if not self._is_of_founder(hello):
+        if not self._is_from_bootstrap_instance(hello):
             return []
         self._record_blank(hello)
         return self._try_bootstrap()
@@ -138,7 +138,7 @@
             self._instances = hello.bootstrap_instances
             self._start_round(self._round)
 
-    def _is_of_founder(self, hello: Hello) -> bool:
+    def _is_from_bootstrap_instance(self, hello: Hello) -> bool:
         is_named = hello.instance_id in self._instances
         return is_named and hello.bootstrap_instances in ((), self._instances)
 
