--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -176,14 +176,14 @@
         is_founder = self._own.instance_id in self._instances
         if not (is_founder and self._has_all_blank() and self._is_provably_first()):
             return []
-        members = self._list_seen()
+        members = self._list_known_blank()
         others = [name for name in self._instances if name != self._own.instance_id]
         if any(self._seen_by.get(name) != members for name in others):
             return []
         self._ended = True
         return [LogBootstrapped(members=Members(members=members))]
 
-    def _list_seen(self) -> tuple[Member, ...]:
+    def _list_known_blank(self) -> tuple[Member, ...]:
         return tuple(self._blank[name] for name in sorted(self._blank))
 
     def _send_hello(self, now: float) -> list[Effect]:
@@ -193,7 +193,7 @@
         hello = Hello(
             instance_id=self._own.instance_id,
             replica_id=self._own.replica_id,
-            known_blank=self._list_seen(),
+            known_blank=self._list_known_blank(),
             bootstrap_instances=self._instances,
             knows_bootstrap_instances=self._knows_bootstrap_instances,
             has_first_disk=self._has_first_disk,
