--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -97,7 +97,7 @@
         self._blank: dict[str, Member] = {}
         if self._own.instance_id in self._instances:
             self._blank[self._own.instance_id] = self._own
-        self._seen_by: dict[str, tuple[Member, ...]] = {}
+        self._known_blank_by: dict[str, tuple[Member, ...]] = {}
         self._first: set[str] = {self._own.instance_id} if self._has_first_disk else set()
 
     @property
@@ -156,7 +156,7 @@
         self._blank[hello.instance_id] = Member(
             replica_id=hello.replica_id, instance_id=hello.instance_id, voter=True
         )
-        self._seen_by[hello.instance_id] = hello.known_blank
+        self._known_blank_by[hello.instance_id] = hello.known_blank
         if hello.has_first_disk:
             self._first.add(hello.instance_id)
 
@@ -178,7 +178,7 @@
             return []
         members = self._list_known_blank()
         others = [name for name in self._instances if name != self._own.instance_id]
-        if any(self._seen_by.get(name) != members for name in others):
+        if any(self._known_blank_by.get(name) != members for name in others):
             return []
         self._ended = True
         return [LogBootstrapped(members=Members(members=members))]
