--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -98,7 +98,7 @@
         if self._own.instance_id in self._instances:
             self._blank[self._own.instance_id] = self._own
         self._known_blank_by: dict[str, tuple[Member, ...]] = {}
-        self._first: set[str] = {self._own.instance_id} if self._has_first_disk else set()
+        self._with_first_disk: set[str] = {self._own.instance_id} if self._has_first_disk else set()
 
     @property
     def may_have_lost_log(self) -> bool:
@@ -158,7 +158,7 @@
         )
         self._known_blank_by[hello.instance_id] = hello.known_blank
         if hello.has_first_disk:
-            self._first.add(hello.instance_id)
+            self._with_first_disk.add(hello.instance_id)
 
     def _adopt_members(self, members: Members) -> list[Effect]:
         self._ended = True
@@ -170,7 +170,7 @@
         return len(self._blank) == len(self._instances)
 
     def _is_provably_first_log(self) -> bool:
-        return bool(self._first) or len(self._instances) > self._tolerated_losses
+        return bool(self._with_first_disk) or len(self._instances) > self._tolerated_losses
 
     def _try_bootstrap(self) -> list[Effect]:
         is_founder = self._own.instance_id in self._instances
