--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -103,7 +103,7 @@
     @property
     def may_have_lost_log(self) -> bool:
         """Return whether all founders are blank and a log may yet have been lost with them."""
-        return self._has_all_blank() and not self._is_provably_first_log()
+        return self._are_all_blank() and not self._is_provably_first_log()
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Take a hello, or say the own when it is due."""
@@ -130,7 +130,7 @@
         if (
             self._knows_bootstrap_instances
             or not hello.knows_bootstrap_instances
-            or self._has_all_blank()
+            or self._are_all_blank()
         ):
             return
         self._knows_bootstrap_instances = True
@@ -166,7 +166,7 @@
             return [NotAMember(members=members)]
         return [LogBootstrapped(members=members)]
 
-    def _has_all_blank(self) -> bool:
+    def _are_all_blank(self) -> bool:
         return len(self._blank) == len(self._instances)
 
     def _is_provably_first_log(self) -> bool:
@@ -174,7 +174,7 @@
 
     def _try_bootstrap(self) -> list[Effect]:
         is_founder = self._own.instance_id in self._instances
-        if not (is_founder and self._has_all_blank() and self._is_provably_first_log()):
+        if not (is_founder and self._are_all_blank() and self._is_provably_first_log()):
             return []
         members = self._list_known_blank()
         others = [name for name in self._instances if name != self._own.instance_id]
