--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -27,7 +27,7 @@
         self.formations = {name: self.start(name) for name in NAMES}
         self.replica_ids = {}
         self.mail: list[SendMessage] = []
-        self.founded: dict[str, Members] = {}
+        self.bootstrapped: dict[str, Members] = {}
         self.strangers: dict[str, Members] = {}
 
     def start(self, name: str) -> LogBootstrap:
@@ -40,7 +40,7 @@
             if isinstance(effect, SendMessage):
                 self.mail.append(effect)
             elif isinstance(effect, LogBootstrapped):
-                self.founded[name] = effect.members
+                self.bootstrapped[name] = effect.members
             elif isinstance(effect, NotAMember):
                 self.strangers[name] = effect.members
 
@@ -53,10 +53,10 @@
     def deliver(self, sent: SendMessage) -> None:
         assert isinstance(sent.message, Hello)
         target = sent.target
-        if target in self.founded:
+        if target in self.bootstrapped:
             # A member of the log answers whoever still asks.
             source = sent.message.instance_id
-            answer = Hello(target, "", (), self.founded[target])
+            answer = Hello(target, "", (), self.bootstrapped[target])
             event = MessageReceived(source=target, message=answer)
             self.take(source, self.formations[source].handle(event, now=self.now))
             return
@@ -82,7 +82,7 @@
                 if "c" not in (sent.target, sent.message.instance_id):
                     net.deliver(sent)
             net.mail.clear()
-        self.assertEqual(net.founded, {})
+        self.assertEqual(net.bootstrapped, {})
 
     def test_all_found_the_same_log(self) -> None:
         """Hellos are lost, doubled and late; every instance must begin the same log."""
@@ -92,8 +92,8 @@
                 for _ in range(60):
                     net.tick()
                     net.deliver_some()
-                self.assertEqual(set(net.founded), set(NAMES))
-                self.assertEqual(len(set(map(str, net.founded.values()))), 1)
+                self.assertEqual(set(net.bootstrapped), set(NAMES))
+                self.assertEqual(len(set(map(str, net.bootstrapped.values()))), 1)
 
     def test_a_lost_folder_comes_back_as_a_stranger(self) -> None:
         """A replica's folder is deleted after the log was founded, and it starts again.
@@ -105,13 +105,13 @@
         for _ in range(60):
             net.tick()
             net.deliver_some()
-        del net.founded["b"]
+        del net.bootstrapped["b"]
         net.formations["b"] = net.start("b")
         for _ in range(20):
             net.tick()
             net.deliver_some()
         self.assertIn("b", net.strangers)
-        self.assertNotIn("b", net.founded)
+        self.assertNotIn("b", net.bootstrapped)
 
     def test_restart_before_the_log_exists(self) -> None:
         """An instance starts again with another id while the others wait for it.
@@ -126,9 +126,9 @@
                 for step in range(40):
                     net.tick()
                     net.deliver_some()
-                    if step < 10 and rng.random() < 0.4 and "b" not in net.founded:
+                    if step < 10 and rng.random() < 0.4 and "b" not in net.bootstrapped:
                         net.formations["b"] = net.start("b")
-                self.assertLessEqual(len(set(map(str, net.founded.values()))), 1)
+                self.assertLessEqual(len(set(map(str, net.bootstrapped.values()))), 1)
 
 
 @dataclass
@@ -350,17 +350,19 @@
             has_first_disk=False,
         )
         pair = {"a": first, "b": late}
-        founded: set[Members] = set()
+        bootstrapped: set[Members] = set()
         mail: list[SendMessage] = []
         for step in range(8):
             for one in pair.values():
-                mail += self.list_sent(one.handle(TimeReached(), now=step * 0.3), founded)
+                mail += self.list_sent(one.handle(TimeReached(), now=step * 0.3), bootstrapped)
             for sent in [one for one in mail if one.target in pair]:
                 event = MessageReceived(source="", message=sent.message)
-                mail += self.list_sent(pair[sent.target].handle(event, now=step * 0.3), founded)
+                mail += self.list_sent(
+                    pair[sent.target].handle(event, now=step * 0.3), bootstrapped
+                )
             mail.clear()
-        self.assertEqual(len(founded), 1)
+        self.assertEqual(len(bootstrapped), 1)
 
-    def list_sent(self, effects: list[Effect], founded: set[Members]) -> list[SendMessage]:
-        founded |= {one.members for one in effects if isinstance(one, LogBootstrapped)}
+    def list_sent(self, effects: list[Effect], bootstrapped: set[Members]) -> list[SendMessage]:
+        bootstrapped |= {one.members for one in effects if isinstance(one, LogBootstrapped)}
         return [one for one in effects if isinstance(one, SendMessage)]
