--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -28,7 +28,7 @@
         self.replica_ids = {}
         self.mail: list[SendMessage] = []
         self.bootstrapped: dict[str, Members] = {}
-        self.strangers: dict[str, Members] = {}
+        self.non_members: dict[str, Members] = {}
 
     def start(self, name: str) -> LogBootstrap:
         self.starts += 1
@@ -42,7 +42,7 @@
             elif isinstance(effect, LogBootstrapped):
                 self.bootstrapped[name] = effect.members
             elif isinstance(effect, NotAMember):
-                self.strangers[name] = effect.members
+                self.non_members[name] = effect.members
 
     def tick(self) -> None:
         self.now += 0.3
@@ -110,7 +110,7 @@
         for _ in range(20):
             net.tick()
             net.deliver_some()
-        self.assertIn("b", net.strangers)
+        self.assertIn("b", net.non_members)
         self.assertNotIn("b", net.bootstrapped)
 
     def test_restart_before_the_log_exists(self) -> None:
