--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -26,7 +26,7 @@
         self.starts = 0
         self.formations = {name: self.start(name) for name in NAMES}
         self.replica_ids = {}
-        self.mail: list[SendMessage] = []
+        self.in_transit: list[SendMessage] = []
         self.bootstrapped: dict[str, Members] = {}
         self.non_members: dict[str, Members] = {}
 
@@ -38,7 +38,7 @@
     def take(self, name: str, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendMessage):
-                self.mail.append(effect)
+                self.in_transit.append(effect)
             elif isinstance(effect, LogBootstrapped):
                 self.bootstrapped[name] = effect.members
             elif isinstance(effect, NotAMember):
@@ -64,8 +64,8 @@
         self.take(target, self.formations[target].handle(event, now=self.now))
 
     def deliver_some(self) -> None:
-        self.rng.shuffle(self.mail)
-        for sent in [self.mail.pop() for _ in range(len(self.mail) // 2)]:
+        self.rng.shuffle(self.in_transit)
+        for sent in [self.in_transit.pop() for _ in range(len(self.in_transit) // 2)]:
             if self.rng.random() < 0.3:
                 continue
             self.deliver(sent)
@@ -78,10 +78,10 @@
         net = FormationNet(random.Random(1))
         for _ in range(20):
             net.tick()
-            for sent in net.mail:
+            for sent in net.in_transit:
                 if "c" not in (sent.target, sent.message.instance_id):
                     net.deliver(sent)
-            net.mail.clear()
+            net.in_transit.clear()
         self.assertEqual(net.bootstrapped, {})
 
     def test_all_found_the_same_log(self) -> None:
@@ -163,7 +163,7 @@
         self.disks: dict[str, Disk] = {}
         self.lives: dict[str, Life] = {}
         self.booting: dict[str, bool] = {}
-        self.mail: list[tuple[Life, Life, Hello]] = []
+        self.in_transit: list[tuple[Life, Life, Hello]] = []
         self.made: set[Members] = set()
 
     def boot(self, name: str, *, is_first_start: bool) -> None:
@@ -197,7 +197,7 @@
         for effect in effects:
             if isinstance(effect, SendMessage) and effect.target in self.lives:
                 assert isinstance(effect.message, Hello)
-                self.mail.append((life, self.lives[effect.target], effect.message))
+                self.in_transit.append((life, self.lives[effect.target], effect.message))
             elif isinstance(effect, LogBootstrapped):
                 life.disk.members = effect.members
                 self.made.add(effect.members)
@@ -210,8 +210,10 @@
 
     def deliver(self, loss: float) -> None:
         """Deliver half of what is under way, in any order."""
-        self.rng.shuffle(self.mail)
-        for source, target, hello in [self.mail.pop() for _ in range((len(self.mail) + 1) // 2)]:
+        self.rng.shuffle(self.in_transit)
+        for source, target, hello in [
+            self.in_transit.pop() for _ in range((len(self.in_transit) + 1) // 2)
+        ]:
             if self.rng.random() < loss or target not in self.lives.values():
                 continue
             self.hand_over(source, target, hello)
@@ -223,7 +225,7 @@
         elif hello.members is None and source in self.lives.values():
             own = target.disk.replica_id
             answer = Hello(own.partition(".")[0], own, (), target.disk.members)
-            self.mail.append((target, source, answer))
+            self.in_transit.append((target, source, answer))
 
     def run(self, steps: int, *, kills: float = 0.0, wipes: int = 0, loss: float = 0.0) -> None:
         """Let steps pass; each may kill an instance at whatever it has reached."""
@@ -351,16 +353,18 @@
         )
         pair = {"a": first, "b": late}
         bootstrapped: set[Members] = set()
-        mail: list[SendMessage] = []
+        in_transit: list[SendMessage] = []
         for step in range(8):
             for one in pair.values():
-                mail += self.list_sent(one.handle(TimeReached(), now=step * 0.3), bootstrapped)
-            for sent in [one for one in mail if one.target in pair]:
+                in_transit += self.list_sent(
+                    one.handle(TimeReached(), now=step * 0.3), bootstrapped
+                )
+            for sent in [one for one in in_transit if one.target in pair]:
                 event = MessageReceived(source="", message=sent.message)
-                mail += self.list_sent(
+                in_transit += self.list_sent(
                     pair[sent.target].handle(event, now=step * 0.3), bootstrapped
                 )
-            mail.clear()
+            in_transit.clear()
         self.assertEqual(len(bootstrapped), 1)
 
     def list_sent(self, effects: list[Effect], bootstrapped: set[Members]) -> list[SendMessage]:
