--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -164,7 +164,7 @@
         self.lives: dict[str, Life] = {}
         self.booting: dict[str, bool] = {}
         self.in_transit: list[tuple[Life, Life, Hello]] = []
-        self.made: set[Members] = set()
+        self.created_logs: set[Members] = set()
 
     def boot(self, name: str, *, is_first_start: bool) -> None:
         """Begin a start; nothing is written before ``open_disk``."""
@@ -200,7 +200,7 @@
                 self.in_transit.append((life, self.lives[effect.target], effect.message))
             elif isinstance(effect, LogBootstrapped):
                 life.disk.members = effect.members
-                self.made.add(effect.members)
+                self.created_logs.add(effect.members)
 
     def tick(self) -> None:
         self.now += HELLO_INTERVAL_S
@@ -248,7 +248,7 @@
         held = {one.replica_id: one.members for one in self.disks.values()}
         return [
             members
-            for members in self.made
+            for members in self.created_logs
             if members.has_quorum([one for one, of in held.items() if of == members])
         ]
 
@@ -286,8 +286,8 @@
                 fleet = start_fleet(seed)
                 fleet.run(12, kills=0.7, loss=0.3)
                 fleet.run(30)
-                self.assertEqual(len(fleet.made), 1)
-                self.assertEqual({one.members for one in fleet.disks.values()}, fleet.made)
+                self.assertEqual(len(fleet.created_logs), 1)
+                self.assertEqual({one.members for one in fleet.disks.values()}, fleet.created_logs)
 
     def test_kills_and_a_lost_disk_at_any_step(self) -> None:
         """One founder also loses its disk, which three bear; its late words come after it.
@@ -310,11 +310,11 @@
         """
         fleet = start_fleet(1, tolerated_losses=3)
         fleet.run(20)
-        (log,) = fleet.made
+        (log,) = fleet.created_logs
         for name in NAMES:
             fleet.kill(name, loses_disk=True)
         fleet.run(40)
-        self.assertEqual(fleet.made, {log})
+        self.assertEqual(fleet.created_logs, {log})
         self.assertTrue(all(one.formation.may_have_lost_log for one in fleet.lives.values()))
 
     def test_late_word_of_an_earlier_round(self) -> None:
