--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -140,7 +140,7 @@
     members: Members | None = None
 
 
-class Life:
+class Process:
     """One process of an instance, from its start to its kill."""
 
     def __init__(self, disk: Disk, formation: LogBootstrap) -> None:
@@ -161,9 +161,9 @@
         self.now = 0.0
         self.ids = 0
         self.disks: dict[str, Disk] = {}
-        self.lives: dict[str, Life] = {}
+        self.lives: dict[str, Process] = {}
         self.booting: dict[str, bool] = {}
-        self.in_transit: list[tuple[Life, Life, Hello]] = []
+        self.in_transit: list[tuple[Process, Process, Hello]] = []
         self.created_logs: set[Members] = set()
 
     def boot(self, name: str, *, is_first_start: bool) -> None:
@@ -184,7 +184,7 @@
             has_first_disk=disk.has_first_disk,
             tolerated_losses=self.tolerated_losses,
         )
-        self.lives[name] = Life(disk, formation)
+        self.lives[name] = Process(disk, formation)
 
     def kill(self, name: str, *, loses_disk: bool = False) -> None:
         self.lives.pop(name, None)
@@ -193,7 +193,7 @@
             self.disks.pop(name, None)
         self.boot(name, is_first_start=False)
 
-    def take(self, life: Life, effects: list[Effect]) -> None:
+    def take(self, life: Process, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendMessage) and effect.target in self.lives:
                 assert isinstance(effect.message, Hello)
@@ -218,7 +218,7 @@
                 continue
             self.hand_over(source, target, hello)
 
-    def hand_over(self, source: Life, target: Life, hello: Hello) -> None:
+    def hand_over(self, source: Process, target: Process, hello: Hello) -> None:
         if target.disk.members is None:
             event = MessageReceived(source=hello.instance_id, message=hello)
             self.take(target, target.formation.handle(event, now=self.now))
