--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -216,9 +216,9 @@
         ]:
             if self.rng.random() < loss or target not in self.lives.values():
                 continue
-            self.hand_over(source, target, hello)
+            self.deliver_hello(source, target, hello)
 
-    def hand_over(self, source: Process, target: Process, hello: Hello) -> None:
+    def deliver_hello(self, source: Process, target: Process, hello: Hello) -> None:
         if target.disk.members is None:
             event = MessageReceived(source=hello.instance_id, message=hello)
             self.take(target, target.formation.handle(event, now=self.now))
