--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -35,7 +35,7 @@
         replica_id = f"{name}.{self.starts}"
         return LogBootstrap(instance_id=name, replica_id=replica_id, instances=NAMES)
 
-    def take(self, name: str, effects: list[Effect]) -> None:
+    def handle_effects(self, name: str, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendMessage):
                 self.in_transit.append(effect)
@@ -48,7 +48,7 @@
         self.now += 0.3
         for name in NAMES:
             effects = self.formations[name].handle(TimeReached(), now=self.now)
-            self.take(name, effects)
+            self.handle_effects(name, effects)
 
     def deliver(self, sent: SendMessage) -> None:
         assert isinstance(sent.message, Hello)
@@ -58,10 +58,10 @@
             source = sent.message.instance_id
             answer = Hello(target, "", (), self.bootstrapped[target])
             event = MessageReceived(source=target, message=answer)
-            self.take(source, self.formations[source].handle(event, now=self.now))
+            self.handle_effects(source, self.formations[source].handle(event, now=self.now))
             return
         event = MessageReceived(source=sent.message.instance_id, message=sent.message)
-        self.take(target, self.formations[target].handle(event, now=self.now))
+        self.handle_effects(target, self.formations[target].handle(event, now=self.now))
 
     def deliver_some(self) -> None:
         self.rng.shuffle(self.in_transit)
@@ -193,7 +193,7 @@
             self.disks.pop(name, None)
         self.boot(name, is_first_start=False)
 
-    def take(self, life: Process, effects: list[Effect]) -> None:
+    def handle_effects(self, life: Process, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendMessage) and effect.target in self.lives:
                 assert isinstance(effect.message, Hello)
@@ -206,7 +206,7 @@
         self.now += HELLO_INTERVAL_S
         for life in list(self.lives.values()):
             if life.disk.members is None:
-                self.take(life, life.formation.handle(TimeReached(), now=self.now))
+                self.handle_effects(life, life.formation.handle(TimeReached(), now=self.now))
 
     def deliver(self, loss: float) -> None:
         """Deliver half of what is under way, in any order."""
@@ -221,7 +221,7 @@
     def deliver_hello(self, source: Process, target: Process, hello: Hello) -> None:
         if target.disk.members is None:
             event = MessageReceived(source=hello.instance_id, message=hello)
-            self.take(target, target.formation.handle(event, now=self.now))
+            self.handle_effects(target, target.formation.handle(event, now=self.now))
         elif hello.members is None and source in self.lives.values():
             own = target.disk.replica_id
             answer = Hello(own.partition(".")[0], own, (), target.disk.members)
