--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -325,7 +325,7 @@
         formation = LogBootstrap(instance_id="a", replica_id="a.1", instances=NAMES)
         known_blank = tuple(Member(f"{name}.{1 + (name == 'b')}", name, True) for name in NAMES)
 
-        def hear(name: str, replica_id: str, round_number: int) -> list[Effect]:
+        def receive(name: str, replica_id: str, round_number: int) -> list[Effect]:
             hello = Hello(
                 name, replica_id, known_blank, bootstrap_instances=NAMES, round=round_number
             )
@@ -333,9 +333,9 @@
 
         words = (("b", "b.1", 0), ("b", "b.2", 0), ("b", "b.2", 1), ("c", "c.1", 0))
         for word in words:
-            self.assertEqual(hear(*word), [])
+            self.assertEqual(receive(*word), [])
         self.assertEqual(
-            hear("c", "c.1", 1), [LogBootstrapped(members=Members(members=known_blank))]
+            receive("c", "c.1", 1), [LogBootstrapped(members=Members(members=known_blank))]
         )
 
     def test_founder_whose_settings_name_others_by_now(self) -> None:
