--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -344,14 +344,14 @@
         It takes part with those that the first start named, as the others tell it.
         """
         first = LogBootstrap(instance_id="a", replica_id="a.1", instances=("a", "b"))
-        late = LogBootstrap(
+        restarted = LogBootstrap(
             instance_id="b",
             replica_id="b.1",
             instances=("d", "e"),
             contacts=("a",),
             has_first_disk=False,
         )
-        pair = {"a": first, "b": late}
+        pair = {"a": first, "b": restarted}
         bootstrapped: set[Members] = set()
         in_transit: list[SendMessage] = []
         for step in range(8):
