--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -60,7 +60,7 @@
         self._wanted_voters = wanted_voters
         self._joiners: dict[str, _Joiner] = {}
 
-    def note_join(self, request: JoinRequest, *, now: float) -> None:
+    def record_join_request(self, request: JoinRequest, *, now: float) -> None:
         """Remember who asks to be let in."""
         self._joiners[request.instance_id] = _Joiner(replica_id=request.replica_id, heard_at=now)
 
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -137,7 +137,7 @@
         if self.replica is None:
             return
         if self.is_leader:
-            self._repair.note_join(request, now=time.monotonic())
+            self._repair.record_join_request(request, now=time.monotonic())
         status = self.replica.get_status().consensus
         answer = JoinAnswer(leader_instance=status.leader_instance, members=status.members)
         self._send(source, answer)
--- a/tests/components/replica/test_repair.py
+++ b/tests/components/replica/test_repair.py
@@ -52,7 +52,7 @@
         )
 
     def join(self, instance: str, replica_id: str, now: float = 0.0) -> None:
-        self.repair.note_join(JoinRequest(instance, replica_id), now=now)
+        self.repair.record_join_request(JoinRequest(instance, replica_id), now=now)
 
     def step(self, now: float = 0.0) -> MemberChange | None:
         change = self.repair.choose(self.get_status(), now=now)
