--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -64,7 +64,7 @@
         """Remember who asks to be let in."""
         self._joiners[request.instance_id] = _Joiner(replica_id=request.replica_id, heard_at=now)
 
-    def choose(self, status: ConsensusStatus, *, now: float) -> MemberChange | None:
+    def choose_change(self, status: ConsensusStatus, *, now: float) -> MemberChange | None:
         """Return the change that is due on this leader, if there is one."""
         joiners = {
             instance: joiner.replica_id
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -337,7 +337,7 @@
             if not self.is_leader:
                 continue
             status = replica.get_status().consensus
-            change = self._repair.choose(status, now=time.monotonic())
+            change = self._repair.choose_change(status, now=time.monotonic())
             if change is None:
                 continue
             result = replica.change_members(change.kind, change.member, timeout_s=_CHANGE_TIMEOUT_S)
--- a/tests/components/replica/test_repair.py
+++ b/tests/components/replica/test_repair.py
@@ -55,7 +55,7 @@
         self.repair.record_join_request(JoinRequest(instance, replica_id), now=now)
 
     def step(self, now: float = 0.0) -> MemberChange | None:
-        change = self.repair.choose(self.get_status(), now=now)
+        change = self.repair.choose_change(self.get_status(), now=now)
         if change is not None:
             self.members = self.members.change(change.kind, change.member)
         return change
