--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -43,7 +43,7 @@
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Joiner:
     replica_id: str
-    heard_at: float
+    requested_at: float
 
 
 class Repair:
@@ -62,14 +62,16 @@
 
     def record_join_request(self, request: JoinRequest, *, now: float) -> None:
         """Remember who asks to be let in."""
-        self._joiners[request.instance_id] = _Joiner(replica_id=request.replica_id, heard_at=now)
+        self._joiners[request.instance_id] = _Joiner(
+            replica_id=request.replica_id, requested_at=now
+        )
 
     def choose_change(self, status: ConsensusStatus, *, now: float) -> MemberChange | None:
         """Return the change that is due on this leader, if there is one."""
         joiners = {
             instance: joiner.replica_id
             for instance, joiner in self._joiners.items()
-            if now - joiner.heard_at <= JOINER_FRESH_S
+            if now - joiner.requested_at <= JOINER_FRESH_S
         }
         silent = {one.replica_id: one.last_contact_age_s for one in status.replicas}
         return (
