--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -9,7 +9,7 @@
 
 # A voter that was silent for this long gives its place to a learner that waits for one.
 # Longer than the freezes and restarts of a few seconds that a voter comes back from.
-VOTER_SILENT_S = 5.0
+VOTER_TIMEOUT_S = 5.0
 # A learner that has not been heard for so long is dropped: its disk is gone for good.
 LEARNER_SILENT_S = 10.0
 # A joiner is taken at its word for so long; it asks four times a second.
@@ -110,7 +110,7 @@
         if len(status.members.list_voters()) < self._wanted_voters:
             return MemberChange(kind=ChangeKind.PROMOTE, member=learners[0])
         for member in status.members.members:
-            is_silent = silent.get(member.replica_id, 0.0) > VOTER_SILENT_S
+            is_silent = silent.get(member.replica_id, 0.0) > VOTER_TIMEOUT_S
             if member.voter and is_silent and member.replica_id != status.replica_id:
                 return MemberChange(kind=ChangeKind.REMOVE, member=member)
         return None
--- a/tests/components/replica/test_repair.py
+++ b/tests/components/replica/test_repair.py
@@ -6,7 +6,7 @@
 from chivetrack.components.consensus.models import ConsensusStatus, ReplicaStatus, Role
 from chivetrack.components.replica.repair import (
     LEARNER_SILENT_S,
-    VOTER_SILENT_S,
+    VOTER_TIMEOUT_S,
     JoinRequest,
     MemberChange,
     Repair,
@@ -113,12 +113,12 @@
         log = Log(voters=5)
         log.join("i6", "i6.a")
         self.assertEqual(log.settle(), [(ChangeKind.ADD_LEARNER, "i6.a")])
-        log.ages = {"i3.a": VOTER_SILENT_S + 0.1}
+        log.ages = {"i3.a": VOTER_TIMEOUT_S + 0.1}
         self.assertEqual(log.settle(), [(ChangeKind.REMOVE, "i3.a"), (ChangeKind.PROMOTE, "i6.a")])
 
     def test_short_silence_costs_no_place(self) -> None:
         log = Log(voters=5, learners=1)
-        log.ages = {"i3.a": VOTER_SILENT_S - 0.5}
+        log.ages = {"i3.a": VOTER_TIMEOUT_S - 0.5}
         self.assertEqual(log.settle(), [])
 
     def test_silent_learner_is_dropped_and_not_promoted(self) -> None:
