--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -11,7 +11,7 @@
 # Longer than the freezes and restarts of a few seconds that a voter comes back from.
 VOTER_TIMEOUT_S = 5.0
 # A learner that has not been heard for so long is dropped: its disk is gone for good.
-LEARNER_SILENT_S = 10.0
+LEARNER_TIMEOUT_S = 10.0
 # A joiner is taken at its word for so long; it asks four times a second.
 JOINER_FRESH_S = 1.0
 
@@ -119,6 +119,6 @@
         self, status: ConsensusStatus, silent: Mapping[str, float]
     ) -> MemberChange | None:
         for member in status.members.members:
-            if not member.voter and silent.get(member.replica_id, 0.0) > LEARNER_SILENT_S:
+            if not member.voter and silent.get(member.replica_id, 0.0) > LEARNER_TIMEOUT_S:
                 return MemberChange(kind=ChangeKind.REMOVE, member=member)
         return None
--- a/tests/components/replica/test_repair.py
+++ b/tests/components/replica/test_repair.py
@@ -5,7 +5,7 @@
 from chivetrack.components.consensus.members import ChangeKind, Member, Members
 from chivetrack.components.consensus.models import ConsensusStatus, ReplicaStatus, Role
 from chivetrack.components.replica.repair import (
-    LEARNER_SILENT_S,
+    LEARNER_TIMEOUT_S,
     VOTER_TIMEOUT_S,
     JoinRequest,
     MemberChange,
@@ -125,7 +125,7 @@
         log = Log(voters=4, learners=1)
         log.ages = {"i5.a": 2.0}
         self.assertEqual(log.settle(), [])
-        log.ages = {"i5.a": LEARNER_SILENT_S + 1.0}
+        log.ages = {"i5.a": LEARNER_TIMEOUT_S + 1.0}
         self.assertEqual(log.settle(), [(ChangeKind.REMOVE, "i5.a")])
 
     def test_request_is_forgotten(self) -> None:
