--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -13,7 +13,7 @@
 # A learner that has not been heard for so long is dropped: its disk is gone for good.
 LEARNER_TIMEOUT_S = 10.0
 # A joiner is taken at its word for so long; it asks four times a second.
-JOINER_FRESH_S = 1.0
+RECENT_CONTACT_S = 1.0
 
 
 @message("replica.join")
@@ -71,7 +71,7 @@
         joiners = {
             instance: joiner.replica_id
             for instance, joiner in self._joiners.items()
-            if now - joiner.requested_at <= JOINER_FRESH_S
+            if now - joiner.requested_at <= RECENT_CONTACT_S
         }
         silent = {one.replica_id: one.last_contact_age_s for one in status.replicas}
         return (
@@ -103,7 +103,7 @@
         learners = [
             member
             for member in status.members.members
-            if not member.voter and silent.get(member.replica_id, 0.0) < JOINER_FRESH_S
+            if not member.voter and silent.get(member.replica_id, 0.0) < RECENT_CONTACT_S
         ]
         if not learners:
             return None
