--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -57,7 +57,7 @@
 
     def __init__(self, *, wanted_voters: int) -> None:
         """Take the number of voters that bears the losses which are to be borne."""
-        self._wanted_voters = wanted_voters
+        self._target_voters = wanted_voters
         self._joiners: dict[str, _Joiner] = {}
 
     def record_join_request(self, request: JoinRequest, *, now: float) -> None:
@@ -107,7 +107,7 @@
         ]
         if not learners:
             return None
-        if len(status.members.list_voters()) < self._wanted_voters:
+        if len(status.members.list_voters()) < self._target_voters:
             return MemberChange(kind=ChangeKind.PROMOTE, member=learners[0])
         for member in status.members.members:
             is_silent = silent.get(member.replica_id, 0.0) > VOTER_TIMEOUT_S
