--- a/chivetrack/components/replica/faults.py
+++ b/chivetrack/components/replica/faults.py
@@ -6,7 +6,7 @@
 from chivetrack.components.replica.models import NotLeaderFault, ProposalAnswered
 from chivetrack.exceptions import Fault, Ran
 
-_PASSING = frozenset(
+_TRANSIENT_REFUSALS = frozenset(
     {Refusal.TRANSFERRING, Refusal.OVERLOADED, Refusal.CHANGE_PENDING, Refusal.NOT_READY}
 )
 
@@ -69,7 +69,7 @@
             message=f"an entry has at most {MAX_ENTRY_BYTES} bytes",
             status=413,
         )
-    passing = answer.refusal in _PASSING
+    passing = answer.refusal in _TRANSIENT_REFUSALS
     return Fault(
         code=answer.refusal.value,
         message=f"the leader refused: {answer.refusal.value.replace('_', ' ')}",
