--- a/chivetrack/components/replica/replica.py
+++ b/chivetrack/components/replica/replica.py
@@ -185,9 +185,9 @@
 
     def _carry_out_all(self, effects: Sequence[Effect]) -> None:
         for effect in effects:
-            self._carry_out_one(effect)
+            self._execute_one(effect)
 
-    def _carry_out_one(self, effect: Effect) -> None:
+    def _execute_one(self, effect: Effect) -> None:
         match effect:
             case SendMessage():
                 self._send(effect)
