--- a/chivetrack/components/replica/replica.py
+++ b/chivetrack/components/replica/replica.py
@@ -150,12 +150,12 @@
         while effects:
             persists = [one for one in effects if isinstance(one, Persist)]
             if not persists:
-                self._carry_out_all(effects)
+                self._execute_all(effects)
                 return
             first = effects.index(persists[0])
-            self._carry_out_all(effects[:first])
+            self._execute_all(effects[:first])
             self._save(persists)
-            self._carry_out_all(effects[first:])
+            self._execute_all(effects[first:])
             last = persists[-1]
             persisted = Persisted(last_index=last.last_index, last_term=last.last_term)
             effects = self._core.handle(persisted, now=self._clock())
@@ -183,7 +183,7 @@
         self._stopped = True
         self._calls.end_all()
 
-    def _carry_out_all(self, effects: Sequence[Effect]) -> None:
+    def _execute_all(self, effects: Sequence[Effect]) -> None:
         for effect in effects:
             self._execute_one(effect)
 
