--- a/chivetrack/components/replica/core.py
+++ b/chivetrack/components/replica/core.py
@@ -50,7 +50,7 @@
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Take one event at time ``now`` (seconds, never going back)."""
-        effects = self._carry_out(self._consensus.handle(event, now=now))
+        effects = self._execute(self._consensus.handle(event, now=now))
         if self._needs_snapshot():
             effects += self._save_snapshot(now)
         self._answers.clear()
@@ -60,7 +60,7 @@
         many = self._applied_index - self._snapshot_index >= self._snapshot_entries
         return many or self._applied_bytes >= SNAPSHOT_BYTES
 
-    def _carry_out(self, effects: list[Effect]) -> list[Effect]:
+    def _execute(self, effects: list[Effect]) -> list[Effect]:
         others: list[Effect] = []
         for effect in effects:
             match effect:
@@ -107,7 +107,7 @@
         self._applied_bytes = 0
         self._snapshot_at = now
         taken = SnapshotTaken(index=self._applied_index, data=data)
-        return self._carry_out(self._consensus.handle(taken, now=now))
+        return self._execute(self._consensus.handle(taken, now=now))
 
     def take_backup(self, *, now: float) -> Snapshot:
         """Return the state as of now, for a backup."""
--- a/chivetrack/components/replica/replica.py
+++ b/chivetrack/components/replica/replica.py
@@ -126,7 +126,7 @@
         effects: list[Effect] = []
         for event in self._take_events():
             effects += self._core.handle(event, now=self._clock())
-        self._carry_out(effects)
+        self._execute(effects)
 
     def _take_events(self) -> list[Event]:
         """Return what waits; proposals among it are one event: one message each way."""
@@ -145,7 +145,7 @@
             events.append(TimeReached())
         return events
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _execute(self, effects: list[Effect]) -> None:
         """Carry out effects in order, with one sync for all that must be synced."""
         while effects:
             persists = [one for one in effects if isinstance(one, Persist)]
