--- a/chivetrack/components/replica/replica.py
+++ b/chivetrack/components/replica/replica.py
@@ -124,11 +124,11 @@
         """Take all events that wait, and the time."""
         self._signal.clear()
         effects: list[Effect] = []
-        for event in self._take_events():
+        for event in self._pop_events():
             effects += self._core.handle(event, now=self._clock())
         self._execute(effects)
 
-    def _take_events(self) -> list[Event]:
+    def _pop_events(self) -> list[Event]:
         """Return what waits; proposals among it are one event: one message each way."""
         events: list[Event] = []
         proposals: list[Proposal] = []
