--- a/chivetrack/components/replica/replica.py
+++ b/chivetrack/components/replica/replica.py
@@ -42,8 +42,8 @@
 from chivetrack.exceptions import Fault
 from chivetrack.helpers.codec import Message
 
-Notice = LeadershipChanged | TransferRefused | ReplicaRegressed
-Listener = Callable[[Notice], None]
+Notification = LeadershipChanged | TransferRefused | ReplicaRegressed
+Listener = Callable[[Notification], None]
 
 
 class LogStorage(Protocol):
