--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -263,7 +263,7 @@
             replica_id=self.replica_id,
             instances=founders or self._seeds,
             contacts=self._contacts,
-            is_first=bool(founders),
+            has_first_disk=bool(founders),
             tolerated_losses=self._tolerated_losses,
         )
         founding = self._founding = Founding(
