--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -193,20 +193,20 @@
             self.disks.pop(name, None)
         self.boot(name, is_first_start=False)
 
-    def handle_effects(self, life: Process, effects: list[Effect]) -> None:
+    def handle_effects(self, process: Process, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendMessage) and effect.target in self.lives:
                 assert isinstance(effect.message, Hello)
-                self.in_transit.append((life, self.lives[effect.target], effect.message))
+                self.in_transit.append((process, self.lives[effect.target], effect.message))
             elif isinstance(effect, LogBootstrapped):
-                life.disk.members = effect.members
+                process.disk.members = effect.members
                 self.created_logs.add(effect.members)
 
     def tick(self) -> None:
         self.now += HELLO_INTERVAL_S
-        for life in list(self.lives.values()):
-            if life.disk.members is None:
-                self.handle_effects(life, life.formation.handle(TimeReached(), now=self.now))
+        for process in list(self.lives.values()):
+            if process.disk.members is None:
+                self.handle_effects(process, process.formation.handle(TimeReached(), now=self.now))
 
     def deliver(self, loss: float) -> None:
         """Deliver half of what is under way, in any order."""
