--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -161,7 +161,7 @@
         self.now = 0.0
         self.ids = 0
         self.disks: dict[str, Disk] = {}
-        self.lives: dict[str, Process] = {}
+        self.processes: dict[str, Process] = {}
         self.booting: dict[str, bool] = {}
         self.in_transit: list[tuple[Process, Process, Hello]] = []
         self.created_logs: set[Members] = set()
@@ -184,10 +184,10 @@
             has_first_disk=disk.has_first_disk,
             tolerated_losses=self.tolerated_losses,
         )
-        self.lives[name] = Process(disk, formation)
+        self.processes[name] = Process(disk, formation)
 
     def kill(self, name: str, *, loses_disk: bool = False) -> None:
-        self.lives.pop(name, None)
+        self.processes.pop(name, None)
         self.booting.pop(name, None)
         if loses_disk:
             self.disks.pop(name, None)
@@ -195,16 +195,16 @@
 
     def handle_effects(self, process: Process, effects: list[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, SendMessage) and effect.target in self.lives:
+            if isinstance(effect, SendMessage) and effect.target in self.processes:
                 assert isinstance(effect.message, Hello)
-                self.in_transit.append((process, self.lives[effect.target], effect.message))
+                self.in_transit.append((process, self.processes[effect.target], effect.message))
             elif isinstance(effect, LogBootstrapped):
                 process.disk.members = effect.members
                 self.created_logs.add(effect.members)
 
     def tick(self) -> None:
         self.now += HELLO_INTERVAL_S
-        for process in list(self.lives.values()):
+        for process in list(self.processes.values()):
             if process.disk.members is None:
                 self.handle_effects(process, process.formation.handle(TimeReached(), now=self.now))
 
@@ -214,7 +214,7 @@
         for source, target, hello in [
             self.in_transit.pop() for _ in range((len(self.in_transit) + 1) // 2)
         ]:
-            if self.rng.random() < loss or target not in self.lives.values():
+            if self.rng.random() < loss or target not in self.processes.values():
                 continue
             self.deliver_hello(source, target, hello)
 
@@ -222,7 +222,7 @@
         if target.disk.members is None:
             event = MessageReceived(source=hello.instance_id, message=hello)
             self.handle_effects(target, target.formation.handle(event, now=self.now))
-        elif hello.members is None and source in self.lives.values():
+        elif hello.members is None and source in self.processes.values():
             own = target.disk.replica_id
             answer = Hello(own.partition(".")[0], own, (), target.disk.members)
             self.in_transit.append((target, source, answer))
@@ -315,7 +315,7 @@
             fleet.kill(name, loses_disk=True)
         fleet.run(40)
         self.assertEqual(fleet.created_logs, {log})
-        self.assertTrue(all(one.formation.may_have_lost_log for one in fleet.lives.values()))
+        self.assertTrue(all(one.formation.may_have_lost_log for one in fleet.processes.values()))
 
     def test_late_word_of_an_earlier_round(self) -> None:
         """A founder lost its disk; what another one said before comes after the new round began.
