--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -73,12 +73,12 @@
             for instance, joiner in self._joiners.items()
             if now - joiner.requested_at <= RECENT_CONTACT_S
         }
-        silent = {one.replica_id: one.last_contact_age_s for one in status.replicas}
+        contact_ages_s = {one.replica_id: one.last_contact_age_s for one in status.replicas}
         return (
             self._replace_lost(status, joiners)
             or self._add(status.members, joiners)
-            or self._promote(status, silent)
-            or self._drop_learner(status, silent)
+            or self._promote(status, contact_ages_s)
+            or self._drop_learner(status, contact_ages_s)
         )
 
     def _replace_lost(
@@ -99,26 +99,28 @@
                 return MemberChange(kind=ChangeKind.ADD_LEARNER, member=member)
         return None
 
-    def _promote(self, status: ConsensusStatus, silent: Mapping[str, float]) -> MemberChange | None:
+    def _promote(
+        self, status: ConsensusStatus, contact_ages_s: Mapping[str, float]
+    ) -> MemberChange | None:
         learners = [
             member
             for member in status.members.members
-            if not member.voter and silent.get(member.replica_id, 0.0) < RECENT_CONTACT_S
+            if not member.voter and contact_ages_s.get(member.replica_id, 0.0) < RECENT_CONTACT_S
         ]
         if not learners:
             return None
         if len(status.members.list_voters()) < self._target_voters:
             return MemberChange(kind=ChangeKind.PROMOTE, member=learners[0])
         for member in status.members.members:
-            is_silent = silent.get(member.replica_id, 0.0) > VOTER_TIMEOUT_S
+            is_silent = contact_ages_s.get(member.replica_id, 0.0) > VOTER_TIMEOUT_S
             if member.voter and is_silent and member.replica_id != status.replica_id:
                 return MemberChange(kind=ChangeKind.REMOVE, member=member)
         return None
 
     def _drop_learner(
-        self, status: ConsensusStatus, silent: Mapping[str, float]
+        self, status: ConsensusStatus, contact_ages_s: Mapping[str, float]
     ) -> MemberChange | None:
         for member in status.members.members:
-            if not member.voter and silent.get(member.replica_id, 0.0) > LEARNER_TIMEOUT_S:
+            if not member.voter and contact_ages_s.get(member.replica_id, 0.0) > LEARNER_TIMEOUT_S:
                 return MemberChange(kind=ChangeKind.REMOVE, member=member)
         return None
