--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -55,9 +55,9 @@
     reached, and the three that are left suffice at every step.
     """
 
-    def __init__(self, *, wanted_voters: int) -> None:
+    def __init__(self, *, target_voters: int) -> None:
         """Take the number of voters that bears the losses which are to be borne."""
-        self._target_voters = wanted_voters
+        self._target_voters = target_voters
         self._joiners: dict[str, _Joiner] = {}
 
     def record_join_request(self, request: JoinRequest, *, now: float) -> None:
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -94,7 +94,7 @@
         self._random = random.SystemRandom()
         # A majority of these is left when as many as may be lost are.
         self._wanted_voters = 2 * tolerated_losses + 1
-        self._repair = Repair(wanted_voters=self._wanted_voters)
+        self._repair = Repair(target_voters=self._wanted_voters)
         self._founding: Founding | None = None
         self._is_retired = False
         self._sources: dict[str, str] = {}
--- a/tests/components/replica/test_repair.py
+++ b/tests/components/replica/test_repair.py
@@ -24,7 +24,7 @@
             )
         )
         self.ages: dict[str, float] = {}
-        self.repair = Repair(wanted_voters=5)
+        self.repair = Repair(target_voters=5)
 
     def get_status(self) -> ConsensusStatus:
         return ConsensusStatus(
