--- a/chivetrack/components/replica/__init__.py
+++ b/chivetrack/components/replica/__init__.py
@@ -1,4 +1,4 @@
-"""One replica of the shared state: the log, its data folder and a state machine."""
+"""One replica of the shared state: the replicated log, its storage and a state machine."""
 
 from chivetrack.components.replica.core import ReplicaCore
 from chivetrack.components.replica.replica import Replica
--- a/chivetrack/components/replica/administration.py
+++ b/chivetrack/components/replica/administration.py
@@ -1,4 +1,4 @@
-"""What operators ask of the log itself, in the place of a command or a query."""
+"""Administrative requests to the replicated log, sent like commands and queries."""
 
 from chivetrack.components.consensus.members import ChangeKind
 from chivetrack.helpers.codec import Message, message
@@ -6,7 +6,7 @@
 
 @message("replica.change")
 class ChangeReplica(Message, frozen=True, array_like=True):
-    """Add a replica as a learner, or remove one for good."""
+    """Add a replica as a learner, or remove one permanently."""
 
     kind: ChangeKind
     replica_id: str
@@ -14,22 +14,22 @@
 
 @message("replica.backup")
 class TakeBackup(Message, frozen=True, array_like=True):
-    """Return the whole state as a backup file's content."""
+    """Request the whole state, in the form of a backup file."""
 
 
 @message("replica.status")
 class ReadLogStatus(Message, frozen=True, array_like=True):
-    """Return what the leader knows of the replicas, as JSON."""
+    """Request the status of all replicas as known to the leader, as JSON."""
 
 
 def get_instance_id(replica_id: str) -> str:
-    """Return the instance that a replica id was made for."""
+    """Return the instance part of a replica id: everything before the last dot."""
     return replica_id.rpartition(".")[0]
 
 
 @message("replica.refusal")
 class LeaderRefusal(Message, frozen=True, array_like=True):
-    """The leader refused for good; another try would be refused too."""
+    """A refusal by the leader that a retry would not change."""
 
     code: str
     text: str
--- a/chivetrack/components/replica/calls.py
+++ b/chivetrack/components/replica/calls.py
@@ -1,4 +1,4 @@
-"""Callers that wait for the writer of a replica."""
+"""Calls of other threads that wait for the writer of a replica."""
 
 import itertools
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Call:
-    """One caller; ``result`` is set before the waiter is."""
+    """One waiting call; ``result`` is set before the waiter."""
 
     waiter: Waiter
     is_read: bool
@@ -27,22 +27,22 @@
 
 
 class Calls:
-    """The calls that have not ended, by the id that the log knows them by."""
+    """The pending calls by their id, which is also the proposal or read id in the log."""
 
     def __init__(self, *, make_waiter: Callable[[], Waiter]) -> None:
-        """Start with none."""
+        """Start without calls."""
         self._make_waiter = make_waiter
         self._ids = itertools.count(1)
         self._calls: dict[int, Call] = {}
 
     def open(self, *, is_read: bool) -> int:
-        """Enter a call and return its id."""
+        """Register a call and return its id."""
         call_id = next(self._ids)
         self._calls[call_id] = Call(waiter=self._make_waiter(), is_read=is_read)
         return call_id
 
     def wait(self, call_id: int, timeout_s: float) -> Result[ProposalAnswered | ReadReady, Fault]:
-        """Wait for the end; a write that did not end in time is unknown."""
+        """Wait for the result; a write without a result after ``timeout_s`` is unknown."""
         call = self._calls[call_id]
         call.waiter.wait(timeout_s)
         self._calls.pop(call_id, None)
@@ -51,25 +51,25 @@
         return Error(make_timeout() if call.is_read else make_unknown())
 
     def end_proposal(self, answer: ProposalAnswered) -> None:
-        """End a proposal or member change."""
+        """Set the result of a proposal or member change."""
         if answer.outcome is Outcome.COMMITTED:
             self._end(answer.proposal_id, Ok(answer))
         else:
             self._end(answer.proposal_id, Error(make_fault(answer)))
 
     def end_read(self, answer: ReadReady | ReadRefused) -> None:
-        """End a read."""
+        """Set the result of a read."""
         if isinstance(answer, ReadReady):
             self._end(answer.read_id, Ok(answer))
         else:
             self._end(answer.read_id, Error(make_not_leader(answer.leader)))
 
     def refuse(self, call_id: int, fault: Fault) -> None:
-        """End a call that never reached the log."""
+        """Set the fault of a call that was not submitted to the log."""
         self._end(call_id, Error(fault))
 
     def end_all(self) -> None:
-        """End all calls that reached the log; writes among them are unknown."""
+        """End all pending calls: writes as unknown, reads as timed out."""
         for call_id, call in list(self._calls.items()):
             self._end(call_id, Error(make_timeout() if call.is_read else make_unknown()))
 
--- a/chivetrack/components/replica/const.py
+++ b/chivetrack/components/replica/const.py
@@ -4,11 +4,13 @@
 
 from chivetrack.const import MEBIBYTE
 
-# A restart reads and applies at most about this much again, and memory holds it.
+# A snapshot is taken after this many entries or bytes. This bounds what a restart has to
+# read and apply again, and the entries held in memory.
 SNAPSHOT_ENTRIES: Final = 10_000
 SNAPSHOT_BYTES: Final = 8 * MEBIBYTE
 
-# Messages may be lost; a replica whose disk is stuck drops them rather than its memory.
+# Bounds the memory of a replica whose disk is blocked: further messages are dropped, which
+# is safe because messages may be lost anyway.
 MAX_WAITING_MESSAGES: Final = 4096
 
 CALL_TIMEOUT_S: Final = 10.0
--- a/chivetrack/components/replica/core.py
+++ b/chivetrack/components/replica/core.py
@@ -1,4 +1,4 @@
-"""The log and its state machine as one component without I/O."""
+"""The replicated log and its state machine as one component without I/O."""
 
 from chivetrack.components.consensus import Consensus
 from chivetrack.components.consensus.messages import Entry, EntryKind
@@ -17,14 +17,14 @@
 
 
 class ReplicaCore:
-    """Carries out ``Apply`` and ``RestoreSnapshot`` itself; passes other effects on.
-
-    It applies without waiting for the sync of a ``Persist``: what is committed is on
-    the disks of a majority whether or not it is on this one. All other effects
-    must wait as ``Consensus`` says. Whoever drives it handles ``Persist``,
-    ``LoadSnapshot``, ``SendMessage``, ``WakeAt``, ``ProposalAnswered``, ``ReadReady``,
-    ``ReadRefused`` and, as it likes, ``LeadershipChanged``, ``TransferRefused`` and
-    ``ReplicaRegressed``.
+    """Executes ``Apply`` and ``RestoreSnapshot`` itself and returns all other effects.
+
+    Entries are applied without waiting for the sync of a ``Persist``: a committed entry
+    is on the disks of a majority, whether or not it is on this one. All other effects
+    must wait for the sync as described in ``Consensus``. The caller must handle
+    ``Persist``, ``LoadSnapshot``, ``SendMessage``, ``WakeAt``, ``ProposalAnswered``,
+    ``ReadReady`` and ``ReadRefused``. Handling ``LeadershipChanged``,
+    ``TransferRefused`` and ``ReplicaRegressed`` is optional.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         snapshot: Snapshot,
         snapshot_entries: int = SNAPSHOT_ENTRIES,
     ) -> None:
-        """Put the state machine at the snapshot that ``consensus`` recovered."""
+        """Restore the state machine from the snapshot that ``consensus`` recovered."""
         self._consensus = consensus
         self._state_machine = state_machine
         self._snapshot_entries = snapshot_entries
@@ -49,7 +49,7 @@
         return self._applied_index
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take one event at time ``now`` (seconds, never going back)."""
+        """Process one event at time ``now`` (seconds, monotonic) and return its effects."""
         effects = self._execute(self._consensus.handle(event, now=now))
         if self._needs_snapshot():
             effects += self._save_snapshot(now)
@@ -57,8 +57,8 @@
         return effects
 
     def _needs_snapshot(self) -> bool:
-        many = self._applied_index - self._snapshot_index >= self._snapshot_entries
-        return many or self._applied_bytes >= SNAPSHOT_BYTES
+        too_many = self._applied_index - self._snapshot_index >= self._snapshot_entries
+        return too_many or self._applied_bytes >= SNAPSHOT_BYTES
 
     def _execute(self, effects: list[Effect]) -> list[Effect]:
         others: list[Effect] = []
@@ -110,7 +110,7 @@
         return self._execute(self._consensus.handle(taken, now=now))
 
     def take_backup(self, *, now: float) -> Snapshot:
-        """Return the state as of now, for a backup."""
+        """Return the current state as a snapshot, for a backup."""
         status = self.get_status(now=now)
         return Snapshot(
             index=self._applied_index,
@@ -120,9 +120,9 @@
         )
 
     def get_status(self, *, now: float) -> ConsensusStatus:
-        """Return what this replica knows."""
+        """Return the status of the consensus core."""
         return self._consensus.get_status(now=now)
 
     def get_snapshot_age(self, *, now: float) -> float | None:
-        """Return seconds since the last snapshot, ``None`` if none since the start."""
+        """Return the seconds since the last snapshot, or ``None`` if none since the start."""
         return None if self._snapshot_at is None else now - self._snapshot_at
--- a/chivetrack/components/replica/faults.py
+++ b/chivetrack/components/replica/faults.py
@@ -1,4 +1,4 @@
-"""The faults that callers of a replica see."""
+"""Faults returned to callers of a replica."""
 
 from chivetrack.components.consensus.const import MAX_ENTRY_BYTES
 from chivetrack.components.consensus.models import Outcome, Refusal
@@ -12,7 +12,10 @@
 
 
 def make_unknown() -> Fault:
-    """Say that a write may or may not happen; the same request id makes a resend safe."""
+    """Return the fault for a write that may or may not be committed.
+
+    A resend with the same request id is safe.
+    """
     return Fault(
         code="outcome_unknown",
         message="the write may or may not have happened; send it again with the same request id",
@@ -23,11 +26,11 @@
 
 
 def make_not_leader(leader: str) -> NotLeaderFault:
-    """Say who leads instead."""
-    known = f"; {leader} may" if leader else ""
+    """Return the fault for a request to a replica that is not the leader."""
+    hint = f"; {leader} may be" if leader else ""
     return NotLeaderFault(
         code="not_leader",
-        message=f"this replica does not lead{known}",
+        message=f"this replica is not the leader{hint}",
         status=503,
         ran=Ran.NO,
         retry_after_s=NOT_LEADER_RETRY_S,
@@ -36,7 +39,7 @@
 
 
 def make_timeout() -> Fault:
-    """Say that a read could not be confirmed in time."""
+    """Return the fault for a read that could not be confirmed in time."""
     return Fault(
         code="read_timeout",
         message="no quorum confirmed the read in time",
@@ -47,7 +50,7 @@
 
 
 def make_failed(reason: str) -> Fault:
-    """Say that this replica's disk failed and nothing new was written."""
+    """Return the fault for a request that was refused because this replica can't write."""
     return Fault(
         code="storage_failed",
         message=f"this replica cannot write: {reason}",
@@ -69,11 +72,11 @@
             message=f"an entry has at most {MAX_ENTRY_BYTES} bytes",
             status=413,
         )
-    passing = answer.refusal in _TRANSIENT_REFUSALS
+    is_transient = answer.refusal in _TRANSIENT_REFUSALS
     return Fault(
         code=answer.refusal.value,
         message=f"the leader refused: {answer.refusal.value.replace('_', ' ')}",
-        status=503 if passing else 409,
+        status=503 if is_transient else 409,
         ran=Ran.NO,
-        retry_after_s=NOT_LEADER_RETRY_S if passing else None,
+        retry_after_s=NOT_LEADER_RETRY_S if is_transient else None,
     )
--- a/chivetrack/components/replica/formation.py
+++ b/chivetrack/components/replica/formation.py
@@ -1,7 +1,7 @@
-"""Founds the replicated log: who its first members are, agreed once.
+"""Bootstrap of the replicated log: the bootstrap instances agree once on its first members.
 
-Every replica id is new for every disk. So a replica whose folder was lost comes back
-as a stranger, not as the voter it was, and can't vote a second time in one term.
+Each new data folder gets a new replica id. So a replica whose folder was lost does not
+return as the voter that it was, and can't vote twice in one term.
 """
 
 from collections.abc import Collection, Sequence
@@ -16,13 +16,14 @@
 
 @message("replica.hello")
 class Hello(Message, frozen=True, array_like=True):
-    """What one of the first instances knows before the log exists.
-
-    ``seen`` are the blank replicas it knows of, itself among them. ``members`` is set
-    once the log exists. ``founders`` are the instances that found the log together, as far
-    as the sender knows; with ``knows_bootstrap_instances`` it has that from the first start.
-    ``has_first_disk``: its disk has been the same since the first start. ``round`` grows each
-    time that the disk of a founder is seen to be lost.
+    """Periodic message between instances before the log exists, and the answer of a member.
+
+    A blank replica holds no log. ``known_blank`` are the blank replicas that the sender
+    knows, including itself. ``members`` is set once the log exists.
+    ``bootstrap_instances`` are the instances that create the log together, as far as the
+    sender knows; ``knows_bootstrap_instances``: this list dates from the first start of
+    the deployment. ``has_first_disk``: the sender's disk has been the same since that
+    start. ``round`` rises each time that a bootstrap instance is found to have a new disk.
     """
 
     instance_id: str
@@ -37,33 +38,34 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LogBootstrapped(Effect):
-    """The log begins with these members, this replica among them."""
+    """The log exists with these members, and this replica is one of them."""
 
     members: Members
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotAMember(Effect):
-    """The log exists without this replica, which has to be added."""
+    """The log exists, but this replica is not a member and has to be added."""
 
     members: Members
 
 
 class LogBootstrap:
-    """Agrees on the first members among the instances that the settings name.
-
-    A log is founded only when every one of them has said that it is blank and sees
-    the same set. With different sets two logs could be founded that share members. So when a
-    founder comes back with another disk, all begin a new round. Whoever has founded in an
-    earlier round takes no part in the new one and says so, and without it nothing is
-    founded there.
-
-    An instance that was killed before it wrote anything comes back like one whose disk was
-    lost, and its settings do not say any more that the deployment starts. It takes part
-    again, but counts as one that may have lost its disk. A log that has acknowledged
-    anything was on the disks of all founders. So a blank founder whose disk is that of the
-    first start proves that there is no such log, and so do more blank founders than disks
-    may be lost at once; without either, nothing is founded.
+    """Agrees on the first members of the log with the other bootstrap instances.
+
+    The log is created only when every bootstrap instance has reported that it is blank and
+    knows the same set of blank replicas. With different sets, two logs that share members
+    could be created. So when a bootstrap instance returns with another disk, all start a
+    new round. An instance that created the log in an earlier round does not take part in
+    the new round and answers with the members; without it, the new round can't succeed.
+
+    An instance that was killed before it wrote anything returns like one that lost its
+    disk, and its settings no longer mark the first start of the deployment. It takes part
+    again, but counts as an instance that may have lost its disk. A log with acknowledged
+    entries was on the disks of all bootstrap instances. Two facts therefore prove that no
+    such log exists: a blank bootstrap instance still has the disk of the first start, or
+    more bootstrap instances are blank than disks may be lost at once. If neither holds, no
+    log is created.
     """
 
     def __init__(
@@ -76,11 +78,12 @@
         has_first_disk: bool = True,
         tolerated_losses: int = 0,
     ) -> None:
-        """Take the own ids and the ids of all first instances.
+        """Create the bootstrap state of one instance.
 
-        ``contacts`` are told as well. ``has_first_disk``: this disk has been the same since the
-        first start, which ``instances`` are from; otherwise they are a guess.
-        ``tolerated_losses`` is how many disks may be lost at once.
+        ``instances`` are the ids of the bootstrap instances. With ``has_first_disk``, the own
+        disk has been the same since the first start of the deployment and ``instances``
+        dates from it; otherwise ``instances`` is a guess. ``contacts`` are further instances
+        that receive hellos. ``tolerated_losses`` is how many disks may be lost at once.
         """
         self._own = Member(replica_id=replica_id, instance_id=instance_id, voter=True)
         self._contacts = set(contacts)
@@ -102,11 +105,14 @@
 
     @property
     def may_have_lost_log(self) -> bool:
-        """Return whether all founders are blank and a log may yet have been lost with them."""
+        """Return whether all bootstrap instances are blank, but may have lost a log.
+
+        In this state, neither fact in the description of the class holds.
+        """
         return self._are_all_blank() and not self._is_provably_first_log()
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take a hello, or say the own when it is due."""
+        """Process a hello, or send one when it is due."""
         if self._ended:
             return []
         if isinstance(event, MessageReceived) and isinstance(event.message, Hello):
@@ -126,7 +132,11 @@
         return self._try_bootstrap()
 
     def _adopt_bootstrap_instances(self, hello: Hello) -> None:
-        """Believe whoever knows the founders, unless the own guess may have come true."""
+        """Adopt the bootstrap instances of a sender that knows them.
+
+        The own list is kept if all of its instances are blank: a log may have been created
+        from it.
+        """
         if (
             self._knows_bootstrap_instances
             or not hello.knows_bootstrap_instances
@@ -149,8 +159,8 @@
             self._start_round(hello.round)
         before = self._blank.get(hello.instance_id)
         if before is not None and before.replica_id != hello.replica_id:
-            # One of the two words is late and of the lost disk. Both have to speak again, and
-            # only the successor can.
+            # One of the two hellos is delayed and from a lost disk. In a new round, only the
+            # replica that replaced it can send a hello.
             self._start_round(self._round + 1)
             return
         self._blank[hello.instance_id] = Member(
@@ -173,8 +183,8 @@
         return bool(self._with_first_disk) or len(self._instances) > self._tolerated_losses
 
     def _try_bootstrap(self) -> list[Effect]:
-        is_founder = self._own.instance_id in self._instances
-        if not (is_founder and self._are_all_blank() and self._is_provably_first_log()):
+        takes_part = self._own.instance_id in self._instances
+        if not (takes_part and self._are_all_blank() and self._is_provably_first_log()):
             return []
         members = self._list_known_blank()
         others = [name for name in self._instances if name != self._own.instance_id]
--- a/chivetrack/components/replica/models.py
+++ b/chivetrack/components/replica/models.py
@@ -1,4 +1,4 @@
-"""What a replica works with, and what it answers."""
+"""Interfaces that a replica uses, and models of its results."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,18 +9,18 @@
 
 
 class StateMachine(Protocol):
-    """What the log replicates; the same entries must give the same state everywhere."""
+    """A replicated state machine; the same entries must produce the same state everywhere."""
 
     def apply(self, index: int, data: bytes) -> bytes:
-        """Apply one committed entry and return the answer to whoever proposed it."""
+        """Apply one committed entry and return the answer for its proposer."""
         ...
 
     def take_snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state in encoded form."""
         ...
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replace the whole state; no bytes mean the empty state."""
+        """Replace the whole state; empty ``data`` stands for the initial state."""
         ...
 
 
@@ -28,21 +28,21 @@
     """The part of ``threading.Event`` and ``gevent.event.Event`` that is used."""
 
     def set(self) -> None:
-        """Wake whoever waits."""
+        """Wake the waiting threads."""
         ...
 
     def clear(self) -> None:
-        """Let the next ``wait`` wait."""
+        """Reset the flag, so that the next ``wait`` blocks."""
         ...
 
     def wait(self, timeout: float | None = None) -> bool:
-        """Wait up to ``timeout`` seconds; return whether it is set."""
+        """Wait up to ``timeout`` seconds; return whether the flag is set."""
         ...
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProposalAnswered(Effect):
-    """A proposal ended; if committed, ``data`` is what the state machine answered."""
+    """A proposal ended; if committed, ``data`` is the answer of the state machine."""
 
     proposal_id: int
     outcome: Outcome
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotLeaderFault(Fault):
-    """This replica does not lead; ``leader`` is the instance that may, or empty."""
+    """This replica is not the leader; ``leader`` is the last known leader's instance."""
 
     leader: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReplicaStatus:
-    """What ``chivetrack status`` shows of a replica; ages in seconds."""
+    """Status of a replica for ``chivetrack status``; ages in seconds."""
 
     consensus: ConsensusStatus
     applied_index: int
--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -1,4 +1,4 @@
-"""Keeps the replicated log at its wanted number of voters, without an operator."""
+"""Keeps the replicated log at its target number of voters, without an operator."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -7,18 +7,19 @@
 from chivetrack.components.consensus.models import ConsensusStatus
 from chivetrack.helpers.codec import Message, message
 
-# A voter that was silent for this long gives its place to a learner that waits for one.
-# Longer than the freezes and restarts of a few seconds that a voter comes back from.
+# A voter that has not answered the leader for this long is replaced by a waiting learner.
+# Must be longer than freezes and restarts of a few seconds, from which a voter recovers.
 VOTER_TIMEOUT_S = 5.0
-# A learner that has not been heard for so long is dropped: its disk is gone for good.
+# A learner that has not answered for this long is removed: its disk counts as lost.
 LEARNER_TIMEOUT_S = 10.0
-# A joiner is taken at its word for so long; it asks four times a second.
+# A join request is valid for this long, and a learner that answered within it can be
+# promoted. A joining replica sends four requests a second.
 RECENT_CONTACT_S = 1.0
 
 
 @message("replica.join")
 class JoinRequest(Message, frozen=True, array_like=True):
-    """A replica that hears no leader asks whether it belongs to the log."""
+    """Sent by a replica without contact to a leader, to learn of its membership or to join."""
 
     instance_id: str
     replica_id: str
@@ -26,7 +27,7 @@
 
 @message("replica.join_answer")
 class JoinAnswer(Message, frozen=True, array_like=True):
-    """The members as one replica knows them, and who leads."""
+    """The members of the log and the leader, as known to one replica."""
 
     leader_instance: str
     members: Members
@@ -47,27 +48,31 @@
 
 
 class Repair:
-    """Decides on a leader which member change comes next; one at a time.
+    """Chooses the next member change on the leader, one at a time.
 
-    A replica with a new id on the instance of a member means that the disk of that
-    member is lost: its old id can never answer again, so it is removed first. With two
-    of five disks lost, the quorum goes down to three of four before it has to be
-    reached, and the three that are left suffice at every step.
+    A replica with a new id on the instance of a member shows that the member's disk is
+    lost: the old id can never answer again, so it is removed first. With two of five disks
+    lost, the first removal leaves four voters with a quorum of three, so the three
+    remaining replicas are a quorum at every step.
     """
 
     def __init__(self, *, target_voters: int) -> None:
-        """Take the number of voters that bears the losses which are to be borne."""
+        """Create the repair with the number of voters that it maintains."""
         self._target_voters = target_voters
         self._joiners: dict[str, _Joiner] = {}
 
     def record_join_request(self, request: JoinRequest, *, now: float) -> None:
-        """Remember who asks to be let in."""
+        """Record a replica that requests to join."""
         self._joiners[request.instance_id] = _Joiner(
             replica_id=request.replica_id, requested_at=now
         )
 
     def choose_change(self, status: ConsensusStatus, *, now: float) -> MemberChange | None:
-        """Return the change that is due on this leader, if there is one."""
+        """Return the member change to propose on this leader, or ``None``.
+
+        Lost members are removed first; then joiners are added, learners promoted and
+        unreachable learners removed.
+        """
         joiners = {
             instance: joiner.replica_id
             for instance, joiner in self._joiners.items()
--- a/chivetrack/components/replica/replica.py
+++ b/chivetrack/components/replica/replica.py
@@ -1,4 +1,4 @@
-"""Drives a replica: one writer takes events in order, syncs them in groups, answers."""
+"""Runs a replica: one writer processes events in order and syncs them in groups."""
 
 from collections import deque
 from collections.abc import Callable, Sequence
@@ -50,7 +50,7 @@
     """The part of ``Storage`` that the writer uses."""
 
     def save(self, persists: Sequence[Persist]) -> None:
-        """Sync all of these or raise ``StorageError``."""
+        """Sync all changes in order, or raise ``StorageError``."""
         ...
 
     def load_snapshot(self) -> Snapshot:
@@ -59,17 +59,17 @@
 
 
 def call_directly(call: Callable[[], None]) -> None:
-    """Run a blocking call where it is; the daemon hands in a thread pool instead."""
+    """Run a blocking call in the current thread; the daemon uses a thread pool instead."""
     call()
 
 
 class Replica:
     """One replica as a service.
 
-    ``run`` is the one writer, in a thread or greenlet of its own; all other methods
-    may be called from others. While it syncs, events gather, and the next sync covers
-    all of them. After a failed write it ends every call, refuses new ones and
-    ``run`` raises; the process must open the folder again.
+    ``run`` is the only writer and needs a thread or greenlet of its own; all other methods
+    may be called from other threads. Events that arrive during a sync are queued, and the
+    next sync covers all of them. After a failed write, all pending calls end, new calls
+    are refused and ``run`` raises; the data folder must then be opened again.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         make_waiter: Callable[[], Waiter],
         run_blocking: Callable[[Callable[[], None]], None] = call_directly,
     ) -> None:
-        """Set up a replica that does nothing before ``run`` or ``step``."""
+        """Create a replica, which processes nothing before ``run`` or ``step``."""
         self._core = core
         self._storage = storage
         self._send = send
@@ -97,10 +97,10 @@
         self._failure = ""
 
     def run(self) -> None:
-        """Work until ``stop``; raise ``StorageError`` once a write has failed.
+        """Process events until ``stop``; raise ``StorageError`` if a write fails.
 
-        Whatever else is raised, by the state machine for example, ends all calls too:
-        callers must not wait for a writer that is gone.
+        Any other exception, for example from the state machine, also ends all pending
+        calls, so that callers do not wait for a writer that has stopped.
         """
         try:
             self._work()
@@ -115,13 +115,13 @@
                 self._signal.wait(max(0.0, self._wake_at - self._clock()))
 
     def stop(self) -> None:
-        """End ``run``; calls that wait end as unknown."""
+        """End ``run`` and all pending calls; pending writes end as unknown."""
         self._stopped = True
         self._signal.set()
         self._calls.end_all()
 
     def step(self) -> None:
-        """Take all events that wait, and the time."""
+        """Process all queued events, and a due wake-up."""
         self._signal.clear()
         effects: list[Effect] = []
         for event in self._pop_events():
@@ -129,7 +129,11 @@
         self._execute(effects)
 
     def _pop_events(self) -> list[Event]:
-        """Return what waits; proposals among it are one event: one message each way."""
+        """Return and clear the queued events.
+
+        Proposals are merged into one event, so that a follower is sent them in one message
+        and answers once.
+        """
         events: list[Event] = []
         proposals: list[Proposal] = []
         for _ in range(len(self._inbox)):
@@ -146,7 +150,7 @@
         return events
 
     def _execute(self, effects: list[Effect]) -> None:
-        """Carry out effects in order, with one sync for all that must be synced."""
+        """Execute effects in order, with one sync for all ``Persist`` effects."""
         while effects:
             persists = [one for one in effects if isinstance(one, Persist)]
             if not persists:
@@ -173,12 +177,13 @@
         try:
             self._run_blocking(call)
         except (StorageError, OSError) as error:
-            # At once, so that nobody is told of what this event had in mind.
+            # Fail before any effect of this event is executed, so that no caller or replica
+            # receives a result that depends on the failed write.
             self._fail(str(error))
             raise
 
     def _fail(self, reason: str) -> None:
-        """Acknowledge nothing any more: what this replica believes is not on its disk."""
+        """Stop the replica: its state in memory no longer matches its disk."""
         self._failure = reason
         self._stopped = True
         self._calls.end_all()
@@ -204,7 +209,7 @@
                     listener(effect)
 
     def listen(self, listener: Listener) -> Unsubscribe:
-        """Tell a listener of leadership changes, refused transfers and lost disks."""
+        """Notify a listener of leadership changes, refused transfers and lost disks."""
         self._listeners.append(listener)
 
         def unsubscribe() -> None:
@@ -218,15 +223,15 @@
         self._signal.set()
 
     def receive(self, source: str, message: Message) -> None:
-        """Take a message from another replica; it is dropped if too many wait."""
+        """Queue a message from another replica; drop it if the queue is full."""
         if len(self._inbox) < MAX_WAITING_MESSAGES and not self._stopped:
             self._submit(MessageReceived(source=source, message=message))
 
     def propose(self, data: bytes, *, timeout_s: float = CALL_TIMEOUT_S) -> Result[bytes, Fault]:
         """Append data and return the state machine's answer once it is committed.
 
-        A fault with ``Ran.NO`` promises that it is in no log; ``outcome_unknown`` has
-        ``Ran.MAYBE``. ``NotLeaderFault`` names the instance to ask.
+        A fault with ``Ran.NO`` guarantees that the data is in no log and never will be;
+        ``outcome_unknown`` has ``Ran.MAYBE``. ``NotLeaderFault`` names the leader, if known.
         """
         call_id = self._calls.open(is_read=False)
         proposal = Proposal(proposal_id=call_id, data=data)
@@ -234,9 +239,9 @@
         return result.map(lambda answer: getattr(answer, "data", b""))
 
     def confirm_read(self, *, timeout_s: float = CALL_TIMEOUT_S) -> Result[int, Fault]:
-        """Wait until a read of the state machine here sees all earlier writes.
+        """Wait until the local state machine has applied all earlier committed writes.
 
-        Returns the index up to which it does at least.
+        Returns an index up to which it has applied at least.
         """
         call_id = self._calls.open(is_read=True)
         result = self._call(call_id, ReadRequested(read_id=call_id), timeout_s)
@@ -245,7 +250,7 @@
     def change_members(
         self, kind: ChangeKind, member: Member, *, timeout_s: float = CALL_TIMEOUT_S
     ) -> Result[int, Fault]:
-        """Change one member; returns the index of the committed change."""
+        """Change one member and return the index of the committed change."""
         call_id = self._calls.open(is_read=False)
         event = ChangeMembers(proposal_id=call_id, kind=kind, member=member)
         result = self._call(call_id, event, timeout_s)
@@ -261,15 +266,15 @@
         return self._calls.wait(call_id, timeout_s)
 
     def transfer_leadership(self, target: str = "") -> None:
-        """Hand leadership to a replica id, or to whichever is furthest along."""
+        """Transfer leadership to a replica id, or to the voter with the most entries."""
         self._submit(TransferLeadership(target=target))
 
     def take_backup(self) -> Snapshot:
-        """Return the state as of now; call it where the writer does not run meanwhile."""
+        """Return the current state; must not be called while the writer runs."""
         return self._core.take_backup(now=self._clock())
 
     def get_status(self) -> ReplicaStatus:
-        """Return what ``chivetrack status`` shows."""
+        """Return the status for ``chivetrack status``."""
         now = self._clock()
         return ReplicaStatus(
             consensus=self._core.get_status(now=now),
--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -1,4 +1,4 @@
-"""Founding the log: once, with everybody, and never under an old id."""
+"""Bootstrap of the log: once, with all bootstrap instances, never under an old replica id."""
 
 import random
 import unittest
@@ -17,14 +17,14 @@
 NAMES = ("a", "b", "c")
 
 
-class FormationNet:
-    """Formations that say hello to each other; messages may be lost, late and doubled."""
+class BootstrapNetwork:
+    """Instances that bootstrap a log; hellos may be lost, delayed and duplicated."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.now = 0.0
         self.starts = 0
-        self.formations = {name: self.start(name) for name in NAMES}
+        self.bootstraps = {name: self.start(name) for name in NAMES}
         self.replica_ids = {}
         self.in_transit: list[SendMessage] = []
         self.bootstrapped: dict[str, Members] = {}
@@ -47,21 +47,21 @@
     def tick(self) -> None:
         self.now += 0.3
         for name in NAMES:
-            effects = self.formations[name].handle(TimeReached(), now=self.now)
+            effects = self.bootstraps[name].handle(TimeReached(), now=self.now)
             self.handle_effects(name, effects)
 
     def deliver(self, sent: SendMessage) -> None:
         assert isinstance(sent.message, Hello)
         target = sent.target
         if target in self.bootstrapped:
-            # A member of the log answers whoever still asks.
+            # A member of the log answers hellos with the members.
             source = sent.message.instance_id
             answer = Hello(target, "", (), self.bootstrapped[target])
             event = MessageReceived(source=target, message=answer)
-            self.handle_effects(source, self.formations[source].handle(event, now=self.now))
+            self.handle_effects(source, self.bootstraps[source].handle(event, now=self.now))
             return
         event = MessageReceived(source=sent.message.instance_id, message=sent.message)
-        self.handle_effects(target, self.formations[target].handle(event, now=self.now))
+        self.handle_effects(target, self.bootstraps[target].handle(event, now=self.now))
 
     def deliver_some(self) -> None:
         self.rng.shuffle(self.in_transit)
@@ -74,8 +74,8 @@
 
 
 class FormationTest(unittest.TestCase):
-    def test_nothing_is_founded_without_everybody(self) -> None:
-        net = FormationNet(random.Random(1))
+    def test_no_log_is_created_without_all_instances(self) -> None:
+        net = BootstrapNetwork(random.Random(1))
         for _ in range(20):
             net.tick()
             for sent in net.in_transit:
@@ -84,29 +84,29 @@
             net.in_transit.clear()
         self.assertEqual(net.bootstrapped, {})
 
-    def test_all_found_the_same_log(self) -> None:
-        """Hellos are lost, doubled and late; every instance must begin the same log."""
+    def test_all_create_the_same_log(self) -> None:
+        """Hellos are lost, duplicated and delayed; all instances must create the same log."""
         for seed in range(200):
             with self.subTest(seed=seed):
-                net = FormationNet(random.Random(seed))
+                net = BootstrapNetwork(random.Random(seed))
                 for _ in range(60):
                     net.tick()
                     net.deliver_some()
                 self.assertEqual(set(net.bootstrapped), set(NAMES))
                 self.assertEqual(len(set(map(str, net.bootstrapped.values()))), 1)
 
-    def test_a_lost_folder_comes_back_as_a_stranger(self) -> None:
-        """A replica's folder is deleted after the log was founded, and it starts again.
+    def test_a_replica_with_a_lost_folder_is_not_a_member(self) -> None:
+        """A replica's folder is deleted after the bootstrap, and the replica restarts.
 
-        Its new id is not a member's. Taken for the voter it was, it could vote a
-        second time in a term, and two leaders could be elected.
+        Its new id must not be a member. As the voter that it was, it could vote twice in
+        one term, and two leaders could be elected.
         """
-        net = FormationNet(random.Random(1))
+        net = BootstrapNetwork(random.Random(1))
         for _ in range(60):
             net.tick()
             net.deliver_some()
         del net.bootstrapped["b"]
-        net.formations["b"] = net.start("b")
+        net.bootstraps["b"] = net.start("b")
         for _ in range(20):
             net.tick()
             net.deliver_some()
@@ -114,26 +114,26 @@
         self.assertNotIn("b", net.bootstrapped)
 
     def test_restart_before_the_log_exists(self) -> None:
-        """An instance starts again with another id while the others wait for it.
+        """An instance restarts with another replica id while the others wait for it.
 
-        Whatever the order, no two instances may found logs that differ: those would
+        In any order of messages, no two instances may create different logs: these would
         share members, and each could elect a leader.
         """
         for seed in range(1000):
             with self.subTest(seed=seed):
                 rng = random.Random(seed)
-                net = FormationNet(rng)
+                net = BootstrapNetwork(rng)
                 for step in range(40):
                     net.tick()
                     net.deliver_some()
                     if step < 10 and rng.random() < 0.4 and "b" not in net.bootstrapped:
-                        net.formations["b"] = net.start("b")
+                        net.bootstraps["b"] = net.start("b")
                 self.assertLessEqual(len(set(map(str, net.bootstrapped.values()))), 1)
 
 
 @dataclass
 class Disk:
-    """What a power cut leaves: an id, whether it is of the first start, the log's members."""
+    """State on disk: the replica id, whether it dates from the first start, the members."""
 
     replica_id: str
     has_first_disk: bool
@@ -143,16 +143,16 @@
 class Process:
     """One process of an instance, from its start to its kill."""
 
-    def __init__(self, disk: Disk, formation: LogBootstrap) -> None:
+    def __init__(self, disk: Disk, bootstrap: LogBootstrap) -> None:
         self.disk = disk
-        self.formation = formation
+        self.bootstrap = bootstrap
 
 
 class KilledFleet:
-    """Founders whose processes are killed and whose disks are lost at any step.
+    """Bootstrap instances that are killed and whose disks are lost at any step.
 
-    A message reaches only the process that its connection led to. The settings say that the
-    deployment starts at the first start alone.
+    A message is delivered only if the receiving process still runs. Only at the first start
+    do the settings mark the start of the deployment.
     """
 
     def __init__(self, rng: random.Random, *, tolerated_losses: int = 2) -> None:
@@ -167,24 +167,24 @@
         self.created_logs: set[Members] = set()
 
     def boot(self, name: str, *, is_first_start: bool) -> None:
-        """Begin a start; nothing is written before ``open_disk``."""
+        """Start an instance; nothing is written before ``open_disk``."""
         self.booting[name] = is_first_start
 
     def open_disk(self, name: str) -> None:
-        """Read or make the folder, and say hello unless it holds a log."""
+        """Read or create the data folder, and start the bootstrap."""
         is_first_start = self.booting.pop(name)
         disk = self.disks.get(name)
         if disk is None:
             self.ids += 1
             disk = self.disks[name] = Disk(f"{name}.{self.ids}", is_first_start)
-        formation = LogBootstrap(
+        bootstrap = LogBootstrap(
             instance_id=name,
             replica_id=disk.replica_id,
             instances=NAMES,
             has_first_disk=disk.has_first_disk,
             tolerated_losses=self.tolerated_losses,
         )
-        self.processes[name] = Process(disk, formation)
+        self.processes[name] = Process(disk, bootstrap)
 
     def kill(self, name: str, *, loses_disk: bool = False) -> None:
         self.processes.pop(name, None)
@@ -206,10 +206,10 @@
         self.now += HELLO_INTERVAL_S
         for process in list(self.processes.values()):
             if process.disk.members is None:
-                self.handle_effects(process, process.formation.handle(TimeReached(), now=self.now))
+                self.handle_effects(process, process.bootstrap.handle(TimeReached(), now=self.now))
 
     def deliver(self, loss: float) -> None:
-        """Deliver half of what is under way, in any order."""
+        """Deliver half of the messages in transit, in random order."""
         self.rng.shuffle(self.in_transit)
         for source, target, hello in [
             self.in_transit.pop() for _ in range((len(self.in_transit) + 1) // 2)
@@ -221,20 +221,20 @@
     def deliver_hello(self, source: Process, target: Process, hello: Hello) -> None:
         if target.disk.members is None:
             event = MessageReceived(source=hello.instance_id, message=hello)
-            self.handle_effects(target, target.formation.handle(event, now=self.now))
+            self.handle_effects(target, target.bootstrap.handle(event, now=self.now))
         elif hello.members is None and source in self.processes.values():
             own = target.disk.replica_id
             answer = Hello(own.partition(".")[0], own, (), target.disk.members)
             self.in_transit.append((target, source, answer))
 
     def run(self, steps: int, *, kills: float = 0.0, wipes: int = 0, loss: float = 0.0) -> None:
-        """Let steps pass; each may kill an instance at whatever it has reached."""
+        """Run steps; in each, an instance is killed with probability ``kills``."""
         for _ in range(steps):
             for name in list(self.booting):
                 if self.rng.random() < 0.6:
                     self.open_disk(name)
             self.tick()
-            # At times nothing comes for a while, and what was said long ago comes then.
+            # In some steps nothing is delivered, so that old messages arrive later.
             for _ in range(self.rng.choice((0, 0, 1, 3)) if kills else 3):
                 self.deliver(loss)
             if self.rng.random() < kills:
@@ -244,7 +244,7 @@
                 self.kill(name, loses_disk=is_wiped)
 
     def list_logs(self) -> list[Members]:
-        """Return the logs that can elect a leader: a majority of their members hold them."""
+        """Return the logs that can elect a leader: those held by a majority of their members."""
         held = {one.replica_id: one.members for one in self.disks.values()}
         return [
             members
@@ -261,12 +261,12 @@
 
 
 class KilledFoundersTest(unittest.TestCase):
-    def test_founders_killed_before_they_wrote_anything(self) -> None:
-        """Founders are killed in their first second; a start takes longer.
+    def test_instances_killed_before_they_wrote_anything(self) -> None:
+        """Bootstrap instances are killed in their first second, before the start completes.
 
-        They come back with empty disks, and the settings do not say any more that the
-        deployment starts. Taken for replicas whose disk was lost, they wait for a log that
-        exists nowhere, and the others for them: every caller gets 503 for ever.
+        They return with empty disks, and the settings no longer mark the start of the
+        deployment. Treated as replicas that lost their disk, they would wait for a log that
+        does not exist, and the others for them: every caller would get 503 for ever.
         """
         for killed in (("a",), ("a", "b"), NAMES):
             with self.subTest(killed=killed):
@@ -277,9 +277,9 @@
                 self.assertEqual(len(fleet.list_logs()), 1)
 
     def test_kills_at_any_step(self) -> None:
-        """Founders are killed before a folder, before the promise, after founding at some.
+        """Instances are killed before the folder exists, before the log, or after some have it.
 
-        No disk is lost. A log must be there in the end, and never two.
+        No disk is lost. In the end there must be exactly one log.
         """
         for seed in range(600):
             with self.subTest(seed=seed):
@@ -290,9 +290,9 @@
                 self.assertEqual({one.members for one in fleet.disks.values()}, fleet.created_logs)
 
     def test_kills_and_a_lost_disk_at_any_step(self) -> None:
-        """One founder also loses its disk, which three bear; its late words come after it.
+        """One of three instances also loses its disk, and its delayed hellos arrive later.
 
-        Two members that hold different logs could each elect a leader.
+        Members that hold different logs could each elect a leader.
         """
         for seed in range(1500):
             with self.subTest(seed=seed):
@@ -302,11 +302,11 @@
                 fleet.run(40)
                 self.assertEqual(len(fleet.list_logs()), 1)
 
-    def test_all_founders_may_have_lost_their_disks(self) -> None:
-        """Three disks may be lost at once, and three blank founders come back.
+    def test_all_instances_may_have_lost_their_disks(self) -> None:
+        """Three disks may be lost at once, and three blank bootstrap instances return.
 
-        The log may live on with the four others, which are slow to answer. Founding a
-        second one would lose what the first has acknowledged.
+        The log may still exist on four other replicas, which are slow to answer. A second
+        log would lose the entries that the first one has acknowledged.
         """
         fleet = start_fleet(1, tolerated_losses=3)
         fleet.run(20)
@@ -315,33 +315,34 @@
             fleet.kill(name, loses_disk=True)
         fleet.run(40)
         self.assertEqual(fleet.created_logs, {log})
-        self.assertTrue(all(one.formation.may_have_lost_log for one in fleet.processes.values()))
+        self.assertTrue(all(one.bootstrap.may_have_lost_log for one in fleet.processes.values()))
 
-    def test_late_word_of_an_earlier_round(self) -> None:
-        """A founder lost its disk; what another one said before comes after the new round began.
+    def test_delayed_hello_of_an_earlier_round(self) -> None:
+        """An instance lost its disk; another one's old hello arrives in the new round.
 
-        That one may have changed its mind since. Only words of the same round count.
+        The sender may know other blank replicas by now, so only hellos of the current
+        round count.
         """
-        formation = LogBootstrap(instance_id="a", replica_id="a.1", instances=NAMES)
+        bootstrap = LogBootstrap(instance_id="a", replica_id="a.1", instances=NAMES)
         known_blank = tuple(Member(f"{name}.{1 + (name == 'b')}", name, True) for name in NAMES)
 
         def receive(name: str, replica_id: str, round_number: int) -> list[Effect]:
             hello = Hello(
                 name, replica_id, known_blank, bootstrap_instances=NAMES, round=round_number
             )
-            return formation.handle(MessageReceived(source=name, message=hello), now=0.0)
+            return bootstrap.handle(MessageReceived(source=name, message=hello), now=0.0)
 
-        words = (("b", "b.1", 0), ("b", "b.2", 0), ("b", "b.2", 1), ("c", "c.1", 0))
-        for word in words:
-            self.assertEqual(receive(*word), [])
+        hellos = (("b", "b.1", 0), ("b", "b.2", 0), ("b", "b.2", 1), ("c", "c.1", 0))
+        for hello in hellos:
+            self.assertEqual(receive(*hello), [])
         self.assertEqual(
             receive("c", "c.1", 1), [LogBootstrapped(members=Members(members=known_blank))]
         )
 
-    def test_founder_whose_settings_name_others_by_now(self) -> None:
-        """A killed founder comes back, and its settings name newer seeds.
+    def test_instance_whose_settings_changed(self) -> None:
+        """A killed bootstrap instance returns, and its settings name other seeds.
 
-        It takes part with those that the first start named, as the others tell it.
+        It must adopt the bootstrap instances of the first start from the others' hellos.
         """
         first = LogBootstrap(instance_id="a", replica_id="a.1", instances=("a", "b"))
         restarted = LogBootstrap(
--- a/tests/components/replica/test_repair.py
+++ b/tests/components/replica/test_repair.py
@@ -1,4 +1,4 @@
-"""Which member change a leader makes when disks are lost, instances leave or are added."""
+"""Member changes of a leader when disks are lost and instances leave or are added."""
 
 import unittest
 
@@ -69,7 +69,7 @@
 
 
 class RepairTest(unittest.TestCase):
-    def test_log_founded_by_three_grows_to_five(self) -> None:
+    def test_log_of_three_voters_grows_to_five(self) -> None:
         log = Log(voters=3)
         log.join("i4", "i4.a")
         log.join("i5", "i5.a")
@@ -77,10 +77,10 @@
         self.assertEqual(len(log.members.list_voters()), 5)
 
     def test_two_lost_disks_at_once(self) -> None:
-        """Two of five replicas come back with empty disks, under new ids.
+        """Two of five replicas return with empty disks, under new ids.
 
-        Their old ids are removed, the new ones learn and then vote. At no step may the
-        three that are left, with the ones already repaired, be less than a majority.
+        Their old ids are removed, the new ones become learners and then voters. At every
+        step, the three remaining voters and the promoted ones must be a quorum.
         """
         log = Log(voters=5)
         log.join("i4", "i4.b")
@@ -99,9 +99,9 @@
         self.assertIn("i4.a", log.members.retired)
 
     def test_old_request_of_a_retired_replica(self) -> None:
-        """A request to join that was sent before the disk was lost arrives late.
+        """A join request that was sent before the disk was lost arrives late.
 
-        Taken at its word, it would have the repaired replica removed again.
+        If it were accepted, the replacement replica would be removed again.
         """
         log = Log(voters=5)
         log.join("i4", "i4.b")
@@ -109,26 +109,26 @@
         log.join("i4", "i4.a")
         self.assertEqual(log.settle(), [])
 
-    def test_instance_that_is_gone_gives_its_place_to_a_new_one(self) -> None:
+    def test_lost_voter_is_replaced_by_a_new_instance(self) -> None:
         log = Log(voters=5)
         log.join("i6", "i6.a")
         self.assertEqual(log.settle(), [(ChangeKind.ADD_LEARNER, "i6.a")])
         log.ages = {"i3.a": VOTER_TIMEOUT_S + 0.1}
         self.assertEqual(log.settle(), [(ChangeKind.REMOVE, "i3.a"), (ChangeKind.PROMOTE, "i6.a")])
 
-    def test_short_silence_costs_no_place(self) -> None:
+    def test_voter_is_kept_before_its_timeout(self) -> None:
         log = Log(voters=5, learners=1)
         log.ages = {"i3.a": VOTER_TIMEOUT_S - 0.5}
         self.assertEqual(log.settle(), [])
 
-    def test_silent_learner_is_dropped_and_not_promoted(self) -> None:
+    def test_unreachable_learner_is_removed_and_not_promoted(self) -> None:
         log = Log(voters=4, learners=1)
         log.ages = {"i5.a": 2.0}
         self.assertEqual(log.settle(), [])
         log.ages = {"i5.a": LEARNER_TIMEOUT_S + 1.0}
         self.assertEqual(log.settle(), [(ChangeKind.REMOVE, "i5.a")])
 
-    def test_request_is_forgotten(self) -> None:
+    def test_join_request_expires(self) -> None:
         log = Log(voters=5)
         log.join("i6", "i6.a", now=0.0)
         self.assertEqual(log.settle(now=5.0), [])
--- a/tests/components/replica/test_replica.py
+++ b/tests/components/replica/test_replica.py
@@ -1,4 +1,4 @@
-"""The writer: what its callers are told, and how events share a sync."""
+"""Tests of the writer: results for its callers, and events that share a sync."""
 
 import tempfile
 import threading
@@ -24,7 +24,7 @@
 
 
 class Journal:
-    """A state machine that keeps every value and answers with their number."""
+    """A state machine that keeps all values and answers with their count."""
 
     def __init__(self) -> None:
         self.values: list[bytes] = []
@@ -43,7 +43,7 @@
 def make_core(
     name: str, recovered: models.Recovered, journal: Journal, *, seed: int = 1
 ) -> ReplicaCore:
-    """A core that takes a snapshot every ten entries."""
+    """Return a core that takes a snapshot every ten entries."""
     consensus = Consensus(
         replica_id=name, random=Random(seed), timing=models.Timing(), recovered=recovered
     )
@@ -56,7 +56,7 @@
 
 
 class Disk:
-    """Counts saves; fails once told to."""
+    """In-memory storage that counts saves, and fails while ``full`` is set."""
 
     def __init__(self) -> None:
         self.saves: list[int] = []
@@ -75,7 +75,7 @@
 
 
 class StepWaiter(threading.Event):
-    """Runs all replicas instead of waiting: tests need no threads and no time."""
+    """Runs all replicas instead of waiting, so that tests need no threads or real time."""
 
     work: Callable[[], None] | None = None
 
@@ -86,7 +86,7 @@
 
 
 class Cluster:
-    """Replicas a, b and c with in-memory disks and a clock that is handed on by hand."""
+    """Replicas with in-memory disks and a simulated clock."""
 
     def __init__(self, *names: str) -> None:
         self.now = 0.0
@@ -165,16 +165,15 @@
         self.assertEqual((fault.ran, fault.leader), (Ran.NO, self.name))
 
     def test_unknown_behind_a_cut(self) -> None:
-        """The leader is cut off after it took a write. The caller is told that the
-        outcome is unknown: the entry is in a log and may be committed later."""
+        """The leader is partitioned after it accepted a write. The outcome must be
+        unknown: the entry is in a log and may be committed later."""
         self.cluster.cut.add(self.name)
         fault = self.get_fault()
         self.assertEqual((fault.code, fault.ran), ("outcome_unknown", Ran.MAYBE))
 
     def test_failed_disk(self) -> None:
-        """The leader's disk fails during a write. The caller is told that the outcome is
-        unknown, since the followers may hold it; later callers are refused, and the
-        replica answers no message any more."""
+        """The leader's disk fails during a write. The outcome must be unknown, since the
+        followers may hold the entry; later calls must be refused."""
         disk = self.cluster.disks[self.name]
         failed: list[Exception] = []
 
@@ -199,14 +198,14 @@
         fault = self.get_fault()
         self.assertEqual((fault.code, fault.ran), ("outcome_unknown", Ran.MAYBE))
         self.assertEqual(len(failed), 1)
-        self.assertTrue(waiters[0].is_set(), "the caller need not wait any longer")
+        self.assertTrue(waiters[0].is_set(), "the caller still waits")
         fault = self.get_fault()
         self.assertEqual((fault.code, fault.ran), ("storage_failed", Ran.NO))
         self.assertIn("disk full", self.leader.get_status().failure)
 
     def test_broken_state_machine_ends_calls(self) -> None:
-        """Applying an entry raises. The writer is gone; its callers are told that the
-        outcome is unknown instead of waiting, later ones are refused."""
+        """Applying an entry raises, which stops the writer. Pending calls must end instead
+        of waiting, and later ones must be refused."""
         broken = ValueError("cannot apply")
         journal = self.cluster.journals[self.name]
         with mock.patch.object(journal, "apply", side_effect=broken):
@@ -223,8 +222,8 @@
         self.assertEqual(self.get_fault().ran, Ran.NO)
 
     def test_memory_is_bounded(self) -> None:
-        """Large entries: one that no message takes is refused; behind a cut the leader
-        takes 16 MiB and refuses the rest; after 8 MiB a snapshot lets the log go."""
+        """Large entries: one that exceeds a message is refused; a partitioned leader
+        accepts 16 MiB and refuses the rest; after 8 MiB a snapshot compacts the log."""
         fault = self.get_fault(bytes(MEBIBYTE + 1))
         self.assertEqual((fault.code, fault.status, fault.ran), ("too_large", 413, Ran.NO))
         disk = self.cluster.disks[self.name]
@@ -240,8 +239,8 @@
         self.assertEqual(status.last_index - status.commit_index, 16)
 
     def test_many_writers_share_a_sync(self) -> None:
-        """Sixty-four writers propose before the writer turns to them: one save at the
-        leader, and one message to each follower."""
+        """64 callers propose before the writer runs: the leader must save them at once,
+        with one message to each follower."""
         self.cluster.work(100)
         disk = self.cluster.disks[self.name]
         disk.saves.clear()
@@ -263,7 +262,7 @@
 
 class CoreTest(unittest.TestCase):
     def test_driven_by_events_alone(self) -> None:
-        """A bench hands in events and times and carries out the effects itself."""
+        """A caller such as a benchmark passes in events and times and executes the effects."""
         first = models.Snapshot(index=1, term=1, members=make_voters("a"))
         core = make_core("a", models.Recovered(snapshot=first), Journal())
         events: list[Event] = [
@@ -315,29 +314,29 @@
                 self.replica.step()
 
     def test_values_survive_restarts(self) -> None:
-        """A lone replica is stopped and started five times, with snapshots between; the
-        state machine holds each acknowledged value once, in order."""
+        """A single replica is restarted five times, with snapshots in between; the state
+        machine must hold each acknowledged value once, in order."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "data"
             first = models.Snapshot(index=1, term=1, members=make_voters("a"))
             identity = Identity(replica_id="a", instance_id="a")
             create_folder(path, identity=identity, snapshot=first)
             written: list[bytes] = []
-            for life in range(5):
+            for incarnation in range(5):
                 journal = Journal()
                 with open_storage(path=path) as storage:
                     self.replica = self.make_replica(storage, journal)
                     self.work()
                     for number in range(7):
-                        value = b"%d-%d" % (life, number)
+                        value = b"%d-%d" % (incarnation, number)
                         self.assertTrue(self.replica.propose(value).is_ok())
                         written.append(value)
                     self.assertEqual(journal.values, written)
 
     def test_rescue_after_a_lost_majority(self) -> None:
-        """Two of three disks are lost for good. The survivor's folder becomes a system
-        of one new replica, which has every value that the survivor held and takes new
-        ones; its members are itself alone."""
+        """Two of three disks are permanently lost. The remaining folder is turned into a
+        log with one new replica as its only member. It must have every value of the old
+        folder and accept new ones."""
         with tempfile.TemporaryDirectory() as folder:
             old = Path(folder) / "old"
             new = Path(folder) / "new"
