--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -22,7 +22,7 @@
 )
 from chivetrack.components.document.store import DocumentStore
 from chivetrack.components.replica import Replica
-from chivetrack.components.replica.formation import Hello, LogBootstrap
+from chivetrack.components.replica.bootstrap import Hello, LogBootstrap
 from chivetrack.components.replica.repair import JoinAnswer, JoinRequest, Repair
 from chivetrack.components.storage import Storage
 from chivetrack.components.storage.const import IDENTITY_NAME
--- a/chivetrack/daemon/founding.py
+++ b/chivetrack/daemon/founding.py
@@ -13,7 +13,7 @@
 from chivetrack.components.consensus.members import Members
 from chivetrack.components.consensus.models import Persist, Recovered, Snapshot, Timing
 from chivetrack.components.replica import Replica, ReplicaCore
-from chivetrack.components.replica.formation import Hello, LogBootstrap, LogBootstrapped, NotAMember
+from chivetrack.components.replica.bootstrap import Hello, LogBootstrap, LogBootstrapped, NotAMember
 from chivetrack.components.replica.models import StateMachine
 from chivetrack.components.storage import Storage, create_folder, open_storage
 from chivetrack.components.storage.backup import make_replica_id
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -22,7 +22,7 @@
 from chivetrack.components.fleet.models import LeadershipSeen
 from chivetrack.components.proposals.models import ForwardProposal, ForwardRead
 from chivetrack.components.replica import Replica
-from chivetrack.components.replica.formation import Hello, LogBootstrap
+from chivetrack.components.replica.bootstrap import Hello, LogBootstrap
 from chivetrack.components.storage import Storage
 from chivetrack.components.storage.exceptions import StorageError
 from chivetrack.components.store.clock import ProposerClock
--- a/tests/components/replica/test_formation.py
+++ b/tests/components/replica/test_formation.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from chivetrack.components.consensus.members import Member, Members
-from chivetrack.components.replica.formation import (
+from chivetrack.components.replica.bootstrap import (
     HELLO_INTERVAL_S,
     Hello,
     LogBootstrap,
