--- a/chivetrack/components/store/requests.py
+++ b/chivetrack/components/store/requests.py
@@ -7,7 +7,7 @@
 from chivetrack.helpers.codec import Message
 
 
-class RememberedRequest(Message, frozen=True, array_like=True):
+class CompletedRequest(Message, frozen=True, array_like=True):
     """One request with its packed outcome."""
 
     request_id: str
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        requests: Iterable[RememberedRequest] = (),
+        requests: Iterable[CompletedRequest] = (),
         *,
         max_requests: int = const.REQUESTS_KEPT,
         max_bytes: int = const.REQUESTS_KEPT_BYTES,
@@ -31,16 +31,16 @@
         self._max_requests = max_requests
         self._max_bytes = max_bytes
         self._max_age_ms = max_age_ms
-        self._requests: OrderedDict[str, RememberedRequest] = OrderedDict()
+        self._requests: OrderedDict[str, CompletedRequest] = OrderedDict()
         self._bytes = 0
         for request in requests:
             self._add(request)
 
-    def find(self, request_id: str) -> RememberedRequest | None:
+    def find(self, request_id: str) -> CompletedRequest | None:
         """Return what is remembered under an id."""
         return self._requests.get(request_id)
 
-    def remember(self, request: RememberedRequest) -> None:
+    def remember(self, request: CompletedRequest) -> None:
         """Remember a request, newer than all others."""
         self._add(request)
         while len(self._requests) > self._max_requests or self._bytes > self._max_bytes:
@@ -54,11 +54,11 @@
                 return
             self._drop_oldest()
 
-    def export(self) -> tuple[RememberedRequest, ...]:
+    def export(self) -> tuple[CompletedRequest, ...]:
         """Return all, oldest first, for a snapshot."""
         return tuple(self._requests.values())
 
-    def _add(self, request: RememberedRequest) -> None:
+    def _add(self, request: CompletedRequest) -> None:
         self._requests[request.request_id] = request
         self._bytes += self._measure(request)
 
@@ -67,5 +67,5 @@
         self._bytes -= self._measure(request)
 
     @staticmethod
-    def _measure(request: RememberedRequest) -> int:
+    def _measure(request: CompletedRequest) -> int:
         return const.CHANGE_OVERHEAD_BYTES + len(request.request_id) + len(request.outcome)
--- a/chivetrack/components/store/state.py
+++ b/chivetrack/components/store/state.py
@@ -8,7 +8,7 @@
 from chivetrack.components.store.leases import Lease, LeaseTable
 from chivetrack.components.store.outcomes import Outcome
 from chivetrack.components.store.records import Change, KindRecords
-from chivetrack.components.store.requests import RememberedRequest, RequestMemory
+from chivetrack.components.store.requests import CompletedRequest, RequestMemory
 from chivetrack.components.store.table import ResourceTable
 from chivetrack.helpers.codec import Message, message
 
@@ -25,7 +25,7 @@
     compaction_revision: int
     kinds: tuple[KindRecords, ...]
     changes: tuple[Change, ...]
-    requests: tuple[RememberedRequest, ...]
+    requests: tuple[CompletedRequest, ...]
     leases: tuple[Lease, ...]
     fencing: int
     claims: tuple[ClaimRecord, ...]
--- a/chivetrack/components/store/store.py
+++ b/chivetrack/components/store/store.py
@@ -4,7 +4,7 @@
 from chivetrack.components.store.commands import Command, compute_fingerprint
 from chivetrack.components.store.leases import Lease
 from chivetrack.components.store.outcomes import Outcome, RefusalCode, Refused
-from chivetrack.components.store.requests import RememberedRequest
+from chivetrack.components.store.requests import CompletedRequest
 from chivetrack.components.store.state import HANDLERS, SNAPSHOT_KIND, Snapshot, State
 from chivetrack.components.store.table import ResourceTable
 from chivetrack.exceptions import ChivetrackError
@@ -128,11 +128,11 @@
         if remembered is not None:
             return pack(self._recall(remembered, fingerprint))
         outcome = pack(self._carry_out(command))
-        request = RememberedRequest(request_id, fingerprint, self._state.time_ms, outcome)
+        request = CompletedRequest(request_id, fingerprint, self._state.time_ms, outcome)
         self._state.requests.remember(request)
         return outcome
 
-    def _recall(self, remembered: RememberedRequest, fingerprint: bytes) -> Outcome:
+    def _recall(self, remembered: CompletedRequest, fingerprint: bytes) -> Outcome:
         if remembered.fingerprint != fingerprint:
             message = f"request id {remembered.request_id!r} was used for another request"
             return Refused(RefusalCode.REQUEST_ID_REUSED, message)
--- a/tests/components/store/test_store.py
+++ b/tests/components/store/test_store.py
@@ -36,7 +36,7 @@
     Written,
 )
 from chivetrack.components.store.records import Change, Label, Record
-from chivetrack.components.store.requests import RememberedRequest, RequestMemory
+from chivetrack.components.store.requests import CompletedRequest, RequestMemory
 from chivetrack.components.store.store import Store, StoreError
 from chivetrack.helpers.codec import pack, unpack
 
@@ -163,11 +163,11 @@
     def test_request_memory_is_bounded(self) -> None:
         memory = RequestMemory(max_requests=3, max_bytes=1000, max_age_ms=10)
         for number in range(5):
-            memory.remember(RememberedRequest(str(number), b"", number, b""))
+            memory.remember(CompletedRequest(str(number), b"", number, b""))
         self.assertEqual([request.request_id for request in memory.export()], ["2", "3", "4"])
         memory.expire(14)
         self.assertEqual([request.request_id for request in memory.export()], ["4"])
-        memory.remember(RememberedRequest("5", b"", 14, bytes(700)))
+        memory.remember(CompletedRequest("5", b"", 14, bytes(700)))
         self.assertEqual([request.request_id for request in memory.export()], ["5"])
 
     def test_history_is_bounded(self) -> None:
