--- a/chivetrack/components/store/requests.py
+++ b/chivetrack/components/store/requests.py
@@ -16,7 +16,7 @@
     outcome: bytes
 
 
-class RequestMemory:
+class CompletedRequests:
     """The last requests, bounded by age, number and bytes; the oldest go first."""
 
     def __init__(
--- a/chivetrack/components/store/state.py
+++ b/chivetrack/components/store/state.py
@@ -8,7 +8,7 @@
 from chivetrack.components.store.leases import Lease, LeaseTable
 from chivetrack.components.store.outcomes import Outcome
 from chivetrack.components.store.records import Change, KindRecords
-from chivetrack.components.store.requests import CompletedRequest, RequestMemory
+from chivetrack.components.store.requests import CompletedRequest, CompletedRequests
 from chivetrack.components.store.table import ResourceTable
 from chivetrack.helpers.codec import Message, message
 
@@ -38,7 +38,7 @@
     def __init__(self, *, table: ResourceTable) -> None:
         """Start empty; the table keeps its identity over a restore."""
         self.table = table
-        self.requests = RequestMemory()
+        self.requests = CompletedRequests()
         self.leases = LeaseTable()
         self.claims = ClaimTable()
         self.index = 0
@@ -71,7 +71,7 @@
         """Put a whole state in place."""
         self.index = snapshot.index
         self.time_ms = snapshot.time_ms
-        self.requests = RequestMemory(snapshot.requests)
+        self.requests = CompletedRequests(snapshot.requests)
         self.leases = LeaseTable(snapshot.leases, fencing=snapshot.fencing)
         self.claims = ClaimTable(snapshot.claims, grant=snapshot.grant)
         self.table.replace(
--- a/tests/components/store/test_store.py
+++ b/tests/components/store/test_store.py
@@ -36,7 +36,7 @@
     Written,
 )
 from chivetrack.components.store.records import Change, Label, Record
-from chivetrack.components.store.requests import CompletedRequest, RequestMemory
+from chivetrack.components.store.requests import CompletedRequest, CompletedRequests
 from chivetrack.components.store.store import Store, StoreError
 from chivetrack.helpers.codec import pack, unpack
 
@@ -161,7 +161,7 @@
         self.assertIsNone(self.store.table.get("limit", "m"))
 
     def test_request_memory_is_bounded(self) -> None:
-        memory = RequestMemory(max_requests=3, max_bytes=1000, max_age_ms=10)
+        memory = CompletedRequests(max_requests=3, max_bytes=1000, max_age_ms=10)
         for number in range(5):
             memory.remember(CompletedRequest(str(number), b"", number, b""))
         self.assertEqual([request.request_id for request in memory.export()], ["2", "3", "4"])
