--- a/chivetrack/components/store/requests.py
+++ b/chivetrack/components/store/requests.py
@@ -40,7 +40,7 @@
         """Return what is remembered under an id."""
         return self._requests.get(request_id)
 
-    def remember(self, request: CompletedRequest) -> None:
+    def record(self, request: CompletedRequest) -> None:
         """Remember a request, newer than all others."""
         self._add(request)
         while len(self._requests) > self._max_requests or self._bytes > self._max_bytes:
--- a/chivetrack/components/store/store.py
+++ b/chivetrack/components/store/store.py
@@ -129,7 +129,7 @@
             return pack(self._recall(remembered, fingerprint))
         outcome = pack(self._carry_out(command))
         request = CompletedRequest(request_id, fingerprint, self._state.time_ms, outcome)
-        self._state.requests.remember(request)
+        self._state.requests.record(request)
         return outcome
 
     def _recall(self, remembered: CompletedRequest, fingerprint: bytes) -> Outcome:
--- a/tests/components/store/test_store.py
+++ b/tests/components/store/test_store.py
@@ -163,11 +163,11 @@
     def test_request_memory_is_bounded(self) -> None:
         memory = CompletedRequests(max_requests=3, max_bytes=1000, max_age_ms=10)
         for number in range(5):
-            memory.remember(CompletedRequest(str(number), b"", number, b""))
+            memory.record(CompletedRequest(str(number), b"", number, b""))
         self.assertEqual([request.request_id for request in memory.export()], ["2", "3", "4"])
         memory.expire(14)
         self.assertEqual([request.request_id for request in memory.export()], ["4"])
-        memory.remember(CompletedRequest("5", b"", 14, bytes(700)))
+        memory.record(CompletedRequest("5", b"", 14, bytes(700)))
         self.assertEqual([request.request_id for request in memory.export()], ["5"])
 
     def test_history_is_bounded(self) -> None:
