--- a/chivetrack/components/store/store.py
+++ b/chivetrack/components/store/store.py
@@ -80,10 +80,10 @@
 
     def find_outcome(self, request_id: str, fingerprint: bytes) -> Outcome | None:
         """Return the outcome remembered for a request, or ``None``."""
-        remembered = self._state.requests.find(request_id)
-        if remembered is None:
+        recorded = self._state.requests.find(request_id)
+        if recorded is None:
             return None
-        return self._recall(remembered, fingerprint)
+        return self._recall(recorded, fingerprint)
 
     def get_lease(self, name: str) -> Lease | None:
         """Return a lease if somebody holds it."""
@@ -124,19 +124,19 @@
         """
         request_id = command.stamp.request_id
         fingerprint = compute_fingerprint(command)
-        remembered = self._state.requests.find(request_id)
-        if remembered is not None:
-            return pack(self._recall(remembered, fingerprint))
+        recorded = self._state.requests.find(request_id)
+        if recorded is not None:
+            return pack(self._recall(recorded, fingerprint))
         outcome = pack(self._carry_out(command))
         request = CompletedRequest(request_id, fingerprint, self._state.time_ms, outcome)
         self._state.requests.record(request)
         return outcome
 
-    def _recall(self, remembered: CompletedRequest, fingerprint: bytes) -> Outcome:
-        if remembered.fingerprint != fingerprint:
-            message = f"request id {remembered.request_id!r} was used for another request"
+    def _recall(self, recorded: CompletedRequest, fingerprint: bytes) -> Outcome:
+        if recorded.fingerprint != fingerprint:
+            message = f"request id {recorded.request_id!r} was used for another request"
             return Refused(RefusalCode.REQUEST_ID_REUSED, message)
-        outcome = unpack(remembered.outcome)
+        outcome = unpack(recorded.outcome)
         assert isinstance(outcome, Outcome)
         return outcome
 
