--- a/chivetrack/components/store/store.py
+++ b/chivetrack/components/store/store.py
@@ -83,7 +83,7 @@
         recorded = self._state.requests.find(request_id)
         if recorded is None:
             return None
-        return self._recall(recorded, fingerprint)
+        return self._get_recorded_outcome(recorded, fingerprint)
 
     def get_lease(self, name: str) -> Lease | None:
         """Return a lease if somebody holds it."""
@@ -126,13 +126,13 @@
         fingerprint = compute_fingerprint(command)
         recorded = self._state.requests.find(request_id)
         if recorded is not None:
-            return pack(self._recall(recorded, fingerprint))
+            return pack(self._get_recorded_outcome(recorded, fingerprint))
         outcome = pack(self._carry_out(command))
         request = CompletedRequest(request_id, fingerprint, self._state.time_ms, outcome)
         self._state.requests.record(request)
         return outcome
 
-    def _recall(self, recorded: CompletedRequest, fingerprint: bytes) -> Outcome:
+    def _get_recorded_outcome(self, recorded: CompletedRequest, fingerprint: bytes) -> Outcome:
         if recorded.fingerprint != fingerprint:
             message = f"request id {recorded.request_id!r} was used for another request"
             return Refused(RefusalCode.REQUEST_ID_REUSED, message)
