--- a/chivetrack/components/store/requests.py
+++ b/chivetrack/components/store/requests.py
@@ -23,7 +23,7 @@
         self,
         requests: Iterable[CompletedRequest] = (),
         *,
-        max_requests: int = const.REQUESTS_KEPT,
+        max_requests: int = const.MAX_COMPLETED_REQUESTS,
         max_bytes: int = const.REQUESTS_KEPT_BYTES,
         max_age_ms: int = const.REQUESTS_KEPT_MS,
     ) -> None:
