--- a/chivetrack/components/store/requests.py
+++ b/chivetrack/components/store/requests.py
@@ -24,7 +24,7 @@
         requests: Iterable[CompletedRequest] = (),
         *,
         max_requests: int = const.MAX_COMPLETED_REQUESTS,
-        max_bytes: int = const.REQUESTS_KEPT_BYTES,
+        max_bytes: int = const.MAX_COMPLETED_REQUESTS_BYTES,
         max_age_ms: int = const.REQUESTS_KEPT_MS,
     ) -> None:
         """Start with what a snapshot held, oldest first."""
