--- a/chivetrack/components/store/requests.py
+++ b/chivetrack/components/store/requests.py
@@ -25,7 +25,7 @@
         *,
         max_requests: int = const.MAX_COMPLETED_REQUESTS,
         max_bytes: int = const.MAX_COMPLETED_REQUESTS_BYTES,
-        max_age_ms: int = const.REQUESTS_KEPT_MS,
+        max_age_ms: int = const.COMPLETED_REQUEST_TTL_MS,
     ) -> None:
         """Start with what a snapshot held, oldest first."""
         self._max_requests = max_requests
