--- a/chivetrack/components/store/history.py
+++ b/chivetrack/components/store/history.py
@@ -25,7 +25,7 @@
         self,
         *,
         compaction_revision: int = 0,
-        max_changes: int = const.HISTORY_CHANGES,
+        max_changes: int = const.MAX_HISTORY_CHANGES,
         max_bytes: int = const.HISTORY_BYTES,
     ) -> None:
         """Start empty; changes up to ``compaction_revision`` are not known."""
--- a/chivetrack/components/store/table.py
+++ b/chivetrack/components/store/table.py
@@ -39,7 +39,7 @@
     def __init__(
         self,
         *,
-        history_changes: int = const.HISTORY_CHANGES,
+        history_changes: int = const.MAX_HISTORY_CHANGES,
         history_bytes: int = const.HISTORY_BYTES,
     ) -> None:
         """Start empty at revision 0."""
