--- a/chivetrack/components/store/history.py
+++ b/chivetrack/components/store/history.py
@@ -26,7 +26,7 @@
         *,
         compaction_revision: int = 0,
         max_changes: int = const.MAX_HISTORY_CHANGES,
-        max_bytes: int = const.HISTORY_BYTES,
+        max_bytes: int = const.MAX_HISTORY_BYTES,
     ) -> None:
         """Start empty; changes up to ``compaction_revision`` are not known."""
         self.compaction_revision = compaction_revision
--- a/chivetrack/components/store/table.py
+++ b/chivetrack/components/store/table.py
@@ -40,7 +40,7 @@
         self,
         *,
         history_changes: int = const.MAX_HISTORY_CHANGES,
-        history_bytes: int = const.HISTORY_BYTES,
+        history_bytes: int = const.MAX_HISTORY_BYTES,
     ) -> None:
         """Start empty at revision 0."""
         self._history_changes = history_changes
