--- a/chivetrack/components/store/claims.py
+++ b/chivetrack/components/store/claims.py
@@ -63,7 +63,7 @@
         *,
         grant: int = 0,
         max_per_workspace: int = const.MAX_CLAIMS_PER_WORKSPACE,
-        max_body_bytes: int = const.CLAIM_BODIES_BYTES,
+        max_body_bytes: int = const.MAX_CLAIM_BODIES_BYTES,
     ) -> None:
         """Start with what a snapshot held; ``grant`` is the last number given."""
         self.grant = grant
