--- a/chivetrack/components/store/queries.py
+++ b/chivetrack/components/store/queries.py
@@ -7,7 +7,7 @@
 from chivetrack.components.store.store import Store
 from chivetrack.helpers.codec import Message, message, pack
 
-MAX_PAGE: int = 1_000
+MAX_PAGE_RECORDS: int = 1_000
 
 
 @message("store/get")
@@ -24,7 +24,7 @@
 
     kind: str
     after: str = ""
-    limit: int = MAX_PAGE
+    limit: int = MAX_PAGE_RECORDS
 
 
 @message("store/find-outcome")
@@ -59,7 +59,7 @@
             record = store.table.get(query.kind, query.name)
             return Answer(store.revision, () if record is None else (record,))
         case ListResources():
-            limit = min(max(query.limit, 1), MAX_PAGE)
+            limit = min(max(query.limit, 1), MAX_PAGE_RECORDS)
             page = store.table.list_page(query.kind, after=query.after, limit=limit)
             return Answer(store.revision, tuple(page.records), page.next_after or "")
         case FindOutcome():
