--- a/chivetrack/components/store/resource_handlers.py
+++ b/chivetrack/components/store/resource_handlers.py
@@ -97,7 +97,7 @@
     if len(command.status) > const.MAX_STATUS_BYTES:
         return _refuse_size(command.kind, "status", const.MAX_STATUS_BYTES)
     if command.status == current.status:
-        return _keep(command.kind, current)
+        return _make_unchanged(command.kind, current)
     revision = state.table.revision + 1
     record = msgspec.structs.replace(
         current, revision=revision, status=command.status, status_revision=revision
@@ -115,7 +115,7 @@
     if not current.finalizers:
         return _remove(state, command.kind, command.name)
     if current.deleting_ms:
-        return _keep(command.kind, current)
+        return _make_unchanged(command.kind, current)
     revision = state.table.revision + 1
     record = msgspec.structs.replace(
         current,
@@ -132,7 +132,7 @@
 def add_finalizer(state: State, command: AddFinalizer, current: Record) -> Outcome:
     """Add a finalizer."""
     if command.finalizer in current.finalizers:
-        return _keep(command.kind, current)
+        return _make_unchanged(command.kind, current)
     if current.deleting_ms:
         return _refuse_deleting(command.kind, current)
     return _set_finalizers(state, command.kind, current, (*current.finalizers, command.finalizer))
@@ -143,7 +143,7 @@
 def remove_finalizer(state: State, command: RemoveFinalizer, current: Record) -> Outcome:
     """Remove a finalizer; the last one of a resource being deleted removes that too."""
     if command.finalizer not in current.finalizers:
-        return _keep(command.kind, current)
+        return _make_unchanged(command.kind, current)
     rest = tuple(name for name in current.finalizers if name != command.finalizer)
     if current.deleting_ms and not rest:
         return _remove(state, command.kind, command.name)
@@ -177,7 +177,7 @@
     if len(spec) > const.MAX_SPEC_BYTES:
         return _refuse_size(kind, "specification", const.MAX_SPEC_BYTES)
     if spec == current.spec and labels == current.labels:
-        return _keep(kind, current)
+        return _make_unchanged(kind, current)
     revision = state.table.revision + 1
     record = msgspec.structs.replace(
         current,
@@ -224,7 +224,7 @@
     return Written(kind, name, revision)
 
 
-def _keep(kind: str, current: Record) -> Written:
+def _make_unchanged(kind: str, current: Record) -> Written:
     return Written(kind, current.name, current.revision, current)
 
 
