--- a/chivetrack/components/store/resource_handlers.py
+++ b/chivetrack/components/store/resource_handlers.py
@@ -26,7 +26,7 @@
 )
 
 
-def _find_current(
+def _with_current_record(
     handler: Callable[[State, ChangeT, Record], Outcome],
 ) -> Callable[[State, ChangeT], Outcome]:
     """Hand over the resource that a command names, or refuse the command without one."""
@@ -64,7 +64,7 @@
 
 
 @handles(Replace)
-@_find_current
+@_with_current_record
 def replace(state: State, command: Replace, current: Record) -> Outcome:
     """Replace specification and labels."""
     refused = _check_precondition(state, command.kind, current, command.precondition)
@@ -74,7 +74,7 @@
 
 
 @handles(Patch)
-@_find_current
+@_with_current_record
 def patch(state: State, command: Patch, current: Record) -> Outcome:
     """Merge a patch into specification and labels."""
     refused = _check_precondition(state, command.kind, current, command.precondition)
@@ -88,7 +88,7 @@
 
 
 @handles(UpdateStatus)
-@_find_current
+@_with_current_record
 def update_status(state: State, command: UpdateStatus, current: Record) -> Outcome:
     """Replace the status."""
     since = command.precondition
@@ -106,7 +106,7 @@
 
 
 @handles(Delete)
-@_find_current
+@_with_current_record
 def delete(state: State, command: Delete, current: Record) -> Outcome:
     """Delete a resource, or mark it when finalizers must run first."""
     refused = _check_precondition(state, command.kind, current, command.precondition)
@@ -128,7 +128,7 @@
 
 
 @handles(AddFinalizer)
-@_find_current
+@_with_current_record
 def add_finalizer(state: State, command: AddFinalizer, current: Record) -> Outcome:
     """Add a finalizer."""
     if command.finalizer in current.finalizers:
@@ -139,7 +139,7 @@
 
 
 @handles(RemoveFinalizer)
-@_find_current
+@_with_current_record
 def remove_finalizer(state: State, command: RemoveFinalizer, current: Record) -> Outcome:
     """Remove a finalizer; the last one of a resource being deleted removes that too."""
     if command.finalizer not in current.finalizers:
