--- a/chivetrack/components/store/queries.py
+++ b/chivetrack/components/store/queries.py
@@ -64,8 +64,8 @@
             return Answer(store.revision, tuple(page.records), page.next_after or "")
         case FindOutcome():
             found = store.find_outcome(query.request_id, query.fingerprint)
-            return Answer(store.revision, outcome=_pack_found(found))
+            return Answer(store.revision, outcome=_pack_outcome(found))
 
 
-def _pack_found(outcome: Outcome | None) -> bytes:
+def _pack_outcome(outcome: Outcome | None) -> bytes:
     return b"" if outcome is None else pack(outcome)
