--- a/chivetrack/components/store/store.py
+++ b/chivetrack/components/store/store.py
@@ -76,7 +76,7 @@
         self._state.advance_time(command.stamp.time_ms)
         if command.stamp.request_id:
             return self._apply_once(command)
-        return pack(self._carry_out(command))
+        return pack(self._execute(command))
 
     def find_outcome(self, request_id: str, fingerprint: bytes) -> Outcome | None:
         """Return the outcome remembered for a request, or ``None``."""
@@ -127,7 +127,7 @@
         recorded = self._state.requests.find(request_id)
         if recorded is not None:
             return pack(self._get_recorded_outcome(recorded, fingerprint))
-        outcome = pack(self._carry_out(command))
+        outcome = pack(self._execute(command))
         request = CompletedRequest(request_id, fingerprint, self._state.time_ms, outcome)
         self._state.requests.record(request)
         return outcome
@@ -140,7 +140,7 @@
         assert isinstance(outcome, Outcome)
         return outcome
 
-    def _carry_out(self, command: Command) -> Outcome:
+    def _execute(self, command: Command) -> Outcome:
         stamp = command.stamp
         if stamp.lease and not self._holds_lease(stamp.lease, stamp.fencing):
             # A controller that was frozen past its lease wakes up and writes on:
