--- a/chivetrack/components/store/requests.py
+++ b/chivetrack/components/store/requests.py
@@ -60,12 +60,12 @@
 
     def _add(self, request: CompletedRequest) -> None:
         self._requests[request.request_id] = request
-        self._bytes += self._measure(request)
+        self._bytes += self._estimate_size(request)
 
     def _drop_oldest(self) -> None:
         _, request = self._requests.popitem(last=False)
-        self._bytes -= self._measure(request)
+        self._bytes -= self._estimate_size(request)
 
     @staticmethod
-    def _measure(request: CompletedRequest) -> int:
+    def _estimate_size(request: CompletedRequest) -> int:
         return const.CHANGE_OVERHEAD_BYTES + len(request.request_id) + len(request.outcome)
