--- a/chivetrack/components/store/state.py
+++ b/chivetrack/components/store/state.py
@@ -91,10 +91,10 @@
 def handles(command: type[Command]) -> Callable[[HandlerT], HandlerT]:
     """Register the function that carries out a kind of command."""
 
-    def enter(handler: HandlerT) -> HandlerT:
+    def register(handler: HandlerT) -> HandlerT:
         if command in HANDLERS:
             raise ValueError(f"{command.__name__} has two handlers")
         HANDLERS[command] = handler
         return handler
 
-    return enter
+    return register
