--- a/chivetrack/components/store/table.py
+++ b/chivetrack/components/store/table.py
@@ -96,15 +96,15 @@
         delta would put an older specification back. ``revision`` is what the table
         is at afterwards, if that is more than the last change.
         """
-        fresh = [change for change in changes if change.revision > self.revision]
-        target = max(revision or 0, fresh[-1].revision if fresh else 0)
+        new_changes = [change for change in changes if change.revision > self.revision]
+        target = max(revision or 0, new_changes[-1].revision if new_changes else 0)
         if target <= self.revision:
             return False
-        for change in fresh:
+        for change in new_changes:
             self._set(change)
-        self._history.extend(fresh)
+        self._history.extend(new_changes)
         self.revision = target
-        self._notify(TableUpdate(revision=target, changes=fresh))
+        self._notify(TableUpdate(revision=target, changes=new_changes))
         return True
 
     def replace(
