--- a/tests/components/store/fuzzing.py
+++ b/tests/components/store/fuzzing.py
@@ -9,11 +9,11 @@
 
 
 def make_settings(examples: int, steps: int = 40) -> settings:
-    asked = os.environ.get("CHIVETRACK_FUZZ_EXAMPLES")
+    override = os.environ.get("CHIVETRACK_FUZZ_EXAMPLES")
     return settings(
-        max_examples=int(asked) if asked else examples,
+        max_examples=int(override) if override else examples,
         stateful_step_count=steps,
-        derandomize=asked is None,
+        derandomize=override is None,
         deadline=None,
         database=None,
         suppress_health_check=list(HealthCheck),
