--- a/chivetrack/components/store/__init__.py
+++ b/chivetrack/components/store/__init__.py
@@ -1,1 +1,1 @@
-"""The deterministic store that the replicated log drives."""
+"""The deterministic state machine of the replicated log: resources, leases and claims."""
--- a/chivetrack/components/store/claims.py
+++ b/chivetrack/components/store/claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: a request that may not be repeated runs at most once."""
+"""Claims of idempotency keys, so that a non-idempotent request runs at most once."""
 
 import heapq
 from collections.abc import Iterable
@@ -30,7 +30,11 @@
 
 
 class ClaimRecord(Message, frozen=True, array_like=True):
-    """One claim; it stands until ``expires_ms`` of the store's clock."""
+    """One claim, valid until ``expires_ms`` of the store's clock.
+
+    ``grant`` is the number of the claim. From ``run_until_ms`` on, a claim without a report
+    counts as unknown. ``body_kept`` is false if the body was too large or was dropped.
+    """
 
     workspace: str
     key: str
@@ -50,11 +54,11 @@
 
 
 class ClaimTable:
-    """All claims of the window, bounded by number per workspace and bytes of answers.
+    """All claims of the window, bounded by the number per workspace and the bytes of answers.
 
-    A claim is never dropped for room before its window ends: a resend would then
-    run the request a second time. When a workspace has too many, new ones are
-    refused. Stored answers may be dropped: the resend then learns that it ran.
+    A claim is never dropped before its window ends, since a resend would then run the
+    request a second time. When a workspace has too many claims, new ones are refused.
+    Stored answers may be dropped: a resend is then answered that the request has run.
     """
 
     def __init__(
@@ -65,12 +69,12 @@
         max_per_workspace: int = const.MAX_CLAIMS_PER_WORKSPACE,
         max_body_bytes: int = const.MAX_CLAIM_BODIES_BYTES,
     ) -> None:
-        """Start with what a snapshot held; ``grant`` is the last number given."""
+        """Start with the claims of a snapshot; ``grant`` is the last number used."""
         self.grant = grant
         self._max_per_workspace = max_per_workspace
         self._max_body_bytes = max_body_bytes
-        # Grants rise, the store's clock never goes back and the window is constant:
-        # the order of the grants is that of the expiries.
+        # Ordered by grant and thereby by expiry: grant numbers rise, the store's clock is
+        # monotonic and the window is constant.
         self._records: dict[int, ClaimRecord] = {}
         self._grants: dict[str, dict[str, int]] = {}
         self._grants_with_body: list[int] = []
@@ -82,7 +86,7 @@
         return len(self._records)
 
     def export(self) -> tuple[ClaimRecord, ...]:
-        """Return all claims in the order of their grants, for a snapshot."""
+        """Return all claims in the order of their grant numbers, for a snapshot."""
         return tuple(self._records.values())
 
     def expire(self, time_ms: int) -> None:
@@ -94,7 +98,7 @@
             self._remove(oldest)
 
     def claim(self, command: Claim, *, time_ms: int) -> Outcome:
-        """Grant a key that nobody has claimed, or say what became of it."""
+        """Grant an unclaimed key, or return the state of the existing claim."""
         record = self._find(command.workspace, command.key)
         if record is None:
             return self._grant(command, time_ms)
@@ -109,7 +113,7 @@
         return ClaimAnswer(ClaimState.IN_PROGRESS)
 
     def finish(self, command: FinishClaim) -> Outcome:
-        """Store the answer, also when the claim had become unknown meanwhile."""
+        """Store the answer, also if the claim has become unknown in the meantime."""
         record = self._find_granted(command)
         if record is None:
             return ClaimAnswer(ClaimState.NOT_HELD)
@@ -129,7 +133,7 @@
         return ClaimAnswer(ClaimState.FINISHED)
 
     def report_unknown(self, command: ReportClaimUnknown) -> Outcome:
-        """Mark the claim: nobody may run it again in this window."""
+        """Mark the claim as unknown, so that it is not granted again in this window."""
         record = self._find_granted(command)
         if record is None:
             return ClaimAnswer(ClaimState.NOT_HELD)
@@ -139,7 +143,7 @@
         return ClaimAnswer(ClaimState.UNKNOWN)
 
     def abandon(self, command: AbandonClaim) -> Outcome:
-        """Free the claim, so that it can be granted again."""
+        """Remove the claim, so that the key can be granted again."""
         record = self._find_granted(command)
         if record is None:
             return ClaimAnswer(ClaimState.NOT_HELD)
@@ -171,10 +175,10 @@
         return None if grant is None else self._records[grant]
 
     def _find_granted(self, command: ClaimReport) -> ClaimRecord | None:
-        """Return the claim that a report is about.
+        """Return the claim that a report refers to, or ``None``.
 
-        The grant number must match: a late copy of an abandon would otherwise free
-        the claim of the next holder, and the request could run twice.
+        The grant number must match: a delayed copy of an ``AbandonClaim`` would otherwise
+        remove the claim of the next holder, and the request could run twice.
         """
         record = self._find(command.workspace, command.key)
         return record if record is not None and record.grant == command.grant else None
@@ -193,7 +197,8 @@
         if not grants:
             del self._grants[record.workspace]
         if record.body:
-            # Only the oldest grant of all is removed with a body, by expiry.
+            # Only expiry removes a claim that has a body, and it starts at the oldest grant,
+            # which is the top of the heap.
             heapq.heappop(self._grants_with_body)
             self._body_bytes -= len(record.body)
 
--- a/chivetrack/components/store/clock.py
+++ b/chivetrack/components/store/clock.py
@@ -1,19 +1,19 @@
-"""The clock with which a proposer stamps commands."""
+"""The clock for the time stamps of commands."""
 
 
 class ProposerClock:
-    """Counts from the store's clock at the start of a leadership.
+    """Provides the time stamps of commands during one leadership.
 
-    A leader whose wall clock is behind the store's would stamp times that the store
-    ignores: its clock would stand still and no lease would ever expire. So the clock
-    starts at the later of the two and goes on with the monotonic clock.
+    The store ignores time stamps behind its own clock. With a leader whose wall clock is
+    behind, the store's clock would stop and leases would not expire. So this clock starts
+    at the later of the two and advances with the monotonic clock.
     """
 
     def __init__(self, *, store_time_ms: int, wall_time_ms: int, now: float) -> None:
-        """Start at the later clock; ``now`` is the monotonic clock in seconds."""
+        """Start at the later of the two times; ``now`` is the monotonic clock in seconds."""
         self._start_ms = max(store_time_ms, wall_time_ms)
         self._started_at = now
 
     def read(self, now: float) -> int:
-        """Return the time for a stamp, in ms since 1970."""
+        """Return the time stamp for a command, in milliseconds since 1970."""
         return self._start_ms + int((now - self._started_at) * 1000)
--- a/chivetrack/components/store/commands.py
+++ b/chivetrack/components/store/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the store, as they stand in the log."""
+"""Commands of the store, as stored in the log."""
 
 import hashlib
 from typing import TypeAlias
@@ -10,13 +10,13 @@
 
 
 class Stamp(Message, frozen=True, array_like=True):
-    """What the proposer adds to a command.
+    """Data that the proposer adds to a command.
 
     ``time_ms`` is the proposer's clock in milliseconds since 1970. With a
-    ``request_id`` a resend gets the first outcome; ``fingerprint`` tells a resend
-    from another request under the same id (the proposer hashes what the caller
-    sent; without one the command itself is hashed). With a ``lease`` the command is
-    refused unless ``fencing`` is the number under which the lease is held now.
+    ``request_id``, a resend receives the first outcome. ``fingerprint`` distinguishes a
+    resend from another request with the same id: the proposer hashes the caller's request;
+    if empty, the command itself is hashed. With a ``lease``, the command is refused unless
+    ``fencing`` is the number under which the lease is currently held.
     """
 
     time_ms: int
@@ -34,7 +34,7 @@
 
 @message("store/create")
 class Create(Command, frozen=True, array_like=True):
-    """Create a resource; refused when the name is taken."""
+    """Create a resource; refused if the name exists."""
 
     kind: str
     name: str
@@ -47,9 +47,8 @@
 class Replace(Command, frozen=True, array_like=True):
     """Replace specification and labels.
 
-    The precondition is a revision that the caller has read: the command is refused
-    if the specification or the labels have changed since. ``None`` replaces
-    whatever is there.
+    ``precondition`` is a revision that the caller has read: the command is refused if the
+    specification or the labels have changed since. ``None`` replaces unconditionally.
     """
 
     kind: str
@@ -63,9 +62,9 @@
 class Patch(Command, frozen=True, array_like=True):
     """Merge a JSON merge patch (as msgpack) of ``spec`` and ``labels`` into a resource.
 
-    The precondition is required: the proposer validated the patch merged into just
-    that revision, and the store does not validate specifications (its outcome must
-    not depend on which version of the program a replica runs).
+    ``precondition`` is required: the proposer has validated the result of the patch for that
+    revision. The store does not validate specifications, since its outcome must not depend
+    on the program version of a replica.
     """
 
     kind: str
@@ -76,7 +75,7 @@
 
 @message("store/update-status")
 class UpdateStatus(Command, frozen=True, array_like=True):
-    """Replace the status; the precondition looks at changes of the status only."""
+    """Replace the status; ``precondition`` covers changes of the status only."""
 
     kind: str
     name: str
@@ -86,7 +85,7 @@
 
 @message("store/delete")
 class Delete(Command, frozen=True, array_like=True):
-    """Delete a resource; one with finalizers stays, marked, until the last is removed."""
+    """Delete a resource; one with finalizers is only marked until the last is removed."""
 
     kind: str
     name: str
@@ -95,7 +94,7 @@
 
 @message("store/add-finalizer")
 class AddFinalizer(Command, frozen=True, array_like=True):
-    """Make a deletion wait for a controller; refused once deletion has begun."""
+    """Add a finalizer, for which a deletion waits; refused once the deletion has begun."""
 
     kind: str
     name: str
@@ -104,7 +103,7 @@
 
 @message("store/remove-finalizer")
 class RemoveFinalizer(Command, frozen=True, array_like=True):
-    """Report that a controller has cleaned up; removing an absent one does no harm."""
+    """Remove a finalizer after the controller's clean-up; idempotent."""
 
     kind: str
     name: str
@@ -113,10 +112,10 @@
 
 @message("store/acquire-lease")
 class AcquireLease(Command, frozen=True, array_like=True):
-    """Take a lease; ``holder`` must be unique to one run of one process.
+    """Acquire a lease; ``holder`` must be unique to one run of one process.
 
-    A second acquire by the holder of an unexpired lease extends it under the same
-    fencing number, so that it can be resent.
+    If the holder of an unexpired lease acquires it again, the lease is extended under the
+    same fencing number, so that the command can be resent.
     """
 
     name: str
@@ -136,7 +135,7 @@
 
 @message("store/release-lease")
 class ReleaseLease(Command, frozen=True, array_like=True):
-    """Give a lease back."""
+    """Release a lease."""
 
     name: str
     holder: str
@@ -147,8 +146,8 @@
 class Claim(Command, frozen=True, array_like=True):
     """Claim an idempotency key before a request is dispatched.
 
-    ``holder`` must be unique to one attempt at one request. After ``run_ms`` without
-    a report the claim counts as unknown.
+    ``holder`` must be unique to one attempt of one request. After ``run_ms`` milliseconds
+    without a report, the claim counts as unknown.
     """
 
     workspace: str
@@ -172,7 +171,7 @@
 
 @message("store/report-claim-unknown")
 class ReportClaimUnknown(Command, frozen=True, array_like=True):
-    """Say that a claimed request may have run, but its answer was lost."""
+    """Report that a claimed request may have run, but its answer was lost."""
 
     workspace: str
     key: str
@@ -181,7 +180,7 @@
 
 @message("store/abandon-claim")
 class AbandonClaim(Command, frozen=True, array_like=True):
-    """Free a claim, only when the request certainly did not run."""
+    """Remove a claim; only allowed if the request certainly did not run."""
 
     workspace: str
     key: str
@@ -203,6 +202,6 @@
 
 
 def stamp_time(command: Command, time_ms: int) -> Command:
-    """Return the command stamped with the proposer's clock, before it is proposed."""
+    """Return the command with the proposer's time stamp, before it is proposed."""
     stamp = msgspec.structs.replace(command.stamp, time_ms=time_ms)
     return msgspec.structs.replace(command, stamp=stamp)
--- a/chivetrack/components/store/const.py
+++ b/chivetrack/components/store/const.py
@@ -1,7 +1,7 @@
-"""Bounds of the store; they are part of the state machine.
+"""Limits of the store, which are part of the state machine.
 
-All replicas must apply the same bounds: change one only together with a new command
-or snapshot version, never as a setting.
+All replicas must apply the same limits. A limit may be changed only together with a new
+command or snapshot version, and must not become a setting.
 """
 
 from typing import Final
--- a/chivetrack/components/store/history.py
+++ b/chivetrack/components/store/history.py
@@ -1,4 +1,4 @@
-"""A bounded list of the last changes."""
+"""A bounded history of the latest changes."""
 
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
@@ -12,14 +12,14 @@
 
 
 def estimate_size(change: Change) -> int:
-    """Estimate the encoded size of a change in bytes, generously."""
+    """Return an upper estimate of the encoded size of a change, in bytes."""
     if change.record is None:
         return const.CHANGE_OVERHEAD_BYTES
     return const.CHANGE_OVERHEAD_BYTES + len(change.record.spec) + len(change.record.status)
 
 
 class History:
-    """The changes after ``compaction_revision``, oldest first, bounded twice."""
+    """The changes after ``compaction_revision``, oldest first, bounded by number and bytes."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         max_changes: int = const.MAX_HISTORY_CHANGES,
         max_bytes: int = const.MAX_HISTORY_BYTES,
     ) -> None:
-        """Start empty; changes up to ``compaction_revision`` are not known."""
+        """Start empty; changes up to ``compaction_revision`` are not available."""
         self.compaction_revision = compaction_revision
         self._max_changes = max_changes
         self._max_bytes = max_bytes
@@ -39,7 +39,7 @@
         return len(self._changes)
 
     def extend(self, changes: Iterable[Change]) -> None:
-        """Add changes, each with a higher revision than the last; drop the oldest."""
+        """Append changes with rising revisions; drop the oldest if a limit is exceeded."""
         for change in changes:
             self._changes.append(change)
             self._bytes += estimate_size(change)
@@ -47,7 +47,7 @@
             self._compact()
 
     def list_after(self, revision: int, *, limit: int | None = None) -> Sequence[Change] | None:
-        """Return the changes after a revision, or ``None`` once they are compacted."""
+        """Return the changes after a revision, or ``None`` if some were compacted."""
         if revision < self.compaction_revision:
             return None
         start = bisect_right(self._changes, revision, key=_get_revision)
@@ -55,7 +55,7 @@
         return self._changes[start:stop]
 
     def _compact(self) -> None:
-        # A tenth more than needed is dropped, so that this runs once in many changes.
+        # Dropping down to 90 % of each limit avoids a compaction at every change.
         keep_changes = self._max_changes * 9 // 10
         keep_bytes = self._max_bytes * 9 // 10
         drop = 0
--- a/chivetrack/components/store/hold_handlers.py
+++ b/chivetrack/components/store/hold_handlers.py
@@ -1,4 +1,4 @@
-"""Carries out the commands on leases and claims."""
+"""Handlers of the commands on leases and claims."""
 
 from chivetrack.components.store.commands import (
     AbandonClaim,
@@ -15,7 +15,7 @@
 
 @handles(AcquireLease)
 def acquire_lease(state: State, command: AcquireLease) -> Outcome:
-    """Take a lease."""
+    """Acquire a lease."""
     return state.leases.acquire(command, time_ms=state.time_ms)
 
 
@@ -27,7 +27,7 @@
 
 @handles(ReleaseLease)
 def release_lease(state: State, command: ReleaseLease) -> Outcome:
-    """Give a lease back."""
+    """Release a lease."""
     return state.leases.release(command, time_ms=state.time_ms)
 
 
@@ -45,11 +45,11 @@
 
 @handles(ReportClaimUnknown)
 def report_claim_unknown(state: State, command: ReportClaimUnknown) -> Outcome:
-    """Mark a claim whose answer was lost."""
+    """Mark a claim as unknown after its answer was lost."""
     return state.claims.report_unknown(command)
 
 
 @handles(AbandonClaim)
 def abandon_claim(state: State, command: AbandonClaim) -> Outcome:
-    """Free a claim whose request did not run."""
+    """Remove a claim whose request did not run."""
     return state.claims.abandon(command)
--- a/chivetrack/components/store/leases.py
+++ b/chivetrack/components/store/leases.py
@@ -15,7 +15,7 @@
 
 
 class Lease(Message, frozen=True, array_like=True):
-    """A lease that was granted; it may have expired."""
+    """A granted lease, which may have expired; ``expires_ms`` is the store's clock."""
 
     name: str
     holder: str
@@ -24,24 +24,24 @@
 
 
 class LeaseTable:
-    """All leases; one counter numbers every grant, so a number never comes twice."""
+    """All leases; fencing numbers come from one counter, so that none is used twice."""
 
     def __init__(self, leases: Iterable[Lease] = (), *, fencing: int = 0) -> None:
-        """Start with what a snapshot held; ``fencing`` is the last number given."""
+        """Start with the leases of a snapshot; ``fencing`` is the last number used."""
         self._leases = {lease.name: lease for lease in leases}
         self.fencing = fencing
 
     def get(self, name: str, *, time_ms: int) -> Lease | None:
-        """Return the lease if somebody holds it now."""
+        """Return the lease, or ``None`` if it is free or expired."""
         lease = self._leases.get(name)
         return lease if lease is not None and time_ms < lease.expires_ms else None
 
     def list_leases(self) -> tuple[Lease, ...]:
-        """Return all leases, for a snapshot or a status."""
+        """Return all leases, including expired ones, for a snapshot or a status."""
         return tuple(self._leases.values())
 
     def acquire(self, command: AcquireLease, *, time_ms: int) -> Outcome:
-        """Grant the lease if it is free or held by the same holder."""
+        """Grant the lease if it is free, or extend it for the same holder."""
         held = self.get(command.name, time_ms=time_ms)
         if held is None:
             self._remove_expired(time_ms)
@@ -54,7 +54,7 @@
         return self._grant(held.name, held.holder, held.fencing, command, time_ms)
 
     def renew(self, command: RenewLease, *, time_ms: int) -> Outcome:
-        """Extend the lease if the sender still holds it."""
+        """Extend the lease if the sender holds it."""
         held = self.get(command.name, time_ms=time_ms)
         if held is None:
             return LeaseAnswer(command.name, LeaseState.FREE)
@@ -63,7 +63,7 @@
         return self._grant(held.name, held.holder, held.fencing, command, time_ms)
 
     def release(self, command: ReleaseLease, *, time_ms: int) -> Outcome:
-        """Free the lease if the sender still holds it."""
+        """Release the lease if the sender holds it."""
         held = self.get(command.name, time_ms=time_ms)
         if held is not None and not _is_holder(held, command):
             return _answer(held, LeaseState.HELD_BY_OTHER)
@@ -81,7 +81,7 @@
         duration = min(max(command.duration_ms, 0), const.MAX_LEASE_MS)
         before = self._leases.get(name)
         expires = time_ms + duration
-        # A renewal that is applied late must not shorten what a later one gave.
+        # A delayed renewal must not shorten a lease that a later renewal has extended.
         if before is not None and before.fencing == fencing:
             expires = max(expires, before.expires_ms)
         lease = Lease(name, holder, fencing, expires)
--- a/chivetrack/components/store/merge_patch.py
+++ b/chivetrack/components/store/merge_patch.py
@@ -4,7 +4,7 @@
 
 
 def merge_patch(target: Any, patch: Any) -> Any:
-    """Return the target with the patch merged in; neither is changed."""
+    """Return the target with the patch merged in; neither argument is modified."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, dict) else {}
--- a/chivetrack/components/store/outcomes.py
+++ b/chivetrack/components/store/outcomes.py
@@ -7,7 +7,7 @@
 
 
 class RefusalCode(StrEnum):
-    """Why a command changed nothing."""
+    """Reason why a command was refused."""
 
     ALREADY_EXISTS = "already_exists"
     NOT_FOUND = "not_found"
@@ -27,10 +27,10 @@
 
 @message("store/written")
 class Written(Outcome, frozen=True, array_like=True):
-    """A resource was written; no record means that it is gone.
+    """A resource was written, or deleted if ``record`` is ``None``.
 
-    ``revision`` is that of the change, or that of the resource when the command
-    asked for what was already there.
+    ``revision`` is the revision of the change, or of the existing resource if the command
+    changed nothing.
     """
 
     kind: str
@@ -41,7 +41,7 @@
 
 @message("store/refused")
 class Refused(Outcome, frozen=True, array_like=True):
-    """The command changed nothing; ``current`` is the resource as it stands."""
+    """The command was refused and changed nothing; ``current`` is the existing resource."""
 
     code: RefusalCode
     message: str
@@ -50,7 +50,7 @@
 
 
 class LeaseState(StrEnum):
-    """Who holds a lease after a command."""
+    """State of a lease after a command, from the view of its sender."""
 
     HELD = "held"
     HELD_BY_OTHER = "held-by-other"
@@ -59,10 +59,10 @@
 
 @message("store/lease-answer")
 class LeaseAnswer(Outcome, frozen=True, array_like=True):
-    """The lease after a command, seen from its sender; times are the store's clock.
+    """The lease after a command; ``expires_ms`` is a time of the store's clock.
 
-    A holder counts the duration from before it sent the command, on its own
-    monotonic clock, and never from ``expires_ms``.
+    A holder must not compare ``expires_ms`` with its own clock. It counts the duration on
+    its monotonic clock, starting before it sent the command.
     """
 
     name: str
@@ -73,7 +73,7 @@
 
 
 class ClaimState(StrEnum):
-    """What a claim says to the one who asks."""
+    """State of a claim after a command, from the view of its sender."""
 
     GRANTED = "granted"
     IN_PROGRESS = "in-progress"
@@ -88,9 +88,9 @@
 class ClaimAnswer(Outcome, frozen=True, array_like=True):
     """The claim after a command.
 
-    ``grant`` is set for ``GRANTED`` and must come back with every report. A finished
-    claim whose body was too large, or was dropped for room, has ``body_kept`` false:
-    the request ran, but its answer can't be given again.
+    ``grant`` is set for ``GRANTED`` and must be part of every later report. ``body_kept`` is
+    false for a finished claim whose body was too large or was dropped to free memory: the
+    request has run, but its answer can't be repeated.
     """
 
     state: ClaimState
--- a/chivetrack/components/store/queries.py
+++ b/chivetrack/components/store/queries.py
@@ -1,4 +1,4 @@
-"""Questions to the store, as they are forwarded to the leader."""
+"""Queries to the store, which are forwarded to the leader."""
 
 from typing import TypeAlias
 
@@ -12,7 +12,7 @@
 
 @message("store/get")
 class GetResource(Message, frozen=True, array_like=True):
-    """Ask for one resource."""
+    """Query one resource."""
 
     kind: str
     name: str
@@ -20,7 +20,7 @@
 
 @message("store/list")
 class ListResources(Message, frozen=True, array_like=True):
-    """Ask for resources whose names come after ``after``."""
+    """Query a page of up to ``limit`` resources whose names sort after ``after``."""
 
     kind: str
     after: str = ""
@@ -29,7 +29,7 @@
 
 @message("store/find-outcome")
 class FindOutcome(Message, frozen=True, array_like=True):
-    """Ask what became of a request."""
+    """Query the recorded outcome of a request."""
 
     request_id: str
     fingerprint: bytes
@@ -42,8 +42,8 @@
 class Answer(Message, frozen=True, array_like=True):
     """The answer to any query, as of ``revision``.
 
-    ``next_after`` is empty on the last page, ``outcome`` (packed) when the store
-    remembers no such request.
+    ``next_after`` is empty on the last page. ``outcome`` is a packed ``Outcome``, or empty
+    if the store has no record of the request.
     """
 
     revision: int
@@ -53,7 +53,7 @@
 
 
 def answer_query(store: Store, query: Query) -> Answer:
-    """Answer from a store that has applied all that was committed when it was asked."""
+    """Answer a query; the store must have applied all entries committed before it."""
     match query:
         case GetResource():
             record = store.table.get(query.kind, query.name)
--- a/chivetrack/components/store/records.py
+++ b/chivetrack/components/store/records.py
@@ -1,4 +1,4 @@
-"""The compact form in which resources are held, sent and saved."""
+"""The compact form of resources in memory, in messages and in snapshots."""
 
 from chivetrack.helpers.codec import Message
 
@@ -13,10 +13,10 @@
 class Record(Message, frozen=True, array_like=True, kw_only=True):
     """One resource; ``spec`` and ``status`` are msgpack maps.
 
-    ``revision`` rises with every change, ``spec_revision`` and ``status_revision``
-    with a change of that part, so that a controller's status writes do not fail an
-    operator's precondition. ``generation`` counts the changes of the specification.
-    ``deleting_ms`` is set once a deletion waits for the finalizers.
+    ``revision`` rises with every change, ``spec_revision`` and ``status_revision`` only
+    with a change of that part, so that the status updates of a controller do not violate
+    the precondition of an operator. ``generation`` counts changes of the specification.
+    ``deleting_ms`` is the time of a deletion that waits for finalizers, otherwise 0.
     """
 
     name: str
@@ -33,7 +33,7 @@
 
 
 class Change(Message, frozen=True, array_like=True):
-    """A resource as it is from ``revision`` on; no record means that it is gone."""
+    """The state of a resource from ``revision`` on; ``None`` as record: it was deleted."""
 
     revision: int
     kind: str
--- a/chivetrack/components/store/requests.py
+++ b/chivetrack/components/store/requests.py
@@ -1,4 +1,4 @@
-"""Remembers the outcomes of requests, so that a resend gets the first one."""
+"""Records the outcomes of requests, so that a resend receives the first outcome."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 
 class CompletedRequest(Message, frozen=True, array_like=True):
-    """One request with its packed outcome."""
+    """One request with its packed outcome; ``time_ms`` is the store's clock."""
 
     request_id: str
     fingerprint: bytes
@@ -17,7 +17,7 @@
 
 
 class CompletedRequests:
-    """The last requests, bounded by age, number and bytes; the oldest go first."""
+    """The latest requests, bounded by age, number and bytes; the oldest are dropped first."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         max_bytes: int = const.MAX_COMPLETED_REQUESTS_BYTES,
         max_age_ms: int = const.COMPLETED_REQUEST_TTL_MS,
     ) -> None:
-        """Start with what a snapshot held, oldest first."""
+        """Start with the requests of a snapshot, oldest first."""
         self._max_requests = max_requests
         self._max_bytes = max_bytes
         self._max_age_ms = max_age_ms
@@ -37,17 +37,17 @@
             self._add(request)
 
     def find(self, request_id: str) -> CompletedRequest | None:
-        """Return what is remembered under an id."""
+        """Return the request with this id, or ``None``."""
         return self._requests.get(request_id)
 
     def record(self, request: CompletedRequest) -> None:
-        """Remember a request, newer than all others."""
+        """Record a request as the newest one, and drop the oldest beyond the limits."""
         self._add(request)
         while len(self._requests) > self._max_requests or self._bytes > self._max_bytes:
             self._drop_oldest()
 
     def expire(self, time_ms: int) -> None:
-        """Forget what is too old."""
+        """Drop the requests that exceed the maximum age."""
         while self._requests:
             oldest = next(iter(self._requests.values()))
             if time_ms - oldest.time_ms <= self._max_age_ms:
@@ -55,7 +55,7 @@
             self._drop_oldest()
 
     def export(self) -> tuple[CompletedRequest, ...]:
-        """Return all, oldest first, for a snapshot."""
+        """Return all requests, oldest first, for a snapshot."""
         return tuple(self._requests.values())
 
     def _add(self, request: CompletedRequest) -> None:
--- a/chivetrack/components/store/resource_handlers.py
+++ b/chivetrack/components/store/resource_handlers.py
@@ -1,4 +1,4 @@
-"""Carries out the commands on resources."""
+"""Handlers of the commands on resources."""
 
 from collections.abc import Callable
 from functools import wraps
@@ -29,7 +29,7 @@
 def _with_current_record(
     handler: Callable[[State, ChangeT, Record], Outcome],
 ) -> Callable[[State, ChangeT], Outcome]:
-    """Hand over the resource that a command names, or refuse the command without one."""
+    """Pass the existing record to the handler; refuse the command if there is none."""
 
     @wraps(handler)
     def handle(state: State, command: ChangeT) -> Outcome:
@@ -108,7 +108,7 @@
 @handles(Delete)
 @_with_current_record
 def delete(state: State, command: Delete, current: Record) -> Outcome:
-    """Delete a resource, or mark it when finalizers must run first."""
+    """Delete a resource, or mark it as being deleted if it has finalizers."""
     refused = _check_precondition(state, command.kind, current, command.precondition)
     if refused is not None:
         return refused
@@ -141,7 +141,7 @@
 @handles(RemoveFinalizer)
 @_with_current_record
 def remove_finalizer(state: State, command: RemoveFinalizer, current: Record) -> Outcome:
-    """Remove a finalizer; the last one of a resource being deleted removes that too."""
+    """Remove a finalizer; also remove a resource being deleted after its last finalizer."""
     if command.finalizer not in current.finalizers:
         return _make_unchanged(command.kind, current)
     rest = tuple(name for name in current.finalizers if name != command.finalizer)
@@ -151,9 +151,9 @@
 
 
 def merge_record(record: Record, patch: Any) -> tuple[bytes, tuple[Label, ...]]:
-    """Merge a patch of ``spec`` and ``labels`` into a record; return both, encoded.
+    """Merge a patch into a record; return the encoded specification and the labels.
 
-    Raises ``msgspec.MsgspecError`` when the result can't be held.
+    Raises ``msgspec.MsgspecError`` if the patch or its result has the wrong type.
     """
     target = {
         "spec": msgspec.msgpack.decode(record.spec),
@@ -201,10 +201,10 @@
 def _check_precondition(
     state: State, kind: str, current: Record, precondition: int | None
 ) -> Refused | None:
-    """Refuse a write whose sender has not seen the last specification.
+    """Refuse a write whose sender has not read the latest specification.
 
-    Two operators who read the same revision: the first write raises
-    ``spec_revision`` above it, so the second is refused and gets the winner.
+    If two operators read the same revision, the first write raises ``spec_revision`` above
+    it. The second write is then refused, and its answer holds the record of the first.
     """
     if precondition is None:
         return None
--- a/chivetrack/components/store/state.py
+++ b/chivetrack/components/store/state.py
@@ -1,4 +1,4 @@
-"""The state that handlers of commands work on."""
+"""The state of the store, and the registry of command handlers."""
 
 from collections.abc import Callable
 from typing import Any, Final, TypeVar
@@ -33,10 +33,10 @@
 
 
 class State:
-    """Everything that commands read and change."""
+    """All data that commands read and modify; ``time_ms`` is the store's clock."""
 
     def __init__(self, *, table: ResourceTable) -> None:
-        """Start empty; the table keeps its identity over a restore."""
+        """Start empty; ``table`` stays the same object when a snapshot is restored."""
         self.table = table
         self.requests = CompletedRequests()
         self.leases = LeaseTable()
@@ -45,13 +45,13 @@
         self.time_ms = 0
 
     def advance_time(self, time_ms: int) -> None:
-        """Take over a proposer's clock unless it is behind; drop what has expired."""
+        """Advance the clock to a proposer's time, unless that is earlier, and expire data."""
         self.time_ms = max(self.time_ms, time_ms)
         self.requests.expire(self.time_ms)
         self.claims.expire(self.time_ms)
 
     def export(self) -> Snapshot:
-        """Return the whole state."""
+        """Return the whole state as a snapshot."""
         table = self.table
         return Snapshot(
             index=self.index,
@@ -68,7 +68,7 @@
         )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Put a whole state in place."""
+        """Replace the whole state by a snapshot."""
         self.index = snapshot.index
         self.time_ms = snapshot.time_ms
         self.requests = CompletedRequests(snapshot.requests)
@@ -89,7 +89,7 @@
 
 
 def handles(command: type[Command]) -> Callable[[HandlerT], HandlerT]:
-    """Register the function that carries out a kind of command."""
+    """Register the decorated function as the handler of a command type."""
 
     def register(handler: HandlerT) -> HandlerT:
         if command in HANDLERS:
--- a/chivetrack/components/store/store.py
+++ b/chivetrack/components/store/store.py
@@ -1,4 +1,4 @@
-"""The state machine behind the replicated log."""
+"""The state machine of the replicated log."""
 
 from chivetrack.components.store import hold_handlers, resource_handlers
 from chivetrack.components.store.commands import Command, compute_fingerprint
@@ -14,13 +14,13 @@
 
 
 class StoreError(ChivetrackError):
-    """The log handed in something that the store can't apply; the replica must stop."""
+    """The store can't apply an entry or a snapshot of the log; the replica must stop."""
 
 
 def decode_command(data: bytes) -> Command:
     """Decode a command; raise ``DecodeError`` for anything else.
 
-    A leader checks with this what it was sent before it proposes it.
+    The leader also uses this to validate forwarded commands before it proposes them.
     """
     command = unpack(data)
     if type(command) not in HANDLERS or not isinstance(command, Command):
@@ -29,14 +29,14 @@
 
 
 class Store:
-    """Applies commands in the order of the log; the same log gives the same bytes.
+    """Applies commands in log order; the same log produces the same bytes of state.
 
-    No clock but the commands' stamps, no random numbers, no iteration over sets:
-    replicas that have applied the same entries hold the same state.
+    Replicas that applied the same entries must hold the same state. So the store uses no
+    clock except the time stamps of commands, no random numbers and no iteration over sets.
     """
 
     def __init__(self, *, table: ResourceTable | None = None) -> None:
-        """Start empty; ``table`` may be shared with readers, only the store writes it."""
+        """Start empty; ``table`` may be shared with readers, but only the store modifies it."""
         self._state = State(table=table if table is not None else ResourceTable())
 
     @property
@@ -56,18 +56,18 @@
 
     @property
     def time_ms(self) -> int:
-        """Return the store's clock, the highest stamp seen, in ms since 1970."""
+        """Return the store's clock: the highest time stamp so far, in ms since 1970."""
         return self._state.time_ms
 
     def apply(self, index: int, data: bytes) -> bytes:
         """Apply a packed command at a log index and return the packed outcome.
 
-        Raises ``StoreError`` for bytes that this version does not understand or an
-        index that was applied before. To skip such an entry would let this replica
-        differ from the others without anybody noticing.
+        Raises ``StoreError`` for data that this version can't decode, or an index that was
+        applied before. If such an entry were skipped, the state of this replica would
+        silently diverge from the others.
         """
         if index <= self._state.index:
-            raise StoreError(f"index {index} comes after index {self._state.index}")
+            raise StoreError(f"index {index} is not above the applied index {self._state.index}")
         try:
             command = decode_command(data)
         except DecodeError as error:
@@ -79,30 +79,30 @@
         return pack(self._execute(command))
 
     def find_outcome(self, request_id: str, fingerprint: bytes) -> Outcome | None:
-        """Return the outcome remembered for a request, or ``None``."""
+        """Return the recorded outcome of a request, or ``None``."""
         recorded = self._state.requests.find(request_id)
         if recorded is None:
             return None
         return self._get_recorded_outcome(recorded, fingerprint)
 
     def get_lease(self, name: str) -> Lease | None:
-        """Return a lease if somebody holds it."""
+        """Return a lease, or ``None`` if it is free or expired."""
         return self._state.leases.get(name, time_ms=self._state.time_ms)
 
     def take_snapshot(self) -> bytes:
         """Return the whole state, for ``restore_snapshot``.
 
-        Not packed like a command: that would copy it once more, and with tens of
-        thousands of workspaces each copy counts.
+        The state is not packed like a command, which would copy it once more; with tens of
+        thousands of workspaces it is large.
         """
         return encode(self._state.export())
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Put the state of a snapshot in place; raise ``StoreError`` for other bytes.
+        """Replace the state by that of a snapshot; raise ``StoreError`` for other data.
 
-        No bytes mean the empty state, with which a new log begins.
+        Empty ``data`` stands for the empty state, with which a new log begins.
 
-        A snapshot older than the state is refused too: revisions must not go back.
+        A snapshot older than the state is refused, since revisions must never decrease.
         """
         if not data and self.index == 0:
             return
@@ -119,8 +119,8 @@
     def _apply_once(self, command: Command) -> bytes:
         """Apply a command unless its request was applied before.
 
-        A caller who lost the answer sends again; a second create would be refused
-        and a second patch applied twice, so the first outcome is given instead.
+        A caller that did not receive the answer resends the request. A second create would
+        be refused and a second patch applied twice, so the first outcome is returned.
         """
         request_id = command.stamp.request_id
         fingerprint = compute_fingerprint(command)
@@ -143,8 +143,8 @@
     def _execute(self, command: Command) -> Outcome:
         stamp = command.stamp
         if stamp.lease and not self._holds_lease(stamp.lease, stamp.fencing):
-            # A controller that was frozen past its lease wakes up and writes on:
-            # it would undo what its successor did. Only the newest number passes.
+            # A controller that was frozen until after its lease expired may continue to
+            # write and undo changes of its successor. Only the current number is accepted.
             message = f"lease {stamp.lease!r} is not held under number {stamp.fencing}"
             return Refused(RefusalCode.FENCED, message)
         return HANDLERS[type(command)](self._state, command)
--- a/chivetrack/components/store/table.py
+++ b/chivetrack/components/store/table.py
@@ -1,6 +1,6 @@
-"""The table of all resources at one revision, with the last changes.
+"""The table of all resources at one revision, with the latest changes.
 
-The store of a replica and the configuration of a router are both such a table.
+Used by the store of a replica and for the configuration of a router.
 """
 
 from bisect import bisect_right
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TableUpdate:
-    """What subscribers are told; after a reset the whole table is to be read again."""
+    """Notification of subscribers; with ``is_reset`` they must read the whole table again."""
 
     revision: int
     changes: Sequence[Change] = ()
@@ -34,7 +34,7 @@
 
 
 class ResourceTable:
-    """All resources by kind and name; its revision never goes back."""
+    """All resources by kind and name; the revision of the table never decreases."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
 
     @property
     def compaction_revision(self) -> int:
-        """Return the revision up to which changes are no longer known."""
+        """Return the revision up to which changes are no longer available."""
         return self._history.compaction_revision
 
     def get(self, kind: str, name: str) -> Record | None:
@@ -62,7 +62,7 @@
         return None if records is None else records.get(name)
 
     def iterate(self, kind: str) -> Iterator[Record]:
-        """Iterate over the records of a kind, in no useful order."""
+        """Iterate over the records of a kind, in no defined order."""
         return iter(self._kinds.get(kind, {}).values())
 
     def list_kinds(self) -> list[str]:
@@ -70,11 +70,11 @@
         return sorted(kind for kind, records in self._kinds.items() if records)
 
     def count(self, kind: str) -> int:
-        """Return how many records a kind has."""
+        """Return the number of records of a kind."""
         return len(self._kinds.get(kind, {}))
 
     def list_page(self, kind: str, *, after: str = "", limit: int) -> Page:
-        """Return up to ``limit`` records whose names come after ``after``."""
+        """Return up to ``limit`` records whose names sort after ``after``."""
         records = self._kinds.get(kind, {})
         names = self._sorted.get(kind)
         if names is None:
@@ -86,15 +86,15 @@
         return Page(records=[records[name] for name in chosen], next_after=next_after)
 
     def list_changes(self, after: int, *, limit: int | None = None) -> Sequence[Change] | None:
-        """Return the changes after a revision, or ``None`` once they are compacted."""
+        """Return the changes after a revision, or ``None`` if some were compacted."""
         return self._history.list_after(after, limit=limit)
 
     def apply(self, changes: Sequence[Change], *, revision: int | None = None) -> bool:
-        """Apply changes in the order of their revisions; tell whether anything was new.
+        """Apply changes in the order of their revisions; return whether the table changed.
 
-        Changes at or below the table's revision are left out: a late or doubled
-        delta would put an older specification back. ``revision`` is what the table
-        is at afterwards, if that is more than the last change.
+        Changes at or below the table's revision are skipped: a delayed or duplicate delta
+        would restore an older specification. ``revision`` is the revision of the table
+        afterwards, if higher than that of the last change.
         """
         new_changes = [change for change in changes if change.revision > self.revision]
         target = max(revision or 0, new_changes[-1].revision if new_changes else 0)
@@ -115,7 +115,7 @@
         compaction_revision: int | None = None,
         changes: Sequence[Change] = (),
     ) -> bool:
-        """Put a whole state in place, unless it is older; tell whether it was taken."""
+        """Replace the whole state, unless the new one is older; return whether replaced."""
         if revision < self.revision:
             return False
         self._kinds = {
@@ -137,7 +137,7 @@
         )
 
     def subscribe(self, subscriber: Subscriber) -> Unsubscribe:
-        """Call after every update; must not raise."""
+        """Call ``subscriber``, which must not raise, after every update."""
         self._subscribers.append(subscriber)
 
         def unsubscribe() -> None:
@@ -157,7 +157,7 @@
         records[change.name] = change.record
 
     def _share_record(self, change: Change) -> Change:
-        """Let a decoded change use the record of the table, to hold it once."""
+        """Return the change with the table's equal record, to store it in memory only once."""
         record = self.get(change.kind, change.name)
         if record is None or record.revision != change.revision:
             return change
--- a/tests/components/store/__init__.py
+++ b/tests/components/store/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of store."""
+"""Tests of the store component."""
--- a/tests/components/store/fuzzing.py
+++ b/tests/components/store/fuzzing.py
@@ -1,5 +1,6 @@
-"""Settings of the fuzz tests: derandomised, or a longer random run by command.
+"""Settings of the fuzz tests, which are deterministic by default.
 
+A longer random run:
 CHIVETRACK_FUZZ_EXAMPLES=5000 script/test tests.components.store.test_store_fuzz
 """
 
--- a/tests/components/store/test_store.py
+++ b/tests/components/store/test_store.py
@@ -1,4 +1,4 @@
-"""The store: outcomes of commands, resends, leases, claims, snapshots."""
+"""Tests of the store: outcomes of commands, resends, leases, claims and snapshots."""
 
 import unittest
 from typing import Any
@@ -103,10 +103,10 @@
                     self.assertEqual(outcome.current, self.store.table.get(command.kind, "a"))
 
     def test_two_operators_with_the_same_revision(self) -> None:
-        """Both operators read revision 1 and write. The first is accepted.
+        """Both operators read revision 1 and write; the first write is accepted.
 
-        The second is refused and receives what the first wrote; without the
-        precondition it would silently undo it.
+        The second write must be refused and return the record of the first. Without the
+        precondition it would silently overwrite the first.
         """
         first = self.apply(Replace(NOW, "workspace", "a", SPEC_2, (), 1))
         second = self.apply(Replace(NOW, "workspace", "a", SPEC_1, (Label("x", "y"),), 1))
@@ -140,10 +140,10 @@
         self.assertIsNone(self.store.table.get("drain", "d"))
 
     def test_resend_gets_the_first_outcome(self) -> None:
-        """The answer to a create is lost; meanwhile the resource is deleted.
+        """The answer to a create is lost, and the resource is deleted in the meantime.
 
-        The caller sends again with the same request id, to a replica that has been
-        restored from a snapshot. It must get the first answer, not a second create.
+        The caller resends with the same request id to a replica that was restored from a
+        snapshot. It must receive the first outcome, and nothing may be created again.
         """
         command = Create(Stamp(1000, "r1"), "limit", "l", SPEC_1)
         first = self.apply(command)
@@ -160,7 +160,7 @@
         self.assertEqual(outcome.code, "request_id_reused")
         self.assertIsNone(self.store.table.get("limit", "m"))
 
-    def test_request_memory_is_bounded(self) -> None:
+    def test_completed_requests_are_bounded(self) -> None:
         memory = CompletedRequests(max_requests=3, max_bytes=1000, max_age_ms=10)
         for number in range(5):
             memory.record(CompletedRequest(str(number), b"", number, b""))
@@ -183,7 +183,7 @@
 
 
 class LogTest(StoreTestCase):
-    def test_what_the_log_must_not_hand_in(self) -> None:
+    def test_invalid_entries_and_snapshots_are_refused(self) -> None:
         self.apply(Create(NOW, "workspace", "a", SPEC_1))
         old = Store().take_snapshot()
         table = [
@@ -204,18 +204,18 @@
             self.apply(Delete(Stamp(time_ms), "workspace", "none"))
             self.assertEqual(self.store.time_ms, expected)
 
-    def test_proposer_clock_goes_on_behind_the_stores(self) -> None:
-        """A former leader's clock was an hour ahead. The new leader's is right.
+    def test_proposer_clock_continues_from_the_stores_clock(self) -> None:
+        """The clock of the previous leader was an hour ahead; that of the new one is right.
 
-        If it stamped its own time the store's clock would stand for an hour, and no
-        lease would expire.
+        If the new leader used its own time, the store's clock would stop for an hour, and
+        no lease would expire.
         """
         clock = ProposerClock(store_time_ms=3_600_000, wall_time_ms=0, now=10.0)
         self.assertEqual(clock.read(11.5), 3_601_500)
 
 
 class LeaseTest(StoreTestCase):
-    def test_life_of_a_lease(self) -> None:
+    def test_states_of_a_lease(self) -> None:
         held, other, free = LeaseState.HELD, LeaseState.HELD_BY_OTHER, LeaseState.FREE
         table = [
             (AcquireLease(Stamp(0), "c", "a#1", 100), held, 1),
@@ -243,10 +243,10 @@
         self.assertEqual(answer.expires_ms, 1000)
 
     def test_frozen_controller_is_fenced(self) -> None:
-        """A controller is frozen past its lease, another takes over and writes.
+        """A controller is frozen until its lease has expired; another one takes over.
 
-        The first wakes up and writes what it had decided before: it must be refused,
-        or a drain that its successor has ended would come back.
+        The first one resumes with a write that it had decided on before. It must be
+        refused, or a drain that its successor has ended would be restored.
         """
         self.apply(Create(NOW, "drain", "d", SPEC_1))
         old = self.apply(AcquireLease(Stamp(1000), "drains", "a", 100)).fencing
@@ -305,10 +305,10 @@
         self.assertEqual(answer.state, ClaimState.FINGERPRINT_MISMATCH)
 
     def test_late_abandon_does_not_free_the_next_claim(self) -> None:
-        """Router a abandons, b is granted the key, then a copy of a's report arrives.
+        """Router a abandons its claim, b is granted the key, then a's report arrives again.
 
-        If it freed the claim of b, c would be granted too and the quote be billed
-        twice.
+        If the copy removed the claim of b, c would be granted the key too, and the request
+        would be executed and billed twice.
         """
         self.claim("a")
         report = AbandonClaim(Stamp(1), "w", "k", 1)
--- a/tests/components/store/test_store_fuzz.py
+++ b/tests/components/store/test_store_fuzz.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the store beside a simple oracle."""
+"""Stateful fuzzing of the store, compared with a simple model."""
 
 from dataclasses import dataclass, replace
 from typing import Any
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Expected:
-    """What the oracle holds of one resource."""
+    """Expected state of one resource, according to the model."""
 
     spec: bytes
     spec_revision: int
@@ -43,7 +43,7 @@
 
 
 class Replicas:
-    """A store, and a second that is replaced from snapshots of the first."""
+    """Two stores with the same log; the second is replaced by snapshots of the first."""
 
     def __init__(self) -> None:
         self.first = Store()
@@ -67,7 +67,7 @@
 
 
 class ResourceMachine(RuleBasedStateMachine):
-    """Writes, resends and restores; every outcome is compared with the oracle."""
+    """Writes, resends and restores; every outcome is compared with the model."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -78,7 +78,7 @@
         self.revisions: list[int] = []
 
     def send(self, command: Command, code: str | None, change: Expected | None = None) -> None:
-        """Apply a command that the oracle accepts (no code) or refuses."""
+        """Apply a command that the model accepts (``code`` is ``None``) or refuses."""
         before = self.replicas.first.revision
         outcome = self.replicas.apply(command)
         self.sent.append((command, outcome))
@@ -212,10 +212,10 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Claims and reports in any order, also late and doubled ones.
+    """Claims and reports in any order, including delayed and duplicate ones.
 
-    The oracle is the number of holders that may be running a request: at most one,
-    and never one after the request may have run, until the window is over.
+    The model tracks which grant may be running a request: at most one, and none after the
+    request may have run, until the claim window is over.
     """
 
     def __init__(self) -> None:
@@ -288,7 +288,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Two holders never have valid numbers at once, and numbers only rise."""
+    """At most one holder has a valid fencing number at a time, and the numbers only rise."""
 
     def __init__(self) -> None:
         super().__init__()
