--- a/chivetrack/components/storage/records.py
+++ b/chivetrack/components/storage/records.py
@@ -15,7 +15,7 @@
 
     replica_id: str
     instance_id: str
-    founders: tuple[str, ...] = ()
+    bootstrap_instances: tuple[str, ...] = ()
 
 
 @message("storage.segment_header")
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -240,7 +240,7 @@
             self._folder,
             instance_id=self._instance_id,
             random_source=self._random,
-            founders=self._seeds if self._is_first_start else (),
+            bootstrap_instances=self._seeds if self._is_first_start else (),
         ) as storage:
             self.replica_id = storage.identity.replica_id
             self._events.write("replica_opened", replica=self.replica_id)
@@ -252,18 +252,18 @@
         After the first start that is not known: the founders may have been killed before
         any of them had written who they are.
         """
-        founders = storage.identity.founders
-        return not founders or self._instance_id in founders
+        bootstrap_instances = storage.identity.bootstrap_instances
+        return not bootstrap_instances or self._instance_id in bootstrap_instances
 
     def _form(self, storage: Storage, recovered: Recovered) -> Recovered:
         """Found the log with the others, or learn that it exists; return the state to go on."""
-        founders = storage.identity.founders
+        bootstrap_instances = storage.identity.bootstrap_instances
         formation = LogBootstrap(
             instance_id=self._instance_id,
             replica_id=self.replica_id,
-            instances=founders or self._seeds,
+            instances=bootstrap_instances or self._seeds,
             contacts=self._contacts,
-            has_first_disk=bool(founders),
+            has_first_disk=bool(bootstrap_instances),
             tolerated_losses=self._tolerated_losses,
         )
         founding = self._founding = Founding(
--- a/chivetrack/daemon/founding.py
+++ b/chivetrack/daemon/founding.py
@@ -33,7 +33,7 @@
     *,
     instance_id: str,
     random_source: random.Random,
-    founders: Sequence[str] = (),
+    bootstrap_instances: Sequence[str] = (),
 ) -> Iterator[Storage]:
     """Open a replica's folder; an empty one becomes that of a new replica.
 
@@ -44,7 +44,7 @@
             storage = stack.enter_context(open_storage(path=folder))
         except FolderEmptyError:
             replica_id = make_replica_id(instance_id=instance_id, random=random_source)
-            identity = Identity(replica_id, instance_id, tuple(founders))
+            identity = Identity(replica_id, instance_id, tuple(bootstrap_instances))
             create_folder(folder, identity=identity)
             storage = stack.enter_context(open_storage(path=folder))
         yield storage
--- a/tests/daemon/fleet/test_log_host.py
+++ b/tests/daemon/fleet/test_log_host.py
@@ -34,7 +34,7 @@
 
     def read_founders(self, host: LogHost) -> tuple[str, ...]:
         with host._open_folder() as storage:
-            return storage.identity.founders
+            return storage.identity.bootstrap_instances
 
     def test_founders_are_remembered_by_a_folder_of_the_first_start(self) -> None:
         self.assertEqual(self.read_founders(self.make_host(is_first_start=True)), tuple(SEEDS))
