--- a/chivetrack/components/storage/backup.py
+++ b/chivetrack/components/storage/backup.py
@@ -7,7 +7,7 @@
 from chivetrack.components.consensus.messages import Entry, EntryKind
 from chivetrack.components.consensus.models import HardState, Persist, Snapshot
 from chivetrack.components.storage.exceptions import WriteFailedError
-from chivetrack.components.storage.files import Calls
+from chivetrack.components.storage.files import SystemCalls
 from chivetrack.components.storage.records import Identity
 from chivetrack.components.storage.snapshots import read_snapshot, write_snapshot
 from chivetrack.components.storage.storage import create_folder, open_storage
@@ -35,10 +35,10 @@
     return Members(members=(member,))
 
 
-def write_backup(path: Path, snapshot: Snapshot, *, calls: Calls | None = None) -> None:
+def write_backup(path: Path, snapshot: Snapshot, *, calls: SystemCalls | None = None) -> None:
     """Write a snapshot as a backup; the file appears only when it is whole and synced."""
     try:
-        write_snapshot(path, snapshot, calls or Calls())
+        write_snapshot(path, snapshot, calls or SystemCalls())
     except OSError as error:
         raise WriteFailedError(path, str(error)) from error
 
@@ -49,7 +49,7 @@
 
 
 def restore_backup(
-    path: Path, *, folder: Path, identity: Identity, calls: Calls | None = None
+    path: Path, *, folder: Path, identity: Identity, calls: SystemCalls | None = None
 ) -> None:
     """Make a folder with the state of a backup for a new replica, the only voter.
 
@@ -67,7 +67,7 @@
 
 
 def rescue_folder(
-    source: Path, *, folder: Path, identity: Identity, calls: Calls | None = None
+    source: Path, *, folder: Path, identity: Identity, calls: SystemCalls | None = None
 ) -> int:
     """Make a folder for a new replica, the only voter, from that of a stopped survivor.
 
@@ -77,7 +77,7 @@
     replicas of the system before must stay stopped for ever: they could elect a
     leader of their own.
     """
-    calls = calls or Calls()
+    calls = calls or SystemCalls()
     with open_storage(path=source) as storage:
         recovered = storage.take_recovered()
     last = recovered.entries[-1].index if recovered.entries else recovered.snapshot.index
--- a/chivetrack/components/storage/files.py
+++ b/chivetrack/components/storage/files.py
@@ -12,21 +12,21 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Calls:
+class SystemCalls:
     """The system calls that may fail; a test hands in others."""
 
     write: Callable[[int, bytes], int] = os.write
     sync: Callable[[int], None] = os.fsync
 
 
-def write_all(descriptor: int, data: bytes, calls: Calls) -> None:
+def write_all(descriptor: int, data: bytes, calls: SystemCalls) -> None:
     """Write all of the data; a call may take only a part."""
     written = 0
     while written < len(data):
         written += calls.write(descriptor, data[written:] if written else data)
 
 
-def sync_folder(path: Path, calls: Calls) -> None:
+def sync_folder(path: Path, calls: SystemCalls) -> None:
     """Sync the names in a folder."""
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
@@ -35,7 +35,7 @@
         os.close(descriptor)
 
 
-def write_file(path: Path, parts: Iterable[bytes], calls: Calls) -> None:
+def write_file(path: Path, parts: Iterable[bytes], calls: SystemCalls) -> None:
     """Create or replace a file as a whole: after a crash it is the old or the new one."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -49,7 +49,7 @@
     sync_folder(path.parent, calls)
 
 
-def truncate_file(path: Path, size: int, calls: Calls) -> None:
+def truncate_file(path: Path, size: int, calls: SystemCalls) -> None:
     """Cut a file off and sync it."""
     descriptor = os.open(path, os.O_WRONLY)
     try:
--- a/chivetrack/components/storage/snapshots.py
+++ b/chivetrack/components/storage/snapshots.py
@@ -9,12 +9,12 @@
 from chivetrack.components.consensus.models import Snapshot
 from chivetrack.components.storage.const import SNAPSHOT_FRAME_BYTES
 from chivetrack.components.storage.exceptions import DamagedFileError
-from chivetrack.components.storage.files import Calls, write_file
+from chivetrack.components.storage.files import SystemCalls, write_file
 from chivetrack.components.storage.frames import encode_frame, scan_frames
 from chivetrack.components.storage.records import SnapshotHeader, SnapshotPiece
 
 
-def write_snapshot(path: Path, snapshot: Snapshot, calls: Calls) -> None:
+def write_snapshot(path: Path, snapshot: Snapshot, calls: SystemCalls) -> None:
     """Write a snapshot; the file appears only when it is whole and synced."""
     write_file(path, encode_snapshot(snapshot), calls)
 
--- a/chivetrack/components/storage/storage.py
+++ b/chivetrack/components/storage/storage.py
@@ -20,7 +20,7 @@
     WriteFailedError,
 )
 from chivetrack.components.storage.files import (
-    Calls,
+    SystemCalls,
     hold_lock,
     sync_folder,
     truncate_file,
@@ -35,7 +35,11 @@
 
 
 def create_folder(
-    path: Path, *, identity: Identity, snapshot: Snapshot | None = None, calls: Calls | None = None
+    path: Path,
+    *,
+    identity: Identity,
+    snapshot: Snapshot | None = None,
+    calls: SystemCalls | None = None,
 ) -> None:
     """Make a folder for a new replica.
 
@@ -43,7 +47,7 @@
     members must name it, it starts a system of its own (or one from a backup).
     The id must never have been used before: see ``make_replica_id``.
     """
-    calls = calls or Calls()
+    calls = calls or SystemCalls()
     path.mkdir(parents=True, exist_ok=True)
     with hold_lock(path):
         if (path / IDENTITY_NAME).exists():
@@ -61,7 +65,7 @@
 
 
 @contextmanager
-def open_storage(*, path: Path, calls: Calls | None = None) -> Iterator["Storage"]:
+def open_storage(*, path: Path, calls: SystemCalls | None = None) -> Iterator["Storage"]:
     """Lock and recover a folder for as long as the context lasts.
 
     Raise ``FolderEmptyError`` for a folder without identity, ``FolderLockedError``,
@@ -71,7 +75,7 @@
         raise FolderEmptyError(path)
     with hold_lock(path):
         try:
-            storage = Storage(path=path, calls=calls or Calls())
+            storage = Storage(path=path, calls=calls or SystemCalls())
         except OSError as error:
             raise WriteFailedError(path, str(error)) from error
         try:
@@ -89,7 +93,7 @@
     return int(path.name.removeprefix(prefix))
 
 
-def _save_snapshot(path: Path, snapshot: Snapshot, calls: Calls) -> None:
+def _save_snapshot(path: Path, snapshot: Snapshot, calls: SystemCalls) -> None:
     name = f"{SNAPSHOT_PREFIX}{snapshot.index:020d}"
     write_snapshot(path / name, snapshot, calls)
     for old in _list_files(path, SNAPSHOT_PREFIX):
@@ -98,7 +102,7 @@
 
 
 def _write_header(
-    folder: Path, number: int, hard_state: HardState, end: tuple[int, int], calls: Calls
+    folder: Path, number: int, hard_state: HardState, end: tuple[int, int], calls: SystemCalls
 ) -> Path:
     path = folder / f"{SEGMENT_PREFIX}{number:016d}"
     header = SegmentHeader(hard_state=hard_state, base_index=end[0], base_term=end[1])
@@ -122,7 +126,7 @@
 class Storage:
     """An open folder; made by ``open_storage``, which holds the lock."""
 
-    def __init__(self, *, path: Path, calls: Calls) -> None:
+    def __init__(self, *, path: Path, calls: SystemCalls) -> None:
         """Recover what is there, cut off a torn last frame, begin a new segment."""
         self._path = path
         self._calls = calls
--- a/chivetrack/daemon/fleet/restart_file.py
+++ b/chivetrack/daemon/fleet/restart_file.py
@@ -11,7 +11,7 @@
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.distribution.messages import PlacedPart
 from chivetrack.components.distribution.placements import Placements
-from chivetrack.components.storage.files import Calls, write_file
+from chivetrack.components.storage.files import SystemCalls, write_file
 from chivetrack.helpers.events import EventLog
 
 _FILE_NAME = "restart"
@@ -87,7 +87,7 @@
         )
         try:
             data = msgspec.msgpack.encode(content)
-            self._pool.apply(write_file, (self._path, [data], Calls()))
+            self._pool.apply(write_file, (self._path, [data], SystemCalls()))
         except OSError as error:
             # A full disk; the copy is old then, and nothing else depends on it.
             self._events.write("restart_file_not_written", detail=str(error))
--- a/tests/components/storage/test_crashes.py
+++ b/tests/components/storage/test_crashes.py
@@ -20,7 +20,7 @@
 from chivetrack.components.consensus.models import HardState, Persist, Recovered, Snapshot
 from chivetrack.components.storage import Storage, create_folder, open_storage
 from chivetrack.components.storage.exceptions import WriteFailedError
-from chivetrack.components.storage.files import Calls
+from chivetrack.components.storage.files import SystemCalls
 from chivetrack.components.storage.records import Identity
 
 EXAMPLES = int(os.environ.get("CHIVETRACK_FUZZ_EXAMPLES", "0"))
@@ -129,7 +129,7 @@
         model = Model(Recovered(hard_state=HardState(term=1), snapshot=FIRST))
         for _ in range(LIVES):
             crashing = Crashing(random=random, calls_left=random.randint(1, 40))
-            calls = Calls(write=crashing.write, sync=crashing.sync)
+            calls = SystemCalls(write=crashing.write, sync=crashing.sync)
             allowed = [model]
             try:
                 with open_storage(path=path, calls=calls) as storage:
--- a/tests/components/storage/test_storage.py
+++ b/tests/components/storage/test_storage.py
@@ -20,7 +20,7 @@
     FolderLockedError,
     WriteFailedError,
 )
-from chivetrack.components.storage.files import Calls
+from chivetrack.components.storage.files import SystemCalls
 from chivetrack.components.storage.frames import encode_frame
 from chivetrack.components.storage.records import Identity, SnapshotPiece
 from chivetrack.const import MEBIBYTE
@@ -59,7 +59,7 @@
         self.path = self.root / "data"
         create_folder(self.path, identity=IDENTITY, snapshot=FIRST)
 
-    def save(self, *persists: Persist, calls: Calls | None = None) -> None:
+    def save(self, *persists: Persist, calls: SystemCalls | None = None) -> None:
         with open_storage(path=self.path, calls=calls) as storage:
             for persist in persists:
                 storage.save([persist])
@@ -109,7 +109,7 @@
 
     def test_many_records_need_one_sync(self) -> None:
         syncs: list[int] = []
-        calls = Calls(sync=syncs.append)
+        calls = SystemCalls(sync=syncs.append)
         with open_storage(path=self.path, calls=calls) as storage:
             syncs.clear()
             storage.save([make_persist(2, 50), make_persist(51, 99)])
@@ -221,7 +221,7 @@
             os.write(descriptor, data[: len(data) // 2])
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
-        with open_storage(path=self.path, calls=Calls(write=write)) as storage:
+        with open_storage(path=self.path, calls=SystemCalls(write=write)) as storage:
             storage.save([make_persist(2, 5)])
             full[0] = True
             with self.assertRaises(WriteFailedError):
@@ -238,7 +238,7 @@
         next one. A write after it must fail too."""
         failing = mock.Mock(side_effect=OSError(errno.EIO, "I/O error"))
         with open_storage(path=self.path) as storage:
-            patch = mock.patch.object(storage, "_calls", Calls(sync=failing))
+            patch = mock.patch.object(storage, "_calls", SystemCalls(sync=failing))
             with patch, self.assertRaises(WriteFailedError):
                 storage.save([make_persist(2, 5)])
             with self.assertRaises(WriteFailedError):
