--- a/chivetrack/components/storage/frames.py
+++ b/chivetrack/components/storage/frames.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Scan:
+class ScanResult:
     """The records of a file; ``end`` is the offset after the last whole frame."""
 
     records: list[Message]
@@ -40,7 +40,7 @@
     return header + payload
 
 
-def scan_frames(data: bytes, *, path: Path, may_be_torn: bool) -> Scan:
+def scan_frames(data: bytes, *, path: Path, may_be_torn: bool) -> ScanResult:
     """Read all frames; stop before a torn last one if there may be one.
 
     Raise ``DamagedFileError`` for any other damage. A last frame of full length
@@ -60,7 +60,7 @@
         if may_be_torn and _is_torn(data, offset, end):
             break
         raise DamagedFileError(path, offset, reason)
-    return Scan(records=records, end=offset)
+    return ScanResult(records=records, end=offset)
 
 
 def _find_end(data: bytes, offset: int) -> int:
--- a/chivetrack/components/storage/recovery.py
+++ b/chivetrack/components/storage/recovery.py
@@ -8,7 +8,7 @@
 from chivetrack.components.consensus.messages import Entry
 from chivetrack.components.consensus.models import HardState, Snapshot
 from chivetrack.components.storage.exceptions import DamagedFileError
-from chivetrack.components.storage.frames import Scan, scan_frames
+from chivetrack.components.storage.frames import ScanResult, scan_frames
 from chivetrack.components.storage.records import SegmentHeader, Truncation
 from chivetrack.helpers.codec import Message
 
@@ -64,7 +64,7 @@
         self.base_term = header.base_term
 
 
-def read_segment(path: Path, *, is_last: bool) -> Scan:
+def read_segment(path: Path, *, is_last: bool) -> ScanResult:
     """Read one segment; only the last may end in a torn frame."""
     return scan_frames(path.read_bytes(), path=path, may_be_torn=is_last)
 
