--- a/chivetrack/components/storage/recovery.py
+++ b/chivetrack/components/storage/recovery.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Chain:
+class RecoveredLog:
     """The log as far as it is read: entries after ``base_index``."""
 
     hard_state: HardState = HardState()
@@ -77,7 +77,7 @@
         self._snapshot = snapshot
         self._is_first = True
         self._replaced_before = 0
-        self.chain = Chain()
+        self.chain = RecoveredLog()
 
     def read(self, segment: Segment, records: Sequence[Message]) -> None:
         """Add the records of the next segment."""
