--- a/chivetrack/components/storage/recovery.py
+++ b/chivetrack/components/storage/recovery.py
@@ -77,7 +77,7 @@
         self._snapshot = snapshot
         self._is_first = True
         self._replaced_before = 0
-        self.chain = RecoveredLog()
+        self.recovered_log = RecoveredLog()
 
     def read(self, segment: Segment, records: Sequence[Message]) -> None:
         """Add the records of the next segment."""
@@ -88,8 +88,8 @@
             self._take_record(segment, record)
 
     def _take_header(self, segment: Segment, header: SegmentHeader) -> None:
-        chain = self.chain
-        follows = (chain.last_index, chain.find_term(chain.last_index)) == (
+        recovered_log = self.recovered_log
+        follows = (recovered_log.last_index, recovered_log.find_term(recovered_log.last_index)) == (
             header.base_index,
             header.base_term,
         )
@@ -101,27 +101,27 @@
         if not (self._is_first or follows or replaced):
             raise DamagedFileError(segment.path, 0, "the segment does not follow the one before")
         if not follows:
-            chain.restart(header)
+            recovered_log.restart(header)
             self._replaced_before = segment.number
         self._is_first = False
-        chain.hard_state = header.hard_state
+        recovered_log.hard_state = header.hard_state
 
     def _take_record(self, segment: Segment, record: Message) -> None:
-        chain = self.chain
+        recovered_log = self.recovered_log
         match record:
             case HardState():
-                chain.hard_state = record
+                recovered_log.hard_state = record
             case Truncation():
-                chain.truncate(record.index)
+                recovered_log.truncate(record.index)
             case Entry():
                 self._take_entry(segment, record)
             case _:
                 raise DamagedFileError(segment.path, 0, f"a {type(record).__name__} in the log")
 
     def _take_entry(self, segment: Segment, entry: Entry) -> None:
-        if entry.index != self.chain.last_index + 1:
+        if entry.index != self.recovered_log.last_index + 1:
             raise DamagedFileError(segment.path, 0, f"entry {entry.index} does not follow")
-        self.chain.entries.append(entry)
+        self.recovered_log.entries.append(entry)
         segment.last_index = max(segment.last_index, entry.index)
 
     @property
@@ -131,7 +131,7 @@
         If not, the snapshot came from the leader, and a crash kept it from
         replacing the log.
         """
-        return self.chain.find_term(self._snapshot.index) == self._snapshot.term
+        return self.recovered_log.find_term(self._snapshot.index) == self._snapshot.term
 
     def is_replaced(self, segment: Segment) -> bool:
         """Tell whether a segment is a leftover of a log that a snapshot replaced."""
@@ -139,7 +139,7 @@
 
     def list_entries(self) -> tuple[Entry, ...]:
         """Return the entries after the snapshot."""
-        chain = self.chain
+        recovered_log = self.recovered_log
         if not self.agrees:
             return ()
-        return tuple(chain.entries[self._snapshot.index - chain.base_index :])
+        return tuple(recovered_log.entries[self._snapshot.index - recovered_log.base_index :])
--- a/chivetrack/components/storage/storage.py
+++ b/chivetrack/components/storage/storage.py
@@ -263,11 +263,11 @@
             if scan.end < segment.path.stat().st_size:
                 truncate_file(segment.path, scan.end, self._calls)
             reader.read(segment, scan.records)
-        if reader.chain.base_index > snapshot.index:
+        if reader.recovered_log.base_index > snapshot.index:
             path = self._segments[0].path
             raise DamagedFileError(path, 0, "entries before this segment are missing")
         self._replaced = sum(1 for one in self._segments if reader.is_replaced(one))
-        hard_state = reader.chain.hard_state
+        hard_state = reader.recovered_log.hard_state
         if hard_state.term < snapshot.term:
             hard_state = HardState(term=snapshot.term)
         return Recovered(hard_state=hard_state, snapshot=snapshot, entries=reader.list_entries())
