--- a/chivetrack/components/storage/recovery.py
+++ b/chivetrack/components/storage/recovery.py
@@ -125,7 +125,7 @@
         segment.last_index = max(segment.last_index, entry.index)
 
     @property
-    def agrees(self) -> bool:
+    def includes_snapshot(self) -> bool:
         """Tell whether the log goes on after the snapshot.
 
         If not, the snapshot came from the leader, and a crash kept it from
@@ -135,11 +135,11 @@
 
     def is_replaced(self, segment: Segment) -> bool:
         """Tell whether a segment is a leftover of a log that a snapshot replaced."""
-        return not self.agrees or segment.number < self._replaced_before
+        return not self.includes_snapshot or segment.number < self._replaced_before
 
     def list_entries(self) -> tuple[Entry, ...]:
         """Return the entries after the snapshot."""
         recovered_log = self.recovered_log
-        if not self.agrees:
+        if not self.includes_snapshot:
             return ()
         return tuple(recovered_log.entries[self._snapshot.index - recovered_log.base_index :])
