--- a/chivetrack/components/storage/recovery.py
+++ b/chivetrack/components/storage/recovery.py
@@ -83,11 +83,11 @@
         """Add the records of the next segment."""
         if not records or not isinstance(records[0], SegmentHeader):
             raise DamagedFileError(segment.path, 0, "the segment has no header")
-        self._take_header(segment, records[0])
+        self._read_header(segment, records[0])
         for record in records[1:]:
             self._take_record(segment, record)
 
-    def _take_header(self, segment: Segment, header: SegmentHeader) -> None:
+    def _read_header(self, segment: Segment, header: SegmentHeader) -> None:
         recovered_log = self.recovered_log
         follows = (recovered_log.last_index, recovered_log.find_term(recovered_log.last_index)) == (
             header.base_index,
