--- a/chivetrack/components/storage/recovery.py
+++ b/chivetrack/components/storage/recovery.py
@@ -85,7 +85,7 @@
             raise DamagedFileError(segment.path, 0, "the segment has no header")
         self._read_header(segment, records[0])
         for record in records[1:]:
-            self._take_record(segment, record)
+            self._read_record(segment, record)
 
     def _read_header(self, segment: Segment, header: SegmentHeader) -> None:
         recovered_log = self.recovered_log
@@ -106,7 +106,7 @@
         self._is_first = False
         recovered_log.hard_state = header.hard_state
 
-    def _take_record(self, segment: Segment, record: Message) -> None:
+    def _read_record(self, segment: Segment, record: Message) -> None:
         recovered_log = self.recovered_log
         match record:
             case HardState():
