--- a/chivetrack/components/storage/recovery.py
+++ b/chivetrack/components/storage/recovery.py
@@ -114,11 +114,11 @@
             case Truncation():
                 recovered_log.truncate(record.index)
             case Entry():
-                self._take_entry(segment, record)
+                self._append_entry(segment, record)
             case _:
                 raise DamagedFileError(segment.path, 0, f"a {type(record).__name__} in the log")
 
-    def _take_entry(self, segment: Segment, entry: Entry) -> None:
+    def _append_entry(self, segment: Segment, entry: Entry) -> None:
         if entry.index != self.recovered_log.last_index + 1:
             raise DamagedFileError(segment.path, 0, f"entry {entry.index} does not follow")
         self.recovered_log.entries.append(entry)
