--- a/benchmarks/log.py
+++ b/benchmarks/log.py
@@ -83,7 +83,7 @@
 
     def add(self, name: str, storage: Storage) -> None:
         """Add a replica."""
-        recovered = storage.take_recovered()
+        recovered = storage.pop_recovered()
         core = ReplicaCore(
             consensus=Consensus(
                 replica_id=name,
--- a/chivetrack/components/storage/backup.py
+++ b/chivetrack/components/storage/backup.py
@@ -79,7 +79,7 @@
     """
     calls = calls or SystemCalls()
     with open_storage(path=source) as storage:
-        recovered = storage.take_recovered()
+        recovered = storage.pop_recovered()
     last = recovered.entries[-1].index if recovered.entries else recovered.snapshot.index
     term = recovered.hard_state.term + 1
     entry = Entry(
--- a/chivetrack/components/storage/storage.py
+++ b/chivetrack/components/storage/storage.py
@@ -150,7 +150,7 @@
         """Return why writing failed, or an empty string."""
         return self._failed
 
-    def take_recovered(self) -> Recovered:
+    def pop_recovered(self) -> Recovered:
         """Return what was on disk, once: this object keeps no copy of it."""
         recovered, self._recovered = self._recovered, None
         if recovered is None:
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -223,7 +223,7 @@
     def _run_once(self) -> None:
         self._is_retired = False
         with self._open_folder() as storage:
-            recovered = storage.take_recovered()
+            recovered = storage.pop_recovered()
             if is_blank(recovered) and self._may_found(storage):
                 recovered = self._form(storage, recovered)
             self._serve(storage, recovered)
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -126,7 +126,7 @@
         """Serve until killed, or until a write fails."""
         try:
             with self._open_folder() as storage:
-                recovered = storage.take_recovered()
+                recovered = storage.pop_recovered()
                 if is_blank(recovered):
                     recovered = self._form(storage, recovered)
                 self._serve(storage, recovered)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -129,7 +129,7 @@
         ended = self.restore()
         self.assertEqual(ended.code, ExitCode.OK, ended)
         with open_storage(path=self.data_folder) as storage:
-            snapshot = storage.take_recovered().snapshot
+            snapshot = storage.pop_recovered().snapshot
             (member,) = snapshot.members.members
             self.assertEqual(member.replica_id, storage.identity.replica_id)
         self.assertEqual((snapshot.index, snapshot.data), (7, b"state" * 100))
--- a/tests/components/replica/test_replica.py
+++ b/tests/components/replica/test_replica.py
@@ -286,7 +286,7 @@
 
 class RestartTest(unittest.TestCase):
     def make_replica(self, storage: Storage, journal: Journal) -> Replica:
-        core = make_core(storage.identity.replica_id, storage.take_recovered(), journal)
+        core = make_core(storage.identity.replica_id, storage.pop_recovered(), journal)
         return Replica(
             core=core,
             storage=storage,
--- a/tests/components/storage/test_crashes.py
+++ b/tests/components/storage/test_crashes.py
@@ -133,12 +133,12 @@
             allowed = [model]
             try:
                 with open_storage(path=path, calls=calls) as storage:
-                    self.assertEqual(storage.take_recovered(), model.state)
+                    self.assertEqual(storage.pop_recovered(), model.state)
                     self.write_until_crash(storage, random, allowed)
             except WriteFailedError:
                 pass
             with open_storage(path=path) as storage:
-                state = storage.take_recovered()
+                state = storage.pop_recovered()
             self.assertIn(state, [one.state for one in allowed])
             model = Model(state)
 
@@ -197,7 +197,7 @@
                 writer.kill()
                 told += [int(line) for line in writer.stdout if line.endswith("\n")]
             with open_storage(path=path) as storage:
-                entries = storage.take_recovered().entries
+                entries = storage.pop_recovered().entries
             self.assertGreaterEqual(entries[-1].index, told[-1])
             self.assertEqual([one.data for one in entries], [b"%d" % one.index for one in entries])
 
--- a/tests/components/storage/test_storage.py
+++ b/tests/components/storage/test_storage.py
@@ -66,7 +66,7 @@
 
     def recover(self) -> Recovered:
         with open_storage(path=self.path) as storage:
-            return storage.take_recovered()
+            return storage.pop_recovered()
 
     def get_last_segment(self) -> Path:
         return sorted(self.path.glob("log-*"))[-1]
@@ -293,7 +293,7 @@
         identity = Identity(replica_id="z.9", instance_id="z")
         restore_backup(backup, folder=folder, identity=identity)
         with open_storage(path=folder) as storage:
-            recovered = storage.take_recovered()
+            recovered = storage.pop_recovered()
         self.assertEqual((recovered.snapshot.index, recovered.snapshot.data), (70, b"state"))
         self.assertEqual(recovered.snapshot.members.list_voters(), ["z.9"])
         self.assertGreater(recovered.hard_state.term, 4)
