--- a/chivetrack/components/storage/storage.py
+++ b/chivetrack/components/storage/storage.py
@@ -116,7 +116,7 @@
     return (recovered.snapshot.index, recovered.snapshot.term)
 
 
-def _read_one(path: Path) -> Message:
+def _read_single_record(path: Path) -> Message:
     records = scan_frames(path.read_bytes(), path=path, may_be_torn=False).records
     if len(records) != 1:
         raise DamagedFileError(path, 0, "one record was expected")
@@ -248,7 +248,7 @@
         path = self._path / IDENTITY_NAME
         if not path.exists():
             raise FolderEmptyError(self._path)
-        identity = _read_one(path)
+        identity = _read_single_record(path)
         if not isinstance(identity, Identity):
             raise DamagedFileError(path, 0, "no identity")
         return identity
