--- a/chivetrack/components/storage/storage.py
+++ b/chivetrack/components/storage/storage.py
@@ -182,7 +182,7 @@
             if persist.snapshot is not None:
                 self._write(records)
                 records = []
-                self._take_snapshot(persist.snapshot, reset=persist.reset)
+                self._install_snapshot(persist.snapshot, reset=persist.reset)
             records += self._make_records(persist)
             self._end = (persist.last_index, persist.last_term)
         self._write(records)
@@ -209,7 +209,7 @@
         self._calls.sync(self._descriptor)
         self._size += len(frame)
 
-    def _take_snapshot(self, snapshot: Snapshot, *, reset: bool) -> None:
+    def _install_snapshot(self, snapshot: Snapshot, *, reset: bool) -> None:
         _save_snapshot(self._path, snapshot, self._calls)
         self._snapshot_index = snapshot.index
         before = len(self._segments)
