--- a/chivetrack/components/storage/storage.py
+++ b/chivetrack/components/storage/storage.py
@@ -143,7 +143,7 @@
         self._end = _find_end(recovered)
         self._begin_segment()
         self._drop_segments(self._replaced)
-        self._drop_held_segments()
+        self._drop_covered_segments()
 
     @property
     def failed(self) -> str:
@@ -217,7 +217,7 @@
             self._end = (snapshot.index, snapshot.term)
         self._begin_segment()
         self._drop_segments(before if reset else 0)
-        self._drop_held_segments()
+        self._drop_covered_segments()
 
     def _begin_segment(self) -> None:
         """Begin a segment; it gets its name once its header is synced."""
@@ -228,7 +228,7 @@
         self._size = 0
         self._segments.append(Segment(path=path, number=number))
 
-    def _drop_held_segments(self) -> None:
+    def _drop_covered_segments(self) -> None:
         """Delete the oldest segments as far as the snapshot holds all of their entries."""
         while len(self._segments) > 1 and self._segments[0].last_index <= self._snapshot_index:
             self._drop_segments(1)
