--- a/chivetrack/components/storage/storage.py
+++ b/chivetrack/components/storage/storage.py
@@ -134,7 +134,7 @@
         self._segments: list[Segment] = []
         self._descriptor = -1
         self._size = 0
-        self._replaced = 0
+        self._replaced_segments = 0
         self.identity = self._read_identity()
         recovered = self._recover()
         self._recovered: Recovered | None = recovered
@@ -142,7 +142,7 @@
         self._snapshot_index = recovered.snapshot.index
         self._end = _find_end(recovered)
         self._begin_segment()
-        self._drop_segments(self._replaced)
+        self._drop_segments(self._replaced_segments)
         self._drop_covered_segments()
 
     @property
@@ -266,7 +266,7 @@
         if reader.recovered_log.base_index > snapshot.index:
             path = self._segments[0].path
             raise DamagedFileError(path, 0, "entries before this segment are missing")
-        self._replaced = sum(1 for one in self._segments if reader.is_replaced(one))
+        self._replaced_segments = sum(1 for one in self._segments if reader.is_replaced(one))
         hard_state = reader.recovered_log.hard_state
         if hard_state.term < snapshot.term:
             hard_state = HardState(term=snapshot.term)
