--- a/tests/components/storage/test_crashes.py
+++ b/tests/components/storage/test_crashes.py
@@ -24,7 +24,7 @@
 from chivetrack.components.storage.records import Identity
 
 EXAMPLES = int(os.environ.get("CHIVETRACK_FUZZ_EXAMPLES", "0"))
-LIVES = 12
+RESTARTS = 12
 FIRST = Snapshot(index=1, term=1, members=make_voters("a"))
 
 
@@ -127,7 +127,7 @@
         identity = Identity(replica_id="a", instance_id="a")
         create_folder(path, identity=identity, snapshot=FIRST)
         model = Model(Recovered(hard_state=HardState(term=1), snapshot=FIRST))
-        for _ in range(LIVES):
+        for _ in range(RESTARTS):
             crashing = Crashing(random=random, calls_left=random.randint(1, 40))
             calls = SystemCalls(write=crashing.write, sync=crashing.sync)
             allowed = [model]
