--- a/tests/components/storage/test_crashes.py
+++ b/tests/components/storage/test_crashes.py
@@ -193,12 +193,12 @@
             command = [sys.executable, "-c", WRITER, str(path)]
             with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as writer:
                 assert writer.stdout is not None
-                told = [int(writer.stdout.readline()) for _ in range(60)]
+                reported = [int(writer.stdout.readline()) for _ in range(60)]
                 writer.kill()
-                told += [int(line) for line in writer.stdout if line.endswith("\n")]
+                reported += [int(line) for line in writer.stdout if line.endswith("\n")]
             with open_storage(path=path) as storage:
                 entries = storage.pop_recovered().entries
-            self.assertGreaterEqual(entries[-1].index, told[-1])
+            self.assertGreaterEqual(entries[-1].index, reported[-1])
             self.assertEqual([one.data for one in entries], [b"%d" % one.index for one in entries])
 
 
