--- a/tests/components/storage/test_crashes.py
+++ b/tests/components/storage/test_crashes.py
@@ -28,7 +28,7 @@
 FIRST = Snapshot(index=1, term=1, members=make_voters("a"))
 
 
-class Crashing:
+class CrashingCalls:
     """System calls of which one fails, a write after a part of its bytes."""
 
     def __init__(self, *, random: Random, calls_left: int) -> None:
@@ -128,7 +128,7 @@
         create_folder(path, identity=identity, snapshot=FIRST)
         model = Model(Recovered(hard_state=HardState(term=1), snapshot=FIRST))
         for _ in range(RESTARTS):
-            crashing = Crashing(random=random, calls_left=random.randint(1, 40))
+            crashing = CrashingCalls(random=random, calls_left=random.randint(1, 40))
             calls = SystemCalls(write=crashing.write, sync=crashing.sync)
             allowed = [model]
             try:
