--- a/tests/components/storage/test_crashes.py
+++ b/tests/components/storage/test_crashes.py
@@ -128,8 +128,8 @@
         create_folder(path, identity=identity, snapshot=FIRST)
         model = Model(Recovered(hard_state=HardState(term=1), snapshot=FIRST))
         for _ in range(RESTARTS):
-            crashing = CrashingCalls(random=random, calls_left=random.randint(1, 40))
-            calls = SystemCalls(write=crashing.write, sync=crashing.sync)
+            crashing_calls = CrashingCalls(random=random, calls_left=random.randint(1, 40))
+            calls = SystemCalls(write=crashing_calls.write, sync=crashing_calls.sync)
             allowed = [model]
             try:
                 with open_storage(path=path, calls=calls) as storage:
