--- a/chivetrack/components/storage/__init__.py
+++ b/chivetrack/components/storage/__init__.py
@@ -1,4 +1,4 @@
-"""The data folder: what must survive a restart, synced before it is acknowledged."""
+"""The data folder of a replica: durable state, synced before it is acknowledged."""
 
 from chivetrack.components.storage.storage import Storage, create_folder, open_storage
 
--- a/chivetrack/components/storage/backup.py
+++ b/chivetrack/components/storage/backup.py
@@ -1,4 +1,4 @@
-"""A backup: the state at one index in one checksummed file, and a folder made from it."""
+"""Backups, which hold the state at one index, and data folders created from them."""
 
 from pathlib import Path
 from random import Random
@@ -17,16 +17,16 @@
 
 
 def make_replica_id(*, instance_id: str, random: Random) -> str:
-    """Return an id that no replica had before.
+    """Return a new replica id with a random part.
 
-    The random part must come from the system's source: an empty disk under the id
-    of the one before it could vote twice in one term.
+    ``random`` must use the system's random source, so that no id is ever used twice: a
+    replica with an empty disk under a used id could vote twice in one term.
     """
     return f"{instance_id}.{random.getrandbits(_ID_BITS):012x}"
 
 
 def make_first_snapshot(identity: Identity) -> Snapshot:
-    """Return the start of a new system, whose only voter is this replica."""
+    """Return the first snapshot of a new log, whose only voter is this replica."""
     return Snapshot(index=1, term=1, members=_make_members(identity))
 
 
@@ -36,7 +36,7 @@
 
 
 def write_backup(path: Path, snapshot: Snapshot, *, calls: SystemCalls | None = None) -> None:
-    """Write a snapshot as a backup; the file appears only when it is whole and synced."""
+    """Write a snapshot as a backup file, which appears only once it is complete and synced."""
     try:
         write_snapshot(path, snapshot, calls or SystemCalls())
     except OSError as error:
@@ -44,17 +44,17 @@
 
 
 def read_backup(path: Path) -> Snapshot:
-    """Read a backup; raise ``DamagedFileError`` if a byte of it is wrong."""
+    """Read a backup; raise ``DamagedFileError`` if its content is damaged or incomplete."""
     return read_snapshot(path)
 
 
 def restore_backup(
     path: Path, *, folder: Path, identity: Identity, calls: SystemCalls | None = None
 ) -> None:
-    """Make a folder with the state of a backup for a new replica, the only voter.
+    """Create a data folder from a backup, for a new replica that is the only voter.
 
-    The log goes on after the index of the backup, in a later term. The replicas of
-    the system before must stay stopped; the others are added anew as learners.
+    The log continues after the index of the backup, in a later term. The replicas of the
+    previous log must stay stopped; further replicas are added as new learners.
     """
     backup = read_backup(path)
     snapshot = Snapshot(
@@ -69,13 +69,13 @@
 def rescue_folder(
     source: Path, *, folder: Path, identity: Identity, calls: SystemCalls | None = None
 ) -> int:
-    """Make a folder for a new replica, the only voter, from that of a stopped survivor.
+    """Create a data folder from that of a stopped replica, for a new one that is the only voter.
 
-    For a majority whose disks are lost for good. All entries of the survivor are kept,
-    also those that were never committed; what it lacks is lost. Take the survivor with
-    the highest last term, then the highest last index (the return value). All other
-    replicas of the system before must stay stopped for ever: they could elect a
-    leader of their own.
+    To be used if the disks of a majority are permanently lost. All entries in the source
+    folder are kept, including uncommitted ones; entries that it lacks are lost. Choose the
+    remaining replica with the highest last term, then the highest last index, which this
+    function returns. All other replicas of the previous log must never be started again,
+    since they could elect a leader of their own.
     """
     calls = calls or SystemCalls()
     with open_storage(path=source) as storage:
--- a/chivetrack/components/storage/const.py
+++ b/chivetrack/components/storage/const.py
@@ -1,4 +1,4 @@
-"""Names and sizes in the data folder."""
+"""File names and sizes in the data folder."""
 
 from typing import Final
 
@@ -13,5 +13,6 @@
 SEGMENT_BYTES: Final = 8 * MEBIBYTE
 SNAPSHOT_FRAME_BYTES: Final = MEBIBYTE
 
-# Devices write whole sectors: what a power cut leaves unwritten reads as zeros.
+# Devices write whole sectors; a sector that was not written before a power failure reads
+# as zeros.
 SECTOR_BYTES: Final = 512
--- a/chivetrack/components/storage/exceptions.py
+++ b/chivetrack/components/storage/exceptions.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a data folder."""
+"""Errors of a data folder."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 
 
 class StorageError(ChivetrackError):
-    """Base of the errors of a data folder."""
+    """Base class of the errors of a data folder."""
 
 
 class FolderLockedError(StorageError):
@@ -34,20 +34,20 @@
 
 
 class DamagedFileError(StorageError):
-    """A file holds something other than what was synced."""
+    """The content of a file differs from what was synced."""
 
     def __init__(self, path: Path, offset: int, reason: str) -> None:
-        """Name the file, the byte offset in it and what is wrong."""
+        """Name the file, the byte offset in it and the kind of damage."""
         super().__init__(f"{path} is damaged at offset {offset}: {reason}")
         self.path = path
         self.offset = offset
 
 
 class WriteFailedError(StorageError):
-    """A write or sync failed; nothing is acknowledged until the folder is reopened.
+    """A write or sync failed; all further writes fail until the folder is reopened.
 
-    After a failed sync the kernel may have dropped the dirty pages and report
-    success for the next one, so trying again could acknowledge what is not there.
+    After a failed sync the kernel may have dropped the dirty pages and report success for
+    the next sync, so a retry could acknowledge data that is not on disk.
     """
 
     def __init__(self, path: Path, reason: str) -> None:
--- a/chivetrack/components/storage/files.py
+++ b/chivetrack/components/storage/files.py
@@ -1,4 +1,4 @@
-"""Files that are synced before the caller goes on."""
+"""File operations that return only after the data is synced."""
 
 import fcntl
 import os
@@ -13,21 +13,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SystemCalls:
-    """The system calls that may fail; a test hands in others."""
+    """The system calls that may fail, replaceable by tests."""
 
     write: Callable[[int, bytes], int] = os.write
     sync: Callable[[int], None] = os.fsync
 
 
 def write_all(descriptor: int, data: bytes, calls: SystemCalls) -> None:
-    """Write all of the data; a call may take only a part."""
+    """Write all of the data, with further calls after a partial write."""
     written = 0
     while written < len(data):
         written += calls.write(descriptor, data[written:] if written else data)
 
 
 def sync_folder(path: Path, calls: SystemCalls) -> None:
-    """Sync the names in a folder."""
+    """Sync the directory entries of a folder."""
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
         calls.sync(descriptor)
@@ -36,7 +36,7 @@
 
 
 def write_file(path: Path, parts: Iterable[bytes], calls: SystemCalls) -> None:
-    """Create or replace a file as a whole: after a crash it is the old or the new one."""
+    """Create or replace a file atomically: after a crash it has the old or the new content."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
@@ -50,7 +50,7 @@
 
 
 def truncate_file(path: Path, size: int, calls: SystemCalls) -> None:
-    """Cut a file off and sync it."""
+    """Truncate a file to ``size`` bytes and sync it."""
     descriptor = os.open(path, os.O_WRONLY)
     try:
         os.ftruncate(descriptor, size)
@@ -61,10 +61,10 @@
 
 @contextmanager
 def hold_lock(folder: Path) -> Iterator[None]:
-    """Keep other processes out of a folder; the kernel frees it when this one dies.
+    """Hold an exclusive lock on a folder, which the kernel releases if the process dies.
 
-    Two processes that append to one log would both be acknowledged and overwrite
-    each other.
+    Raises ``FolderLockedError`` if another process holds the lock. Without a lock, two
+    processes could append to one log and overwrite each other's acknowledged entries.
     """
     descriptor = os.open(folder / LOCK_NAME, os.O_RDWR | os.O_CREAT, 0o600)
     try:
--- a/chivetrack/components/storage/frames.py
+++ b/chivetrack/components/storage/frames.py
@@ -1,8 +1,8 @@
-"""Frames: the checksummed, length-prefixed units in which files are written and read.
+"""Frames: the checksummed, length-prefixed units of the files in the data folder.
 
 A frame is a header of 16 bytes (little-endian: u32 payload length, u32 checksum of
 the length, u64 checksum of the payload) and the payload, a msgpack array of records.
-One sync writes one frame, so a write that a crash tears damages the last frame only.
+Each sync covers one frame, so a write that is torn by a crash damages only the last frame.
 """
 
 import struct
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ScanResult:
-    """The records of a file; ``end`` is the offset after the last whole frame."""
+    """The records of a file; ``end`` is the offset after the last complete frame."""
 
     records: list[Message]
     end: int
@@ -41,12 +41,12 @@
 
 
 def scan_frames(data: bytes, *, path: Path, may_be_torn: bool) -> ScanResult:
-    """Read all frames; stop before a torn last one if there may be one.
+    """Read all frames; with ``may_be_torn``, stop before a torn last frame.
 
-    Raise ``DamagedFileError`` for any other damage. A last frame of full length
-    whose checksum is wrong is torn only if some sector of it was never written:
-    otherwise a byte of it flipped after the sync, it may have been acknowledged,
-    and cutting it off would forget a vote or a committed entry.
+    Raises ``DamagedFileError`` for any other damage. A last frame of full length with a
+    wrong checksum counts as torn only if one of its sectors was never written. Otherwise
+    a byte has changed after the sync: the frame may have been acknowledged, and dropping
+    it could lose a vote or a committed entry.
     """
     records: list[Message] = []
     offset = 0
@@ -64,7 +64,7 @@
 
 
 def _find_end(data: bytes, offset: int) -> int:
-    """Return where a frame ends; past the data if its header is not whole or wrong."""
+    """Return the end offset of a frame, or one past the data if its header is unusable."""
     if len(data) - offset < _HEADER.size:
         return len(data) + 1
     length, check, _ = _HEADER.unpack_from(data, offset)
@@ -75,7 +75,7 @@
 
 def _find_damage(data: bytes, offset: int, end: int) -> str:
     if end > len(data):
-        return "the frame is not whole"
+        return "the frame is incomplete"
     _, _, checksum = _HEADER.unpack_from(data, offset)
     if checksum != xxhash.xxh3_64_intdigest(data[offset + _HEADER.size : end]):
         return "the checksum is wrong"
@@ -91,7 +91,7 @@
     if end < len(data):
         return False
     if end > len(data):
-        # The header is wrong: it is torn only if a part of itself was never written.
+        # The header is damaged; the frame is torn only if part of the header was not written.
         end = offset + _HEADER.size
     return _has_unwritten_sector(data, offset, end)
 
--- a/chivetrack/components/storage/records.py
+++ b/chivetrack/components/storage/records.py
@@ -1,4 +1,4 @@
-"""The records in the data folder, besides entries, hard states and snapshots."""
+"""Records in the data folder, in addition to entries, hard states and snapshots."""
 
 from chivetrack.components.consensus.members import Members
 from chivetrack.components.consensus.models import HardState
@@ -7,10 +7,10 @@
 
 @message("storage.identity")
 class Identity(Message, frozen=True, array_like=True):
-    """Whose folder it is.
+    """The replica to which a folder belongs.
 
-    ``founders`` are the instances that were to found the log together, in a folder that was
-    made at the first start of the deployment.
+    ``bootstrap_instances`` are the instances that create the first log together. They are
+    set only in a folder that was created at the first start of the deployment.
     """
 
     replica_id: str
@@ -20,9 +20,9 @@
 
 @message("storage.segment_header")
 class SegmentHeader(Message, frozen=True, array_like=True):
-    """The first record of a segment: what held when it was begun.
+    """The first record of a segment, with the state when the segment was created.
 
-    ``base_index`` and ``base_term`` are the end of the log before it.
+    ``base_index`` and ``base_term`` are those of the last entry before the segment.
     """
 
     hard_state: HardState
@@ -32,7 +32,7 @@
 
 @message("storage.snapshot_header")
 class SnapshotHeader(Message, frozen=True, array_like=True):
-    """The first record of a snapshot file; ``size`` bytes of state follow in pieces."""
+    """The first record of a snapshot file; ``SnapshotPiece`` records with ``size`` bytes follow."""
 
     index: int
     term: int
@@ -42,13 +42,13 @@
 
 @message("storage.snapshot_piece")
 class SnapshotPiece(Message, frozen=True, array_like=True):
-    """The next bytes of the state."""
+    """The next part of the state in a snapshot file."""
 
     data: bytes
 
 
 @message("storage.truncation")
 class Truncation(Message, frozen=True, array_like=True):
-    """All entries from ``index`` on are dropped."""
+    """Marks all entries from ``index`` on as dropped."""
 
     index: int
--- a/chivetrack/components/storage/recovery.py
+++ b/chivetrack/components/storage/recovery.py
@@ -1,4 +1,4 @@
-"""Reads the segments of a folder back into the log."""
+"""Recovery of the log from the segments of a folder."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class RecoveredLog:
-    """The log as far as it is read: entries after ``base_index``."""
+    """The part of the log that has been read: the entries after ``base_index``."""
 
     hard_state: HardState = HardState()
     base_index: int = 0
@@ -39,7 +39,7 @@
         return self.base_index + len(self.entries)
 
     def find_term(self, index: int) -> int | None:
-        """Return the term at an index, or ``None``."""
+        """Return the term of the entry at ``index``, or ``None`` if it was not read."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
@@ -49,8 +49,8 @@
     def truncate(self, index: int) -> None:
         """Drop the entries from ``index`` on.
 
-        It may lie before the base, in a segment that was deleted since: then a later
-        snapshot holds that part, and nobody asks for the term there.
+        ``index`` may precede the base if its segment was deleted. A later snapshot then
+        covers that part of the log, and the unknown term is never needed.
         """
         if index <= self.base_index:
             self.base_index = index - 1
@@ -58,22 +58,22 @@
         del self.entries[max(0, index - self.base_index - 1) :]
 
     def restart(self, header: SegmentHeader) -> None:
-        """Drop all entries and go on after the base of a segment."""
+        """Drop all entries and continue after the base of a segment."""
         self.entries.clear()
         self.base_index = header.base_index
         self.base_term = header.base_term
 
 
 def read_segment(path: Path, *, is_last: bool) -> ScanResult:
-    """Read one segment; only the last may end in a torn frame."""
+    """Read one segment; only the last one may end with a torn frame."""
     return scan_frames(path.read_bytes(), path=path, may_be_torn=is_last)
 
 
 class SegmentReader:
-    """Puts the records of segments together, in their order."""
+    """Rebuilds the log from the records of segments, which must be read in order."""
 
     def __init__(self, *, snapshot: Snapshot) -> None:
-        """Start before the first segment of a log behind ``snapshot``."""
+        """Start before the first segment; ``snapshot`` is the latest one in the folder."""
         self._snapshot = snapshot
         self._is_first = True
         self._replaced_before = 0
@@ -93,7 +93,7 @@
             header.base_index,
             header.base_term,
         )
-        # A snapshot from the leader replaced the log; a crash kept the older segments.
+        # A snapshot from the leader replaced the log, but older segments were left by a crash.
         replaced = (self._snapshot.index, self._snapshot.term) == (
             header.base_index,
             header.base_term,
@@ -126,15 +126,15 @@
 
     @property
     def includes_snapshot(self) -> bool:
-        """Tell whether the log goes on after the snapshot.
+        """Return whether the log contains the snapshot's last entry.
 
-        If not, the snapshot came from the leader, and a crash kept it from
-        replacing the log.
+        Otherwise the snapshot came from the leader, and a crash happened before it could
+        replace the log.
         """
         return self.recovered_log.find_term(self._snapshot.index) == self._snapshot.term
 
     def is_replaced(self, segment: Segment) -> bool:
-        """Tell whether a segment is a leftover of a log that a snapshot replaced."""
+        """Return whether a segment belongs to a log that a snapshot has replaced."""
         return not self.includes_snapshot or segment.number < self._replaced_before
 
     def list_entries(self) -> tuple[Entry, ...]:
--- a/chivetrack/components/storage/snapshots.py
+++ b/chivetrack/components/storage/snapshots.py
@@ -1,6 +1,6 @@
 """Snapshot and backup files: a header frame, then frames with pieces of the state.
 
-Pieces keep the memory that writing takes beyond the state itself small.
+Writing in pieces limits the memory needed in addition to the state itself.
 """
 
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 
 
 def write_snapshot(path: Path, snapshot: Snapshot, calls: SystemCalls) -> None:
-    """Write a snapshot; the file appears only when it is whole and synced."""
+    """Write a snapshot file, which appears only once it is complete and synced."""
     write_file(path, encode_snapshot(snapshot), calls)
 
 
@@ -31,7 +31,7 @@
 
 
 def read_snapshot(path: Path) -> Snapshot:
-    """Read a snapshot; raise ``DamagedFileError`` if a byte of it is wrong or missing."""
+    """Read a snapshot; raise ``DamagedFileError`` if its content is damaged or incomplete."""
     records = scan_frames(path.read_bytes(), path=path, may_be_torn=False).records
     header = records[0] if records else None
     if not isinstance(header, SnapshotHeader):
--- a/chivetrack/components/storage/storage.py
+++ b/chivetrack/components/storage/storage.py
@@ -1,4 +1,4 @@
-"""The log, the vote and the snapshot of one replica in its data folder."""
+"""Storage of the log, the vote and the snapshot of one replica in its data folder."""
 
 import os
 from collections.abc import Iterator, Sequence
@@ -41,11 +41,11 @@
     snapshot: Snapshot | None = None,
     calls: SystemCalls | None = None,
 ) -> None:
-    """Make a folder for a new replica.
+    """Create the data folder of a new replica.
 
-    Without a snapshot the replica waits to be added as a learner. With one, whose
-    members must name it, it starts a system of its own (or one from a backup).
-    The id must never have been used before: see ``make_replica_id``.
+    Without a snapshot, the replica waits to be added as a learner. With a snapshot, whose
+    members must include the replica, it starts a new log, possibly from a backup. The
+    replica id must never have been used before; see ``make_replica_id``.
     """
     calls = calls or SystemCalls()
     path.mkdir(parents=True, exist_ok=True)
@@ -66,9 +66,9 @@
 
 @contextmanager
 def open_storage(*, path: Path, calls: SystemCalls | None = None) -> Iterator["Storage"]:
-    """Lock and recover a folder for as long as the context lasts.
+    """Lock a folder, recover its state, and close it at the end of the context.
 
-    Raise ``FolderEmptyError`` for a folder without identity, ``FolderLockedError``,
+    Raises ``FolderEmptyError`` for a folder without identity, ``FolderLockedError``,
     ``DamagedFileError`` or ``WriteFailedError``.
     """
     if not path.is_dir():
@@ -119,15 +119,15 @@
 def _read_single_record(path: Path) -> Message:
     records = scan_frames(path.read_bytes(), path=path, may_be_torn=False).records
     if len(records) != 1:
-        raise DamagedFileError(path, 0, "one record was expected")
+        raise DamagedFileError(path, 0, "expected exactly one record")
     return records[0]
 
 
 class Storage:
-    """An open folder; made by ``open_storage``, which holds the lock."""
+    """An open data folder, created by ``open_storage``, which holds the lock."""
 
     def __init__(self, *, path: Path, calls: SystemCalls) -> None:
-        """Recover what is there, cut off a torn last frame, begin a new segment."""
+        """Recover the state, remove a torn last frame and begin a new segment."""
         self._path = path
         self._calls = calls
         self._failed = ""
@@ -147,11 +147,14 @@
 
     @property
     def failed(self) -> str:
-        """Return why writing failed, or an empty string."""
+        """Return the reason of a failed write, or an empty string."""
         return self._failed
 
     def pop_recovered(self) -> Recovered:
-        """Return what was on disk, once: this object keeps no copy of it."""
+        """Return the recovered state and drop it, so that memory holds no second copy.
+
+        Raises ``ValueError`` at a second call.
+        """
         recovered, self._recovered = self._recovered, None
         if recovered is None:
             raise ValueError("the recovered state was taken before")
@@ -164,9 +167,9 @@
             self._descriptor = -1
 
     def save(self, persists: Sequence[Persist]) -> None:
-        """Write and sync all of these with as few syncs as possible.
+        """Write and sync all changes in order, with as few syncs as possible.
 
-        Raise ``WriteFailedError``; from then on every call does.
+        Raises ``WriteFailedError`` if a write fails, and at every later call.
         """
         if self._failed:
             raise WriteFailedError(self._path, f"{self._failed}; reopen the folder")
@@ -220,7 +223,7 @@
         self._drop_covered_segments()
 
     def _begin_segment(self) -> None:
-        """Begin a segment; it gets its name once its header is synced."""
+        """Begin a segment, whose file appears only once its header is synced."""
         number = self._segments[-1].number + 1
         path = _write_header(self._path, number, self._hard_state, self._end, self._calls)
         self.close()
@@ -229,15 +232,15 @@
         self._segments.append(Segment(path=path, number=number))
 
     def _drop_covered_segments(self) -> None:
-        """Delete the oldest segments as far as the snapshot holds all of their entries."""
+        """Delete the oldest segments whose entries are all covered by the snapshot."""
         while len(self._segments) > 1 and self._segments[0].last_index <= self._snapshot_index:
             self._drop_segments(1)
 
     def _drop_segments(self, count: int) -> None:
-        """Delete the oldest segments, each for good before the next.
+        """Delete the oldest segments, and sync each deletion before the next.
 
-        Were an older one back after a crash and a later one not, the gap would look
-        like damage.
+        If an older segment reappeared after a crash and a later one did not, the gap would
+        be reported as damage.
         """
         for segment in self._segments[:count]:
             segment.path.unlink()
@@ -250,7 +253,7 @@
             raise FolderEmptyError(self._path)
         identity = _read_single_record(path)
         if not isinstance(identity, Identity):
-            raise DamagedFileError(path, 0, "no identity")
+            raise DamagedFileError(path, 0, "the file holds no identity")
         return identity
 
     def _recover(self) -> Recovered:
--- a/tests/components/storage/test_crashes.py
+++ b/tests/components/storage/test_crashes.py
@@ -1,7 +1,7 @@
-"""Crashes at random system calls, beside a model of what must be found afterwards.
+"""Crashes at random system calls, with a model of the state to be recovered.
 
-A longer run: ``CHIVETRACK_FUZZ_EXAMPLES=2000 script/test
-tests.components.storage.test_crashes``, with other seeds on each run.
+For a longer run with different seeds each time: ``CHIVETRACK_FUZZ_EXAMPLES=2000 script/test
+tests.components.storage.test_crashes``.
 """
 
 import os
@@ -29,7 +29,7 @@
 
 
 class CrashingCalls:
-    """System calls of which one fails, a write after a part of its bytes."""
+    """System calls that fail after ``calls_left`` calls; a failing write is partial."""
 
     def __init__(self, *, random: Random, calls_left: int) -> None:
         self.random = random
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """What is on the disk, as ``Recovered`` gives it."""
+    """The expected state on disk, in the form of ``Recovered``."""
 
     state: Recovered
 
@@ -78,7 +78,7 @@
 
 
 def make_persist(model: Model, random: Random) -> Persist:
-    """Return something that the core might ask for next."""
+    """Return a random ``Persist`` that the consensus core might emit next."""
     index, term = model.end
     vote = HardState(term=model.state.hard_state.term + 1, vote=random.choice("abc"))
     term = max(term, vote.term - 1)
@@ -115,7 +115,7 @@
 
 
 class CrashTest(unittest.TestCase):
-    """A crash may lose what was not acknowledged, as a whole, and nothing else."""
+    """A crash may lose only unacknowledged changes, each of them completely."""
 
     def test_histories(self) -> None:
         start = SystemRandom().randrange(2**32) if EXAMPLES else 0
@@ -143,7 +143,7 @@
             model = Model(state)
 
     def write_until_crash(self, storage: Storage, random: Random, allowed: list[Model]) -> None:
-        """Save until a call fails; ``allowed`` is what the next start may find."""
+        """Save until a call fails; ``allowed`` are the states that the next start may find."""
         while True:
             model = allowed[-1]
             group = []
@@ -152,7 +152,7 @@
                 persist = make_persist(states[-1], random)
                 group.append(persist)
                 if persist.snapshot is not None:
-                    # The snapshot file is there, the frame with the vote is not yet.
+                    # The snapshot file is written, but the frame with the vote is not yet.
                     without_vote = states[-1].save(replace(persist, hard_state=None))
                     term = max(without_vote.state.hard_state.term, persist.snapshot.term)
                     early = without_vote.state.hard_state
@@ -184,8 +184,8 @@
 
 class KillTest(unittest.TestCase):
     def test_kill_in_the_middle_of_writes(self) -> None:
-        """A process writes and tells of each write; it is killed with SIGKILL. The folder
-        is free for the next process at once, and holds every write that was told."""
+        """A process reports each write and is killed with SIGKILL. The next process must be
+        able to lock the folder at once, and find every write that was reported."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "data"
             identity = Identity(replica_id="a", instance_id="a")
--- a/tests/components/storage/test_storage.py
+++ b/tests/components/storage/test_storage.py
@@ -1,4 +1,4 @@
-"""The data folder: what survives crashes, and what is refused."""
+"""Tests of the data folder: recovery after crashes, and damage that is refused."""
 
 import errno
 import os
@@ -71,7 +71,7 @@
     def get_last_segment(self) -> Path:
         return sorted(self.path.glob("log-*"))[-1]
 
-    def test_what_was_saved_is_there(self) -> None:
+    def test_saved_state_is_recovered(self) -> None:
         cases: dict[str, tuple[tuple[Persist, ...], tuple[Entry, ...]]] = {
             "nothing": ((), ()),
             "entries": ((make_persist(2, 5),), make_entries(2, 5)),
@@ -103,7 +103,9 @@
                 self.save(*persists)
                 recovered = self.recover()
                 self.assertEqual(recovered.entries, entries)
-                self.assertEqual(self.recover(), recovered, "a second start finds the same")
+                self.assertEqual(
+                    self.recover(), recovered, "a second start recovers the same state"
+                )
                 if persists:
                     self.assertEqual(recovered.hard_state.vote, "b")
 
@@ -116,9 +118,9 @@
         self.assertEqual(len(syncs), 1)
 
     def test_torn_last_record_is_cut_off(self) -> None:
-        """The process dies in the middle of a write: the last frame is shorter than it
-        should be, or sectors of it were never written and read as zeros. It was never
-        acknowledged; the start cuts it off and goes on with the one before."""
+        """The process crashes during a write: the last frame is too short, or some of its
+        sectors were never written and read as zeros. It was never acknowledged, so the
+        next start must remove it and continue after the frame before it."""
         tears: dict[str, Callable[[bytes, int], bytes]] = {
             "a byte is missing": lambda data, at: data[:-1],
             "only a part of the header": lambda data, at: data[: at + 7],
@@ -140,8 +142,8 @@
                 self.assertEqual(self.recover().entries, make_entries(2, 12))
 
     def test_flipped_byte_refuses_to_start(self) -> None:
-        """A byte of something synced is wrong, in the middle or in the last frame. It may
-        have been acknowledged, so the start is refused with file and offset."""
+        """A synced byte has changed, in the middle or in the last frame. The frame may have
+        been acknowledged, so the start must be refused with the file and offset."""
         with open_storage(path=self.path) as storage:
             storage.save([make_persist(2, 9)])
             middle = self.get_last_segment().stat().st_size
@@ -174,7 +176,7 @@
         self.assertEqual(caught.exception.path, older)
 
     def test_missing_segment_refuses_to_start(self) -> None:
-        """One of four segments is gone, at one time the one that holds only a vote."""
+        """One of several segments is missing, in one case a segment that holds only a vote."""
         vote = Persist(hard_state=HardState(term=3, vote="c"), last_index=5, last_term=1)
         self.save(make_persist(2, 5))
         self.save(vote)
@@ -190,8 +192,8 @@
                 segment.write_bytes(whole)
 
     def test_missing_log_or_snapshot_refuses_to_start(self) -> None:
-        """All of one kind of file is gone, the identity is there: going on would forget
-        the vote and every entry under an id that has acknowledged them."""
+        """All segments or all snapshots are missing, but the identity exists. A start would
+        lose the vote and entries that this replica id has acknowledged."""
         for pattern in ("log-*", "snapshot-*"):
             with self.subTest(pattern):
                 path = self.root / pattern[:3]
@@ -210,9 +212,9 @@
             self.recover()
 
     def test_full_disk(self) -> None:
-        """A write fails half-way because the disk is full. The caller gets an error, and
-        so does every later write although there is space again: the frame before them
-        is torn. After reopening, what was acknowledged is there and writing works."""
+        """A write fails half-way because the disk is full. Every later write must fail too,
+        even if there is space again, since the last frame is torn. After reopening, all
+        acknowledged entries must exist and writes must succeed."""
         full = [False]
 
         def write(descriptor: int, data: bytes) -> int:
@@ -234,8 +236,8 @@
         self.assertEqual(self.recover().entries, make_entries(2, 8))
 
     def test_failed_sync_acknowledges_nothing_more(self) -> None:
-        """After a failed sync the kernel may forget the pages and report success for the
-        next one. A write after it must fail too."""
+        """After a failed sync the kernel may drop the pages and report success for the next
+        sync. Every later write must fail too."""
         failing = mock.Mock(side_effect=OSError(errno.EIO, "I/O error"))
         with open_storage(path=self.path) as storage:
             patch = mock.patch.object(storage, "_calls", SystemCalls(sync=failing))
@@ -245,9 +247,9 @@
                 storage.save([make_persist(2, 5)])
 
     def test_crash_between_snapshot_and_new_segment(self) -> None:
-        """A snapshot from the leader replaces a log that disagrees. A crash right after
-        the snapshot file was renamed leaves the old entries beside it. They must not
-        follow the snapshot, then or after a later snapshot."""
+        """A snapshot from the leader replaces a conflicting log. A crash right after the
+        snapshot file was renamed leaves the old entries in the folder. They must not be
+        recovered, neither at the next start nor after a later snapshot."""
         self.save(make_persist(2, 30))
         persist = make_snapshot_persist(10, 10, reset=True, term=3)
         with open_storage(path=self.path) as storage:
@@ -268,8 +270,8 @@
         self.assertEqual(len(list(self.path.glob("snapshot-*"))), 1)
 
     def test_folder_has_one_owner(self) -> None:
-        """Two processes on one folder would overwrite each other's acknowledged
-        entries; an empty folder may be that of a lost disk."""
+        """Two processes on one folder would overwrite each other's acknowledged entries.
+        An empty folder must be refused, since its disk may have been lost."""
         with open_storage(path=self.path), self.assertRaises(FolderLockedError):
             self.recover()
         joining = self.root / "joining"
@@ -285,8 +287,8 @@
             self.assertEqual(storage.identity, IDENTITY)
 
     def test_backup_and_restore(self) -> None:
-        """A backup becomes a system of one new replica, with the same state and index;
-        a backup with a wrong byte is refused."""
+        """A backup is restored as a log of one new replica with the same state and index; a
+        backup with a changed byte must be refused."""
         backup = self.root / "backup"
         write_backup(backup, Snapshot(index=70, term=4, members=FIRST.members, data=b"state"))
         folder = self.root / "restored"
@@ -304,7 +306,7 @@
             read_backup(backup)
 
     def test_backup_that_ends_between_frames(self) -> None:
-        """A copy of a backup stopped at the end of a frame: each checksum is right, but
+        """A copy of a backup is cut at the end of a frame: all checksums are correct, but
         the end of the state is missing."""
         backup = self.root / "backup"
         large = Snapshot(index=7, term=1, members=FIRST.members, data=bytes(3 * MEBIBYTE))
