--- a/chivetrack/components/document/history.py
+++ b/chivetrack/components/document/history.py
@@ -37,7 +37,7 @@
         """Return the version in force."""
         return self._current.version
 
-    def note(self, document: StoredDocument) -> None:
+    def set_current(self, document: StoredDocument) -> None:
         """Take a document that is in force from now on."""
         self._current = document
         self._updates.clear()
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -142,7 +142,7 @@
         self._events.write("message_rejected", what=what, detail=detail[:300])
 
     def _take_document(self, document: StoredDocument) -> None:
-        self._publisher.history.note(document)
+        self._publisher.history.set_current(document)
         self._metrics.count("configuration_applied")
         self._events.write("configuration_applied", version=document.version)
         self._push_soon()
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -123,7 +123,7 @@
         are served by the replica, the others by those, and nobody sends more than a dozen.
         """
         publisher = Fixture().publisher
-        publisher.history.note(
+        publisher.history.set_current(
             StoredDocument(version=1, payload=zlib.compress(Random(1).randbytes(24_000)))
         )
         ask = FetchDocument(held_version=0)
@@ -145,7 +145,9 @@
     def test_router_that_got_nothing_from_another_is_served_by_the_replica(self) -> None:
         """The router that should hand the document on was killed meanwhile."""
         publisher = Fixture().publisher
-        publisher.history.note(StoredDocument(version=1, payload=Random(1).randbytes(24_000)))
+        publisher.history.set_current(
+            StoredDocument(version=1, payload=Random(1).randbytes(24_000))
+        )
         ask = FetchDocument(held_version=0)
         referred = ""
         for number in range(8):
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -63,7 +63,7 @@
 
     def put(self, version: int, body: bytes = b"{}") -> None:
         stored = StoredDocument(version=version, payload=zlib.compress(body))
-        self.publisher.history.note(stored)
+        self.publisher.history.set_current(stored)
 
     def follow(self, now: float) -> Follow:
         for effect in self.subscriber.wake(now=now):
--- a/tests/components/document/test_patch.py
+++ b/tests/components/document/test_patch.py
@@ -31,7 +31,7 @@
         history = DocumentHistory()
         for version in range(1, KEPT_VERSIONS + 3):
             body = b"".join(b"{%d}" % n for n in range(900)) + b"{v%d}" % version
-            history.note(StoredDocument(version=version, payload=pack_document(body)))
+            history.set_current(StoredDocument(version=version, payload=pack_document(body)))
         newest = KEPT_VERSIONS + 2
         self.assertIsNone(history.make_update(newest))
         for held, base in ((newest - 1, newest - 1), (1, 0), (0, 0)):
