--- a/chivetrack/components/document/history.py
+++ b/chivetrack/components/document/history.py
@@ -7,7 +7,7 @@
 from chivetrack.components.document.store import StoredDocument, unpack_document
 
 # Routers follow within two seconds; operators send at most a dozen versions in that time.
-KEPT_VERSIONS = 12
+MAX_KEPT_VERSIONS = 12
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -42,7 +42,7 @@
         self._current = document
         self._updates.clear()
         self._documents[document.version] = document.payload
-        while len(self._documents) > KEPT_VERSIONS:
+        while len(self._documents) > MAX_KEPT_VERSIONS:
             self._documents.popitem(last=False)
 
     def make_update(self, held_version: int) -> DocumentUpdate | None:
--- a/tests/components/document/test_patch.py
+++ b/tests/components/document/test_patch.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from chivetrack.components.document.history import KEPT_VERSIONS, DocumentHistory
+from chivetrack.components.document.history import MAX_KEPT_VERSIONS, DocumentHistory
 from chivetrack.components.document.patch import apply_patch, make_patch
 from chivetrack.components.document.store import StoredDocument, pack_document
 
@@ -29,10 +29,10 @@
 class DocumentHistoryTest(unittest.TestCase):
     def test_router_that_is_far_behind_gets_the_whole(self) -> None:
         history = DocumentHistory()
-        for version in range(1, KEPT_VERSIONS + 3):
+        for version in range(1, MAX_KEPT_VERSIONS + 3):
             body = b"".join(b"{%d}" % n for n in range(900)) + b"{v%d}" % version
             history.set_current(StoredDocument(version=version, payload=pack_document(body)))
-        newest = KEPT_VERSIONS + 2
+        newest = MAX_KEPT_VERSIONS + 2
         self.assertIsNone(history.make_update(newest))
         for held, base in ((newest - 1, newest - 1), (1, 0), (0, 0)):
             update = history.make_update(held)
