--- a/chivetrack/components/document/store.py
+++ b/chivetrack/components/document/store.py
@@ -21,7 +21,7 @@
     unpack,
 )
 
-PACK_LEVEL: Final = 6
+COMPRESSION_LEVEL: Final = 6
 """A document of 600 routes, 90 kB, becomes 15 kB."""
 
 Listener = Callable[["StoredDocument"], None]
@@ -79,7 +79,7 @@
 
 def pack_document(body: bytes) -> bytes:
     """Return a document as it is kept and sent."""
-    return zlib.compress(body, PACK_LEVEL)
+    return zlib.compress(body, COMPRESSION_LEVEL)
 
 
 def unpack_document(payload: bytes) -> bytes:
