--- a/chivetrack/components/document/patch.py
+++ b/chivetrack/components/document/patch.py
@@ -66,14 +66,14 @@
 def apply_patch(old: bytes, patch: bytes) -> Result[bytes, PatchError]:
     """Return the newer version."""
     try:
-        read = decode_as(Patch, unpack_document(patch))
+        decoded = decode_as(Patch, unpack_document(patch))
     except (zlib.error, DecodeError) as error:
         return Error(PatchError(f"not a patch: {error}"))
     parts = _PIECE.split(old)
     body = b"".join(
         b"".join(parts[one.start : one.start + one.count]) if isinstance(one, Copied) else one
-        for one in read.pieces
+        for one in decoded.pieces
     )
-    if zlib.crc32(body) != read.checksum:
+    if zlib.crc32(body) != decoded.checksum:
         return Error(PatchError("the patched document is not the one that was sent"))
     return Ok(body)
