--- a/tests/components/document/test_store.py
+++ b/tests/components/document/test_store.py
@@ -40,12 +40,12 @@
         self.assertTrue(order(store, 4, "z1", is_evacuated=True).is_in_force)
         put(store, 7, b"seven")
         other = DocumentStore()
-        heard: list[tuple[str, ...]] = []
-        other.listen_to_evacuations(lambda one: heard.append(one.list_evacuated()))
+        received: list[tuple[str, ...]] = []
+        other.listen_to_evacuations(lambda one: received.append(one.list_evacuated()))
         other.restore_snapshot(store.take_snapshot())
         other.restore_snapshot(store.take_snapshot())
         self.assertEqual(other.current.version, 7)
-        self.assertEqual(heard, [("z1",)])
+        self.assertEqual(received, [("z1",)])
 
     def test_snapshot_of_an_older_state_takes_no_order_back(self) -> None:
         store = DocumentStore()
