--- a/chivetrack/components/document/patch.py
+++ b/chivetrack/components/document/patch.py
@@ -35,12 +35,12 @@
 
 def make_patch(old: bytes, new: bytes) -> bytes:
     """Return what turns one version into another, packed."""
-    pieces = tuple(_compare(_PIECE.split(old), _PIECE.split(new)))
+    pieces = tuple(_find_differences(_PIECE.split(old), _PIECE.split(new)))
     patch = Patch(pieces=pieces, checksum=zlib.crc32(new))
     return pack_document(encode(patch))
 
 
-def _compare(old: list[bytes], new: list[bytes]) -> Iterator[Copied | bytes]:
+def _find_differences(old: list[bytes], new: list[bytes]) -> Iterator[Copied | bytes]:
     """Yield runs of pieces that stand in both, and what is new between them."""
     places: dict[bytes, int] = {}
     for number, piece in enumerate(old):
