--- a/chivetrack/components/document/__init__.py
+++ b/chivetrack/components/document/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration document as the state that the log replicates."""
+"""The configuration document as the replicated state of the log."""
--- a/chivetrack/components/document/history.py
+++ b/chivetrack/components/document/history.py
@@ -1,4 +1,4 @@
-"""What a replica sends to a router that holds an older document."""
+"""Updates of the document for routers that hold an older version."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -6,13 +6,17 @@
 from chivetrack.components.document.patch import make_patch
 from chivetrack.components.document.store import StoredDocument, unpack_document
 
-# Routers follow within two seconds; operators send at most a dozen versions in that time.
+# Routers receive a version within two seconds, and operators send at most a dozen versions in
+# that time. A router that holds an older version is sent the whole document.
 MAX_KEPT_VERSIONS = 12
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DocumentUpdate:
-    """The newest document, packed; with ``base_version``, a patch of that version."""
+    """The newest document, packed, or a packed patch if ``base_version`` is not 0.
+
+    The patch applies to version ``base_version``.
+    """
 
     version: int
     base_version: int
@@ -20,14 +24,14 @@
 
 
 class DocumentHistory:
-    """Keeps the last documents, to send differences.
+    """Keeps the latest documents, so that routers can be sent patches.
 
-    A document of 90 kB is 15 kB when packed. Sent whole to 87 routers, one change filled
-    the links of the replicas (3 Mbit/s) for 0.7 s, and changes came each second.
+    A document of 90 kB has 15 kB when packed. With whole documents for 87 routers, one change
+    saturated the links of the replicas (3 Mbit/s) for 0.7 s, at one change per second.
     """
 
     def __init__(self) -> None:
-        """Start with no documents."""
+        """Start without documents."""
         self._documents: OrderedDict[int, bytes] = OrderedDict()
         self._current = StoredDocument()
         self._updates: dict[int, DocumentUpdate] = {}
@@ -38,7 +42,7 @@
         return self._current.version
 
     def set_current(self, document: StoredDocument) -> None:
-        """Take a document that is in force from now on."""
+        """Set the document in force, and drop versions beyond ``MAX_KEPT_VERSIONS``."""
         self._current = document
         self._updates.clear()
         self._documents[document.version] = document.payload
@@ -46,7 +50,7 @@
             self._documents.popitem(last=False)
 
     def make_update(self, held_version: int) -> DocumentUpdate | None:
-        """Return what a router needs that holds a version; ``None`` if that is the newest."""
+        """Return the update for a router with ``held_version``; ``None`` if it is up to date."""
         if self._current.version <= held_version:
             return None
         update = self._updates.get(held_version)
--- a/chivetrack/components/document/patch.py
+++ b/chivetrack/components/document/patch.py
@@ -1,4 +1,4 @@
-"""Differences between two versions of a document."""
+"""Patches between two versions of a document."""
 
 import re
 import zlib
@@ -9,13 +9,13 @@
 from chivetrack.components.document.store import pack_document, unpack_document
 from chivetrack.helpers.codec import DecodeError, Message, decode_as, encode, message
 
-# After each object of a JSON text. Operators change some objects of a document at a time.
+# Splits a JSON text after each object, since a change usually affects only some objects.
 _PIECE = re.compile(rb"(?<=\})")
 
 
 @message("document.copied")
 class Copied(Message, frozen=True, array_like=True):
-    """``count`` pieces of the older version from piece ``start`` on, unchanged."""
+    """Copies ``count`` pieces of the older version, from piece number ``start`` on."""
 
     start: int
     count: int
@@ -23,25 +23,28 @@
 
 @message("document.patch")
 class Patch(Message, frozen=True, array_like=True):
-    """A newer version as pieces of an older one and new bytes between them."""
+    """A newer version as copied pieces of an older version and new bytes between them.
+
+    ``checksum`` is the CRC-32 of the newer version.
+    """
 
     pieces: tuple[Copied | bytes, ...]
     checksum: int
 
 
 class PatchError(Exception):
-    """A patch can't be read, or does not lead to the version that it was made for."""
+    """A patch can't be decoded, or its result does not match the checksum."""
 
 
 def make_patch(old: bytes, new: bytes) -> bytes:
-    """Return what turns one version into another, packed."""
+    """Return a packed patch from version ``old`` to version ``new``."""
     pieces = tuple(_find_differences(_PIECE.split(old), _PIECE.split(new)))
     patch = Patch(pieces=pieces, checksum=zlib.crc32(new))
     return pack_document(encode(patch))
 
 
 def _find_differences(old: list[bytes], new: list[bytes]) -> Iterator[Copied | bytes]:
-    """Yield runs of pieces that stand in both, and what is new between them."""
+    """Yield runs of pieces that both versions contain, and the new pieces between them."""
     places: dict[bytes, int] = {}
     for number, piece in enumerate(old):
         places.setdefault(piece, number)
@@ -64,7 +67,7 @@
 
 
 def apply_patch(old: bytes, patch: bytes) -> Result[bytes, PatchError]:
-    """Return the newer version."""
+    """Return the newer version, or a ``PatchError``."""
     try:
         decoded = decode_as(Patch, unpack_document(patch))
     except (zlib.error, DecodeError) as error:
@@ -75,5 +78,5 @@
         for one in decoded.pieces
     )
     if zlib.crc32(body) != decoded.checksum:
-        return Error(PatchError("the patched document is not the one that was sent"))
+        return Error(PatchError("the checksum of the patched document is wrong"))
     return Ok(body)
--- a/chivetrack/components/document/store.py
+++ b/chivetrack/components/document/store.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: newest document, evacuated zones and quarantined requests."""
+"""The replicated state machine: document in force, evacuated zones, quarantined requests."""
 
 import zlib
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 )
 
 COMPRESSION_LEVEL: Final = 6
-"""A document of 600 routes, 90 kB, becomes 15 kB."""
+"""zlib level; compresses a document with 600 routes from 90 kB to 15 kB."""
 
 Listener = Callable[["StoredDocument"], None]
 EvacuationListener = Callable[[Evacuations], None]
@@ -31,9 +31,9 @@
 
 @message("document.stored")
 class StoredDocument(Message, frozen=True, array_like=True):
-    """One version of the configuration; ``payload`` is what the operator sent, packed.
+    """One version of the configuration; ``payload`` is the operator's document, packed.
 
-    Version 0 stands for a deployment without any configuration.
+    Version 0 stands for a deployment without a configuration.
     """
 
     version: int = 0
@@ -42,7 +42,7 @@
 
 @message("document.outcome")
 class PutOutcome(Message, frozen=True, array_like=True):
-    """What became of a document: ``version`` is the one in force afterwards."""
+    """Outcome of a stored document; ``version`` is the one in force afterwards."""
 
     version: int
     is_applied: bool
@@ -50,7 +50,7 @@
 
 @message("document.state")
 class StoredState(Message, frozen=True, array_like=True):
-    """A snapshot; it begins like a document, which is all that older ones hold."""
+    """A snapshot; its first fields equal ``StoredDocument``, the snapshot of older releases."""
 
     version: int = 0
     payload: bytes = b""
@@ -62,36 +62,39 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return an entry of the log; a document's has no kind, as in all logs so far."""
+    """Encode a command as a log entry.
+
+    The entry of a document has no kind prefix, for compatibility with existing logs.
+    """
     return encode(command) if isinstance(command, StoredDocument) else pack(command)
 
 
 def decode_command(data: bytes) -> Command:
-    """Decode an entry of the log; raise ``DecodeError`` for other bytes."""
+    """Decode a log entry; raise ``DecodeError`` for other data."""
     try:
         command = unpack(data)
     except DecodeError:
         return decode_as(StoredDocument, data)
     if not isinstance(command, ZoneOrder | QuarantineOrder | ReleaseOrder):
-        raise DecodeError(f"{type(command).__name__} is no command")
+        raise DecodeError(f"{type(command).__name__} is not a command")
     return command
 
 
 def pack_document(body: bytes) -> bytes:
-    """Return a document as it is kept and sent."""
+    """Compress a document for storage and transfer."""
     return zlib.compress(body, COMPRESSION_LEVEL)
 
 
 def unpack_document(payload: bytes) -> bytes:
-    """Return a document as the operator sent it; raise ``zlib.error`` for other bytes."""
+    """Decompress a document; raise ``zlib.error`` for other data."""
     return zlib.decompress(payload)
 
 
 class DocumentStore:
-    """Applies documents in the order of the log; only a higher version takes effect.
+    """Applies commands in log order; of documents, only a higher version takes effect.
 
-    A document that arrives again, late or under a version that is taken changes
-    nothing, so a resend needs no memory of earlier requests.
+    A document that is a duplicate, arrives late or reuses a version changes nothing. So
+    resends are idempotent without a record of earlier requests.
     """
 
     def __init__(self) -> None:
@@ -104,15 +107,15 @@
         self._quarantine_listeners: list[QuarantineListener] = []
 
     def listen(self, listener: Listener) -> None:
-        """Tell a listener of each document that takes effect."""
+        """Call a listener with each document that takes effect."""
         self._listeners.append(listener)
 
     def listen_to_evacuations(self, listener: EvacuationListener) -> None:
-        """Tell a listener of each change of the evacuated zones."""
+        """Call a listener at each change of the evacuated zones."""
         self._evacuation_listeners.append(listener)
 
     def listen_to_quarantine(self, listener: QuarantineListener) -> None:
-        """Tell a listener of each change of the quarantined requests."""
+        """Call a listener at each change of the quarantined requests."""
         self._quarantine_listeners.append(listener)
 
     def apply(self, index: int, data: bytes) -> bytes:
@@ -143,7 +146,7 @@
         return PutOutcome(version=self.current.version, is_applied=is_applied)
 
     def take_snapshot(self) -> bytes:
-        """Return the document, the zone orders and the quarantine in force."""
+        """Return the document, the zone orders and the quarantine in force, encoded."""
         return encode(
             StoredState(
                 version=self.current.version,
@@ -154,7 +157,7 @@
         )
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Take over a snapshot; a replica never goes back to an older state."""
+        """Restore a snapshot; parts of it that are older than the current state are ignored."""
         state = decode_as(StoredState, data) if data else StoredState()
         if state.version > self.current.version:
             self._replace(StoredDocument(version=state.version, payload=state.payload))
--- a/tests/components/document/test_patch.py
+++ b/tests/components/document/test_patch.py
@@ -1,4 +1,4 @@
-"""Patches between versions of a document."""
+"""Tests of patches between versions of a document, and of the history."""
 
 import unittest
 
@@ -17,8 +17,8 @@
     def test_any_two_texts(self, old: bytes, new: bytes) -> None:
         self.assertEqual(apply_patch(old, make_patch(old, new)).ok, new)
 
-    def test_wrong_base_and_spoiled_bytes_are_errors(self) -> None:
-        """A patch on anything but its own base must not give a document at all."""
+    def test_wrong_base_and_damaged_bytes_are_errors(self) -> None:
+        """A patch applied to another version than its base must not produce a document."""
         patch = make_patch(b"{a}{b}", b"{a}{c}{b}")
         self.assertTrue(apply_patch(b"{x}{b}", patch).is_error())
         self.assertTrue(apply_patch(b"", patch).is_error())
@@ -27,7 +27,7 @@
 
 
 class DocumentHistoryTest(unittest.TestCase):
-    def test_router_that_is_far_behind_gets_the_whole(self) -> None:
+    def test_router_with_an_old_version_gets_the_whole_document(self) -> None:
         history = DocumentHistory()
         for version in range(1, MAX_KEPT_VERSIONS + 3):
             body = b"".join(b"{%d}" % n for n in range(900)) + b"{v%d}" % version
--- a/tests/components/document/test_store.py
+++ b/tests/components/document/test_store.py
@@ -1,4 +1,4 @@
-"""Which document is in force after which entries of the log."""
+"""Tests of the state after log entries and snapshots: document, zone orders, quarantine."""
 
 import unittest
 
@@ -31,10 +31,10 @@
 
 
 class ZoneOrderTest(unittest.TestCase):
-    def test_order_outlives_documents_and_snapshots(self) -> None:
-        """A zone is evacuated, a new document comes, and the log is compacted.
+    def test_order_is_kept_across_documents_and_snapshots(self) -> None:
+        """A zone is evacuated, a new document is applied, and the log is compacted.
 
-        A replica that starts from the snapshot must know both.
+        A replica that starts from the snapshot must have both.
         """
         store = DocumentStore()
         self.assertTrue(order(store, 4, "z1", is_evacuated=True).is_in_force)
@@ -47,7 +47,7 @@
         self.assertEqual(other.current.version, 7)
         self.assertEqual(received, [("z1",)])
 
-    def test_snapshot_of_an_older_state_takes_no_order_back(self) -> None:
+    def test_snapshot_of_an_older_state_reverts_no_order(self) -> None:
         store = DocumentStore()
         order(store, 4, "z1", is_evacuated=True)
         old = store.take_snapshot()
@@ -55,8 +55,8 @@
         store.restore_snapshot(old)
         self.assertEqual(store.evacuations.list_evacuated(), ())
 
-    def test_folder_of_a_release_that_knew_no_orders(self) -> None:
-        """After an upgrade a replica opens the snapshot and the entries of the old release."""
+    def test_folder_of_a_release_without_orders(self) -> None:
+        """After an upgrade, a replica must decode the snapshot and entries of the old release."""
         old = StoredDocument(version=3, payload=b"three")
         store = DocumentStore()
         store.restore_snapshot(encode(old))
@@ -67,11 +67,11 @@
 
 
 class DocumentStoreTest(unittest.TestCase):
-    def test_other_content_under_the_version_held(self) -> None:
-        """Two operators send different documents under one version number.
+    def test_other_content_under_the_current_version(self) -> None:
+        """Two operators send different documents with the same version number.
 
-        The first one is acknowledged and in force. The second is acknowledged too, since
-        its version is not higher, and must change nothing: what is read back is the first.
+        The first document is acknowledged and takes effect. The second is acknowledged too,
+        but must change nothing, since its version is not higher.
         """
         store = DocumentStore()
         self.assertEqual(put(store, 7, b"first"), PutOutcome(version=7, is_applied=True))
@@ -92,7 +92,7 @@
         self.assertEqual(other.current.payload, b"five")
 
     @given(st.lists(st.tuples(st.integers(1, 9), st.binary(max_size=2)), max_size=30))
-    def test_against_an_oracle(self, documents: list[tuple[int, bytes]]) -> None:
+    def test_against_a_model(self, documents: list[tuple[int, bytes]]) -> None:
         store = DocumentStore()
         seen: list[int] = []
         store.listen(lambda document: seen.append(document.version))
