--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -47,7 +47,7 @@
         self._own = LeaderRecord(seen.term, 0) if seen.leads else None
         if seen.term >= self._term and seen.leader:
             self._term = seen.term
-            self._proposals.note_leader(seen.leader)
+            self._proposals.record_leader_hint(seen.leader)
 
     def _publish(self, now: float) -> None:
         if self._own is None:
@@ -73,5 +73,5 @@
         if record.term < self._term:
             return
         self._term = record.term
-        self._proposals.note_leader(news.origin)
+        self._proposals.record_leader_hint(news.origin)
         self._heard.append(RevisionHeard(peer=news.origin, revision=record.revision))
--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -75,7 +75,7 @@
         """Replace the instances that are asked."""
         self._replicas = list(replicas)
 
-    def note_leader(self, leader: str) -> None:
+    def record_leader_hint(self, leader: str) -> None:
         """Take a hint about who leads."""
         self._leader = leader
 
--- a/tests/components/proposals/test_client.py
+++ b/tests/components/proposals/test_client.py
@@ -83,7 +83,7 @@
                 self.assertIs(ended.fault.ran, Ran.MAYBE)
 
     def test_silent_leader_is_asked_no_longer(self) -> None:
-        self.client.note_leader("a")
+        self.client.record_leader_hint("a")
         first = self.submit()
         self.assertEqual(first.target, "a")
         again = self.get_sent(self.client.handle(TimeReached(), now=1.0))
