--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -84,7 +84,7 @@
         if isinstance(event, Submit | SubmitRead):
             return self._open(event, now)
         if isinstance(event, MessageReceived) and isinstance(event.message, ProposalAnswer):
-            return self._take_answer(event.source, event.message, now)
+            return self._handle_answer(event.source, event.message, now)
         if isinstance(event, TimeReached):
             return self._tick(now)
         return []
@@ -124,7 +124,7 @@
         pending.retry_at = min(now + RETRY_DELAY_S, pending.submission.deadline)
         return [WakeAt(at=pending.retry_at)]
 
-    def _take_answer(self, source: str, answer: ProposalAnswer, now: float) -> list[Effect]:
+    def _handle_answer(self, source: str, answer: ProposalAnswer, now: float) -> list[Effect]:
         submission_id = self._by_number.pop(answer.number, None)
         if submission_id is None:
             return []
