--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -82,14 +82,14 @@
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Take a submission, an answer or the time."""
         if isinstance(event, Submit | SubmitRead):
-            return self._open(event, now)
+            return self._start(event, now)
         if isinstance(event, MessageReceived) and isinstance(event.message, ProposalAnswer):
             return self._handle_answer(event.source, event.message, now)
         if isinstance(event, TimeReached):
             return self._tick(now)
         return []
 
-    def _open(self, submission: Submit | SubmitRead, now: float) -> list[Effect]:
+    def _start(self, submission: Submit | SubmitRead, now: float) -> list[Effect]:
         if len(self._pending) >= MAX_PENDING:
             fault = no_leader(ran=Ran.NO)
             return [SubmissionEnded(submission_id=submission.submission_id, fault=fault)]
