--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -95,9 +95,9 @@
             return [SubmissionEnded(submission_id=submission.submission_id, fault=fault)]
         pending = _Pending(submission=submission)
         self._pending[submission.submission_id] = pending
-        return self._try(pending, now)
+        return self._send_attempt(pending, now)
 
-    def _try(self, pending: _Pending, now: float) -> list[Effect]:
+    def _send_attempt(self, pending: _Pending, now: float) -> list[Effect]:
         target = self._choose_target(pending)
         if target is None:
             return self._wait(pending, now)
@@ -140,7 +140,7 @@
 
     def _retry_refused(self, pending: _Pending, now: float) -> list[Effect]:
         if self._leader:
-            return self._try(pending, now)
+            return self._send_attempt(pending, now)
         return self._wait(pending, now)
 
     def _tick(self, now: float) -> list[Effect]:
@@ -163,7 +163,7 @@
     def _retry_silent(self, pending: _Pending, now: float) -> list[Effect]:
         if pending.target == self._leader:
             self._leader = ""
-        return self._try(pending, now)
+        return self._send_attempt(pending, now)
 
     def _end(
         self,
