--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -100,7 +100,7 @@
     def _send_attempt(self, pending: _Pending, now: float) -> list[Effect]:
         target = self._choose_target(pending)
         if target is None:
-            return self._wait(pending, now)
+            return self._schedule_retry(pending, now)
         if self._by_number.pop(pending.number, None) is not None:
             pending.lost = True
         pending.number = self._next_number
@@ -120,7 +120,7 @@
         candidates = others or self._replicas
         return self._random.choice(candidates) if candidates else None
 
-    def _wait(self, pending: _Pending, now: float) -> list[Effect]:
+    def _schedule_retry(self, pending: _Pending, now: float) -> list[Effect]:
         pending.retry_at = min(now + RETRY_DELAY_S, pending.submission.deadline)
         return [WakeAt(at=pending.retry_at)]
 
@@ -136,12 +136,12 @@
         if answer.verdict is Verdict.REFUSED:
             return self._retry_refused(pending, now)
         pending.lost = True
-        return self._wait(pending, now)
+        return self._schedule_retry(pending, now)
 
     def _retry_refused(self, pending: _Pending, now: float) -> list[Effect]:
         if self._leader:
             return self._send_attempt(pending, now)
-        return self._wait(pending, now)
+        return self._schedule_retry(pending, now)
 
     def _tick(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
