--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -134,11 +134,11 @@
             return self._end(pending, result=answer.result, revision=answer.revision)
         self._leader = answer.leader if answer.leader != source else ""
         if answer.verdict is Verdict.REFUSED:
-            return self._retry_refused(pending, now)
+            return self._handle_refusal(pending, now)
         pending.lost = True
         return self._schedule_retry(pending, now)
 
-    def _retry_refused(self, pending: _Pending, now: float) -> list[Effect]:
+    def _handle_refusal(self, pending: _Pending, now: float) -> list[Effect]:
         if self._leader:
             return self._send_attempt(pending, now)
         return self._schedule_retry(pending, now)
