--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -150,7 +150,7 @@
                 ran = Ran.MAYBE if self._may_be_accepted(pending) else Ran.NO
                 effects.extend(self._end(pending, fault=no_leader(ran=ran)))
             elif now >= pending.retry_at:
-                effects.extend(self._retry_silent(pending, now))
+                effects.extend(self._retry_unanswered(pending, now))
             else:
                 effects.append(WakeAt(at=pending.retry_at))
         return effects
@@ -160,7 +160,7 @@
         is_open = pending.number in self._by_number
         return isinstance(pending.submission, Submit) and (pending.lost or is_open)
 
-    def _retry_silent(self, pending: _Pending, now: float) -> list[Effect]:
+    def _retry_unanswered(self, pending: _Pending, now: float) -> list[Effect]:
         if pending.target == self._leader:
             self._leader = ""
         return self._send_attempt(pending, now)
