--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -45,7 +45,7 @@
     number: int = 0
     target: str = ""
     retry_at: float = 0.0
-    lost: bool = False
+    has_unclear_attempt: bool = False
 
 
 class ProposalClient:
@@ -102,7 +102,7 @@
         if target is None:
             return self._schedule_retry(pending, now)
         if self._by_number.pop(pending.number, None) is not None:
-            pending.lost = True
+            pending.has_unclear_attempt = True
         pending.number = self._next_number
         self._next_number += 1
         self._by_number[pending.number] = pending.submission.submission_id
@@ -135,7 +135,7 @@
         self._leader = answer.leader if answer.leader != source else ""
         if answer.verdict is Verdict.REFUSED:
             return self._handle_refusal(pending, now)
-        pending.lost = True
+        pending.has_unclear_attempt = True
         return self._schedule_retry(pending, now)
 
     def _handle_refusal(self, pending: _Pending, now: float) -> list[Effect]:
@@ -158,7 +158,7 @@
     def _may_be_accepted(self, pending: _Pending) -> bool:
         # A try without an answer can't be told from one that was never delivered.
         is_open = pending.number in self._by_number
-        return isinstance(pending.submission, Submit) and (pending.lost or is_open)
+        return isinstance(pending.submission, Submit) and (pending.has_unclear_attempt or is_open)
 
     def _retry_unanswered(self, pending: _Pending, now: float) -> list[Effect]:
         if pending.target == self._leader:
