--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -63,7 +63,7 @@
         self._random = random
         self._leader = ""
         self._pending: dict[str, _Pending] = {}
-        self._by_number: dict[int, str] = {}
+        self._submission_by_attempt: dict[int, str] = {}
         self._next_number = 1
 
     @property
@@ -101,11 +101,11 @@
         target = self._choose_target(pending)
         if target is None:
             return self._schedule_retry(pending, now)
-        if self._by_number.pop(pending.number, None) is not None:
+        if self._submission_by_attempt.pop(pending.number, None) is not None:
             pending.has_unclear_attempt = True
         pending.number = self._next_number
         self._next_number += 1
-        self._by_number[pending.number] = pending.submission.submission_id
+        self._submission_by_attempt[pending.number] = pending.submission.submission_id
         pending.target = target
         pending.retry_at = min(now + ANSWER_TIMEOUT_S, pending.submission.deadline)
         is_write = isinstance(pending.submission, Submit)
@@ -125,7 +125,7 @@
         return [WakeAt(at=pending.retry_at)]
 
     def _handle_answer(self, source: str, answer: ProposalAnswer, now: float) -> list[Effect]:
-        submission_id = self._by_number.pop(answer.number, None)
+        submission_id = self._submission_by_attempt.pop(answer.number, None)
         if submission_id is None:
             return []
         pending = self._pending[submission_id]
@@ -157,7 +157,7 @@
 
     def _may_be_accepted(self, pending: _Pending) -> bool:
         # A try without an answer can't be told from one that was never delivered.
-        is_open = pending.number in self._by_number
+        is_open = pending.number in self._submission_by_attempt
         return isinstance(pending.submission, Submit) and (pending.has_unclear_attempt or is_open)
 
     def _retry_unanswered(self, pending: _Pending, now: float) -> list[Effect]:
@@ -174,7 +174,7 @@
         fault: Fault | None = None,
     ) -> list[Effect]:
         submission_id = pending.submission.submission_id
-        self._by_number.pop(pending.number, None)
+        self._submission_by_attempt.pop(pending.number, None)
         del self._pending[submission_id]
         return [
             SubmissionEnded(
