--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -23,7 +23,7 @@
 from chivetrack.exceptions import Fault, Ran
 
 
-def no_leader(*, ran: Ran) -> Fault:
+def make_no_leader_fault(*, ran: Ran) -> Fault:
     """Return the fault for a submission that no leader answered in time."""
     if ran is Ran.NO:
         message = "No leader could be reached; the command was not accepted."
@@ -91,7 +91,7 @@
 
     def _start(self, submission: Submit | SubmitRead, now: float) -> list[Effect]:
         if len(self._pending) >= MAX_PENDING:
-            fault = no_leader(ran=Ran.NO)
+            fault = make_no_leader_fault(ran=Ran.NO)
             return [SubmissionEnded(submission_id=submission.submission_id, fault=fault)]
         pending = _Pending(submission=submission)
         self._pending[submission.submission_id] = pending
@@ -148,7 +148,7 @@
         for pending in list(self._pending.values()):
             if now >= pending.submission.deadline:
                 ran = Ran.MAYBE if self._may_be_accepted(pending) else Ran.NO
-                effects.extend(self._end(pending, fault=no_leader(ran=ran)))
+                effects.extend(self._end(pending, fault=make_no_leader_fault(ran=ran)))
             elif now >= pending.retry_at:
                 effects.extend(self._retry_unanswered(pending, now))
             else:
