--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -1,4 +1,4 @@
-"""Finds the leader for each submission, and goes on looking until its deadline."""
+"""Sends submissions to the leader of the log, with retries until their deadline."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 
 
 def make_no_leader_fault(*, ran: Ran) -> Fault:
-    """Return the fault for a submission that no leader answered in time."""
+    """Return the fault for a submission that no leader has answered by its deadline."""
     if ran is Ran.NO:
         message = "No leader could be reached; the command was not accepted."
         code = "no_leader"
@@ -36,9 +36,9 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Pending:
-    """A submission under way; ``number`` names its newest try.
+    """A pending submission; ``number`` is the number of its latest attempt.
 
-    ``lost`` says that an earlier try had no clear answer, so it may be in the log.
+    ``has_unclear_attempt``: an earlier attempt had no clear answer and may be in the log.
     """
 
     submission: Submit | SubmitRead
@@ -49,15 +49,15 @@
 
 
 class ProposalClient:
-    """Sends submissions to the replica that is believed to lead.
+    """Sends submissions to the last known leader, or to a random replica.
 
-    A try that gets no answer may have been accepted, so it is tried again (the
-    request id in the command makes that safe) and, at the deadline, ends as unknown
-    rather than refused.
+    An attempt without an answer may have been accepted. It is retried, which is safe because
+    of the request id in the command, and at the deadline the submission ends as unknown
+    instead of refused.
     """
 
     def __init__(self, *, instance_id: str, replicas: Sequence[str], random: Random) -> None:
-        """Take the instance ids of the replicas; ``set_replicas`` changes them."""
+        """Create a client; ``replicas`` are the instance ids of the replicas."""
         self._instance_id = instance_id
         self._replicas = list(replicas)
         self._random = random
@@ -68,19 +68,19 @@
 
     @property
     def leader(self) -> str:
-        """Return the instance id of the believed leader, or an empty text."""
+        """Return the instance id of the last known leader, or an empty string."""
         return self._leader
 
     def set_replicas(self, replicas: Sequence[str]) -> None:
-        """Replace the instances that are asked."""
+        """Replace the instance ids of the replicas."""
         self._replicas = list(replicas)
 
     def record_leader_hint(self, leader: str) -> None:
-        """Take a hint about who leads."""
+        """Record the instance that probably is the leader."""
         self._leader = leader
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take a submission, an answer or the time."""
+        """Process a submission, an answer or a timer."""
         if isinstance(event, Submit | SubmitRead):
             return self._start(event, now)
         if isinstance(event, MessageReceived) and isinstance(event.message, ProposalAnswer):
@@ -156,7 +156,7 @@
         return effects
 
     def _may_be_accepted(self, pending: _Pending) -> bool:
-        # A try without an answer can't be told from one that was never delivered.
+        # An attempt without an answer can't be distinguished from one that was not delivered.
         is_open = pending.number in self._submission_by_attempt
         return isinstance(pending.submission, Submit) and (pending.has_unclear_attempt or is_open)
 
--- a/chivetrack/components/proposals/models.py
+++ b/chivetrack/components/proposals/models.py
@@ -9,9 +9,9 @@
 
 
 class Verdict(StrEnum):
-    """What the asked replica says of a submission.
+    """Result of one attempt, as reported by the replica that received it.
 
-    ``REFUSED`` is a promise that this try is in no log and never will be.
+    ``REFUSED`` guarantees that this attempt is in no log and never will be.
     """
 
     ACCEPTED = "accepted"
@@ -21,7 +21,7 @@
 
 @message("proposals.forward")
 class ForwardProposal(Message, frozen=True, array_like=True):
-    """Propose a command, on behalf of the sender; ``number`` names the try."""
+    """Propose a command on behalf of the sender; ``number`` identifies the attempt."""
 
     number: int
     data: bytes
@@ -29,7 +29,10 @@
 
 @message("proposals.read")
 class ForwardRead(Message, frozen=True, array_like=True):
-    """Confirm with a quorum what the newest revision is, and answer a query as of it."""
+    """Request the newest revision, confirmed by a quorum, and the answer to a query as of it.
+
+    ``data`` is the packed query, or empty if only the revision is needed.
+    """
 
     number: int
     data: bytes = b""
@@ -37,7 +40,7 @@
 
 @message("proposals.answer")
 class ProposalAnswer(Message, frozen=True, array_like=True):
-    """The answer to either; ``leader`` is the instance to ask instead, if known."""
+    """Answer a ``ForwardProposal`` or ``ForwardRead``; ``leader`` is the leader, if known."""
 
     number: int
     verdict: Verdict
@@ -48,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Submit(Event):
-    """Bring a command to the log.
+    """Submit a command to the log.
 
-    The command must carry a request id of its own: it may be sent more than once.
-    ``deadline`` is on the clock of ``now``.
+    The command must contain a unique request id, since it may be sent more than once.
+    ``deadline`` is a time of the clock of ``now``, in seconds.
     """
 
     submission_id: str
@@ -61,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SubmitRead(Event):
-    """Ask for the newest revision, confirmed by a quorum after this moment.
+    """Request the newest revision, confirmed by a quorum after this event.
 
     ``data`` may hold a packed query, which is answered as of that revision.
     """
@@ -73,9 +76,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SubmissionEnded(Effect):
-    """A submission ended: with a result or revision, or with a fault.
+    """A submission ended, with a result and revision or with a fault.
 
-    The fault's ``ran`` tells whether the command can have been accepted.
+    ``ran`` of the fault says whether the command may have been accepted.
     """
 
     submission_id: str
--- a/tests/components/proposals/test_client.py
+++ b/tests/components/proposals/test_client.py
@@ -1,4 +1,4 @@
-"""Submissions to a log whose answers are lost, late and refused."""
+"""Submissions whose answers are accepted, refused, lost, late or duplicated."""
 
 import random
 import unittest
@@ -52,10 +52,10 @@
         self.assertEqual(again.target, other)
 
     def test_refused_by_all_did_not_happen(self) -> None:
-        """Every replica says that it does not lead, until the deadline.
+        """Every replica answers until the deadline that it is not the leader.
 
-        Each refusal is a promise that the command is in no log, so the caller may be
-        told that it did not happen.
+        Each refusal guarantees that the command is in no log, so the fault may say that it
+        did not run.
         """
         self.answer(self.submit(), Verdict.REFUSED)
         ended = self.get_end(self.client.handle(TimeReached(), now=5.0))
@@ -63,10 +63,10 @@
         self.assertEqual((ended.fault.code, ended.fault.ran), ("no_leader", Ran.NO))
 
     def test_lost_answer_ends_as_unknown_even_after_a_refusal(self) -> None:
-        """The leader takes a command and its answer is lost; then it loses the lead.
+        """The leader accepts a command, its answer is lost, and another leader is elected.
 
-        The second try is refused, which says nothing of the first. Told "did not
-        happen", the operator would apply it again.
+        The second attempt is refused, which does not cover the first. If the fault said that
+        the command did not run, the operator would apply it again.
         """
         table = [("lost", None), ("unknown", Verdict.UNKNOWN)]
         for name, verdict in table:
@@ -82,7 +82,7 @@
                 self.assertEqual(ended.fault.code, "outcome_unknown")
                 self.assertIs(ended.fault.ran, Ran.MAYBE)
 
-    def test_silent_leader_is_asked_no_longer(self) -> None:
+    def test_unanswered_attempt_goes_to_another_replica(self) -> None:
         self.client.record_leader_hint("a")
         first = self.submit()
         self.assertEqual(first.target, "a")
@@ -90,7 +90,7 @@
         self.assertNotEqual(again.target, "a")
         self.assertIsInstance(again.message, ForwardProposal)
 
-    def test_late_and_doubled_answers_do_nothing(self) -> None:
+    def test_late_and_duplicate_answers_have_no_effect(self) -> None:
         sent = self.submit()
         self.answer(sent, Verdict.ACCEPTED)
         self.assertEqual(self.answer(sent, Verdict.ACCEPTED), [])
