--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Transfer:
+class _LeadershipTransfer:
     """A leadership transfer to ``target`` that is abandoned at time ``deadline``."""
 
     target: str
@@ -74,7 +74,7 @@
         self._pending_bytes = 0
         self._reads: deque[_Read] = deque()
         self._confirmed_round = 0
-        self._transfer: _Transfer | None = None
+        self._transfer: _LeadershipTransfer | None = None
         self.heartbeat_at = state.now + state.timing.heartbeat_s
         self._first_index = state.log.last_index + 1
         self._append(EntryKind.NOOP, b"")
@@ -169,7 +169,7 @@
             self._state.out.add(TransferRefused(refusal=Refusal.NOT_A_MEMBER))
             return
         deadline = self._state.now + self._state.timing.election_max_s
-        self._transfer = _Transfer(target=target, deadline=deadline)
+        self._transfer = _LeadershipTransfer(target=target, deadline=deadline)
         self._replication.send_entries(progress)
         self._try_hand_over()
 
