--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -82,7 +82,7 @@
         log = self._state.log
         while progress.can_send_entries and progress.next_index <= log.last_index:
             if progress.next_index <= log.base_index:
-                self._start_transfer(progress)
+                self._start_snapshot_transfer(progress)
                 return
             entries = log.list_batch(progress.next_index)
             self._send_append(progress, entries)
@@ -140,7 +140,7 @@
             return
         progress.start_probing(self._find_next_index(answer))
         if progress.next_index <= self._state.log.base_index:
-            self._start_transfer(progress)
+            self._start_snapshot_transfer(progress)
             return
         self.send_heartbeat(progress)
 
@@ -182,7 +182,7 @@
         progress.last_contact = self._state.now
         progress.acknowledged_round = max(progress.acknowledged_round, round_number)
 
-    def _start_transfer(self, progress: Progress) -> None:
+    def _start_snapshot_transfer(self, progress: Progress) -> None:
         progress.start_probing(progress.next_index)
         progress.awaits_snapshot = True
         if not self._is_loading_snapshot:
