--- a/chivetrack/components/consensus/progress.py
+++ b/chivetrack/components/consensus/progress.py
@@ -48,7 +48,7 @@
         """Return whether the replica waits for a snapshot or is receiving one."""
         return self.awaits_snapshot or self.transfer is not None
 
-    def end_transfer(self) -> None:
+    def end_snapshot_transfer(self) -> None:
         """End the snapshot transfer, so that entries are sent again."""
         self.awaits_snapshot = False
         self.transfer = None
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -130,7 +130,7 @@
 
     def _handle_success(self, progress: Progress, answer: AppendAnswer) -> None:
         if answer.match_index >= self._state.log.base_index:
-            progress.end_transfer()
+            progress.end_snapshot_transfer()
         progress.record_match(answer.match_index, self.round)
         progress.knows_membership = answer.member
         self.send_entries(progress)
@@ -161,7 +161,7 @@
         progress.regressed = True
         progress.match_index = 0
         progress.acknowledged_round = 0
-        progress.end_transfer()
+        progress.end_snapshot_transfer()
         self._state.out.add(ReplicaRegressed(replica_id=progress.replica_id))
 
     def _is_stale(self, progress: Progress, answer: AppendAnswer) -> bool:
@@ -237,7 +237,7 @@
         if transfer is None or answer.index != transfer.snapshot.index:
             return
         if answer.done:
-            progress.end_transfer()
+            progress.end_snapshot_transfer()
             progress.record_match(answer.index, self.round)
             self.send_entries(progress)
             return
