--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -29,7 +29,7 @@
         self.committed: dict[int, Entry] = {}
         self.proposed: dict[int, bytes] = {}
         self.outcomes: dict[int, models.ProposalEnded] = {}
-        self.read_floor: dict[int, int] = {}
+        self.min_read_index: dict[int, int] = {}
         self.reads: dict[int, models.ReadReady | models.ReadRefused] = {}
         self.acknowledged = 0
 
@@ -53,7 +53,7 @@
 
     def record_read(self, ready: models.ReadReady, applied: int) -> None:
         self.reads[ready.read_id] = ready
-        assert ready.index >= self.read_floor[ready.read_id], "a read misses a write"
+        assert ready.index >= self.min_read_index[ready.read_id], "a read misses a write"
         assert applied >= ready.index, "a read is ready before its index is applied"
 
     def check_refused(self) -> None:
@@ -354,7 +354,7 @@
 
     def read(self, node: Node) -> int:
         read_id = next(self._ids)
-        self.oracle.read_floor[read_id] = self.oracle.acknowledged
+        self.oracle.min_read_index[read_id] = self.oracle.acknowledged
         node.handle(models.ReadRequested(read_id=read_id))
         return read_id
 
