--- a/chivetrack/components/store/store.py
+++ b/chivetrack/components/store/store.py
@@ -1,6 +1,6 @@
 """The state machine of the replicated log."""
 
-from chivetrack.components.store import hold_handlers, resource_handlers
+from chivetrack.components.store import lease_and_claim_handlers, resource_handlers
 from chivetrack.components.store.commands import Command, compute_fingerprint
 from chivetrack.components.store.leases import Lease
 from chivetrack.components.store.outcomes import Outcome, RefusalCode, Refused
