--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -100,7 +100,7 @@
         self._dispatch(event)
         if not state.halted:
             self._schedule_wake()
-        return state.out.drain(state.get_hard_state(), state.log.last_index, state.log.last_term)
+        return state.outbox.drain(state.get_hard_state(), state.log.last_index, state.log.last_term)
 
     def _dispatch(self, event: Event) -> None:
         match event:
@@ -130,7 +130,7 @@
                 self._read(event)
             case ChangeMembers():
                 self._change_members(event)
-        return self._state.out.drain(self._state.get_hard_state(), 0, 0)
+        return self._state.outbox.drain(self._state.get_hard_state(), 0, 0)
 
     def _wake(self) -> None:
         state = self._state
@@ -151,7 +151,7 @@
         pending = self._wake_at is not None and state.now < self._wake_at <= due
         if not pending:
             self._wake_at = due
-            state.out.add(WakeAt(at=due))
+            state.outbox.add(WakeAt(at=due))
 
     def _check_quorum(self) -> None:
         """Step down if this leader has lost contact with a majority.
@@ -269,7 +269,7 @@
         self._refuse(event.proposal_id)
 
     def _refuse(self, proposal_id: int) -> None:
-        self._state.out.add(
+        self._state.outbox.add(
             ProposalEnded(
                 proposal_id=proposal_id,
                 outcome=Outcome.REFUSED,
@@ -283,13 +283,13 @@
             self._leadership.read(event.read_id)
             return
         leader = self._state.get_leader_instance()
-        self._state.out.add(ReadRefused(read_id=event.read_id, leader=leader))
+        self._state.outbox.add(ReadRefused(read_id=event.read_id, leader=leader))
 
     def _transfer(self, event: TransferLeadership) -> None:
         if self._leadership is not None:
             self._leadership.transfer(event.target)
             return
-        self._state.out.add(TransferRefused(refusal=Refusal.NOT_LEADER))
+        self._state.outbox.add(TransferRefused(refusal=Refusal.NOT_LEADER))
 
     def _save_snapshot(self, event: SnapshotTaken) -> None:
         state = self._state
@@ -302,7 +302,7 @@
             data=event.data,
         )
         state.log.compact(snapshot)
-        state.out.save_snapshot(snapshot, reset=False)
+        state.outbox.save_snapshot(snapshot, reset=False)
 
     def _send_snapshot(self, event: SnapshotLoaded) -> None:
         if self._leadership is not None:
--- a/chivetrack/components/consensus/follower.py
+++ b/chivetrack/components/consensus/follower.py
@@ -64,7 +64,7 @@
         if new and new[0].index <= state.log.last_index:
             self._truncate(new[0].index)
         state.log.append(new)
-        state.out.append(tuple(new))
+        state.outbox.append(tuple(new))
         state.advance_commit(min(request.commit_index, match_index))
         self._answer(request, success=True, match_index=match_index)
 
@@ -85,7 +85,7 @@
             raise AssertionError(f"committed entry {index} contradicts the leader")
         state.log.truncate(index)
         state.durable_index = min(state.durable_index, index - 1)
-        state.out.truncate(index)
+        state.outbox.truncate(index)
 
     def _answer(self, request: AppendRequest, *, success: bool, match_index: int = 0) -> None:
         state = self._state
@@ -152,8 +152,8 @@
         state.log.reset(snapshot)
         state.durable_index = snapshot.index
         state.commit_index = snapshot.index
-        state.out.save_snapshot(snapshot, reset=True)
-        state.out.add(RestoreSnapshot(snapshot=snapshot))
+        state.outbox.save_snapshot(snapshot, reset=True)
+        state.outbox.add(RestoreSnapshot(snapshot=snapshot))
 
     def _answer_chunk(self, chunk: SnapshotChunk, *, received: int, done: bool) -> None:
         state = self._state
@@ -192,5 +192,5 @@
         if state.is_member or not members.is_voter(state.replica_id):
             return True
         state.halted = True
-        state.out.add(ReplicaRegressed(replica_id=state.replica_id))
+        state.outbox.add(ReplicaRegressed(replica_id=state.replica_id))
         return False
--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -90,7 +90,7 @@
         index = state.log.last_index + 1
         entry = Entry(index=index, term=state.term, kind=kind, data=data)
         state.log.append((entry,))
-        state.out.append((entry,))
+        state.outbox.append((entry,))
         return index
 
     def propose(self, proposals: tuple[Proposal, ...]) -> None:
@@ -116,7 +116,7 @@
         return Refusal.NONE
 
     def _refuse(self, proposal_id: int, refusal: Refusal) -> None:
-        self._state.out.add(
+        self._state.outbox.add(
             ProposalEnded(
                 proposal_id=proposal_id,
                 outcome=Outcome.REFUSED,
@@ -166,7 +166,7 @@
         target = target or self._choose_target()
         progress = self._replication.progress.get(target)
         if progress is None or not self._state.log.members.is_voter(target):
-            self._state.out.add(TransferRefused(refusal=Refusal.NOT_A_MEMBER))
+            self._state.outbox.add(TransferRefused(refusal=Refusal.NOT_A_MEMBER))
             return
         deadline = self._state.now + self._state.timing.election_max_s
         self._transfer = _LeadershipTransfer(target=target, deadline=deadline)
@@ -219,7 +219,7 @@
             self._replication.start_round()
         if self._transfer is not None and state.now >= self._transfer.deadline:
             self._transfer = None
-            state.out.add(TransferRefused(refusal=Refusal.NOT_CAUGHT_UP))
+            state.outbox.add(TransferRefused(refusal=Refusal.NOT_CAUGHT_UP))
 
     def has_quorum_contact(self) -> bool:
         """Return whether a majority had contact within the longest election timeout."""
@@ -260,7 +260,7 @@
         while self._pending and self._pending[0].index <= self._state.commit_index:
             ended = self._pending.popleft()
             self._pending_bytes -= ended.size
-            self._state.out.add(
+            self._state.outbox.add(
                 ProposalEnded(
                     proposal_id=ended.proposal_id, outcome=Outcome.COMMITTED, index=ended.index
                 )
@@ -276,7 +276,7 @@
         self._confirmed_round = rounds[state.log.members.get_majority() - 1]
         while self._reads and self._is_read_ready(self._reads[0]):
             read = self._reads.popleft()
-            state.out.add(ReadReady(read_id=read.read_id, index=read.index))
+            state.outbox.add(ReadReady(read_id=read.read_id, index=read.index))
         waits = bool(self._reads) and self._reads[-1].round > self._replication.round
         if waits and self._confirmed_round == self._replication.round:
             self._replication.start_round()
@@ -303,9 +303,9 @@
         """
         state = self._state
         for one in self._pending:
-            state.out.add(ProposalEnded(proposal_id=one.proposal_id, outcome=Outcome.UNKNOWN))
+            state.outbox.add(ProposalEnded(proposal_id=one.proposal_id, outcome=Outcome.UNKNOWN))
         for read in self._reads:
-            state.out.add(ReadRefused(read_id=read.read_id))
+            state.outbox.add(ReadRefused(read_id=read.read_id))
 
     def list_replicas(self, now: float) -> tuple[ReplicaStatus, ...]:
         """Return the replication status of each member."""
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -112,7 +112,9 @@
         return max(progress.next_index - 1, self._state.log.base_index)
 
     def _send(self, progress: Progress, message: AppendRequest | SnapshotChunk) -> None:
-        self._state.out.send_before_sync(SendMessage(target=progress.instance_id, message=message))
+        self._state.outbox.send_before_sync(
+            SendMessage(target=progress.instance_id, message=message)
+        )
 
     def handle_append_answer(self, answer: AppendAnswer) -> None:
         """Update the progress of a replica and send it further entries."""
@@ -162,7 +164,7 @@
         progress.match_index = 0
         progress.acknowledged_round = 0
         progress.end_snapshot_transfer()
-        self._state.out.add(ReplicaRegressed(replica_id=progress.replica_id))
+        self._state.outbox.add(ReplicaRegressed(replica_id=progress.replica_id))
 
     def _is_stale(self, progress: Progress, answer: AppendAnswer) -> bool:
         """Return whether a rejection answers an outdated request."""
@@ -187,7 +189,7 @@
         progress.awaits_snapshot = True
         if not self._is_loading_snapshot:
             self._is_loading_snapshot = True
-            self._state.out.add(LoadSnapshot())
+            self._state.outbox.add(LoadSnapshot())
 
     def send_snapshot(self, snapshot: Snapshot) -> None:
         """Start sending a snapshot read from disk to all replicas that wait for it."""
--- a/chivetrack/components/consensus/state.py
+++ b/chivetrack/components/consensus/state.py
@@ -51,7 +51,7 @@
         self.first_election_attempts_left = FIRST_ELECTION_ATTEMPTS
         self.halted = False
         self.now = 0.0
-        self.out = Outbox()
+        self.outbox = Outbox()
 
     @property
     def is_voter(self) -> bool:
@@ -83,7 +83,7 @@
         """Set the term and the vote given in it; both are synced with the event."""
         self.term = term
         self.vote = vote
-        self.out.change_hard_state()
+        self.outbox.change_hard_state()
 
     def set_role(self, role: Role, leader_id: str) -> None:
         """Set the role and the known leader, and report the change.
@@ -100,12 +100,12 @@
         )
         if change != self._last_reported:
             self._last_reported = change
-            self.out.add(change)
+            self.outbox.add(change)
 
     def send(self, message: PeerMessage, *, instance: str = "") -> None:
         """Send a message after the sync."""
         target = instance or self.get_instance(message.receiver)
-        self.out.add(SendMessage(target=target, message=message))
+        self.outbox.add(SendMessage(target=target, message=message))
 
     def reset_election(self) -> None:
         """Restart the election timeout, at random so that candidates rarely collide."""
@@ -127,7 +127,7 @@
             return
         entries = self.log.list_entries(self.commit_index + 1, index)
         self.commit_index = index
-        self.out.add(Apply(entries=entries))
+        self.outbox.add(Apply(entries=entries))
 
     def get_hard_state(self) -> HardState:
         """Return the term and vote as stored on disk."""
