--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -191,8 +191,8 @@
             self._elections.answer_pre_vote(message)
             return
         if isinstance(message, PreVoteAnswer) and message.granted:
-            # Checked before the terms are compared: the voter's term is lower than the
-            # own one if this replica was a candidate before.
+            # Handled before the terms are compared: the voter's term is lower than the
+            # term of this replica if it was a candidate before.
             if self._elections.count_pre_vote(message):
                 self._campaign(transfer=False)
             return
--- a/chivetrack/components/consensus/elections.py
+++ b/chivetrack/components/consensus/elections.py
@@ -86,7 +86,7 @@
         )
 
     def answer_vote(self, request: VoteRequest) -> None:
-        """Vote at most once per term, and only for a log at least as up to date as the own.
+        """Vote at most once per term, and only for a log at least as up to date as its own.
 
         A replica that its own log does not name as a member started on an empty disk.
         It does not vote: it may be a voter that lost its disk, and could vote twice in
--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -145,7 +145,7 @@
         self._replication.broadcast_entries()
 
     def read(self, read_id: int) -> None:
-        """Queue a read until a heartbeat round that begins after the request is confirmed.
+        """Queue a read until a quorum confirms a heartbeat round that begins after it.
 
         A leader in a network partition does not know that it was replaced. The round
         proves that no other leader was elected before the read was requested.
--- a/chivetrack/components/consensus/state.py
+++ b/chivetrack/components/consensus/state.py
@@ -21,7 +21,7 @@
 class State:
     """The state of one replica, and the effects of the current event.
 
-    ``durable_index`` is the last synced index of the own log. Times are in seconds.
+    ``durable_index`` is the last synced index of the log. Times are in seconds.
     """
 
     def __init__(
@@ -55,12 +55,12 @@
 
     @property
     def is_voter(self) -> bool:
-        """Return whether the own log names this replica as a voter."""
+        """Return whether the log of this replica names it as a voter."""
         return self.log.members.is_voter(self.replica_id)
 
     @property
     def is_member(self) -> bool:
-        """Return whether the own log names this replica as a voter or learner."""
+        """Return whether the log of this replica names it as a voter or learner."""
         return self.log.members.find(self.replica_id) is not None
 
     @property
@@ -117,7 +117,7 @@
         self.election_at = self.now + self.random.uniform(low, high)
 
     def is_up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Return whether a log with this last entry is at least as up to date as the own."""
+        """Return whether a log with this last entry is at least as up to date as this one."""
         return (last_term, last_index) >= (self.log.last_term, self.log.last_index)
 
     def advance_commit(self, index: int) -> None:
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -55,7 +55,7 @@
 
 
 class Membership:
-    """The instances of the own region with their status, as this instance sees it.
+    """The instances of this region with their status, as this instance sees it.
 
     An instance is silent if it has sent no heartbeat for longer than
     ``Member.is_silent`` allows. A silent instance becomes suspect, is probed by this
@@ -152,7 +152,7 @@
             effects.append(WakeAt(at=self._next_tick))
         return effects
 
-    # Time
+    # Timers
 
     def _handle_freeze(self, now: float) -> None:
         """Reset all last contact times if this process did not run for a while.
@@ -301,7 +301,7 @@
         member.last_seen_at = max(member.last_seen_at, now)
         self._change(member, InstanceStatus.ALIVE, reason, now)
 
-    # News
+    # Gossip records
 
     def _receive_record(self, news: News) -> None:
         record = _decode_record(news.payload)
--- a/chivetrack/components/membership/regions.py
+++ b/chivetrack/components/membership/regions.py
@@ -16,7 +16,7 @@
 
 
 class Regions:
-    """Publishes the summary of the own region and stores those of other regions.
+    """Publishes the summary of this region and stores those of other regions.
 
     Only the live instance with the lowest id of a region publishes its summary.
     """
--- a/chivetrack/components/membership/suspicion.py
+++ b/chivetrack/components/membership/suspicion.py
@@ -25,7 +25,7 @@
     """Return the witnesses of the next round, at least one of another zone if possible.
 
     Witnesses that were not asked yet come first. Instances of one zone share switches: if
-    all witnesses were in the own zone, a cut between two zones would make all instances
+    all witnesses were in this instance's zone, a cut between two zones would make all instances
     of the other zone look dead.
     """
     shuffled = random.sample(candidates, len(candidates))
--- a/chivetrack/components/replica/bootstrap.py
+++ b/chivetrack/components/replica/bootstrap.py
@@ -80,10 +80,11 @@
     ) -> None:
         """Create the bootstrap state of one instance.
 
-        ``instances`` are the ids of the bootstrap instances. With ``has_first_disk``, the own
-        disk has been the same since the first start of the deployment and ``instances``
-        dates from it; otherwise ``instances`` is a guess. ``contacts`` are further instances
-        that receive hellos. ``tolerated_losses`` is how many disks may be lost at once.
+        ``instances`` are the ids of the bootstrap instances. With ``has_first_disk``, this
+        instance's disk has been the same since the first start of the deployment, and
+        ``instances`` dates from that start; otherwise ``instances`` is a guess. ``contacts``
+        are further instances that receive hellos. ``tolerated_losses`` is how many disks may
+        be lost at once.
         """
         self._own = Member(replica_id=replica_id, instance_id=instance_id, voter=True)
         self._contacts = set(contacts)
@@ -134,8 +135,8 @@
     def _adopt_bootstrap_instances(self, hello: Hello) -> None:
         """Adopt the bootstrap instances of a sender that knows them.
 
-        The own list is kept if all of its instances are blank: a log may have been created
-        from it.
+        The current list is kept if all of its instances are blank: a log may have been
+        created from it.
         """
         if (
             self._knows_bootstrap_instances
--- a/chivetrack/components/store/store.py
+++ b/chivetrack/components/store/store.py
@@ -10,7 +10,7 @@
 from chivetrack.exceptions import ChivetrackError
 from chivetrack.helpers.codec import DecodeError, decode, encode, pack, unpack
 
-__all__ = ["Store", "StoreError", "decode_command", "hold_handlers", "resource_handlers"]
+__all__ = ["Store", "StoreError", "decode_command", "lease_and_claim_handlers", "resource_handlers"]
 
 
 class StoreError(ChivetrackError):
