--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from chivetrack.components.slow_start.permits import FleetShare, PermitBook
+from chivetrack.components.slow_start.permits import FleetShare, PermitLedger
 from chivetrack.helpers.registry import Registry
 
 PER_S = 10.0
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class _Replica:
-    book: PermitBook = field(default_factory=lambda: PermitBook(started_at=-9.0))
+    book: PermitLedger = field(default_factory=lambda: PermitLedger(started_at=-9.0))
     share: FleetShare = field(default_factory=FleetShare)
 
 
@@ -73,15 +73,15 @@
     for number, replica in enumerate(replicas):
         # The number of the others' routers is as old as the last exchange, or lost since.
         others = sum(1 for one in close if one != number) + rng.choice((-1, 0, 0, 1))
-        replica.share.note(close.count(number) + others, now=-rng.random())
+        replica.share.record(close.count(number) + others, now=-rng.random())
     wait_until = [0.0] * routers
 
     def allow(router: int, now: float) -> bool:
         if now < wait_until[router]:
             return False
         replica = replicas[close[router]]
-        share = replica.share.find(close.count(close[router]), now=now)
-        wait_s = replica.book.ask("e", per_s=PER_S, share=share, now=now)
+        share = replica.share.compute(close.count(close[router]), now=now)
+        wait_s = replica.book.request("e", per_s=PER_S, share=share, now=now)
         wait_until[router] = now + wait_s
         return wait_s == 0
 
--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import chivetrack.components.pipeline.filters  # noqa: F401
-from chivetrack.components.claims.keeper import ClaimKeeper
+from chivetrack.components.claims.coordinator import ClaimCoordinator
 from chivetrack.components.configuration.configuration import Configuration
 from chivetrack.components.configuration.models import ConfigurationSettings
 from chivetrack.components.controllers.host import ControllerHost
@@ -29,12 +29,12 @@
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.limits.exchange import DemandExchange
 from chivetrack.components.limits.limiter import Limiter
-from chivetrack.components.limits.shares import ShareBook
+from chivetrack.components.limits.shares import ShareTracker
 from chivetrack.components.load.exchange import LoadExchange
 from chivetrack.components.load.tracker import LoadTracker
 from chivetrack.components.membership.const import FLEET_TOPICS
 from chivetrack.components.membership.membership import Membership
-from chivetrack.components.membership.models import Instance, InstanceStatus, Life, Seed
+from chivetrack.components.membership.models import Instance, InstanceStatus, Seed, StateVersion
 from chivetrack.components.pipeline.admission import AdmissionControl
 from chivetrack.components.pipeline.attempts import AttemptRetries
 from chivetrack.components.pipeline.chain import FILTERS, Filter, FilterChain
@@ -192,7 +192,7 @@
         region=identity.region,
         zone=identity.zone,
         roles=identity.roles,
-        life=Life(identity.incarnation, 0),
+        state_version=StateVersion(identity.incarnation, 0),
         since=now,
     )
     membership = Membership(gossip=gossip, own=own, seeds=options.seeds, random=random_source)
@@ -212,7 +212,7 @@
     )
     placer = Placer(view=registry, load=load, random=random_source)
     exchange = LoadExchange(tracker=load, gossip=gossip)
-    shares = ShareBook(router_id=identity.instance_id, incarnation=identity.incarnation)
+    shares = ShareTracker(router_id=identity.instance_id, incarnation=identity.incarnation)
     limiter = Limiter(shares=shares, random=random_source, capacity=options.max_requests)
     admission = AdmissionControl(limiter=limiter, limits=ConfiguredLimits(view=configuration.view))
     demands = DemandExchange(shares=shares, gossip=gossip, list_routers=membership.list_living)
@@ -248,7 +248,7 @@
         on_outcome=record_outcome,
         on_end=tell_end,
     )
-    claims = ClaimKeeper(
+    claims = ClaimCoordinator(
         make_holder=lambda request_id: (
             f"{identity.instance_id}/{identity.incarnation}/{request_id}"
         ),
--- a/chivetrack/components/announcements/directory.py
+++ b/chivetrack/components/announcements/directory.py
@@ -1,20 +1,21 @@
-"""The endpoints of each service that requests may go to just now; free of I/O."""
+"""Selects the endpoints of each service that may currently get requests; performs no I/O."""
 
 from collections.abc import Collection, Iterator, Sequence
 from dataclasses import dataclass
 
-from chivetrack.components.announcements.models import EndpointRecord, EndpointState, Lifetime
+from chivetrack.components.announcements.models import EndpointRecord, EndpointState, Incarnation
 from chivetrack.components.announcements.table import EndpointTable
 from chivetrack.components.evacuation.models import Evacuations
-from chivetrack.components.slow_start.cold import ColdTable
-from chivetrack.components.slow_start.const import HEARD_AGAIN_S, MAX_ASKS
+from chivetrack.components.slow_start.cold import ColdEndpointTracker
+from chivetrack.components.slow_start.const import ASSUMED_COLD_S, MAX_PERMIT_REQUESTS
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Division:
-    """The endpoints of a service as one request finds them.
+class EndpointPartition:
+    """Endpoints of a service, partitioned for one request.
 
-    ``resting`` are sound and get nothing now: evacuated, cold or paused.
+    ``open`` may get the request. ``resting`` are healthy but excluded at present, because they
+    are evacuated, cold or paused, or refused this request.
     """
 
     open: Sequence[EndpointRecord]
@@ -22,65 +23,65 @@
 
 
 class EndpointDirectory:
-    """Sorts the table of endpoints by service, without the zones that are evacuated."""
+    """Lists endpoints by service, excluding those in evacuated zones."""
 
     def __init__(self) -> None:
-        """Start with no endpoints and no evacuated zones."""
+        """Create a directory without endpoints and evacuated zones."""
         self.table = EndpointTable()
-        self.cold = ColdTable()
+        self.cold = ColdEndpointTracker()
         self.evacuations = Evacuations()
         self._ready: dict[str, list[EndpointRecord]] = {}
         self._evacuated: dict[str, list[EndpointRecord]] = {}
         self._sources: dict[str, list[EndpointRecord]] = {}
-        self._seen_change = -1
-        self._leaving: set[Lifetime] = set()
-        self._paused_until: dict[Lifetime, float] = {}
+        self._applied_change = -1
+        self._leaving: set[Incarnation] = set()
+        self._paused_until: dict[Incarnation, float] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Return whether no endpoint may get requests."""
+        """Return whether there is no endpoint that may get requests."""
         return not self._ready
 
-    def take_changes(self, *, now: float) -> Sequence[EndpointRecord]:
-        """Take over what has changed in the table; return the changed records."""
-        if self._seen_change == self.table.change:
+    def apply_changes(self, *, now: float) -> Sequence[EndpointRecord]:
+        """Apply the changes of the table since the last call, and return the changed records."""
+        if self._applied_change == self.table.change:
             return ()
-        changed = self.table.list_changes(self._seen_change)
+        changed = self.table.list_changes(self._applied_change)
         for record in changed:
-            self.cold.note_record(record, now=now)
-        self._seen_change = self.table.change
-        self._sort()
+            self.cold.handle_record(record, now=now)
+        self._applied_change = self.table.change
+        self._rebuild_lists()
         return changed
 
-    def note_leaving(self, record: EndpointRecord) -> bool:
+    def record_leaving(self, record: EndpointRecord) -> bool:
         """Exclude an endpoint that announced its departure in an answer; return if this is new.
 
-        Applies to the whole lifetime: heartbeats may report the departure late or never, and
+        Applies to the whole incarnation: heartbeats may report the departure late or never, and
         an earlier heartbeat that arrives afterwards still reports the endpoint as ready.
         """
-        lifetime = record.lifetime
+        incarnation = record.incarnation
         known = self.table.find(record.endpoint_id)
-        if lifetime in self._leaving or known is None or known.born != record.born:
+        if incarnation in self._leaving or known is None or known.born != record.born:
             return False
-        self._leaving.add(lifetime)
-        self._sort()
+        self._leaving.add(incarnation)
+        self._rebuild_lists()
         return True
 
     def is_lost_or_replaced(self, record: EndpointRecord) -> bool:
-        """Return whether a lifetime is marked lost or a later one has started under its id."""
+        """Return whether an incarnation is marked lost or a later one has started under its id."""
         known = self.table.find(record.endpoint_id)
         if known is None:
             return False
         return known.born > record.born or known.state is EndpointState.LOST
 
-    def note_pause(self, record: EndpointRecord, *, until: float) -> None:
+    def record_pause(self, record: EndpointRecord, *, until: float) -> None:
         """Exclude an endpoint until a time; an earlier time does not shorten its pause."""
-        lifetime = record.lifetime
-        self._paused_until[lifetime] = max(until, self._paused_until.get(lifetime, until))
+        incarnation = record.incarnation
+        self._paused_until[incarnation] = max(until, self._paused_until.get(incarnation, until))
 
     def find_pause(self, record: EndpointRecord, now: float) -> float:
         """Return for how many seconds an endpoint stays paused, 0 if it is not."""
-        until = self._paused_until.get(record.lifetime)
+        until = self._paused_until.get(record.incarnation)
         return 0.0 if until is None else max(0.0, until - now)
 
     def find_shortest_pause(self, service: str, now: float) -> float:
@@ -88,85 +89,92 @@
         pauses = [self.find_pause(record, now) for record in self.list_ready(service)]
         return min(pauses, default=0.0)
 
-    def take_evacuations(self, evacuations: Evacuations, *, now: float) -> bool:
-        """Put newer zone orders in force; a replica that lags can't take them back."""
+    def apply_evacuations(self, evacuations: Evacuations, *, now: float) -> bool:
+        """Apply newer zone orders, ignoring an older state from a lagging replica.
+
+        Returns whether the orders were newer.
+        """
         if evacuations.revision <= self.evacuations.revision:
             return False
         returned = set(self.evacuations.list_evacuated()) - set(evacuations.list_evacuated())
         self.evacuations = evacuations
-        self.cold.assume(self.list_ids_in(returned), until=now + HEARD_AGAIN_S)
-        self._sort()
+        self.cold.assume_cold(self.list_ids_in(returned), until=now + ASSUMED_COLD_S)
+        self._rebuild_lists()
         return True
 
-    def _sort(self) -> None:
-        """List the endpoints that get requests, and those that others may fetch parts from.
+    def _rebuild_lists(self) -> None:
+        """Rebuild the lists of endpoints that may get requests or serve cached prompt parts.
 
-        Engines fetch from each other without a request of ours, so those of an evacuated
-        zone are still of use to the others.
+        Engines fetch cached parts from each other without involving a router, so engines of
+        an evacuated zone stay useful as sources.
         """
         evacuated = self.evacuations.list_evacuated()
         self._ready = {}
         self._evacuated = {}
         self._sources = {}
-        lifetimes = {record.lifetime for record in self.table.list_records()}
-        self._leaving &= lifetimes
+        incarnations = {record.incarnation for record in self.table.list_records()}
+        self._leaving &= incarnations
         self._paused_until = {
-            lifetime: until
-            for lifetime, until in self._paused_until.items()
-            if lifetime in lifetimes
+            incarnation: until
+            for incarnation, until in self._paused_until.items()
+            if incarnation in incarnations
         }
         for record in self.table.list_records():
             if record.state in (EndpointState.READY, EndpointState.DRAINING):
                 self._sources.setdefault(record.service, []).append(record)
             if record.state is not EndpointState.READY:
                 continue
-            if record.lifetime in self._leaving:
+            if record.incarnation in self._leaving:
                 continue
             listed = self._evacuated if record.zone in evacuated else self._ready
             listed.setdefault(record.service, []).append(record)
 
     def list_ids_in(self, zones: Collection[str]) -> Iterator[str]:
-        """Yield the ids of the endpoints of some zones."""
-        return (one.endpoint_id for one in self.table.list_records() if one.zone in zones)
+        """Yield the ids of all endpoints in the given zones."""
+        return (record.endpoint_id for record in self.table.list_records() if record.zone in zones)
 
     def list_ready(self, service: str) -> Sequence[EndpointRecord]:
-        """Return the endpoints that may get requests, cold ones among them."""
+        """Return the endpoints that may get requests, including cold ones."""
         return self._ready.get(service, ())
 
     def list_sources(self, service: str) -> Sequence[EndpointRecord]:
-        """Return the endpoints that cached parts of prompts may be fetched from."""
+        """Return the endpoints from which cached parts of prompts may be fetched."""
         return self._sources.get(service, ())
 
-    def divide(
+    def partition(
         self, service: str, *, passed_over: Collection[str], is_limited: bool, now: float
-    ) -> Division:
-        """Return which endpoints a request may go to or ask a permit for, and which rest.
+    ) -> EndpointPartition:
+        """Partition the endpoints of a service for one request.
 
-        ``is_limited``: the service limits what cold endpoints get. ``passed_over`` are those
-        that refused this request; after a few it asks for no further one.
+        The open endpoints may get the request, cold ones after a permit was granted.
+        ``is_limited`` means that the service limits requests to cold endpoints.
+        ``passed_over`` are the endpoints that refused this request; after ``MAX_PERMIT_REQUESTS``
+        refusals, all cold endpoints are excluded.
         """
         ready = self.list_ready(service)
         evacuated = self._evacuated.get(service, ())
-        shut = set(passed_over)
+        excluded = set(passed_over)
         if self._paused_until:
-            shut |= {one.endpoint_id for one in ready if self.find_pause(one, now)}
+            excluded |= {record.endpoint_id for record in ready if self.find_pause(record, now)}
         if not is_limited:
-            return self._make_division(ready, evacuated, shut)
-        cold = {one.endpoint_id for one in ready if self.cold.is_cold(one.endpoint_id, now)}
-        shut |= {one for one in cold if self.cold.find_wait(one, now)}
-        if len(passed_over) >= MAX_ASKS:
-            shut |= cold
-        return self._make_division(ready, evacuated, shut)
+            return self._make_partition(ready, evacuated, excluded)
+        cold = {
+            record.endpoint_id for record in ready if self.cold.is_cold(record.endpoint_id, now)
+        }
+        excluded |= {endpoint_id for endpoint_id in cold if self.cold.find_wait(endpoint_id, now)}
+        if len(passed_over) >= MAX_PERMIT_REQUESTS:
+            excluded |= cold
+        return self._make_partition(ready, evacuated, excluded)
 
     @staticmethod
-    def _make_division(
+    def _make_partition(
         ready: Sequence[EndpointRecord],
         evacuated: Sequence[EndpointRecord],
-        shut: Collection[str],
-    ) -> Division:
-        if not shut:
-            return Division(open=ready, resting=evacuated)
-        return Division(
-            open=[one for one in ready if one.endpoint_id not in shut],
-            resting=[*evacuated, *(one for one in ready if one.endpoint_id in shut)],
+        excluded: Collection[str],
+    ) -> EndpointPartition:
+        if not excluded:
+            return EndpointPartition(open=ready, resting=evacuated)
+        return EndpointPartition(
+            open=[record for record in ready if record.endpoint_id not in excluded],
+            resting=[*evacuated, *(record for record in ready if record.endpoint_id in excluded)],
         )
--- a/chivetrack/components/claims/keeper.py
+++ b/chivetrack/components/claims/coordinator.py
@@ -1,4 +1,4 @@
-"""Asks the log for claims and reports how they ended."""
+"""Requests claims from the log and reports how they ended."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,7 +9,12 @@
     REPORT_TIMEOUT_S,
 )
 from chivetrack.components.claims.faults import claim_unavailable, find_claim_fault
-from chivetrack.components.pipeline.models import AskClaim, ClaimAnswered, EndClaim, StoredAnswer
+from chivetrack.components.pipeline.models import (
+    AcquireClaim,
+    ClaimAnswered,
+    EndClaim,
+    StoredAnswer,
+)
 from chivetrack.components.proposals.models import SubmissionEnded, Submit
 from chivetrack.components.store.commands import (
     AbandonClaim,
@@ -30,31 +35,31 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Asked:
-    """A claim that was asked for; ``data`` is its command."""
+class _PendingClaim:
+    """Requested claim with the effect that requested it; ``data`` is the encoded command."""
 
-    ask: AskClaim
+    effect: AcquireClaim
     data: bytes
 
 
-class ClaimKeeper:
-    """Turns the flow's claim effects into submissions, and their ends into events.
+class ClaimCoordinator:
+    """Converts claim effects of the flow into submissions, and their ends into events.
 
-    ``make_holder`` gives a text that is unique to one attempt of one router;
-    ``to_wall_ms`` maps ``now`` to milliseconds since 1970 for the store's clock.
+    ``make_holder`` returns an identifier that is unique to one attempt of one router.
+    ``to_wall_ms`` converts ``now`` to Unix time in milliseconds, for the store's clock.
     """
 
     def __init__(
         self, *, make_holder: Callable[[str], str], to_wall_ms: Callable[[float], int]
     ) -> None:
-        """Start with no claims."""
+        """Create a coordinator without claims."""
         self._make_holder = make_holder
         self._to_wall_ms = to_wall_ms
-        self._asked: dict[str, _Asked] = {}
+        self._pending: dict[str, _PendingClaim] = {}
         self._grants: dict[str, int] = {}
 
-    def ask(self, effect: AskClaim, *, now: float) -> Submit:
-        """Return the submission that asks for a claim."""
+    def request_claim(self, effect: AcquireClaim, *, now: float) -> Submit:
+        """Return the submission that requests a claim."""
         holder = self._make_holder(effect.request_id)
         run_ms = int((effect.lifetime_s + CLAIM_MARGIN_S) * MILLISECONDS_PER_SECOND)
         command = Claim(
@@ -65,13 +70,16 @@
             holder=holder,
             run_ms=run_ms,
         )
-        asked = _Asked(ask=effect, data=pack(command))
-        self._asked[effect.request_id] = asked
+        pending = _PendingClaim(effect=effect, data=pack(command))
+        self._pending[effect.request_id] = pending
         deadline = now + min(CLAIM_TIMEOUT_S, effect.lifetime_s)
-        return self._submit(CLAIM_PREFIX + effect.request_id, asked.data, deadline)
+        return self._submit(CLAIM_PREFIX + effect.request_id, pending.data, deadline)
+
+    def report_end(self, effect: EndClaim, *, now: float) -> Submit | None:
+        """Return the submission that reports how a claimed request ended.
 
-    def end(self, effect: EndClaim, *, now: float) -> Submit | None:
-        """Return the submission that reports how a claimed request ended."""
+        Returns ``None`` if no claim was granted to the request.
+        """
         grant = self._grants.pop(effect.request_id, None)
         if grant is None:
             return None
@@ -100,71 +108,74 @@
         return report(stamp=stamp, workspace=effect.workspace, key=effect.key, grant=grant)
 
     def take_end(self, ended: SubmissionEnded, *, now: float) -> ClaimAnswered | Submit | None:
-        """Return what follows from the end of a submission of this component."""
+        """Handle the end of a submission.
+
+        Returns the resulting event or follow-up submission, ``None`` if there is none.
+        """
         if ended.submission_id.startswith(CLAIM_PREFIX):
-            return self._take_claim(ended, now)
+            return self._handle_claim_ended(ended, now)
         if ended.submission_id.startswith(CLEANUP_PREFIX):
-            return self._take_cleanup(ended, now)
+            return self._handle_cleanup_ended(ended, now)
         return None
 
     def needs_cleanup(self, ended: SubmissionEnded) -> bool:
-        """Return whether a claim may have been granted without anybody knowing."""
+        """Return whether a claim may have been granted although its answer was lost."""
         is_claim = ended.submission_id.startswith(CLAIM_PREFIX)
         return is_claim and ended.fault is not None and ended.fault.ran is not Ran.NO
 
     def clean_up(self, ended: SubmissionEnded, *, now: float) -> Submit:
-        """Return the submission that finds out about a claim whose answer was lost.
+        """Return the submission that repeats a claim command whose answer was lost.
 
-        The request was refused and never sent. Were its claim left in the log, its
-        resend would hear "in progress" until the claim runs out, and then "unknown".
+        The request was refused and not sent. If its claim stayed in the log, a resend would
+        get "in progress" until the claim expires, and then "unknown".
         """
         request_id = ended.submission_id.removeprefix(CLAIM_PREFIX)
-        data = self._asked[request_id].data
+        data = self._pending[request_id].data
         return self._submit(CLEANUP_PREFIX + request_id, data, now + REPORT_TIMEOUT_S)
 
-    def _take_claim(self, ended: SubmissionEnded, now: float) -> ClaimAnswered:
+    def _handle_claim_ended(self, ended: SubmissionEnded, now: float) -> ClaimAnswered:
         request_id = ended.submission_id.removeprefix(CLAIM_PREFIX)
-        asked = self._asked[request_id]
+        pending = self._pending[request_id]
         if not self.needs_cleanup(ended):
-            del self._asked[request_id]
+            del self._pending[request_id]
         if ended.fault is not None:
-            return self._answer(asked, fault=claim_unavailable(ended.fault.retry_after_s))
+            return self._make_answered(pending, fault=claim_unavailable(ended.fault.retry_after_s))
         answer = unpack(ended.result)
         if not isinstance(answer, ClaimAnswer):
-            return self._answer(asked, fault=claim_unavailable(None))
+            return self._make_answered(pending, fault=claim_unavailable(None))
         if answer.state is ClaimState.GRANTED:
             self._grants[request_id] = answer.grant
-            return self._answer(asked)
+            return self._make_answered(pending)
         if answer.state is ClaimState.FINISHED and answer.body_kept:
             stored = StoredAnswer(
                 status=answer.status, content_type=answer.content_type, body=answer.body
             )
-            return self._answer(asked, stored=stored)
-        return self._answer(asked, fault=find_claim_fault(answer))
+            return self._make_answered(pending, stored=stored)
+        return self._make_answered(pending, fault=find_claim_fault(answer))
 
     @staticmethod
-    def _answer(
-        asked: _Asked, *, fault: Fault | None = None, stored: StoredAnswer | None = None
+    def _make_answered(
+        pending: _PendingClaim, *, fault: Fault | None = None, stored: StoredAnswer | None = None
     ) -> ClaimAnswered:
         return ClaimAnswered(
-            request_id=asked.ask.request_id,
-            workspace=asked.ask.workspace,
-            key=asked.ask.key,
+            request_id=pending.effect.request_id,
+            workspace=pending.effect.workspace,
+            key=pending.effect.key,
             fault=fault,
             stored=stored,
         )
 
-    def _take_cleanup(self, ended: SubmissionEnded, now: float) -> Submit | None:
+    def _handle_cleanup_ended(self, ended: SubmissionEnded, now: float) -> Submit | None:
         request_id = ended.submission_id.removeprefix(CLEANUP_PREFIX)
-        asked = self._asked.pop(request_id)
+        pending = self._pending.pop(request_id)
         answer = unpack(ended.result) if ended.fault is None else None
         if not isinstance(answer, ClaimAnswer) or answer.state is not ClaimState.GRANTED:
             return None
         self._grants[request_id] = answer.grant
-        end = EndClaim(
+        effect = EndClaim(
             request_id=request_id,
-            workspace=asked.ask.workspace,
-            key=asked.ask.key,
+            workspace=pending.effect.workspace,
+            key=pending.effect.key,
             did_not_run=True,
         )
-        return self.end(end, now=now)
+        return self.report_end(effect, now=now)
--- a/chivetrack/components/consensus/core.py
+++ b/chivetrack/components/consensus/core.py
@@ -1,4 +1,4 @@
-"""The entry to the replicated log: an event at a time, and the effects it has."""
+"""Entry point of the replicated log: processes events and returns effects."""
 
 from random import Random
 
@@ -44,10 +44,11 @@
 class Consensus:
     """One replica of the log.
 
-    Carry out the effects in their order, those after a ``Persist`` only once it is
-    synced; this holds across events too. If a sync fails, drop them all, throw the
-    object away and start a new one from what is on disk. After a start, hand in a
-    ``TimeReached`` to arm the first timer.
+    The caller must execute the effects in order, and those after a ``Persist`` only
+    once it is synced; this also holds across events. If a sync fails, the caller must
+    discard all pending effects and this object, and create a new one from the state on
+    disk. After a start, the caller passes in a ``TimeReached`` event to set the first
+    timer.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         recovered: Recovered,
         limits: Limits | None = None,
     ) -> None:
-        """Start as a follower with what was on disk."""
+        """Start as a follower with the state recovered from disk."""
         self._state = State(
             replica_id=replica_id,
             random=random,
@@ -84,11 +85,11 @@
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this replica believes that it leads."""
+        """Return whether this replica is the leader, as far as it knows."""
         return self._state.role is Role.LEADER
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take one event at time ``now`` (seconds, never going back)."""
+        """Process one event at time ``now`` (seconds, monotonic) and return its effects."""
         state = self._state
         state.now = now
         if state.halted:
@@ -98,15 +99,15 @@
         self._check_quorum()
         self._dispatch(event)
         if not state.halted:
-            self._arm()
-        return state.out.drain(state.get_hard_state(), state.log.last_index, state.log.last_term)
+            self._schedule_wake()
+        return state.outbox.drain(state.get_hard_state(), state.log.last_index, state.log.last_term)
 
     def _dispatch(self, event: Event) -> None:
         match event:
             case MessageReceived(message=PeerMessage() as message):
-                self._take_message(message)
+                self._handle_message(message)
             case Persisted():
-                self._note_persisted(event)
+                self._handle_persisted(event)
             case Propose():
                 self._propose(event)
             case ReadRequested():
@@ -129,7 +130,7 @@
                 self._read(event)
             case ChangeMembers():
                 self._change_members(event)
-        return self._state.out.drain(self._state.get_hard_state(), 0, 0)
+        return self._state.outbox.drain(self._state.get_hard_state(), 0, 0)
 
     def _wake(self) -> None:
         state = self._state
@@ -141,8 +142,8 @@
         if self._elections.start_pre_vote():
             self._campaign(transfer=False)
 
-    def _arm(self) -> None:
-        """Ask to be woken, unless an earlier wake-up is still to come."""
+    def _schedule_wake(self) -> None:
+        """Request a wake-up for the next timer, unless an earlier one is pending."""
         state = self._state
         due = state.election_at
         if self._leadership is not None:
@@ -150,13 +151,14 @@
         pending = self._wake_at is not None and state.now < self._wake_at <= due
         if not pending:
             self._wake_at = due
-            state.out.add(WakeAt(at=due))
+            state.outbox.add(WakeAt(at=due))
 
     def _check_quorum(self) -> None:
-        """Step down without a majority in reach, before anything else is done.
+        """Step down if this leader has lost contact with a majority.
 
-        A leader that was frozen or cut off would take proposals that cannot be
-        committed, and keep callers from the leader elected meanwhile.
+        Runs before the event is processed. A leader that was frozen or partitioned
+        would otherwise accept proposals that it cannot commit, and callers would not
+        look for the leader elected in the meantime.
         """
         if self._leadership is not None and not self._leadership.has_quorum_contact():
             self._become_follower(self._state.term, "")
@@ -181,7 +183,7 @@
         state.set_role(Role.LEADER, state.replica_id)
         self._leadership = Leadership(state=state)
 
-    def _take_message(self, message: PeerMessage) -> None:
+    def _handle_message(self, message: PeerMessage) -> None:
         state = self._state
         if message.receiver != state.replica_id:
             return
@@ -189,34 +191,36 @@
             self._elections.answer_pre_vote(message)
             return
         if isinstance(message, PreVoteAnswer) and message.granted:
-            # The term of the answer is lower where this replica has campaigned before.
+            # Handled before the terms are compared: the voter's term is lower than the
+            # term of this replica if it was a candidate before.
             if self._elections.count_pre_vote(message):
                 self._campaign(transfer=False)
             return
-        if isinstance(message, VoteRequest) and state.hears_leader and not message.transfer:
-            # Whoever hears a leader lets no other replica topple it.
+        if isinstance(message, VoteRequest) and state.has_recent_leader and not message.transfer:
+            # A replica in contact with a leader ignores candidates, so that they can't
+            # depose that leader.
             return
         if message.term > state.term:
             self._become_follower(message.term, "")
         if message.term < state.term:
-            self._refuse_old(message)
+            self._reject_old_term(message)
             return
-        self._take_current(message)
+        self._handle_current_term(message)
 
-    def _refuse_old(self, message: PeerMessage) -> None:
+    def _reject_old_term(self, message: PeerMessage) -> None:
         if isinstance(message, AppendRequest):
             self._follower.refuse_append(message)
         if isinstance(message, VoteRequest):
             self._elections.answer_vote(message)
 
-    def _take_current(self, message: PeerMessage) -> None:
+    def _handle_current_term(self, message: PeerMessage) -> None:
         match message:
             case AppendRequest():
-                self._note_leader(message.sender)
-                self._follower.take_append(message)
+                self._record_leader(message.sender)
+                self._follower.handle_append(message)
             case SnapshotChunk():
-                self._note_leader(message.sender)
-                self._follower.take_chunk(message)
+                self._record_leader(message.sender)
+                self._follower.handle_chunk(message)
             case VoteRequest():
                 self._elections.answer_vote(message)
             case VoteAnswer():
@@ -226,25 +230,25 @@
                 if self._state.is_voter:
                     self._campaign(transfer=True)
             case _:
-                self._take_answer(message)
+                self._handle_answer(message)
 
-    def _take_answer(self, message: PeerMessage) -> None:
+    def _handle_answer(self, message: PeerMessage) -> None:
         if self._leadership is None:
             return
         if isinstance(message, AppendAnswer):
-            self._leadership.take_answer(message)
+            self._leadership.handle_append_answer(message)
         if isinstance(message, SnapshotAnswer):
-            self._leadership.take_chunk_answer(message)
+            self._leadership.handle_chunk_answer(message)
 
-    def _note_leader(self, leader_id: str) -> None:
+    def _record_leader(self, leader_id: str) -> None:
         state = self._state
         if self._leadership is not None:
-            raise AssertionError(f"{leader_id} leads in term {state.term} as well")
+            raise AssertionError(f"{leader_id} is a second leader in term {state.term}")
         self._become_follower(state.term, leader_id)
-        state.leader_heard_at = state.now
+        state.leader_last_seen_at = state.now
         state.reset_election()
 
-    def _note_persisted(self, event: Persisted) -> None:
+    def _handle_persisted(self, event: Persisted) -> None:
         state = self._state
         if state.log.find_term(event.last_index) == event.last_term:
             state.durable_index = max(state.durable_index, event.last_index)
@@ -265,7 +269,7 @@
         self._refuse(event.proposal_id)
 
     def _refuse(self, proposal_id: int) -> None:
-        self._state.out.add(
+        self._state.outbox.add(
             ProposalEnded(
                 proposal_id=proposal_id,
                 outcome=Outcome.REFUSED,
@@ -279,13 +283,13 @@
             self._leadership.read(event.read_id)
             return
         leader = self._state.get_leader_instance()
-        self._state.out.add(ReadRefused(read_id=event.read_id, leader=leader))
+        self._state.outbox.add(ReadRefused(read_id=event.read_id, leader=leader))
 
     def _transfer(self, event: TransferLeadership) -> None:
         if self._leadership is not None:
             self._leadership.transfer(event.target)
             return
-        self._state.out.add(TransferRefused(refusal=Refusal.NOT_LEADER))
+        self._state.outbox.add(TransferRefused(refusal=Refusal.NOT_LEADER))
 
     def _save_snapshot(self, event: SnapshotTaken) -> None:
         state = self._state
@@ -298,14 +302,14 @@
             data=event.data,
         )
         state.log.compact(snapshot)
-        state.out.save_snapshot(snapshot, reset=False)
+        state.outbox.save_snapshot(snapshot, reset=False)
 
     def _send_snapshot(self, event: SnapshotLoaded) -> None:
         if self._leadership is not None:
-            self._leadership.take_snapshot(event.snapshot)
+            self._leadership.send_snapshot(event.snapshot)
 
     def get_status(self, *, now: float) -> ConsensusStatus:
-        """Return what this replica knows."""
+        """Return a status snapshot of this replica; on the leader, also of all members."""
         state = self._state
         leadership = self._leadership
         return ConsensusStatus(
--- a/chivetrack/components/consensus/outbox.py
+++ b/chivetrack/components/consensus/outbox.py
@@ -1,4 +1,4 @@
-"""Collects the effects of one event in the order in which they must be carried out."""
+"""Collects the effects of one event in the order in which they must be executed."""
 
 from chivetrack.components.consensus.messages import Entry
 from chivetrack.components.consensus.models import HardState, Persist, Snapshot
@@ -6,15 +6,15 @@
 
 
 class Outbox:
-    """Effects before, in and after the one ``Persist`` of an event."""
+    """The effects of one event: before its ``Persist``, in it, and after it."""
 
     def __init__(self) -> None:
         """Start empty."""
         self._clear()
 
     def _clear(self) -> None:
-        self._early: list[Effect] = []
-        self._late: list[Effect] = []
+        self._before_sync: list[Effect] = []
+        self._after_sync: list[Effect] = []
         self._entries: list[Entry] = []
         self._truncate_from: int | None = None
         self._snapshot: Snapshot | None = None
@@ -22,16 +22,16 @@
         self._hard_state_changed = False
 
     def add(self, effect: Effect) -> None:
-        """Add an effect that waits for the sync."""
-        self._late.append(effect)
+        """Add an effect to be executed after the sync."""
+        self._after_sync.append(effect)
 
-    def send_early(self, effect: SendMessage) -> None:
-        """Add a message that may leave before the sync: a leader's append.
+    def send_before_sync(self, effect: SendMessage) -> None:
+        """Add an append request of the leader, which may be sent before the sync.
 
-        The leader syncs in parallel with its followers and counts itself only once
-        ``Persisted`` comes in.
+        The leader syncs in parallel with its followers and counts its own copy only once
+        ``Persisted`` is received.
         """
-        self._early.append(effect)
+        self._before_sync.append(effect)
 
     def change_hard_state(self) -> None:
         """Mark the term or the vote as changed."""
@@ -51,15 +51,15 @@
         self._reset = reset
 
     def drain(self, hard_state: HardState, last_index: int, last_term: int) -> list[Effect]:
-        """Return all effects in order and start again empty."""
+        """Return all effects in order and clear the outbox."""
         persist = self._make_persist(hard_state, last_index, last_term)
-        # A message shows its term: none may leave before a new term is synced.
+        # Messages carry the term, so none may be sent before a new term is synced.
         early_first = persist is None or persist.hard_state is None
         saved = [] if persist is None else [persist]
         if early_first:
-            effects = [*self._early, *saved, *self._late]
+            effects = [*self._before_sync, *saved, *self._after_sync]
         else:
-            effects = [*saved, *self._early, *self._late]
+            effects = [*saved, *self._before_sync, *self._after_sync]
         self._clear()
         return effects
 
--- a/chivetrack/components/consensus/replication.py
+++ b/chivetrack/components/consensus/replication.py
@@ -1,4 +1,4 @@
-"""How a leader brings other replicas up to date."""
+"""Replication of the log from the leader to the other replicas."""
 
 from chivetrack.components.consensus.messages import (
     AppendAnswer,
@@ -7,25 +7,25 @@
     SnapshotAnswer,
     SnapshotChunk,
 )
-from chivetrack.components.consensus.models import ReplicaRegressed, Snapshot, SnapshotWanted
+from chivetrack.components.consensus.models import LoadSnapshot, ReplicaRegressed, Snapshot
 from chivetrack.components.consensus.progress import Progress, SnapshotTransfer
 from chivetrack.components.consensus.state import State
 from chivetrack.core import SendMessage
 
 
 class Replication:
-    """Sends entries, heartbeats and snapshots, and keeps the progress of each replica."""
+    """Sends entries, heartbeats and snapshots, and tracks the progress of each replica."""
 
     def __init__(self, *, state: State) -> None:
-        """Start with the members of the log, none of them known to agree."""
+        """Start with all members of the log in the probing state."""
         self._state = state
         self.round = 0
-        self._is_loading = False
+        self._is_loading_snapshot = False
         self.progress: dict[str, Progress] = {}
         self.sync_members()
 
     def sync_members(self) -> None:
-        """Add progress for new members; that of removed ones stays until ``drop_removed``."""
+        """Start tracking new members; removed ones stay tracked until ``drop_removed``."""
         state = self._state
         for member in state.log.members.members:
             known = member.replica_id in self.progress
@@ -39,7 +39,7 @@
             )
 
     def drop_removed(self) -> None:
-        """Forget replicas whose removal is committed, after telling them so."""
+        """Stop tracking replicas whose removal is committed, after sending them the entry."""
         members = self._state.log.members
         for replica_id in [one for one in self.progress if members.find(one) is None]:
             progress = self.progress.pop(replica_id)
@@ -47,30 +47,33 @@
             self.send_heartbeat(progress)
 
     def start_round(self) -> None:
-        """Send a heartbeat with a new round number to all."""
+        """Send a heartbeat with a new round number to all replicas."""
         self.round += 1
         for progress in self.progress.values():
             self.send_heartbeat(progress)
             self._resend_chunk(progress)
 
     def broadcast_entries(self) -> None:
-        """Send new entries to all that can take them."""
+        """Send new entries to all replicas that are ready for them."""
         for progress in self.progress.values():
             self.send_entries(progress)
 
     def broadcast_commit(self) -> None:
-        """Tell idle replicas the new commit index; busy ones get it with the next entries."""
+        """Send the new commit index to replicas with no request in flight.
+
+        The others receive it with the next entries.
+        """
         for progress in self.progress.values():
             behind = progress.sent_commit < self._state.commit_index
             if behind and progress.can_send_entries and not progress.in_flight:
                 self.send_heartbeat(progress)
 
     def send_entries(self, progress: Progress) -> None:
-        """Send what the replica lacks, as far as it may be sent now.
+        """Send entries that the replica lacks, within the limit on requests in flight.
 
-        A replica that is being removed gets nothing more until that is committed.
-        Did it know of its removal, it would start no elections, yet refuse its vote
-        to those who lack the entry: with the leader dead, nobody could be elected.
+        A replica that is being removed is sent nothing until its removal is committed.
+        If it held that entry, it would start no election itself, yet refuse its vote to
+        replicas that lack the entry; after a loss of the leader no one could be elected.
         """
         if self._state.log.members.find(progress.replica_id) is not None:
             self._send_next(progress)
@@ -79,14 +82,14 @@
         log = self._state.log
         while progress.can_send_entries and progress.next_index <= log.last_index:
             if progress.next_index <= log.base_index:
-                self._start_transfer(progress)
+                self._start_snapshot_transfer(progress)
                 return
             entries = log.list_batch(progress.next_index)
             self._send_append(progress, entries)
-            progress.note_sent(entries[-1].index)
+            progress.record_sent(entries[-1].index)
 
     def send_heartbeat(self, progress: Progress) -> None:
-        """Send an append without entries; while probing it is the probe."""
+        """Send an append request without entries; while probing it is the probe."""
         self._send_append(progress, ())
 
     def _send_append(self, progress: Progress, entries: tuple[Entry, ...]) -> None:
@@ -109,45 +112,47 @@
         return max(progress.next_index - 1, self._state.log.base_index)
 
     def _send(self, progress: Progress, message: AppendRequest | SnapshotChunk) -> None:
-        self._state.out.send_early(SendMessage(target=progress.instance_id, message=message))
+        self._state.outbox.send_before_sync(
+            SendMessage(target=progress.instance_id, message=message)
+        )
 
-    def take_answer(self, answer: AppendAnswer) -> None:
-        """Note how far a replica is and send it more."""
+    def handle_append_answer(self, answer: AppendAnswer) -> None:
+        """Update the progress of a replica and send it further entries."""
         progress = self.progress.get(answer.sender)
         if progress is None or progress.regressed:
             return
         if self._has_regressed(progress, answer):
             self._exclude(progress)
             return
-        self._note_contact(progress, answer.round)
+        self._record_contact(progress, answer.round)
         if answer.success:
-            self._take_success(progress, answer)
+            self._handle_success(progress, answer)
         else:
-            self._take_refusal(progress, answer)
+            self._handle_rejection(progress, answer)
 
-    def _take_success(self, progress: Progress, answer: AppendAnswer) -> None:
+    def _handle_success(self, progress: Progress, answer: AppendAnswer) -> None:
         if answer.match_index >= self._state.log.base_index:
-            progress.end_transfer()
-        progress.note_match(answer.match_index, self.round)
+            progress.end_snapshot_transfer()
+        progress.record_match(answer.match_index, self.round)
         progress.knows_membership = answer.member
         self.send_entries(progress)
 
-    def _take_refusal(self, progress: Progress, answer: AppendAnswer) -> None:
-        if progress.needs_snapshot or self._is_late(progress, answer):
+    def _handle_rejection(self, progress: Progress, answer: AppendAnswer) -> None:
+        if progress.needs_snapshot or self._is_stale(progress, answer):
             return
         progress.start_probing(self._find_next_index(answer))
         if progress.next_index <= self._state.log.base_index:
-            self._start_transfer(progress)
+            self._start_snapshot_transfer(progress)
             return
         self.send_heartbeat(progress)
 
     def _has_regressed(self, progress: Progress, answer: AppendAnswer) -> bool:
-        """Tell whether a replica lost entries or the membership it had acknowledged.
+        """Return whether a replica lost entries or a membership that it had acknowledged.
 
-        The round of the answer began after the acknowledgement was here, so no
-        reordering explains it: the replica was started on an empty disk under its
-        old id. It may have forgotten that it follows a later leader; counting on it
-        could commit with a minority or confirm a read that misses writes.
+        The round of the answer began after the acknowledgement had arrived, so message
+        reordering can't be the cause: the replica was started on an empty disk under its
+        old id. It may have forgotten that it follows a later leader; counting it could
+        commit entries with a minority or confirm a read that misses writes.
         """
         if answer.round <= progress.match_round:
             return False
@@ -158,51 +163,51 @@
         progress.regressed = True
         progress.match_index = 0
         progress.acknowledged_round = 0
-        progress.end_transfer()
-        self._state.out.add(ReplicaRegressed(replica_id=progress.replica_id))
+        progress.end_snapshot_transfer()
+        self._state.outbox.add(ReplicaRegressed(replica_id=progress.replica_id))
 
-    def _is_late(self, progress: Progress, answer: AppendAnswer) -> bool:
-        """Tell whether a refusal is of a message that no longer matters."""
+    def _is_stale(self, progress: Progress, answer: AppendAnswer) -> bool:
+        """Return whether a rejection answers an outdated request."""
         if progress.probing:
             return answer.previous_index != self._get_previous_index(progress)
         return answer.previous_index <= progress.match_index
 
     def _find_next_index(self, answer: AppendAnswer) -> int:
-        """Skip a whole term with one message instead of one entry."""
+        """Return the next index to probe, skipping a whole term instead of one entry."""
         if not answer.conflict_term:
             return answer.conflict_index
         before = answer.previous_index - 1
         end = self._state.log.find_term_end(answer.conflict_term, before)
         return answer.conflict_index if end is None else end + 1
 
-    def _note_contact(self, progress: Progress, round_number: int) -> None:
+    def _record_contact(self, progress: Progress, round_number: int) -> None:
         progress.last_contact = self._state.now
         progress.acknowledged_round = max(progress.acknowledged_round, round_number)
 
-    def _start_transfer(self, progress: Progress) -> None:
+    def _start_snapshot_transfer(self, progress: Progress) -> None:
         progress.start_probing(progress.next_index)
-        progress.wants_snapshot = True
-        if not self._is_loading:
-            self._is_loading = True
-            self._state.out.add(SnapshotWanted())
-
-    def take_snapshot(self, snapshot: Snapshot) -> None:
-        """Send a snapshot that was read to all that wait for it."""
-        self._is_loading = False
+        progress.awaits_snapshot = True
+        if not self._is_loading_snapshot:
+            self._is_loading_snapshot = True
+            self._state.outbox.add(LoadSnapshot())
+
+    def send_snapshot(self, snapshot: Snapshot) -> None:
+        """Start sending a snapshot read from disk to all replicas that wait for it."""
+        self._is_loading_snapshot = False
         for progress in self.progress.values():
-            if progress.wants_snapshot:
-                progress.wants_snapshot = False
+            if progress.awaits_snapshot:
+                progress.awaits_snapshot = False
                 progress.transfer = SnapshotTransfer(snapshot=snapshot, sent_at=self._state.now)
                 self._send_chunk(progress, progress.transfer)
 
     def _resend_chunk(self, progress: Progress) -> None:
-        """Send a lost chunk again, but only to a replica that lives: chunks are large."""
+        """Resend a lost chunk, but only to a replica with recent contact: chunks are large."""
         transfer = progress.transfer
         if transfer is None or progress.regressed:
             return
-        patience = self._state.timing.election_min_s
-        alive = self._state.now < progress.last_contact + patience
-        if alive and self._state.now >= transfer.sent_at + patience:
+        timeout_s = self._state.timing.election_min_s
+        alive = self._state.now < progress.last_contact + timeout_s
+        if alive and self._state.now >= transfer.sent_at + timeout_s:
             self._send_chunk(progress, transfer)
 
     def _send_chunk(self, progress: Progress, transfer: SnapshotTransfer) -> None:
@@ -224,18 +229,18 @@
         )
         self._send(progress, message)
 
-    def take_chunk_answer(self, answer: SnapshotAnswer) -> None:
-        """Send the next chunk, or go on with entries after the last one."""
+    def handle_chunk_answer(self, answer: SnapshotAnswer) -> None:
+        """Send the next chunk, or continue with entries after the last chunk."""
         progress = self.progress.get(answer.sender)
         if progress is None or progress.regressed:
             return
-        self._note_contact(progress, answer.round)
+        self._record_contact(progress, answer.round)
         transfer = progress.transfer
         if transfer is None or answer.index != transfer.snapshot.index:
             return
         if answer.done:
-            progress.end_transfer()
-            progress.note_match(answer.index, self.round)
+            progress.end_snapshot_transfer()
+            progress.record_match(answer.index, self.round)
             self.send_entries(progress)
             return
         if answer.received != transfer.offset:
--- a/chivetrack/components/distribution/broadcast.py
+++ b/chivetrack/components/distribution/broadcast.py
@@ -69,7 +69,7 @@
         missing = [
             endpoint_id
             for endpoint_id, sequence, checksum in rows
-            if not self.table.hear(endpoint_id, sequence, checksum, now=now)
+            if not self.table.handle_relayed_heartbeat(endpoint_id, sequence, checksum, now=now)
         ]
         return RecordsRequest(endpoint_ids=tuple(missing)) if missing else None
 
--- a/chivetrack/components/distribution/publisher.py
+++ b/chivetrack/components/distribution/publisher.py
@@ -144,7 +144,7 @@
         router.version = follow.version
         router.quarantine_revision = follow.quarantine_revision
         router.silent_revision = follow.silent_revision if is_known else 0
-        self.evidence.note(follow.crash_reports, now=now)
+        self.evidence.record(follow.crash_reports, now=now)
         router.document_address = follow.document_address
         if follow.is_assigned:
             self._documents.record_version(
@@ -160,7 +160,7 @@
     def handle_exchange(self, source: str, exchange: Exchange, *, now: float) -> None:
         """Record the loads, crash reports and placements that another replica has collected."""
         self._peers[source] = _Peer(last_seen_at=now, exchange=exchange)
-        self.evidence.note(exchange.crash_reports, now=now)
+        self.evidence.record(exchange.crash_reports, now=now)
         self.placements.record(exchange.placed, now=now)
 
     def make_exchange(self, *, now: float) -> Exchange:
@@ -168,7 +168,7 @@
         placed, self._new_placements = self._new_placements, []
         assigned = self._list_assigned(now)
         elsewhere = sum(peer.exchange.routers for peer in self._list_peers(now))
-        self._fleet_share.note(len(assigned) + elsewhere, now=now)
+        self._fleet_share.record(len(assigned) + elsewhere, now=now)
         return Exchange(
             routers=len(assigned),
             loads=_sum_loads(router.loads for router in assigned.values()),
@@ -196,7 +196,7 @@
 
     def get_fleet_share(self, *, now: float) -> float:
         """Return the share of the fleet's routers that is assigned to this replica."""
-        return self._fleet_share.find(len(self._list_assigned(now)), now=now)
+        return self._fleet_share.compute(len(self._list_assigned(now)), now=now)
 
     def list_document_addresses(self, version: int, *, now: float) -> list[str]:
         """Return where assigned routers serve a document of this version or a newer one."""
--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -47,7 +47,7 @@
         self._own = LeaderRecord(status.term, 0) if status.leads else None
         if status.term >= self._term and status.leader:
             self._term = status.term
-            self._proposals.note_leader(status.leader)
+            self._proposals.record_leader_hint(status.leader)
 
     def _publish(self, now: float) -> None:
         if self._own is None:
@@ -73,5 +73,5 @@
         if record.term < self._term:
             return
         self._term = record.term
-        self._proposals.note_leader(update.origin)
+        self._proposals.record_leader_hint(update.origin)
         self._pending_revisions.append(RevisionHeard(peer=update.origin, revision=record.revision))
--- a/chivetrack/components/fleet/roster.py
+++ b/chivetrack/components/fleet/roster.py
@@ -45,7 +45,7 @@
     def _handle_instance_change(self, instance: Instance) -> None:
         self._changed = True
         if instance.status not in _LIVE_STATUSES:
-            self._load.drop_router(instance.instance_id, instance.life.incarnation)
+            self._load.drop_router(instance.instance_id, instance.state_version.incarnation)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Report changes to the other components; returns at once if there are none."""
--- a/chivetrack/components/limits/exchange.py
+++ b/chivetrack/components/limits/exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges workspaces' demands between routers by gossip."""
+"""Exchanges the demands of workspaces between routers by gossip."""
 
 from collections.abc import Callable, Collection
 
@@ -6,7 +6,7 @@
 from chivetrack.components.gossip.models import Urgency, ValueUpdate
 from chivetrack.components.limits.const import DEMAND_INTERVAL_S
 from chivetrack.components.limits.models import DemandReport
-from chivetrack.components.limits.shares import ShareBook
+from chivetrack.components.limits.shares import ShareTracker
 from chivetrack.core import Effect, Event, TimeReached, WakeAt
 from chivetrack.helpers.codec import DecodeError, decode_as, encode
 
@@ -14,25 +14,25 @@
 
 
 class DemandExchange:
-    """Publishes this router's demands when they change, and takes in the others'."""
+    """Publishes this router's demands when they change and merges those of other routers."""
 
     def __init__(
         self,
         *,
-        shares: ShareBook,
+        shares: ShareTracker,
         gossip: Gossip,
         list_routers: Callable[[], Collection[str]],
     ) -> None:
-        """Connect a share book with gossip; ``list_routers`` returns the living ones."""
+        """Subscribe to demand reports; ``list_routers`` returns the ids of live routers."""
         self._shares = shares
         self._gossip = gossip
         self._list_routers = list_routers
         self._next = float("-inf")
         self._published: dict[str, float] | None = None
-        gossip.subscribe(TOPIC_DEMAND, self._take_news)
+        gossip.subscribe(TOPIC_DEMAND, self._handle_update)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Publish when it is due."""
+        """Publish the demands every ``DEMAND_INTERVAL_S``."""
         if not isinstance(event, TimeReached):
             return []
         if now >= self._next:
@@ -48,7 +48,7 @@
         self._published = report.demands
         self._gossip.publish(TOPIC_DEMAND, "", encode(report), Urgency.OVERLOAD, now=now)
 
-    def _take_news(self, news: ValueUpdate) -> None:
+    def _handle_update(self, news: ValueUpdate) -> None:
         if news.payload is None:
             return
         try:
--- a/chivetrack/components/limits/faults.py
+++ b/chivetrack/components/limits/faults.py
@@ -1,11 +1,11 @@
-"""The faults of requests that were not let in; none of them ran."""
+"""Faults of requests that were not admitted; none of these requests ran."""
 
 from random import Random
 
 from chivetrack.components.limits.const import (
     MAX_RETRY_AFTER_S,
     MIN_RETRY_AFTER_S,
-    RETRY_SPREAD,
+    RETRY_AFTER_JITTER,
     STATUS_OVERLOADED,
     STATUS_TOO_MANY,
 )
@@ -30,8 +30,8 @@
 def make_fault(estimate: WaitEstimate, random: Random) -> Fault:
     """Return the fault for a shed request.
 
-    ``Retry-After`` is spread out: callers that were shed together would come back
-    together and be shed again.
+    ``Retry-After`` gets random jitter: callers that were shed together would otherwise
+    retry together and be shed again.
     """
     base = min(max(estimate.seconds, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
     limited = estimate.cause in (Cause.RATE, Cause.CONCURRENCY)
@@ -40,5 +40,5 @@
         message=_MESSAGES[estimate.cause],
         status=STATUS_TOO_MANY if limited else STATUS_OVERLOADED,
         ran=Ran.NO,
-        retry_after_s=random.uniform(base, base * (1.0 + RETRY_SPREAD)),
+        retry_after_s=random.uniform(base, base * (1.0 + RETRY_AFTER_JITTER)),
     )
--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -1,4 +1,4 @@
-"""The membership component: joins, leaves, suspects, refutes."""
+"""The membership component: join, leave, failure detection and refutation."""
 
 import random as random_module
 from collections.abc import Sequence
@@ -7,15 +7,15 @@
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.gossip.models import Peer, Urgency, ValueUpdate
 from chivetrack.components.membership.const import (
-    ALIVE_EVERY_S,
-    FORGET_AFTER_S,
+    ALIVE_INTERVAL_S,
+    CONTACT_ABSENT_INTERVAL_S,
     FROZEN_AFTER_S,
-    GREET_EVERY_S,
-    MAX_PROBE_SPREAD_S,
-    MAX_ROUNDS,
-    NOTICE_EVERY_S,
-    PROBE_SPREAD_S,
-    START_GRACE_EACH_S,
+    MAX_PROBE_JITTER_S,
+    MAX_PROBE_ROUNDS,
+    NOTICE_INTERVAL_S,
+    PROBE_JITTER_PER_MEMBER_S,
+    REMOVE_GONE_AFTER_S,
+    START_GRACE_PER_MEMBER_S,
     START_GRACE_S,
     TICK_S,
     TOPIC_ALIVE,
@@ -27,9 +27,9 @@
     Instance,
     InstanceCallback,
     InstanceStatus,
-    Life,
     RegionSummary,
     Seed,
+    StateVersion,
 )
 from chivetrack.components.membership.prober import Prober
 from chivetrack.components.membership.regions import Regions
@@ -55,12 +55,17 @@
 
 
 class Membership:
-    """The instances of the own region, each with what is believed of it."""
+    """The instances of this region with their status, as this instance sees it.
+
+    An instance is silent if it has sent no heartbeat for longer than
+    ``Member.is_silent`` allows. A silent instance becomes suspect, is probed by this
+    instance and by witnesses, and is declared dead if they can't reach it either.
+    """
 
     def __init__(
         self, *, gossip: Gossip, own: Instance, seeds: Sequence[Seed], random: random_module.Random
     ) -> None:
-        """Create a membership that knows its seeds only; it joins when time is handed in."""
+        """Create a membership that knows only its seeds; it joins at the first tick."""
         self._gossip = gossip
         self._own = own
         self._seeds = {seed.instance_id: seed for seed in seeds}
@@ -71,13 +76,13 @@
             gossip=gossip,
             own_zone=own.zone,
             random=random,
-            on_reached=self._hear,
-            on_denied=self._deny,
+            on_reached=self._handle_reached,
+            on_denied=self._handle_denied,
         )
         self._callbacks: list[InstanceCallback] = []
         self._last_event: float | None = None
         self._next_tick = float("-inf")
-        self._greeted_at = float("-inf")
+        self._contacted_absent_at = float("-inf")
         self._joined_at: float | None = None
         self._leaving = False
         self._isolated = False
@@ -86,11 +91,11 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Return whether this instance seems to be the one that is cut off."""
+        """Return whether this instance itself seems to be cut off from the others."""
         return self._isolated
 
     def list_instances(self) -> list[Instance]:
-        """Return all known instances of the region, this one among them, by id."""
+        """Return all known instances of the region, including this one, sorted by id."""
         listed = [member.make_instance() for member in self._members.values()]
         return sorted([*listed, self._own], key=lambda instance: instance.instance_id)
 
@@ -100,11 +105,11 @@
         return [each.instance_id for each in self.list_instances() if each.status not in gone]
 
     def list_regions(self, *, now: float) -> list[RegionSummary]:
-        """Return what is known of other regions."""
+        """Return the current summaries of other regions."""
         return self._regions.list_summaries(now)
 
     def find_address(self, instance_id: str, *, now: float) -> str | None:
-        """Return where to send messages for an instance, a seed or a far contact."""
+        """Return the address of an instance, a seed or a contact in another region."""
         member = self._members.get(instance_id)
         if member is not None:
             return member.record.address
@@ -115,7 +120,7 @@
         return None
 
     def subscribe(self, callback: InstanceCallback) -> Unsubscribe:
-        """Call back with every instance whose entry changes."""
+        """Call ``callback`` with every instance whose status changes."""
         self._callbacks.append(callback)
 
         def unsubscribe() -> None:
@@ -125,76 +130,80 @@
         return unsubscribe
 
     def leave(self, *, now: float) -> None:
-        """Say that this instance leaves; keep handing in time for a second after that."""
+        """Announce that this instance leaves.
+
+        The caller must pass in ``TimeReached`` events for another second, so that the
+        announcement spreads.
+        """
         self._leaving = True
         self._own = replace(self._own, status=InstanceStatus.LEFT, since=now)
         self._publish_own(now, Urgency.LEAVING)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take in a message, or watch over the others."""
-        self._notice_freeze(now)
+        """Process a message, or check the other instances on a tick."""
+        self._handle_freeze(now)
         if isinstance(event, MessageReceived):
             self._receive(event.source, event.message, now)
         if isinstance(event, TimeReached) and now >= self._next_tick:
             self._next_tick = now + TICK_S
             self._tick(now)
-        effects = self._prober.take_effects()
+        effects = self._prober.pop_effects()
         if isinstance(event, TimeReached):
             effects.append(WakeAt(at=self._next_tick))
         return effects
 
-    # Time
+    # Timers
 
-    def _notice_freeze(self, now: float) -> None:
-        """Give everyone a new start after this process did not run for a while.
+    def _handle_freeze(self, now: float) -> None:
+        """Reset all last contact times if this process did not run for a while.
 
-        All others look silent to it, and it would accuse the whole fleet on waking.
+        All other instances look silent to it then, and it would suspect the whole fleet.
         """
         last, self._last_event = self._last_event, now
         if last is None or now - last < FROZEN_AFTER_S:
             return
         self._prober.drop_all()
         for member in self._members.values():
-            member.heard_at = max(member.heard_at, now)
+            member.last_seen_at = max(member.last_seen_at, now)
             member.clear_round()
 
     def _tick(self, now: float) -> None:
         if self._joined_at is None:
             self._joined_at = now
             self._publish_own(now, Urgency.ANNOUNCEMENT)
-        if now >= self._gossip.get_last_load_at() + ALIVE_EVERY_S and not self._leaving:
+        if now >= self._gossip.get_last_load_at() + ALIVE_INTERVAL_S and not self._leaving:
             self._gossip.publish(TOPIC_ALIVE, "", b"", Urgency.LOAD, now=now)
-        self._take_signs_of_life(now)
+        self._update_last_seen(now)
         self._isolated = is_isolated(self._members.values(), now)
         self._prober.tick(now)
         for member in list(self._members.values()):
-            self._watch(member, now)
-        self._greet(now)
+            self._check_member(member, now)
+        self._contact_absent(now)
         self._regions.publish(self._own.instance_id, self.list_instances(), now)
         self._set_peers(now)
 
-    def _take_signs_of_life(self, now: float) -> None:
+    def _update_last_seen(self, now: float) -> None:
         for member in self._members.values():
-            heard_at = self._gossip.get_last_seen(member.instance_id)
-            if heard_at is None:
+            last_seen_at = self._gossip.get_last_seen(member.instance_id)
+            if last_seen_at is None:
                 continue
-            member.hear(heard_at)
-            # A round that is under way ends with any sign of life, whoever relays it.
+            member.record_contact(last_seen_at)
+            # A heartbeat ends the suspicion also in the middle of a probe round.
             if member.status is InstanceStatus.SUSPECT and not member.is_silent(now):
-                self._change(member, InstanceStatus.ALIVE, "showed life", now)
+                self._change(member, InstanceStatus.ALIVE, "heartbeat received", now)
 
-    def _watch(self, member: Member, now: float) -> None:
+    def _check_member(self, member: Member, now: float) -> None:
         if member.status in (InstanceStatus.DEAD, InstanceStatus.LEFT):
-            self._watch_gone(member, now)
+            self._check_gone(member, now)
             return
-        may_accuse = self._is_settled(now) and not self._isolated and not self._leaving
-        if not may_accuse or not member.is_silent(now):
+        may_suspect = self._is_settled(now) and not self._isolated and not self._leaving
+        if not may_suspect or not member.is_silent(now):
             return
         candidates = list_candidates(member, self._members.values(), now)
         if member.status is InstanceStatus.ALIVE:
-            silence = now - member.heard_at
+            silence = now - member.last_seen_at
             self._change(member, InstanceStatus.SUSPECT, f"silent for {silence:.1f} s", now)
-            spread_s = min(MAX_PROBE_SPREAD_S, PROBE_SPREAD_S * len(self._members))
+            spread_s = min(MAX_PROBE_JITTER_S, PROBE_JITTER_PER_MEMBER_S * len(self._members))
             member.round_ends = now + self._random.uniform(0.0, spread_s)
             return
         if now < member.round_ends:
@@ -202,60 +211,61 @@
         if member.is_probed and is_confirmed(member, candidates, own_zone=self._own.zone):
             self._declare_dead(member, now)
             return
-        if self._count_rounds(now) >= MAX_ROUNDS:
+        if self._count_rounds(now) >= MAX_PROBE_ROUNDS:
             return
         self._prober.start_round(member, candidates, now)
 
     def _is_settled(self, now: float) -> bool:
-        grace_s = START_GRACE_S + START_GRACE_EACH_S * len(self._members)
+        grace_s = START_GRACE_S + START_GRACE_PER_MEMBER_S * len(self._members)
         return self._joined_at is not None and now >= self._joined_at + grace_s
 
     def _count_rounds(self, now: float) -> int:
         return sum(1 for m in self._members.values() if m.is_probed and now < m.round_ends)
 
-    def _watch_gone(self, member: Member, now: float) -> None:
-        self._notice_the_dead(member, now)
-        if now < member.since + FORGET_AFTER_S:
+    def _check_gone(self, member: Member, now: float) -> None:
+        self._notify_if_dead(member, now)
+        if now < member.since + REMOVE_GONE_AFTER_S:
             return
         self._gossip.retract(TOPIC_VERDICT, member.instance_id, Urgency.REST, now=now)
         self._gossip.remove_instance(member.instance_id)
         del self._members[member.instance_id]
 
-    def _notice_the_dead(self, member: Member, now: float) -> None:
-        """Tell an instance that counts as dead and yet shows life, so that it refutes."""
-        heard_at = self._gossip.get_last_seen(member.instance_id)
-        if member.status is not InstanceStatus.DEAD or heard_at is None:
+    def _notify_if_dead(self, member: Member, now: float) -> None:
+        """Notify an instance that is declared dead but sends heartbeats, so that it refutes."""
+        last_seen_at = self._gossip.get_last_seen(member.instance_id)
+        if member.status is not InstanceStatus.DEAD or last_seen_at is None:
             return
-        if heard_at <= member.since or now < member.noticed_at + NOTICE_EVERY_S:
+        if last_seen_at <= member.since or now < member.notified_at + NOTICE_INTERVAL_S:
             return
-        member.noticed_at = now
-        self._prober.send(member.instance_id, Notice(*member.life), now)
+        member.notified_at = now
+        self._prober.send(member.instance_id, Notice(*member.state_version), now)
 
     def _declare_dead(self, member: Member, now: float) -> None:
         witnesses = tuple(sorted(member.denials))
-        verdict = Verdict(member.instance_id, *member.life, witnesses)
+        verdict = Verdict(member.instance_id, *member.state_version, witnesses)
         self._gossip.publish(
             TOPIC_VERDICT, member.instance_id, encode(verdict), Urgency.LEAVING, now=now
         )
         reason = f"silent here, not reached by {', '.join(witnesses)}"
         self._change(member, InstanceStatus.DEAD, reason, now)
 
-    def _greet(self, now: float) -> None:
-        """Knock at a seed or a dead instance now and then.
+    def _contact_absent(self, now: float) -> None:
+        """Contact up to two seeds or dead instances at regular intervals.
 
-        Without that two sides that took each other for dead would never meet again.
+        Otherwise two sides of a partition that declared each other dead would never
+        reconnect.
         """
-        if now < self._greeted_at + GREET_EVERY_S:
+        if now < self._contacted_absent_at + CONTACT_ABSENT_INTERVAL_S:
             return
-        self._greeted_at = now
+        self._contacted_absent_at = now
         dead = [m for m in self._members.values() if m.status is InstanceStatus.DEAD]
-        # A seed is known by its address only; which member it is shows when they meet.
-        met = {member.record.address for member in self._members.values()}
-        met.add(self._own.address)
+        # The settings name seeds by address; the instance id is known only after contact.
+        known_addresses = {member.record.address for member in self._members.values()}
+        known_addresses.add(self._own.address)
         absent = [
             Peer(instance_id=seed.instance_id, region=seed.region)
             for seed in self._seeds.values()
-            if seed.address not in met
+            if seed.address not in known_addresses
         ]
         absent.extend(Peer(instance_id=m.instance_id, region=m.record.region) for m in dead)
         for peer in self._random.sample(absent, min(2, len(absent))):
@@ -273,60 +283,62 @@
 
     def _receive(self, source: str, message: Message, now: float) -> None:
         if isinstance(message, Notice):
-            self._refute(Life(message.incarnation, message.refutation), now)
+            self._refute(StateVersion(message.incarnation, message.refutation), now)
             return
         self._prober.receive(source, message, now)
 
-    def _deny(self, instance_id: str, witness: str, now: float) -> None:
+    def _handle_denied(self, instance_id: str, witness: str, now: float) -> None:
         member = self._members.get(instance_id)
         if member is None or member.status is not InstanceStatus.SUSPECT:
             return
-        if witness in member.asked:
+        if witness in member.asked_witnesses:
             member.denials[witness] = now
 
-    def _hear(self, instance_id: str, reason: str, now: float) -> None:
+    def _handle_reached(self, instance_id: str, reason: str, now: float) -> None:
         member = self._members.get(instance_id)
         if member is None or not member.is_counted:
             return
-        member.heard_at = max(member.heard_at, now)
+        member.last_seen_at = max(member.last_seen_at, now)
         self._change(member, InstanceStatus.ALIVE, reason, now)
 
-    # News
+    # Gossip records
 
     def _receive_record(self, news: ValueUpdate) -> None:
         record = _decode_record(news.payload)
         if record is None:
             return
-        heard_at = news.now - news.age_s
+        last_seen_at = news.now - news.age_s
         member = self._members.get(news.origin)
         if member is None:
-            self._add_member(news, record, heard_at)
+            self._add_member(news, record, last_seen_at)
             return
-        life = Life(record.incarnation, record.refutation)
-        # Gossip gives no older record; one of the same life only matters if it leaves.
-        if life < member.life or (life == member.life and not record.leaving):
+        state_version = StateVersion(record.incarnation, record.refutation)
+        # Gossip delivers no older record; one of the same version matters only if it leaves.
+        if state_version < member.state_version or (
+            state_version == member.state_version and not record.leaving
+        ):
             return
-        is_new_life = life > member.life
+        is_new_life = state_version > member.state_version
         member.record = record
         if is_new_life:
-            member.heard_at = max(member.heard_at, heard_at)
+            member.last_seen_at = max(member.last_seen_at, last_seen_at)
         if record.leaving:
-            self._change(member, InstanceStatus.LEFT, "left on its own word", news.now)
+            self._change(member, InstanceStatus.LEFT, "announced that it leaves", news.now)
         elif is_new_life:
-            self._change(member, InstanceStatus.ALIVE, "showed a new life", news.now)
+            self._change(member, InstanceStatus.ALIVE, "restarted or refuted a verdict", news.now)
 
-    def _add_member(self, news: ValueUpdate, record: InstanceRecord, heard_at: float) -> None:
-        # The record may be old; whether it lives shows from now on.
+    def _add_member(self, news: ValueUpdate, record: InstanceRecord, last_seen_at: float) -> None:
+        # The record may be old, so the silence is counted from now on.
         status = InstanceStatus.LEFT if record.leaving else InstanceStatus.ALIVE
         member = Member(
             instance_id=news.origin,
             record=record,
-            heard_at=max(heard_at, news.now),
+            last_seen_at=max(last_seen_at, news.now),
             since=news.now,
             status=status,
         )
         self._members[news.origin] = member
-        self._tell(member)
+        self._notify(member)
 
     def _receive_verdict(self, news: ValueUpdate) -> None:
         if news.payload is None:
@@ -337,37 +349,41 @@
             return
         if not isinstance(verdict, Verdict) or not verdict.witnesses:
             return
-        life = Life(verdict.incarnation, verdict.refutation)
+        state_version = StateVersion(verdict.incarnation, verdict.refutation)
         if verdict.target == self._own.instance_id:
-            self._refute(life, news.now)
+            self._refute(state_version, news.now)
             return
-        self._accept_verdict(verdict, life, news)
+        self._accept_verdict(verdict, state_version, news)
 
-    def _accept_verdict(self, verdict: Verdict, life: Life, news: ValueUpdate) -> None:
+    def _accept_verdict(
+        self, verdict: Verdict, state_version: StateVersion, news: ValueUpdate
+    ) -> None:
         member = self._members.get(verdict.target)
-        if member is None or not member.is_counted or life < member.life:
+        if member is None or not member.is_counted or state_version < member.state_version:
             return
-        heard_at = self._gossip.get_last_seen(verdict.target)
-        latest = max(member.heard_at, heard_at if heard_at is not None else member.heard_at)
-        # Whoever has a sign of life from after the verdict knows better than its judges.
+        last_seen_at = self._gossip.get_last_seen(verdict.target)
+        latest = max(
+            member.last_seen_at, last_seen_at if last_seen_at is not None else member.last_seen_at
+        )
+        # A heartbeat from after the verdict overrides it.
         if latest > news.now - news.age_s:
             return
-        reason = f"found dead by {news.origin} and {', '.join(verdict.witnesses)}"
+        reason = f"declared dead by {news.origin} and {', '.join(verdict.witnesses)}"
         self._change(member, InstanceStatus.DEAD, reason, news.now)
 
-    def _refute(self, accused: Life, now: float) -> None:
-        """Rise above an accusation; one of an earlier life needs no answer."""
-        if self._leaving or accused < self._own.life:
+    def _refute(self, accused: StateVersion, now: float) -> None:
+        """Refute a verdict by publishing a higher version; ignore one of an earlier version."""
+        if self._leaving or accused < self._own.state_version:
             return
-        life = Life(self._own.life.incarnation, accused.refutation + 1)
-        self._own = replace(self._own, life=life)
+        state_version = StateVersion(self._own.state_version.incarnation, accused.refutation + 1)
+        self._own = replace(self._own, state_version=state_version)
         self._publish_own(now, Urgency.LEAVING)
-        self._tell_own()
+        self._notify_own()
 
     def _publish_own(self, now: float, urgency: Urgency) -> None:
         own = self._own
         record = InstanceRecord(
-            own.address, own.region, own.zone, own.roles, *own.life, self._leaving
+            own.address, own.region, own.zone, own.roles, *own.state_version, self._leaving
         )
         self._gossip.publish(TOPIC_INSTANCE, "", encode(record), urgency, now=now)
 
@@ -375,13 +391,13 @@
         changed = member.status is not status
         member.change(status, reason, now)
         if changed:
-            self._tell(member)
+            self._notify(member)
 
-    def _tell(self, member: Member) -> None:
+    def _notify(self, member: Member) -> None:
         for callback in tuple(self._callbacks):
             callback(member.make_instance())
 
-    def _tell_own(self) -> None:
+    def _notify_own(self) -> None:
         for callback in tuple(self._callbacks):
             callback(self._own)
 
--- a/chivetrack/components/membership/witness.py
+++ b/chivetrack/components/membership/witness.py
@@ -1,4 +1,4 @@
-"""Probes others on behalf of an instance that suspects them."""
+"""Probes that this instance makes as a witness, for instances that suspect others."""
 
 from dataclasses import dataclass
 
@@ -6,43 +6,49 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Errand:
-    """A probe that this instance makes for another one."""
+class ProbeTask:
+    """A probe on behalf of ``requester``, which times out at ``due``."""
 
-    asker: str
-    asker_number: int
+    requester: str
+    request_number: int
     target: str
     due: float
 
 
-class Errands:
-    """The probes under way, by their own numbers."""
+class ProbeTasks:
+    """The running probes by the number in their ``Ping``."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._errands: dict[int, Errand] = {}
+        """Start without probes."""
+        self._tasks: dict[int, ProbeTask] = {}
         self._last_number = 0
 
-    def start(self, *, asker: str, asker_number: int, target: str, now: float) -> int:
-        """Note a probe and return its number."""
+    def start(self, *, requester: str, request_number: int, target: str, now: float) -> int:
+        """Record a probe and return its number."""
         self._last_number += 1
-        self._errands[self._last_number] = Errand(
-            asker=asker, asker_number=asker_number, target=target, due=now + PROBE_TIMEOUT_S
+        self._tasks[self._last_number] = ProbeTask(
+            requester=requester,
+            request_number=request_number,
+            target=target,
+            due=now + PROBE_TIMEOUT_S,
         )
         return self._last_number
 
-    def finish(self, number: int, target: str) -> Errand | None:
-        """Return and drop the probe that an answer from ``target`` ends."""
-        errand = self._errands.get(number)
-        if errand is None or errand.target != target:
+    def finish(self, number: int, target: str) -> ProbeTask | None:
+        """Return and remove the probe that an answer from ``target`` completes."""
+        task = self._tasks.get(number)
+        if task is None or task.target != target:
             return None
-        return self._errands.pop(number)
+        return self._tasks.pop(number)
 
-    def take_overdue(self, now: float) -> list[Errand]:
-        """Return and drop the probes that got no answer in time."""
-        overdue = [number for number, errand in self._errands.items() if now >= errand.due]
-        return [self._errands.pop(number) for number in overdue]
+    def pop_overdue(self, now: float) -> list[ProbeTask]:
+        """Return and remove the probes that have timed out."""
+        overdue = [number for number, task in self._tasks.items() if now >= task.due]
+        return [self._tasks.pop(number) for number in overdue]
 
     def drop_all(self) -> None:
-        """Forget all probes: a process that was frozen can't tell lost from late."""
-        self._errands.clear()
+        """Drop all probes.
+
+        After a freeze, a process can't distinguish a lost answer from a late one.
+        """
+        self._tasks.clear()
--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -26,7 +26,7 @@
     EngineGoal,
     EngineTarget,
 )
-from chivetrack.components.orders.settling import compute_settled_at
+from chivetrack.components.orders.takeover import compute_predecessor_expired_at
 from chivetrack.components.store.table import ResourceTable
 
 
@@ -42,7 +42,7 @@
 class PlacementController:
     """Computes a goal for each engine from the resources and the states of the engines.
 
-    The goals are read by ``OrderDesk``, which must run under the same lease. Goals of a
+    The goals are read by ``OrderHandler``, which must run under the same lease. Goals of a
     previous term are never returned.
     """
 
@@ -79,7 +79,7 @@
         )
 
     def list_targets(self) -> list[EngineTarget]:
-        """Return all engines with their goals, for ``OrderDesk``."""
+        """Return all engines with their goals, for ``OrderHandler``."""
         goals = self._goals if self._term == self._lease.fencing else {}
         return [
             EngineTarget(
@@ -128,7 +128,7 @@
         silence_s = const.SILENCE_S + len(engines) / const.ENGINES_QUERIED_PER_S
         if now >= self._term_at + silence_s:
             return True
-        settled_at = compute_settled_at(self._lease)
+        settled_at = compute_predecessor_expired_at(self._lease)
         return all(
             engine.state is not None and (engine.checks_fencing or engine.state_at >= settled_at)
             for engine in engines
--- a/chivetrack/components/model_placement/engines.py
+++ b/chivetrack/components/model_placement/engines.py
@@ -5,18 +5,18 @@
 from chivetrack.components.endpoints.models import Availability, EndpointKind, EndpointState
 from chivetrack.components.endpoints.registry import EndpointRegistry
 from chivetrack.components.model_placement.models import EngineView
-from chivetrack.components.orders.desk import OrderDesk
+from chivetrack.components.orders.handler import OrderHandler
 
 
 class EngineObserver:
-    """Reads the endpoint registry and, once it is connected, the ``OrderDesk``."""
+    """Reads the endpoint registry and, once it is connected, the ``OrderHandler``."""
 
     def __init__(self, *, registry: EndpointRegistry) -> None:
         """Initialize the observer; until it is connected, no engine has a known state."""
         self._registry = registry
-        self._coordinator: OrderDesk | None = None
+        self._coordinator: OrderHandler | None = None
 
-    def connect(self, coordinator: OrderDesk) -> None:
+    def connect(self, coordinator: OrderHandler) -> None:
         """Set the source of the engine states, which in turn needs the list of engines."""
         self._coordinator = coordinator
 
--- a/chivetrack/components/model_placement/runner.py
+++ b/chivetrack/components/model_placement/runner.py
@@ -8,16 +8,16 @@
 from chivetrack.components.model_placement.controller import PlacementController
 from chivetrack.components.model_placement.engines import EngineObserver
 from chivetrack.components.model_placement.queue import LoadQueue
-from chivetrack.components.orders.desk import OrderDesk
+from chivetrack.components.orders.handler import OrderHandler
 from chivetrack.components.store.table import ResourceTable
 from chivetrack.core import Effect, Event
 
 
 class PlacementRunner:
-    """Forwards every event to the loop, which holds the lease, and then to ``OrderDesk``.
+    """Forwards every event to the loop, which holds the lease, and then to ``OrderHandler``.
 
-    Its effects are the proposals of the loop, and ``SendOrder``, ``AskEngine`` and
-    ``OrderRequestEnded`` from ``OrderDesk``.
+    Its effects are the proposals of the loop, and ``SendOrder``, ``QueryEngine`` and
+    ``OrderRequestEnded`` from ``OrderHandler``.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
             list_engines=observer.list_engines,
             to_wall_ms=to_wall_ms,
         )
-        self.order_coordinator = OrderDesk(
+        self.order_coordinator = OrderHandler(
             lease=lease,
             list_targets=self.controller.list_targets,
             admission=LoadQueue(read_states=lambda: self.order_coordinator.read_states()),
--- a/chivetrack/components/orders/const.py
+++ b/chivetrack/components/orders/const.py
@@ -2,35 +2,41 @@
 
 from typing import Final
 
-SEND_WITHIN_S: Final = 1.0
-"""An order that has not left by then is dropped: its holder may have lost the lease."""
+SEND_DEADLINE_S: Final = 1.0
+"""Time limit for sending an order. After it the order is dropped, because this instance may
+have lost the lease.
+"""
 
-DELIVERY_S: Final = 2.0
-"""How long what has left may take to reach an engine."""
+MAX_DELIVERY_S: Final = 2.0
+"""Maximum time that a sent order may take to reach an engine."""
 
-ANSWER_WITHIN_S: Final = 5.0
-ASK_WITHIN_S: Final = 3.0
+ORDER_TIMEOUT_S: Final = 5.0
+QUERY_TIMEOUT_S: Final = 3.0
 
-FRESH_S: Final = 2.0
-"""An engine's state that is older than this is asked for anew before an order."""
+STATE_MAX_AGE_S: Final = 2.0
+"""An engine's state that is older than this is requested again before an order is sent."""
 
-POLL_IDLE_S: Final = 60.0
-POLL_BUSY_S: Final = 1.0
+IDLE_POLL_INTERVAL_S: Final = 60.0
+BUSY_POLL_INTERVAL_S: Final = 1.0
 
-LOOK_INTERVAL_S: Final = 0.25
-ENGINES_PER_S: Final = 2000
-"""Above this many engines looks get rarer, to bound the share of the processor."""
+MIN_RECONCILE_INTERVAL_S: Final = 0.25
+RECONCILED_ENGINES_PER_S: Final = 2000
+"""Maximum number of engines reconciled per second. With more engines the reconcile interval
+grows, which bounds the CPU time.
+"""
 
-MAX_OPEN_ASKS: Final = 32
-ASKED_SHARE: Final = 20
-"""Of very many engines this part may be asked at a time."""
+MIN_OPEN_QUERY_LIMIT: Final = 32
+ENGINES_PER_OPEN_QUERY: Final = 20
+"""One query may be open for each group of this many engines, if that is more than
+MIN_OPEN_QUERY_LIMIT.
+"""
 
-MAX_REQUESTS: Final = 64
-"""One-time orders that may wait for one engine."""
+MAX_PENDING_REQUESTS: Final = 64
+"""Maximum number of one-time orders that wait for one engine."""
 
 ORDERS_PATH: Final = "/v1/orders"
 STATE_PATH: Final = "/v1/engine-state"
 FENCING_FIELD: Final = "fencing"
 STALE_STATUS: Final = 409
 MAX_STATE_BYTES: Final = 1024 * 1024
-"""A longer answer is not a state; reading it would take the daemon's memory."""
+"""A longer response is not a valid state, and reading it would exhaust the memory."""
--- a/chivetrack/components/orders/engine.py
+++ b/chivetrack/components/orders/engine.py
@@ -1,4 +1,4 @@
-"""What the order desk remembers of one engine, within one term of the lease."""
+"""State that the order handler keeps for one engine during one term of the lease."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -11,58 +11,60 @@
 )
 
 
-class DeskPhase(StrEnum):
-    """What the desk waits for.
+class EngineQueryPhase(StrEnum):
+    """Phase of the cycle of querying an engine and sending it an order.
 
-    From every end of an order the way leads to ``UNKNOWN``: what the engine has is
-    asked, never concluded from an answer or its absence.
+    After each order the phase is ``UNKNOWN`` again: the engine's state is always queried,
+    never inferred from a response or from its absence.
     """
 
     UNKNOWN = "unknown"
-    ASKING = "asking"
+    QUERYING = "asking"
     KNOWN = "known"
     ORDERING = "ordering"
 
 
 @dataclass(slots=True, kw_only=True)
 class EngineRecord:
-    """One engine; ``open_id`` names the ask or order that is open until ``open_until``.
+    """State of one engine.
 
-    ``granted`` may be loaded next, once the state is fresh.
-    ``is_outranked``: it has seen a higher number than the one that this term has.
-    ``sent`` holds the ids of one-time orders that may have reached it.
+    ``open_id`` is the id of the query or order that is pending until ``open_until``.
+    ``granted`` is the artifact that has been admitted for loading and may be loaded once
+    the state is fresh. ``is_fenced_out`` means that the engine has seen a higher fencing
+    number than that of this term. ``sent`` holds the ids of one-time orders that may have
+    reached the engine.
     """
 
     target: EngineTarget
-    phase: DeskPhase = DeskPhase.UNKNOWN
+    phase: EngineQueryPhase = EngineQueryPhase.UNKNOWN
     state: EngineState | None = None
     state_at: float = float("-inf")
     open_id: str = ""
     open_until: float = float("-inf")
-    is_outranked: bool = False
+    is_fenced_out: bool = False
     granted: Artifact | None = None
     requests: list[OrderRequest] = field(default_factory=list)
     sent: set[str] = field(default_factory=set)
 
-    def forget_state(self) -> None:
-        """Return to not knowing."""
-        self.phase = DeskPhase.UNKNOWN
+    def invalidate_state(self) -> None:
+        """Mark the state as unknown, so that it is queried again."""
+        self.phase = EngineQueryPhase.UNKNOWN
         self.open_id = ""
 
-    def note_sent(self, order_id: str) -> None:
-        """Remember that a one-time order may have reached the engine."""
+    def record_sent(self, order_id: str) -> None:
+        """Record that a one-time order may have reached the engine."""
         if any(request.request_id == order_id for request in self.requests):
             self.sent.add(order_id)
 
-    def may_know(self, request: OrderRequest) -> bool:
-        """Tell whether a one-time order may have reached the engine."""
+    def may_have_received(self, request: OrderRequest) -> bool:
+        """Return whether a one-time order may have reached the engine."""
         return request.request_id in self.sent or request.request_id == self.open_id
 
     def replace_target(self, target: EngineTarget) -> None:
-        """Take the newest announcement; another incarnation holds nothing that is known."""
+        """Apply the newest announcement; a new incarnation invalidates the known state."""
         if target.incarnation != self.target.incarnation:
-            self.forget_state()
+            self.invalidate_state()
             self.state = None
             self.granted = None
-            self.is_outranked = False
+            self.is_fenced_out = False
         self.target = target
--- a/chivetrack/components/pipeline/admission.py
+++ b/chivetrack/components/pipeline/admission.py
@@ -19,36 +19,37 @@
 
 
 class AdmissionControl:
-    """Asks the limiter for each request, and gives the turns of those that waited.
+    """Submits requests to the limiter and reports when queued requests leave its queue.
 
-    What the limiter decides about others while one request is looked at is kept until
-    ``take_turns``: the chain is in the middle of that one request.
+    A call to the limiter for one request may also decide on queued ones. Those decisions are
+    kept until ``pop_queue_exits``, because the filter chain is still processing the first
+    request.
     """
 
     def __init__(self, *, limiter: Limiter, limits: LimitSource) -> None:
-        """Take the limiter and the configured limits."""
+        """Initialize with the limiter and the configured limits."""
         self._limiter = limiter
         self._limits = limits
         self._configured: dict[str, WorkspaceLimit | None] = {}
         self._waiting: set[str] = set()
-        self._turns: list[QueueLeft] = []
+        self._queue_exits: list[QueueLeft] = []
 
     def admit(self, exchange: Exchange, *, now: float) -> Fault | bool:
-        """Let a request in, have it wait, or refuse it at once."""
+        """Return ``True`` if a request is admitted, ``False`` if queued, or the refusal."""
         assert exchange.workspace is not None
         self._configure(exchange.workspace, now)
         request = LimitedRequest(
             request_id=exchange.request_id,
             workspace=exchange.workspace.name,
             deadline=exchange.deadline,
-            # Engines take the lower number first, the limiter's queue the higher one.
+            # Engines serve the lowest number first, the limiter's queue the highest.
             priority=-exchange.priority,
         )
         decision: Fault | bool = False
         for effect in self._limiter.submit(request, now):
-            own = _find_own(effect, exchange.request_id)
+            own = _get_decision(effect, exchange.request_id)
             if own is None:
-                self._note(effect)
+                self._handle_decision(effect)
             else:
                 decision = own
         if decision is False:
@@ -61,43 +62,43 @@
             self._configured[workspace.name] = limit
             self._limiter.configure(workspace.name, limit, now)
 
-    def _note(self, effect: Effect) -> None:
+    def _handle_decision(self, effect: Effect) -> None:
         if not isinstance(effect, Admit | Shed) or effect.request_id not in self._waiting:
             return
         self._waiting.remove(effect.request_id)
         fault = effect.fault if isinstance(effect, Shed) else None
-        self._turns.append(QueueLeft(request_id=effect.request_id, fault=fault))
+        self._queue_exits.append(QueueLeft(request_id=effect.request_id, fault=fault))
 
     def release(self, exchange: Exchange, *, now: float) -> None:
-        """Take in that a request is over, or has left the queue."""
+        """Release the slot of a request that has ended, or remove it from the queue."""
         request_id = exchange.request_id
         if request_id in self._waiting:
             self._waiting.remove(request_id)
             self._limiter.cancel(request_id)
             return
-        self._note_all(self._limiter.finish(request_id, now))
+        self._handle_decisions(self._limiter.finish(request_id, now))
 
-    def _note_all(self, effects: Sequence[Effect]) -> None:
+    def _handle_decisions(self, effects: Sequence[Effect]) -> None:
         for effect in effects:
-            self._note(effect)
+            self._handle_decision(effect)
 
-    def take_turns(self) -> list[QueueLeft]:
-        """Return whose turn has come, or who was given up, since the last call."""
-        turns, self._turns = self._turns, []
-        return turns
+    def pop_queue_exits(self) -> list[QueueLeft]:
+        """Return the requests that were admitted from the queue or shed since the last call."""
+        exits, self._queue_exits = self._queue_exits, []
+        return exits
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Look at the queue; when to look next is ``find_due``'s to say."""
+        """Process the queue on ``TimeReached``; ``find_due`` returns when that is next due."""
         if isinstance(event, TimeReached):
-            self._note_all(self._limiter.advance(now))
+            self._handle_decisions(self._limiter.advance(now))
         return []
 
     def find_due(self, now: float) -> float | None:
-        """Return when to look at the queue next."""
+        """Return when to process the queue next, or ``None`` if it is empty."""
         return self._limiter.find_due(now)
 
 
-def _find_own(effect: Effect, request_id: str) -> Fault | bool | None:
+def _get_decision(effect: Effect, request_id: str) -> Fault | bool | None:
     if isinstance(effect, Admit) and effect.request_id == request_id:
         return True
     if isinstance(effect, Shed) and effect.request_id == request_id:
--- a/chivetrack/components/pipeline/attempts.py
+++ b/chivetrack/components/pipeline/attempts.py
@@ -1,6 +1,6 @@
-"""Asks the retry policy what follows a failed attempt."""
+"""Applies the retry policy and the retry budgets to failed attempts."""
 
-from chivetrack.components.pipeline.flow import GiveUp, TryAgain
+from chivetrack.components.pipeline.flow import Abandon, SendAgain
 from chivetrack.components.pipeline.models import AttemptFailed, Exchange
 from chivetrack.components.retries import models as retries
 from chivetrack.components.retries.budget import RetryBudgets
@@ -17,30 +17,30 @@
 
 
 class AttemptRetries:
-    """Keeps the retry budgets; every request earns for them once."""
+    """Decides on retries within the retry budgets, to which every request adds once."""
 
     def __init__(self) -> None:
-        """Start with fresh budgets."""
+        """Initialize with new budgets."""
         self._budgets = RetryBudgets()
 
     def earn(self, exchange: Exchange, fault: Fault | None, now: float) -> None:
-        """Count a request that has ended, if it was sent at all."""
+        """Add a request that has ended to the budgets if an attempt was made."""
         if exchange.workspace is not None and exchange.attempts:
             self._budgets.earn(exchange.workspace.name)
 
     def decide(
         self, exchange: Exchange, failure: AttemptFailed, *, now: float
-    ) -> TryAgain | GiveUp:
-        """Return what comes after a failed attempt."""
+    ) -> SendAgain | Abandon:
+        """Return whether to send the request again or to abandon it."""
         assert exchange.policy is not None
         attempts = _list_attempts(exchange)
-        traits = _describe(exchange)
+        traits = _get_traits(exchange)
         if len(attempts) >= exchange.policy.max_attempts:
-            return GiveUp(fault=make_final_fault(attempts, traits))
+            return Abandon(fault=make_final_fault(attempts, traits))
         decision = decide_retry(attempts, traits, budgets=self._budgets, now=now)
-        if isinstance(decision, retries.GiveUp):
-            return GiveUp(fault=decision.fault)
-        return TryAgain()
+        if isinstance(decision, retries.Abandon):
+            return Abandon(fault=decision.fault)
+        return SendAgain()
 
 
 def _list_attempts(exchange: Exchange) -> list[retries.Attempt]:
@@ -50,7 +50,7 @@
     ]
 
 
-def _describe(exchange: Exchange) -> retries.RequestTraits:
+def _get_traits(exchange: Exchange) -> retries.RequestTraits:
     assert exchange.workspace is not None
     return retries.RequestTraits(
         workspace=exchange.workspace.name,
--- a/chivetrack/components/pipeline/filters/route.py
+++ b/chivetrack/components/pipeline/filters/route.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint and counts the request as in flight there."""
+"""Chooses the endpoint and counts the request as in flight at it."""
 
 from typing import Protocol
 
@@ -21,11 +21,11 @@
     """Counts requests in flight; see ``load``."""
 
     def start(self, endpoint_id: str, now: float) -> None:
-        """Count one more."""
+        """Increment the endpoint's count."""
         ...
 
     def finish(self, endpoint_id: str, now: float) -> None:
-        """Count one less."""
+        """Decrement the endpoint's count."""
         ...
 
 
@@ -36,22 +36,22 @@
     def __init__(
         self, *, placer: PlacementDecision, load: LoadCount, region: str, zone: str
     ) -> None:
-        """Take the placer and this router's own region and availability zone."""
+        """Initialize with the placer, the counts and this router's region and zone."""
         self._placer = placer
         self._load = load
         self._region = region
         self._zone = zone
-        self._open: dict[str, str] = {}
+        self._in_flight: dict[str, str] = {}
 
     def enter(self, exchange: Exchange, *, now: float) -> Step:
-        """Place the request, or refuse it when nothing fits."""
+        """Place the request, or refuse it if no endpoint is available."""
         placement = self._placer.place(self._make_demand(exchange), now=now)
         exchange.placement = placement
         endpoint = placement.endpoint
         if endpoint is None:
             return Refused(faults.no_endpoint(placement.reason, placement.retry_after_s))
         self._load.start(endpoint.endpoint_id, now)
-        self._open[exchange.request_id] = endpoint.endpoint_id
+        self._in_flight[exchange.request_id] = endpoint.endpoint_id
         attempt = Attempt(
             number=len(exchange.attempts) + 1,
             endpoint_id=endpoint.endpoint_id,
@@ -78,6 +78,6 @@
 
     def leave(self, exchange: Exchange, *, now: float) -> None:
         """Count the request as no longer in flight."""
-        endpoint_id = self._open.pop(exchange.request_id, None)
+        endpoint_id = self._in_flight.pop(exchange.request_id, None)
         if endpoint_id is not None:
             self._load.finish(endpoint_id, now)
--- a/chivetrack/components/pipeline/flow.py
+++ b/chivetrack/components/pipeline/flow.py
@@ -1,4 +1,4 @@
-"""The life of a request as decisions: events in, effects out."""
+"""The state machine of requests: takes events and returns effects, without I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -34,13 +34,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TryAgain:
-    """Another attempt, at an endpoint that is not excluded."""
+class SendAgain:
+    """Make another attempt, at an endpoint that is not excluded."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class GiveUp:
-    """No other attempt; the caller gets this fault."""
+class Abandon:
+    """Make no other attempt; the caller gets ``fault``."""
 
     fault: Fault
 
@@ -50,8 +50,8 @@
 
     def decide(
         self, exchange: Exchange, failure: AttemptFailed, *, now: float
-    ) -> TryAgain | GiveUp:
-        """Return what comes after a failed attempt."""
+    ) -> SendAgain | Abandon:
+        """Return whether to send the request again or to abandon it."""
         ...
 
 
@@ -62,10 +62,10 @@
 class RequestFlow:
     """Owns the open exchanges; one object per router.
 
-    Drive it with ``handle``. Each request begins with ``RequestArrived`` and ends
-    with ``Refuse``, ``ReplayAnswer`` or, after ``RelayAnswer``, with the driver's
-    ``AnswerEnded``. Events of a request that has ended are ignored: a late answer
-    finds nobody to go to.
+    The driver passes events to ``handle`` and executes the effects. Each request begins with
+    ``RequestArrived`` and ends with ``Refuse``, ``ReplayAnswer`` or, after ``RelayAnswer``,
+    with the driver's ``AnswerEnded``. Late events of a request that has ended are ignored,
+    except that a claim granted late is released.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         on_outcome: OutcomeListener,
         on_end: EndListener,
     ) -> None:
-        """Take the chain; a retry enters it again at ``route_position``."""
+        """Initialize with the chain; a retry enters it again at ``route_position``."""
         self._chain = chain
         self._retries = retries
         self._route_position = route_position
@@ -85,13 +85,13 @@
         self._on_end = on_end
         self._exchanges: dict[str, Exchange] = {}
         self._handlers: dict[type[RequestEvent], Callable[[Exchange, Any, float], list[Effect]]] = {
-            QueueLeft: self._leave_queue,
-            ClaimAnswered: self._take_claim,
-            AttemptFailed: self._fail_attempt,
-            AttemptAnswered: self._take_answer,
-            AnswerEnded: self._end_answer,
-            CallerGone: self._abandon,
-            DeadlineReached: self._expire,
+            QueueLeft: self._handle_queue_left,
+            ClaimAnswered: self._handle_claim,
+            AttemptFailed: self._handle_failure,
+            AttemptAnswered: self._handle_answer,
+            AnswerEnded: self._handle_answer_end,
+            CallerGone: self._handle_caller_gone,
+            DeadlineReached: self._handle_deadline,
         }
 
     @property
@@ -100,11 +100,11 @@
         return len(self._exchanges)
 
     def find_exchange(self, request_id: str) -> Exchange | None:
-        """Return an open exchange."""
+        """Return an open exchange, or ``None`` if the request has ended."""
         return self._exchanges.get(request_id)
 
     def handle(self, event: RequestEvent, *, now: float) -> list[Effect]:
-        """Take an event of a request."""
+        """Process an event of a request and return the effects to execute."""
         if isinstance(event, RequestArrived):
             return self._open(event, now)
         exchange = self._exchanges.get(event.request_id)
@@ -117,16 +117,16 @@
 
     @staticmethod
     def _is_current(exchange: Exchange, event: AttemptEvent) -> bool:
-        # An attempt that was given up may still report. Its end counted as that of
-        # the attempt after it would send a request on that is running.
+        # An abandoned attempt may still report its end. If that counted as the end of the
+        # next attempt, the request would be sent again while it is running.
         is_open = len(exchange.attempts) > len(exchange.outcomes)
         return is_open and event.attempt == exchange.attempt.number
 
     @staticmethod
     def _handle_late(event: RequestEvent) -> list[Effect]:
-        # The caller left while the log was asked. Nobody will use the claim, and no
-        # attempt was made under it: freed, so that the resend is not told for the
-        # claim's whole lifetime that the request is in progress.
+        # The caller disconnected while the claim was pending. No attempt was made, so the
+        # claim is released. Otherwise a resend would be refused as in progress until the
+        # claim expires.
         if not isinstance(event, ClaimAnswered) or event.fault or event.stored:
             return []
         return [
@@ -145,41 +145,42 @@
 
     def _advance(self, exchange: Exchange, now: float) -> list[Effect]:
         step = self._chain.advance(exchange, now=now)
-        return self._follow(exchange, step, now)
+        return self._execute_step(exchange, step, now)
 
-    def _follow(self, exchange: Exchange, step: Step, now: float) -> list[Effect]:
+    def _execute_step(self, exchange: Exchange, step: Step, now: float) -> list[Effect]:
         if isinstance(step, Refused):
             return self._refuse(exchange, step.fault, now)
         if isinstance(step, Proceed):
             raise RuntimeError("the last filter must not proceed")
         return list(step.effects)
 
-    def _leave_queue(self, exchange: Exchange, event: QueueLeft, now: float) -> list[Effect]:
+    def _handle_queue_left(self, exchange: Exchange, event: QueueLeft, now: float) -> list[Effect]:
         if event.fault is not None:
             return self._refuse(exchange, event.fault, now)
-        return self._go_on(exchange, now)
+        return self._continue(exchange, now)
 
-    def _take_claim(self, exchange: Exchange, event: ClaimAnswered, now: float) -> list[Effect]:
+    def _handle_claim(self, exchange: Exchange, event: ClaimAnswered, now: float) -> list[Effect]:
         if event.stored is not None:
             self._close(exchange, None, now)
             return [ReplayAnswer(request_id=exchange.request_id, answer=event.stored)]
         if event.fault is not None:
             return self._refuse(exchange, event.fault, now)
         exchange.claimed = True
-        return self._go_on(exchange, now)
+        return self._continue(exchange, now)
 
-    def _go_on(self, exchange: Exchange, now: float) -> list[Effect]:
+    def _continue(self, exchange: Exchange, now: float) -> list[Effect]:
         if now >= exchange.deadline:
-            return self._expire(exchange, None, now)
+            return self._handle_deadline(exchange, None, now)
         return self._advance(exchange, now)
 
-    def _expire(
+    def _handle_deadline(
         self, exchange: Exchange, event: DeadlineReached | None, now: float
     ) -> list[Effect]:
         return self._refuse(exchange, faults.deadline_exceeded(ran=exchange.ran), now)
 
-    def _fail_attempt(self, exchange: Exchange, event: AttemptFailed, now: float) -> list[Effect]:
-        # An endpoint whose head has arrived did begin, whatever ended it.
+    def _handle_failure(self, exchange: Exchange, event: AttemptFailed, now: float) -> list[Effect]:
+        # If the head of an answer has arrived, the endpoint has started the request, whatever
+        # outcome the failure reports.
         if exchange.answered:
             event = replace(event, outcome=AttemptOutcome.MAYBE_RAN)
         exchange.answered = False
@@ -188,11 +189,13 @@
         exchange.excluded.add(exchange.attempt.endpoint_id)
         self._chain.unwind(exchange, now=now, to=self._route_position)
         decision = self._retries.decide(exchange, event, now=now)
-        if isinstance(decision, GiveUp):
+        if isinstance(decision, Abandon):
             return self._refuse(exchange, decision.fault, now)
         return self._advance(exchange, now)
 
-    def _take_answer(self, exchange: Exchange, event: AttemptAnswered, now: float) -> list[Effect]:
+    def _handle_answer(
+        self, exchange: Exchange, event: AttemptAnswered, now: float
+    ) -> list[Effect]:
         if event.status in RETRYABLE_STATUSES and exchange.idempotent:
             return self._retry_status(exchange, event, now)
         exchange.answered = True
@@ -205,9 +208,11 @@
             outcome=AttemptOutcome.MAYBE_RAN,
             message=f"the endpoint answered with status {event.status}",
         )
-        return self._fail_attempt(exchange, failure, now)
+        return self._handle_failure(exchange, failure, now)
 
-    def _end_answer(self, exchange: Exchange, event: AnswerEnded, now: float) -> list[Effect]:
+    def _handle_answer_end(
+        self, exchange: Exchange, event: AnswerEnded, now: float
+    ) -> list[Effect]:
         outcome = AttemptOutcome.RAN if event.whole else AttemptOutcome.MAYBE_RAN
         self._on_outcome(exchange.attempt, outcome, now)
         exchange.outcomes.append(outcome)
@@ -236,8 +241,8 @@
         ]
 
     def _refuse(self, exchange: Exchange, fault: Fault, now: float) -> list[Effect]:
-        # A filter that is entered again for a retry speaks of that attempt only. "Did
-        # not run" would be a lie about the one before it.
+        # The fault of a filter that is entered again for a retry covers that retry only;
+        # an earlier attempt may have run.
         if fault.ran is Ran.NO:
             fault = replace(fault, ran=exchange.ran)
         claims = self._end_claim(exchange, None)
@@ -245,7 +250,9 @@
         refuse: RequestEffect = Refuse(request_id=exchange.request_id, fault=fault)
         return [refuse, *claims]
 
-    def _abandon(self, exchange: Exchange, event: CallerGone, now: float) -> list[Effect]:
+    def _handle_caller_gone(
+        self, exchange: Exchange, event: CallerGone, now: float
+    ) -> list[Effect]:
         effects = self._end_claim(exchange, None)
         self._close(exchange, faults.caller_gone(exchange.ran), now)
         return effects
--- a/chivetrack/components/placement/loads.py
+++ b/chivetrack/components/placement/loads.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from chivetrack.components.distribution.messages import EndpointLoad
-from chivetrack.components.endpoints.const import OTHERS_FRESH_S
+from chivetrack.components.endpoints.const import PEER_COUNTS_TTL_S
 
 
 @dataclass(slots=True)
@@ -53,10 +53,10 @@
     def count_running(self, endpoint_id: str, now: float) -> int:
         """Return the number of requests in flight at an endpoint, from all routers.
 
-        The load of the other routers counts for ``OTHERS_FRESH_S`` after its arrival.
+        The load of the other routers counts for ``PEER_COUNTS_TTL_S`` after its arrival.
         """
         use = self._get(endpoint_id)
-        return use.running + (use.others_running if now - use.others_at <= OTHERS_FRESH_S else 0)
+        return use.running + (use.others_running if now - use.others_at <= PEER_COUNTS_TTL_S else 0)
 
     def count_tokens(self, endpoint_id: str, now: float, *, rate: float) -> int:
         """Return the number of prompt tokens that an endpoint has not read yet.
--- a/chivetrack/components/proposals/client.py
+++ b/chivetrack/components/proposals/client.py
@@ -1,4 +1,4 @@
-"""Finds the leader for each submission, and goes on looking until its deadline."""
+"""Sends submissions to the leader of the log, with retries until their deadline."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -23,8 +23,8 @@
 from chivetrack.exceptions import Fault, Ran
 
 
-def no_leader(*, ran: Ran) -> Fault:
-    """Return the fault for a submission that no leader answered in time."""
+def make_no_leader_fault(*, ran: Ran) -> Fault:
+    """Return the fault for a submission that no leader has answered by its deadline."""
     if ran is Ran.NO:
         message = "No leader could be reached; the command was not accepted."
         code = "no_leader"
@@ -36,76 +36,76 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Pending:
-    """A submission under way; ``number`` names its newest try.
+    """A pending submission; ``number`` is the number of its latest attempt.
 
-    ``lost`` says that an earlier try had no clear answer, so it may be in the log.
+    ``has_unclear_attempt``: an earlier attempt had no clear answer and may be in the log.
     """
 
     submission: Submit | SubmitRead
     number: int = 0
     target: str = ""
     retry_at: float = 0.0
-    lost: bool = False
+    has_unclear_attempt: bool = False
 
 
 class ProposalClient:
-    """Sends submissions to the replica that is believed to lead.
+    """Sends submissions to the last known leader, or to a random replica.
 
-    A try that gets no answer may have been accepted, so it is tried again (the
-    request id in the command makes that safe) and, at the deadline, ends as unknown
-    rather than refused.
+    An attempt without an answer may have been accepted. It is retried, which is safe because
+    of the request id in the command, and at the deadline the submission ends as unknown
+    instead of refused.
     """
 
     def __init__(self, *, instance_id: str, replicas: Sequence[str], random: Random) -> None:
-        """Take the instance ids of the replicas; ``set_replicas`` changes them."""
+        """Create a client; ``replicas`` are the instance ids of the replicas."""
         self._instance_id = instance_id
         self._replicas = list(replicas)
         self._random = random
         self._leader = ""
         self._pending: dict[str, _Pending] = {}
-        self._by_number: dict[int, str] = {}
+        self._submission_by_attempt: dict[int, str] = {}
         self._next_number = 1
 
     @property
     def leader(self) -> str:
-        """Return the instance id of the believed leader, or an empty text."""
+        """Return the instance id of the last known leader, or an empty string."""
         return self._leader
 
     def set_replicas(self, replicas: Sequence[str]) -> None:
-        """Replace the instances that are asked."""
+        """Replace the instance ids of the replicas."""
         self._replicas = list(replicas)
 
-    def note_leader(self, leader: str) -> None:
-        """Take a hint about who leads."""
+    def record_leader_hint(self, leader: str) -> None:
+        """Record the instance that probably is the leader."""
         self._leader = leader
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take a submission, an answer or the time."""
+        """Process a submission, an answer or a timer."""
         if isinstance(event, Submit | SubmitRead):
-            return self._open(event, now)
+            return self._start(event, now)
         if isinstance(event, MessageReceived) and isinstance(event.message, ProposalAnswer):
-            return self._take_answer(event.source, event.message, now)
+            return self._handle_answer(event.source, event.message, now)
         if isinstance(event, TimeReached):
             return self._tick(now)
         return []
 
-    def _open(self, submission: Submit | SubmitRead, now: float) -> list[Effect]:
+    def _start(self, submission: Submit | SubmitRead, now: float) -> list[Effect]:
         if len(self._pending) >= MAX_PENDING:
-            fault = no_leader(ran=Ran.NO)
+            fault = make_no_leader_fault(ran=Ran.NO)
             return [SubmissionEnded(submission_id=submission.submission_id, fault=fault)]
         pending = _Pending(submission=submission)
         self._pending[submission.submission_id] = pending
-        return self._try(pending, now)
+        return self._send_attempt(pending, now)
 
-    def _try(self, pending: _Pending, now: float) -> list[Effect]:
+    def _send_attempt(self, pending: _Pending, now: float) -> list[Effect]:
         target = self._choose_target(pending)
         if target is None:
-            return self._wait(pending, now)
-        if self._by_number.pop(pending.number, None) is not None:
-            pending.lost = True
+            return self._schedule_retry(pending, now)
+        if self._submission_by_attempt.pop(pending.number, None) is not None:
+            pending.has_unclear_attempt = True
         pending.number = self._next_number
         self._next_number += 1
-        self._by_number[pending.number] = pending.submission.submission_id
+        self._submission_by_attempt[pending.number] = pending.submission.submission_id
         pending.target = target
         pending.retry_at = min(now + ANSWER_TIMEOUT_S, pending.submission.deadline)
         is_write = isinstance(pending.submission, Submit)
@@ -120,12 +120,12 @@
         candidates = others or self._replicas
         return self._random.choice(candidates) if candidates else None
 
-    def _wait(self, pending: _Pending, now: float) -> list[Effect]:
+    def _schedule_retry(self, pending: _Pending, now: float) -> list[Effect]:
         pending.retry_at = min(now + RETRY_DELAY_S, pending.submission.deadline)
         return [WakeAt(at=pending.retry_at)]
 
-    def _take_answer(self, source: str, answer: ProposalAnswer, now: float) -> list[Effect]:
-        submission_id = self._by_number.pop(answer.number, None)
+    def _handle_answer(self, source: str, answer: ProposalAnswer, now: float) -> list[Effect]:
+        submission_id = self._submission_by_attempt.pop(answer.number, None)
         if submission_id is None:
             return []
         pending = self._pending[submission_id]
@@ -134,36 +134,36 @@
             return self._end(pending, result=answer.result, revision=answer.revision)
         self._leader = answer.leader if answer.leader != source else ""
         if answer.verdict is Verdict.REFUSED:
-            return self._retry_refused(pending, now)
-        pending.lost = True
-        return self._wait(pending, now)
+            return self._handle_refusal(pending, now)
+        pending.has_unclear_attempt = True
+        return self._schedule_retry(pending, now)
 
-    def _retry_refused(self, pending: _Pending, now: float) -> list[Effect]:
+    def _handle_refusal(self, pending: _Pending, now: float) -> list[Effect]:
         if self._leader:
-            return self._try(pending, now)
-        return self._wait(pending, now)
+            return self._send_attempt(pending, now)
+        return self._schedule_retry(pending, now)
 
     def _tick(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for pending in list(self._pending.values()):
             if now >= pending.submission.deadline:
                 ran = Ran.MAYBE if self._may_be_accepted(pending) else Ran.NO
-                effects.extend(self._end(pending, fault=no_leader(ran=ran)))
+                effects.extend(self._end(pending, fault=make_no_leader_fault(ran=ran)))
             elif now >= pending.retry_at:
-                effects.extend(self._retry_silent(pending, now))
+                effects.extend(self._retry_unanswered(pending, now))
             else:
                 effects.append(WakeAt(at=pending.retry_at))
         return effects
 
     def _may_be_accepted(self, pending: _Pending) -> bool:
-        # A try without an answer can't be told from one that was never delivered.
-        is_open = pending.number in self._by_number
-        return isinstance(pending.submission, Submit) and (pending.lost or is_open)
+        # An attempt without an answer can't be distinguished from one that was not delivered.
+        is_open = pending.number in self._submission_by_attempt
+        return isinstance(pending.submission, Submit) and (pending.has_unclear_attempt or is_open)
 
-    def _retry_silent(self, pending: _Pending, now: float) -> list[Effect]:
+    def _retry_unanswered(self, pending: _Pending, now: float) -> list[Effect]:
         if pending.target == self._leader:
             self._leader = ""
-        return self._try(pending, now)
+        return self._send_attempt(pending, now)
 
     def _end(
         self,
@@ -174,7 +174,7 @@
         fault: Fault | None = None,
     ) -> list[Effect]:
         submission_id = pending.submission.submission_id
-        self._by_number.pop(pending.number, None)
+        self._submission_by_attempt.pop(pending.number, None)
         del self._pending[submission_id]
         return [
             SubmissionEnded(
--- a/chivetrack/components/quarantine/const.py
+++ b/chivetrack/components/quarantine/const.py
@@ -16,18 +16,21 @@
 MAX_SUSPECTS: Final = 4096
 """Maximum number of requests tracked by a replica; those with the fewest crashes are evicted."""
 
-EVIDENCE_KEPT_S: Final = 6 * 3600.0
+EVIDENCE_RETENTION_S: Final = 6 * 3600.0
 """Crashes are counted for this long after the first report; older ones are dropped."""
 
-TIDY_EVERY_S: Final = 60.0
+PRUNE_INTERVAL_S: Final = 60.0
 """Interval between removals of expired crashes."""
 
 MAX_QUARANTINED: Final = 256
 """Maximum number of quarantined requests, about 200 bytes each; the oldest are evicted first."""
 
 MAX_ANSWERED: Final = 4096
-ANSWERED_KEPT_S: Final = 60.0
-"""A request that was completely answered within this time is not reported after a crash."""
+ANSWERED_RETENTION_S: Final = 60.0
+"""A request that was completely answered within this time is not reported after a crash.
+
+At most ``MAX_ANSWERED`` answered requests are kept.
+"""
 
 MAX_PATH_LENGTH: Final = 100
 """Maximum number of characters of a request path in a crash report."""
--- a/chivetrack/components/quarantine/evidence.py
+++ b/chivetrack/components/quarantine/evidence.py
@@ -1,23 +1,24 @@
-"""Counts, for each request, the endpoint crashes during which it was running; free of I/O."""
+"""Counts, for each request, the endpoint crashes during which it was running, without I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from chivetrack.components.quarantine.const import (
     CRASHES_TO_QUARANTINE,
-    EVIDENCE_KEPT_S,
+    EVIDENCE_RETENTION_S,
     MAX_SUSPECTS,
+    PRUNE_INTERVAL_S,
     REPORT_DURATION_S,
-    TIDY_EVERY_S,
 )
 from chivetrack.components.quarantine.models import CrashReport, Quarantine, QuarantineOrder
 
 
 @dataclass(slots=True)
 class _Suspect:
-    """A request with its crashes: endpoint lifetimes, each with the time of its first report.
+    """A request with the endpoint incarnations that crashed while running it.
 
-    ``excluded`` are the lifetimes that a release has removed from the count.
+    ``crashes`` maps each incarnation to the time of its first report. ``excluded`` are the
+    incarnations that a release has removed from the count.
     """
 
     report: CrashReport
@@ -25,7 +26,7 @@
     excluded: set[str] = field(default_factory=set)
 
     def list_counted(self) -> tuple[str, ...]:
-        return tuple(one for one in self.crashes if one not in self.excluded)
+        return tuple(crash for crash in self.crashes if crash not in self.excluded)
 
 
 class CrashEvidence:
@@ -38,31 +39,31 @@
     """
 
     def __init__(self) -> None:
-        """Start without crash reports."""
+        """Initialize without crash reports."""
         self._suspects: dict[bytes, _Suspect] = {}
         self._due: set[bytes] = set()
-        self._tidied_at = float("-inf")
+        self._pruned_at = float("-inf")
         self._recent: dict[tuple[bytes, str], tuple[float, CrashReport]] = {}
 
     def __len__(self) -> int:
         """Return the number of tracked requests."""
         return len(self._suspects)
 
-    def note(self, crash_reports: Iterable[CrashReport], *, now: float) -> bool:
+    def record(self, crash_reports: Iterable[CrashReport], *, now: float) -> bool:
         """Count crash reports and return whether any is new; duplicates and order don't matter."""
         is_new = False
-        for one in crash_reports:
-            suspect = self._suspects.get(one.fingerprint)
+        for report in crash_reports:
+            suspect = self._suspects.get(report.fingerprint)
             if suspect is None:
-                suspect = self._suspects[one.fingerprint] = _Suspect(one)
-            if one.lifetime not in suspect.crashes:
-                suspect.crashes[one.lifetime] = now
-                self._recent[one.fingerprint, one.lifetime] = (now, one)
-                self._update_due(one.fingerprint)
+                suspect = self._suspects[report.fingerprint] = _Suspect(report)
+            if report.incarnation not in suspect.crashes:
+                suspect.crashes[report.incarnation] = now
+                self._recent[report.fingerprint, report.incarnation] = (now, report)
+                self._update_due(report.fingerprint)
                 is_new = True
-        if now - self._tidied_at > TIDY_EVERY_S:
-            self._tidied_at = now
-            self._forget_old(now)
+        if now - self._pruned_at > PRUNE_INTERVAL_S:
+            self._pruned_at = now
+            self._prune_expired(now)
         self._evict_excess()
         return is_new
 
@@ -71,7 +72,7 @@
         old = [key for key, (at, _) in self._recent.items() if now - at > REPORT_DURATION_S]
         for key in old:
             del self._recent[key]
-        return tuple(one for _, one in self._recent.values())
+        return tuple(report for _, report in self._recent.values())
 
     def list_due(self, quarantine: Quarantine, *, at: float) -> list[QuarantineOrder]:
         """Return orders for requests that have reached the crash threshold.
@@ -116,12 +117,12 @@
         del self._suspects[fingerprint]
         self._due.discard(fingerprint)
 
-    def _forget_old(self, now: float) -> None:
+    def _prune_expired(self, now: float) -> None:
         for fingerprint, suspect in list(self._suspects.items()):
-            for lifetime, at in list(suspect.crashes.items()):
-                if now - at > EVIDENCE_KEPT_S:
-                    del suspect.crashes[lifetime]
-                    suspect.excluded.discard(lifetime)
+            for incarnation, at in list(suspect.crashes.items()):
+                if now - at > EVIDENCE_RETENTION_S:
+                    del suspect.crashes[incarnation]
+                    suspect.excluded.discard(incarnation)
             if suspect.crashes:
                 self._update_due(fingerprint)
             else:
@@ -133,6 +134,6 @@
         # Evicts an extra eighth, so that a flood of new requests doesn't cause a sort per call.
         extra = len(self._suspects) - MAX_SUSPECTS + MAX_SUSPECTS // 8
         # The sort is stable: among equal crash counts, the oldest entries are evicted first.
-        by_crash_count = sorted(self._suspects, key=lambda one: len(self._suspects[one].crashes))
+        by_crash_count = sorted(self._suspects, key=lambda each: len(self._suspects[each].crashes))
         for fingerprint in by_crash_count[:extra]:
             self._drop(fingerprint)
--- a/chivetrack/components/replica/repair.py
+++ b/chivetrack/components/replica/repair.py
@@ -1,4 +1,4 @@
-"""Keeps the replicated log at its wanted number of voters, without an operator."""
+"""Keeps the replicated log at its target number of voters, without an operator."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -7,18 +7,19 @@
 from chivetrack.components.consensus.models import ConsensusStatus
 from chivetrack.helpers.codec import Message, message
 
-# A voter that was silent for this long gives its place to a learner that waits for one.
-# Longer than the freezes and restarts of a few seconds that a voter comes back from.
-VOTER_SILENT_S = 5.0
-# A learner that has not been heard for so long is dropped: its disk is gone for good.
-LEARNER_SILENT_S = 10.0
-# A joiner is taken at its word for so long; it asks four times a second.
-JOINER_FRESH_S = 1.0
+# A voter that has not answered the leader for this long is replaced by a waiting learner.
+# Must be longer than freezes and restarts of a few seconds, from which a voter recovers.
+VOTER_TIMEOUT_S = 5.0
+# A learner that has not answered for this long is removed: its disk counts as lost.
+LEARNER_TIMEOUT_S = 10.0
+# A join request is valid for this long, and a learner that answered within it can be
+# promoted. A joining replica sends four requests a second.
+RECENT_CONTACT_S = 1.0
 
 
 @message("replica.join")
 class JoinRequest(Message, frozen=True, array_like=True):
-    """A replica that hears no leader asks whether it belongs to the log."""
+    """Sent by a replica without contact to a leader, to learn of its membership or to join."""
 
     instance_id: str
     replica_id: str
@@ -26,7 +27,7 @@
 
 @message("replica.join_answer")
 class JoinAnswer(Message, frozen=True, array_like=True):
-    """The members as one replica knows them, and who leads."""
+    """The members of the log and the leader, as known to one replica."""
 
     leader_instance: str
     members: Members
@@ -43,40 +44,46 @@
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Joiner:
     replica_id: str
-    heard_at: float
+    requested_at: float
 
 
 class Repair:
-    """Decides on a leader which member change comes next; one at a time.
+    """Chooses the next member change on the leader, one at a time.
 
-    A replica with a new id on the instance of a member means that the disk of that
-    member is lost: its old id can never answer again, so it is removed first. With two
-    of five disks lost, the quorum goes down to three of four before it has to be
-    reached, and the three that are left suffice at every step.
+    A replica with a new id on the instance of a member shows that the member's disk is
+    lost: the old id can never answer again, so it is removed first. With two of five disks
+    lost, the first removal leaves four voters with a quorum of three, so the three
+    remaining replicas are a quorum at every step.
     """
 
-    def __init__(self, *, wanted_voters: int) -> None:
-        """Take the number of voters that bears the losses which are to be borne."""
-        self._wanted_voters = wanted_voters
+    def __init__(self, *, target_voters: int) -> None:
+        """Create the repair with the number of voters that it maintains."""
+        self._target_voters = target_voters
         self._joiners: dict[str, _Joiner] = {}
 
-    def note_join(self, request: JoinRequest, *, now: float) -> None:
-        """Remember who asks to be let in."""
-        self._joiners[request.instance_id] = _Joiner(replica_id=request.replica_id, heard_at=now)
+    def record_join_request(self, request: JoinRequest, *, now: float) -> None:
+        """Record a replica that requests to join."""
+        self._joiners[request.instance_id] = _Joiner(
+            replica_id=request.replica_id, requested_at=now
+        )
+
+    def choose_change(self, status: ConsensusStatus, *, now: float) -> MemberChange | None:
+        """Return the member change to propose on this leader, or ``None``.
 
-    def choose(self, status: ConsensusStatus, *, now: float) -> MemberChange | None:
-        """Return the change that is due on this leader, if there is one."""
+        Lost members are removed first; then joiners are added, learners promoted and
+        unreachable learners removed.
+        """
         joiners = {
             instance: joiner.replica_id
             for instance, joiner in self._joiners.items()
-            if now - joiner.heard_at <= JOINER_FRESH_S
+            if now - joiner.requested_at <= RECENT_CONTACT_S
         }
-        silent = {one.replica_id: one.last_contact_age_s for one in status.replicas}
+        contact_ages_s = {one.replica_id: one.last_contact_age_s for one in status.replicas}
         return (
             self._replace_lost(status, joiners)
             or self._add(status.members, joiners)
-            or self._promote(status, silent)
-            or self._drop_learner(status, silent)
+            or self._promote(status, contact_ages_s)
+            or self._drop_learner(status, contact_ages_s)
         )
 
     def _replace_lost(
@@ -97,26 +104,28 @@
                 return MemberChange(kind=ChangeKind.ADD_LEARNER, member=member)
         return None
 
-    def _promote(self, status: ConsensusStatus, silent: Mapping[str, float]) -> MemberChange | None:
+    def _promote(
+        self, status: ConsensusStatus, contact_ages_s: Mapping[str, float]
+    ) -> MemberChange | None:
         learners = [
             member
             for member in status.members.members
-            if not member.voter and silent.get(member.replica_id, 0.0) < JOINER_FRESH_S
+            if not member.voter and contact_ages_s.get(member.replica_id, 0.0) < RECENT_CONTACT_S
         ]
         if not learners:
             return None
-        if len(status.members.list_voters()) < self._wanted_voters:
+        if len(status.members.list_voters()) < self._target_voters:
             return MemberChange(kind=ChangeKind.PROMOTE, member=learners[0])
         for member in status.members.members:
-            is_silent = silent.get(member.replica_id, 0.0) > VOTER_SILENT_S
+            is_silent = contact_ages_s.get(member.replica_id, 0.0) > VOTER_TIMEOUT_S
             if member.voter and is_silent and member.replica_id != status.replica_id:
                 return MemberChange(kind=ChangeKind.REMOVE, member=member)
         return None
 
     def _drop_learner(
-        self, status: ConsensusStatus, silent: Mapping[str, float]
+        self, status: ConsensusStatus, contact_ages_s: Mapping[str, float]
     ) -> MemberChange | None:
         for member in status.members.members:
-            if not member.voter and silent.get(member.replica_id, 0.0) > LEARNER_SILENT_S:
+            if not member.voter and contact_ages_s.get(member.replica_id, 0.0) > LEARNER_TIMEOUT_S:
                 return MemberChange(kind=ChangeKind.REMOVE, member=member)
         return None
--- a/chivetrack/components/storage/recovery.py
+++ b/chivetrack/components/storage/recovery.py
@@ -1,4 +1,4 @@
-"""Reads the segments of a folder back into the log."""
+"""Recovery of the log from the segments of a folder."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 from chivetrack.components.consensus.messages import Entry
 from chivetrack.components.consensus.models import HardState, Snapshot
 from chivetrack.components.storage.exceptions import DamagedFileError
-from chivetrack.components.storage.frames import Scan, scan_frames
+from chivetrack.components.storage.frames import ScanResult, scan_frames
 from chivetrack.components.storage.records import SegmentHeader, Truncation
 from chivetrack.helpers.codec import Message
 
@@ -25,8 +25,8 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Chain:
-    """The log as far as it is read: entries after ``base_index``."""
+class RecoveredLog:
+    """The part of the log that has been read: the entries after ``base_index``."""
 
     hard_state: HardState = HardState()
     base_index: int = 0
@@ -39,7 +39,7 @@
         return self.base_index + len(self.entries)
 
     def find_term(self, index: int) -> int | None:
-        """Return the term at an index, or ``None``."""
+        """Return the term of the entry at ``index``, or ``None`` if it was not read."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
@@ -49,8 +49,8 @@
     def truncate(self, index: int) -> None:
         """Drop the entries from ``index`` on.
 
-        It may lie before the base, in a segment that was deleted since: then a later
-        snapshot holds that part, and nobody asks for the term there.
+        ``index`` may precede the base if its segment was deleted. A later snapshot then
+        covers that part of the log, and the unknown term is never needed.
         """
         if index <= self.base_index:
             self.base_index = index - 1
@@ -58,42 +58,42 @@
         del self.entries[max(0, index - self.base_index - 1) :]
 
     def restart(self, header: SegmentHeader) -> None:
-        """Drop all entries and go on after the base of a segment."""
+        """Drop all entries and continue after the base of a segment."""
         self.entries.clear()
         self.base_index = header.base_index
         self.base_term = header.base_term
 
 
-def read_segment(path: Path, *, is_last: bool) -> Scan:
-    """Read one segment; only the last may end in a torn frame."""
+def read_segment(path: Path, *, is_last: bool) -> ScanResult:
+    """Read one segment; only the last one may end with a torn frame."""
     return scan_frames(path.read_bytes(), path=path, may_be_torn=is_last)
 
 
 class SegmentReader:
-    """Puts the records of segments together, in their order."""
+    """Rebuilds the log from the records of segments, which must be read in order."""
 
     def __init__(self, *, snapshot: Snapshot) -> None:
-        """Start before the first segment of a log behind ``snapshot``."""
+        """Start before the first segment; ``snapshot`` is the latest one in the folder."""
         self._snapshot = snapshot
         self._is_first = True
         self._replaced_before = 0
-        self.chain = Chain()
+        self.recovered_log = RecoveredLog()
 
     def read(self, segment: Segment, records: Sequence[Message]) -> None:
         """Add the records of the next segment."""
         if not records or not isinstance(records[0], SegmentHeader):
             raise DamagedFileError(segment.path, 0, "the segment has no header")
-        self._take_header(segment, records[0])
+        self._read_header(segment, records[0])
         for record in records[1:]:
-            self._take_record(segment, record)
+            self._read_record(segment, record)
 
-    def _take_header(self, segment: Segment, header: SegmentHeader) -> None:
-        chain = self.chain
-        follows = (chain.last_index, chain.find_term(chain.last_index)) == (
+    def _read_header(self, segment: Segment, header: SegmentHeader) -> None:
+        recovered_log = self.recovered_log
+        follows = (recovered_log.last_index, recovered_log.find_term(recovered_log.last_index)) == (
             header.base_index,
             header.base_term,
         )
-        # A snapshot from the leader replaced the log; a crash kept the older segments.
+        # A snapshot from the leader replaced the log, but older segments were left by a crash.
         replaced = (self._snapshot.index, self._snapshot.term) == (
             header.base_index,
             header.base_term,
@@ -101,45 +101,45 @@
         if not (self._is_first or follows or replaced):
             raise DamagedFileError(segment.path, 0, "the segment does not follow the one before")
         if not follows:
-            chain.restart(header)
+            recovered_log.restart(header)
             self._replaced_before = segment.number
         self._is_first = False
-        chain.hard_state = header.hard_state
+        recovered_log.hard_state = header.hard_state
 
-    def _take_record(self, segment: Segment, record: Message) -> None:
-        chain = self.chain
+    def _read_record(self, segment: Segment, record: Message) -> None:
+        recovered_log = self.recovered_log
         match record:
             case HardState():
-                chain.hard_state = record
+                recovered_log.hard_state = record
             case Truncation():
-                chain.truncate(record.index)
+                recovered_log.truncate(record.index)
             case Entry():
-                self._take_entry(segment, record)
+                self._append_entry(segment, record)
             case _:
                 raise DamagedFileError(segment.path, 0, f"a {type(record).__name__} in the log")
 
-    def _take_entry(self, segment: Segment, entry: Entry) -> None:
-        if entry.index != self.chain.last_index + 1:
+    def _append_entry(self, segment: Segment, entry: Entry) -> None:
+        if entry.index != self.recovered_log.last_index + 1:
             raise DamagedFileError(segment.path, 0, f"entry {entry.index} does not follow")
-        self.chain.entries.append(entry)
+        self.recovered_log.entries.append(entry)
         segment.last_index = max(segment.last_index, entry.index)
 
     @property
-    def agrees(self) -> bool:
-        """Tell whether the log goes on after the snapshot.
+    def includes_snapshot(self) -> bool:
+        """Return whether the log contains the snapshot's last entry.
 
-        If not, the snapshot came from the leader, and a crash kept it from
-        replacing the log.
+        Otherwise the snapshot came from the leader, and a crash happened before it could
+        replace the log.
         """
-        return self.chain.find_term(self._snapshot.index) == self._snapshot.term
+        return self.recovered_log.find_term(self._snapshot.index) == self._snapshot.term
 
     def is_replaced(self, segment: Segment) -> bool:
-        """Tell whether a segment is a leftover of a log that a snapshot replaced."""
-        return not self.agrees or segment.number < self._replaced_before
+        """Return whether a segment belongs to a log that a snapshot has replaced."""
+        return not self.includes_snapshot or segment.number < self._replaced_before
 
     def list_entries(self) -> tuple[Entry, ...]:
         """Return the entries after the snapshot."""
-        chain = self.chain
-        if not self.agrees:
+        recovered_log = self.recovered_log
+        if not self.includes_snapshot:
             return ()
-        return tuple(chain.entries[self._snapshot.index - chain.base_index :])
+        return tuple(recovered_log.entries[self._snapshot.index - recovered_log.base_index :])
--- a/chivetrack/components/storage/storage.py
+++ b/chivetrack/components/storage/storage.py
@@ -1,4 +1,4 @@
-"""The log, the vote and the snapshot of one replica in its data folder."""
+"""Storage of the log, the vote and the snapshot of one replica in its data folder."""
 
 import os
 from collections.abc import Iterator, Sequence
@@ -20,7 +20,7 @@
     WriteFailedError,
 )
 from chivetrack.components.storage.files import (
-    Calls,
+    SystemCalls,
     hold_lock,
     sync_folder,
     truncate_file,
@@ -35,15 +35,19 @@
 
 
 def create_folder(
-    path: Path, *, identity: Identity, snapshot: Snapshot | None = None, calls: Calls | None = None
+    path: Path,
+    *,
+    identity: Identity,
+    snapshot: Snapshot | None = None,
+    calls: SystemCalls | None = None,
 ) -> None:
-    """Make a folder for a new replica.
+    """Create the data folder of a new replica.
 
-    Without a snapshot the replica waits to be added as a learner. With one, whose
-    members must name it, it starts a system of its own (or one from a backup).
-    The id must never have been used before: see ``make_replica_id``.
+    Without a snapshot, the replica waits to be added as a learner. With a snapshot, whose
+    members must include the replica, it starts a new log, possibly from a backup. The
+    replica id must never have been used before; see ``make_replica_id``.
     """
-    calls = calls or Calls()
+    calls = calls or SystemCalls()
     path.mkdir(parents=True, exist_ok=True)
     with hold_lock(path):
         if (path / IDENTITY_NAME).exists():
@@ -61,17 +65,17 @@
 
 
 @contextmanager
-def open_storage(*, path: Path, calls: Calls | None = None) -> Iterator["Storage"]:
-    """Lock and recover a folder for as long as the context lasts.
+def open_storage(*, path: Path, calls: SystemCalls | None = None) -> Iterator["Storage"]:
+    """Lock a folder, recover its state, and close it at the end of the context.
 
-    Raise ``FolderEmptyError`` for a folder without identity, ``FolderLockedError``,
+    Raises ``FolderEmptyError`` for a folder without identity, ``FolderLockedError``,
     ``DamagedFileError`` or ``WriteFailedError``.
     """
     if not path.is_dir():
         raise FolderEmptyError(path)
     with hold_lock(path):
         try:
-            storage = Storage(path=path, calls=calls or Calls())
+            storage = Storage(path=path, calls=calls or SystemCalls())
         except OSError as error:
             raise WriteFailedError(path, str(error)) from error
         try:
@@ -89,7 +93,7 @@
     return int(path.name.removeprefix(prefix))
 
 
-def _save_snapshot(path: Path, snapshot: Snapshot, calls: Calls) -> None:
+def _save_snapshot(path: Path, snapshot: Snapshot, calls: SystemCalls) -> None:
     name = f"{SNAPSHOT_PREFIX}{snapshot.index:020d}"
     write_snapshot(path / name, snapshot, calls)
     for old in _list_files(path, SNAPSHOT_PREFIX):
@@ -98,7 +102,7 @@
 
 
 def _write_header(
-    folder: Path, number: int, hard_state: HardState, end: tuple[int, int], calls: Calls
+    folder: Path, number: int, hard_state: HardState, end: tuple[int, int], calls: SystemCalls
 ) -> Path:
     path = folder / f"{SEGMENT_PREFIX}{number:016d}"
     header = SegmentHeader(hard_state=hard_state, base_index=end[0], base_term=end[1])
@@ -112,25 +116,25 @@
     return (recovered.snapshot.index, recovered.snapshot.term)
 
 
-def _read_one(path: Path) -> Message:
+def _read_single_record(path: Path) -> Message:
     records = scan_frames(path.read_bytes(), path=path, may_be_torn=False).records
     if len(records) != 1:
-        raise DamagedFileError(path, 0, "one record was expected")
+        raise DamagedFileError(path, 0, "expected exactly one record")
     return records[0]
 
 
 class Storage:
-    """An open folder; made by ``open_storage``, which holds the lock."""
+    """An open data folder, created by ``open_storage``, which holds the lock."""
 
-    def __init__(self, *, path: Path, calls: Calls) -> None:
-        """Recover what is there, cut off a torn last frame, begin a new segment."""
+    def __init__(self, *, path: Path, calls: SystemCalls) -> None:
+        """Recover the state, remove a torn last frame and begin a new segment."""
         self._path = path
         self._calls = calls
         self._failed = ""
         self._segments: list[Segment] = []
         self._descriptor = -1
         self._size = 0
-        self._replaced = 0
+        self._replaced_segments = 0
         self.identity = self._read_identity()
         recovered = self._recover()
         self._recovered: Recovered | None = recovered
@@ -138,16 +142,19 @@
         self._snapshot_index = recovered.snapshot.index
         self._end = _find_end(recovered)
         self._begin_segment()
-        self._drop_segments(self._replaced)
-        self._drop_held_segments()
+        self._drop_segments(self._replaced_segments)
+        self._drop_covered_segments()
 
     @property
     def failed(self) -> str:
-        """Return why writing failed, or an empty string."""
+        """Return the reason of a failed write, or an empty string."""
         return self._failed
 
-    def take_recovered(self) -> Recovered:
-        """Return what was on disk, once: this object keeps no copy of it."""
+    def pop_recovered(self) -> Recovered:
+        """Return the recovered state and drop it, so that memory holds no second copy.
+
+        Raises ``ValueError`` at a second call.
+        """
         recovered, self._recovered = self._recovered, None
         if recovered is None:
             raise ValueError("the recovered state was taken before")
@@ -160,9 +167,9 @@
             self._descriptor = -1
 
     def save(self, persists: Sequence[Persist]) -> None:
-        """Write and sync all of these with as few syncs as possible.
+        """Write and sync all changes in order, with as few syncs as possible.
 
-        Raise ``WriteFailedError``; from then on every call does.
+        Raises ``WriteFailedError`` if a write fails, and at every later call.
         """
         if self._failed:
             raise WriteFailedError(self._path, f"{self._failed}; reopen the folder")
@@ -178,7 +185,7 @@
             if persist.snapshot is not None:
                 self._write(records)
                 records = []
-                self._take_snapshot(persist.snapshot, reset=persist.reset)
+                self._install_snapshot(persist.snapshot, reset=persist.reset)
             records += self._make_records(persist)
             self._end = (persist.last_index, persist.last_term)
         self._write(records)
@@ -205,7 +212,7 @@
         self._calls.sync(self._descriptor)
         self._size += len(frame)
 
-    def _take_snapshot(self, snapshot: Snapshot, *, reset: bool) -> None:
+    def _install_snapshot(self, snapshot: Snapshot, *, reset: bool) -> None:
         _save_snapshot(self._path, snapshot, self._calls)
         self._snapshot_index = snapshot.index
         before = len(self._segments)
@@ -213,10 +220,10 @@
             self._end = (snapshot.index, snapshot.term)
         self._begin_segment()
         self._drop_segments(before if reset else 0)
-        self._drop_held_segments()
+        self._drop_covered_segments()
 
     def _begin_segment(self) -> None:
-        """Begin a segment; it gets its name once its header is synced."""
+        """Begin a segment, whose file appears only once its header is synced."""
         number = self._segments[-1].number + 1
         path = _write_header(self._path, number, self._hard_state, self._end, self._calls)
         self.close()
@@ -224,16 +231,16 @@
         self._size = 0
         self._segments.append(Segment(path=path, number=number))
 
-    def _drop_held_segments(self) -> None:
-        """Delete the oldest segments as far as the snapshot holds all of their entries."""
+    def _drop_covered_segments(self) -> None:
+        """Delete the oldest segments whose entries are all covered by the snapshot."""
         while len(self._segments) > 1 and self._segments[0].last_index <= self._snapshot_index:
             self._drop_segments(1)
 
     def _drop_segments(self, count: int) -> None:
-        """Delete the oldest segments, each for good before the next.
+        """Delete the oldest segments, and sync each deletion before the next.
 
-        Were an older one back after a crash and a later one not, the gap would look
-        like damage.
+        If an older segment reappeared after a crash and a later one did not, the gap would
+        be reported as damage.
         """
         for segment in self._segments[:count]:
             segment.path.unlink()
@@ -244,9 +251,9 @@
         path = self._path / IDENTITY_NAME
         if not path.exists():
             raise FolderEmptyError(self._path)
-        identity = _read_one(path)
+        identity = _read_single_record(path)
         if not isinstance(identity, Identity):
-            raise DamagedFileError(path, 0, "no identity")
+            raise DamagedFileError(path, 0, "the file holds no identity")
         return identity
 
     def _recover(self) -> Recovered:
@@ -259,11 +266,11 @@
             if scan.end < segment.path.stat().st_size:
                 truncate_file(segment.path, scan.end, self._calls)
             reader.read(segment, scan.records)
-        if reader.chain.base_index > snapshot.index:
+        if reader.recovered_log.base_index > snapshot.index:
             path = self._segments[0].path
             raise DamagedFileError(path, 0, "entries before this segment are missing")
-        self._replaced = sum(1 for one in self._segments if reader.is_replaced(one))
-        hard_state = reader.chain.hard_state
+        self._replaced_segments = sum(1 for one in self._segments if reader.is_replaced(one))
+        hard_state = reader.recovered_log.hard_state
         if hard_state.term < snapshot.term:
             hard_state = HardState(term=snapshot.term)
         return Recovered(hard_state=hard_state, snapshot=snapshot, entries=reader.list_entries())
--- a/chivetrack/components/store/resource_handlers.py
+++ b/chivetrack/components/store/resource_handlers.py
@@ -1,4 +1,4 @@
-"""Carries out the commands on resources."""
+"""Handlers of the commands on resources."""
 
 from collections.abc import Callable
 from functools import wraps
@@ -26,10 +26,10 @@
 )
 
 
-def _find_current(
+def _with_current_record(
     handler: Callable[[State, ChangeT, Record], Outcome],
 ) -> Callable[[State, ChangeT], Outcome]:
-    """Hand over the resource that a command names, or refuse the command without one."""
+    """Pass the existing record to the handler; refuse the command if there is none."""
 
     @wraps(handler)
     def handle(state: State, command: ChangeT) -> Outcome:
@@ -64,7 +64,7 @@
 
 
 @handles(Replace)
-@_find_current
+@_with_current_record
 def replace(state: State, command: Replace, current: Record) -> Outcome:
     """Replace specification and labels."""
     refused = _check_precondition(state, command.kind, current, command.precondition)
@@ -74,7 +74,7 @@
 
 
 @handles(Patch)
-@_find_current
+@_with_current_record
 def patch(state: State, command: Patch, current: Record) -> Outcome:
     """Merge a patch into specification and labels."""
     refused = _check_precondition(state, command.kind, current, command.precondition)
@@ -88,7 +88,7 @@
 
 
 @handles(UpdateStatus)
-@_find_current
+@_with_current_record
 def update_status(state: State, command: UpdateStatus, current: Record) -> Outcome:
     """Replace the status."""
     since = command.precondition
@@ -97,7 +97,7 @@
     if len(command.status) > const.MAX_STATUS_BYTES:
         return _refuse_size(command.kind, "status", const.MAX_STATUS_BYTES)
     if command.status == current.status:
-        return _keep(command.kind, current)
+        return _make_unchanged(command.kind, current)
     revision = state.table.revision + 1
     record = msgspec.structs.replace(
         current, revision=revision, status=command.status, status_revision=revision
@@ -106,16 +106,16 @@
 
 
 @handles(Delete)
-@_find_current
+@_with_current_record
 def delete(state: State, command: Delete, current: Record) -> Outcome:
-    """Delete a resource, or mark it when finalizers must run first."""
+    """Delete a resource, or mark it as being deleted if it has finalizers."""
     refused = _check_precondition(state, command.kind, current, command.precondition)
     if refused is not None:
         return refused
     if not current.finalizers:
         return _remove(state, command.kind, command.name)
     if current.deleting_ms:
-        return _keep(command.kind, current)
+        return _make_unchanged(command.kind, current)
     revision = state.table.revision + 1
     record = msgspec.structs.replace(
         current,
@@ -128,22 +128,22 @@
 
 
 @handles(AddFinalizer)
-@_find_current
+@_with_current_record
 def add_finalizer(state: State, command: AddFinalizer, current: Record) -> Outcome:
     """Add a finalizer."""
     if command.finalizer in current.finalizers:
-        return _keep(command.kind, current)
+        return _make_unchanged(command.kind, current)
     if current.deleting_ms:
         return _refuse_deleting(command.kind, current)
     return _set_finalizers(state, command.kind, current, (*current.finalizers, command.finalizer))
 
 
 @handles(RemoveFinalizer)
-@_find_current
+@_with_current_record
 def remove_finalizer(state: State, command: RemoveFinalizer, current: Record) -> Outcome:
-    """Remove a finalizer; the last one of a resource being deleted removes that too."""
+    """Remove a finalizer; also remove a resource being deleted after its last finalizer."""
     if command.finalizer not in current.finalizers:
-        return _keep(command.kind, current)
+        return _make_unchanged(command.kind, current)
     rest = tuple(name for name in current.finalizers if name != command.finalizer)
     if current.deleting_ms and not rest:
         return _remove(state, command.kind, command.name)
@@ -151,9 +151,9 @@
 
 
 def merge_record(record: Record, patch: Any) -> tuple[bytes, tuple[Label, ...]]:
-    """Merge a patch of ``spec`` and ``labels`` into a record; return both, encoded.
+    """Merge a patch into a record; return the encoded specification and the labels.
 
-    Raises ``msgspec.MsgspecError`` when the result can't be held.
+    Raises ``msgspec.MsgspecError`` if the patch or its result has the wrong type.
     """
     target = {
         "spec": msgspec.msgpack.decode(record.spec),
@@ -177,7 +177,7 @@
     if len(spec) > const.MAX_SPEC_BYTES:
         return _refuse_size(kind, "specification", const.MAX_SPEC_BYTES)
     if spec == current.spec and labels == current.labels:
-        return _keep(kind, current)
+        return _make_unchanged(kind, current)
     revision = state.table.revision + 1
     record = msgspec.structs.replace(
         current,
@@ -201,10 +201,10 @@
 def _check_precondition(
     state: State, kind: str, current: Record, precondition: int | None
 ) -> Refused | None:
-    """Refuse a write whose sender has not seen the last specification.
+    """Refuse a write whose sender has not read the latest specification.
 
-    Two operators who read the same revision: the first write raises
-    ``spec_revision`` above it, so the second is refused and gets the winner.
+    If two operators read the same revision, the first write raises ``spec_revision`` above
+    it. The second write is then refused, and its answer holds the record of the first.
     """
     if precondition is None:
         return None
@@ -224,7 +224,7 @@
     return Written(kind, name, revision)
 
 
-def _keep(kind: str, current: Record) -> Written:
+def _make_unchanged(kind: str, current: Record) -> Written:
     return Written(kind, current.name, current.revision, current)
 
 
--- a/chivetrack/components/store/state.py
+++ b/chivetrack/components/store/state.py
@@ -1,4 +1,4 @@
-"""The state that handlers of commands work on."""
+"""The state of the store, and the registry of command handlers."""
 
 from collections.abc import Callable
 from typing import Any, Final, TypeVar
@@ -8,7 +8,7 @@
 from chivetrack.components.store.leases import Lease, LeaseTable
 from chivetrack.components.store.outcomes import Outcome
 from chivetrack.components.store.records import Change, KindRecords
-from chivetrack.components.store.requests import RememberedRequest, RequestMemory
+from chivetrack.components.store.requests import CompletedRequest, CompletedRequests
 from chivetrack.components.store.table import ResourceTable
 from chivetrack.helpers.codec import Message, message
 
@@ -25,7 +25,7 @@
     compaction_revision: int
     kinds: tuple[KindRecords, ...]
     changes: tuple[Change, ...]
-    requests: tuple[RememberedRequest, ...]
+    requests: tuple[CompletedRequest, ...]
     leases: tuple[Lease, ...]
     fencing: int
     claims: tuple[ClaimRecord, ...]
@@ -33,25 +33,25 @@
 
 
 class State:
-    """Everything that commands read and change."""
+    """All data that commands read and modify; ``time_ms`` is the store's clock."""
 
     def __init__(self, *, table: ResourceTable) -> None:
-        """Start empty; the table keeps its identity over a restore."""
+        """Start empty; ``table`` stays the same object when a snapshot is restored."""
         self.table = table
-        self.requests = RequestMemory()
+        self.requests = CompletedRequests()
         self.leases = LeaseTable()
         self.claims = ClaimTable()
         self.index = 0
         self.time_ms = 0
 
     def advance_time(self, time_ms: int) -> None:
-        """Take over a proposer's clock unless it is behind; drop what has expired."""
+        """Advance the clock to a proposer's time, unless that is earlier, and expire data."""
         self.time_ms = max(self.time_ms, time_ms)
         self.requests.expire(self.time_ms)
         self.claims.expire(self.time_ms)
 
     def export(self) -> Snapshot:
-        """Return the whole state."""
+        """Return the whole state as a snapshot."""
         table = self.table
         return Snapshot(
             index=self.index,
@@ -68,10 +68,10 @@
         )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Put a whole state in place."""
+        """Replace the whole state by a snapshot."""
         self.index = snapshot.index
         self.time_ms = snapshot.time_ms
-        self.requests = RequestMemory(snapshot.requests)
+        self.requests = CompletedRequests(snapshot.requests)
         self.leases = LeaseTable(snapshot.leases, fencing=snapshot.fencing)
         self.claims = ClaimTable(snapshot.claims, grant=snapshot.grant)
         self.table.replace(
@@ -89,12 +89,12 @@
 
 
 def handles(command: type[Command]) -> Callable[[HandlerT], HandlerT]:
-    """Register the function that carries out a kind of command."""
+    """Register the decorated function as the handler of a command type."""
 
-    def enter(handler: HandlerT) -> HandlerT:
+    def register(handler: HandlerT) -> HandlerT:
         if command in HANDLERS:
             raise ValueError(f"{command.__name__} has two handlers")
         HANDLERS[command] = handler
         return handler
 
-    return enter
+    return register
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -17,7 +17,7 @@
 from chivetrack.components.placement.placement import Placed, Placement
 from chivetrack.components.quarantine.crash_reports import RecentCrashes
 from chivetrack.components.quarantine.models import Quarantine, QuarantinedRequest
-from chivetrack.components.retries.budgets import RetryBudgets
+from chivetrack.components.retries.service_budgets import ServiceRetryBudgets
 from chivetrack.components.traffic.models import Document
 from chivetrack.components.traffic.requests import AnswerFacts
 from chivetrack.components.traffic.table import RouteTable
@@ -62,7 +62,7 @@
         self.directory = EndpointDirectory()
         self.placement = Placement(zone=zone)
         self.health = EndpointHealth(events=events, is_silent=self.placement.is_silent)
-        self.budgets = RetryBudgets(
+        self.budgets = ServiceRetryBudgets(
             ratio=bounds.retry_ratio, slack=bounds.retry_slack, window_s=bounds.retry_window_s
         )
         self.crashes = RecentCrashes()
@@ -167,12 +167,12 @@
         self._ready.wait(timeout_s)
 
     def _note_changes(self) -> None:
-        for record in self.directory.take_changes(now=time.monotonic()):
+        for record in self.directory.apply_changes(now=time.monotonic()):
             self._note_change(record)
 
     def _note_evacuations(self, evacuations: Evacuations) -> None:
         before = self.directory.evacuations.list_evacuated()
-        if not self.directory.take_evacuations(evacuations, now=time.monotonic()):
+        if not self.directory.apply_evacuations(evacuations, now=time.monotonic()):
             return
         evacuated = evacuations.list_evacuated()
         for endpoint_id in self.directory.list_ids_in(evacuated):
@@ -235,7 +235,7 @@
         if record.state is EndpointState.LEFT:
             self.health.forget(record.endpoint_id)
             self.placement.forget(record.endpoint_id)
-            self.directory.cold.forget(record.endpoint_id)
+            self.directory.cold.remove(record.endpoint_id)
 
     def _notify_lifetime_end(self, endpoint_id: str, born: int, *, is_departure: bool) -> None:
         for listener in self.lifetime_end_listeners:
@@ -244,13 +244,13 @@
     def note_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
         """Apply the endpoint state reported in the headers of an answer."""
         if facts.cold_s > 0:
-            self.directory.cold.note_told(record.endpoint_id, facts.cold_s, now=time.monotonic())
+            self.directory.cold.record_cold(record.endpoint_id, facts.cold_s, now=time.monotonic())
         if facts.pause_s > 0:
-            self.directory.note_pause(record, until=time.monotonic() + facts.pause_s)
+            self.directory.record_pause(record, until=time.monotonic() + facts.pause_s)
             self._events.write(
                 "endpoint_paused", endpoint=record.endpoint_id, pause_s=facts.pause_s
             )
-        if facts.is_leaving and self.directory.note_leaving(record):
+        if facts.is_leaving and self.directory.record_leaving(record):
             self._events.write("endpoint_leaving", endpoint=record.endpoint_id, born=record.born)
             self._forget_endpoint(record.endpoint_id)
 
@@ -273,7 +273,7 @@
         """Return where a request goes next."""
         now = time.monotonic()
         is_limited = self.find_cold_rate(call.service) > 0
-        division = self.directory.divide(
+        division = self.directory.partition(
             call.service, passed_over=call.passed_over, is_limited=is_limited, now=now
         )
         candidates = self._list_candidates(call, division.open, is_limited, now)
@@ -386,4 +386,4 @@
 
     def has_budget(self, service: str) -> bool:
         """Return whether the fleet's budget leaves room for another repeat."""
-        return self.budgets[service].may_repeat(time.monotonic(), routers=round(self._routers))
+        return self.budgets[service].may_retry(time.monotonic(), routers=round(self._routers))
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -10,7 +10,7 @@
 from chivetrack.components.distribution.messages import EndpointLoad
 from chivetrack.components.endpoints.breaker import Breaker, BreakerState
 from chivetrack.components.endpoints.models import OutcomeKind
-from chivetrack.components.endpoints.outcomes import HeldChange, OutcomeTable
+from chivetrack.components.endpoints.outcomes import HoldChange, OutcomeTable
 from chivetrack.components.observation.silence import exclude_silent
 from chivetrack.components.placement.choice import Candidate
 from chivetrack.components.retries.sending import SendEnd
@@ -40,7 +40,7 @@
         self._events = events
         self._is_silent = is_silent or (lambda endpoint_id, now: False)
         self._breakers: dict[str, Breaker] = {}
-        self._outcomes = OutcomeTable(random=Random(), note_change=self._note_held)
+        self._outcomes = OutcomeTable(random=Random(), on_hold_change=self._note_held)
         self._misdirected: dict[str, float] = {}
 
     def forget(self, endpoint_id: str) -> None:
@@ -62,7 +62,7 @@
         if end is SendEnd.REFUSED:
             return
         now = time.monotonic()
-        self._outcomes.note(endpoint_id, ok=end is None, now=now)
+        self._outcomes.record_outcome(endpoint_id, ok=end is None, now=now)
         breaker = self._breakers.get(endpoint_id)
         if breaker is None:
             breaker = self._breakers[endpoint_id] = Breaker(now=now)
@@ -82,7 +82,7 @@
 
         Known at the caller's deadline only, most of the trouble would be over by then.
         """
-        self._outcomes.note(endpoint_id, ok=False, now=time.monotonic())
+        self._outcomes.record_outcome(endpoint_id, ok=False, now=time.monotonic())
         self._events.write("endpoint_silent", endpoint=endpoint_id)
 
     def note_other_instance(self, endpoint_id: str) -> None:
@@ -90,7 +90,7 @@
         self._misdirected[endpoint_id] = time.monotonic()
         self._events.write("endpoint_misdirected", endpoint=endpoint_id)
 
-    def _note_held(self, change: HeldChange) -> None:
+    def _note_held(self, change: HoldChange) -> None:
         self._events.write(
             "endpoint_held" if change.is_held else "endpoint_let_in",
             endpoint=change.endpoint_id,
@@ -102,7 +102,7 @@
 
     def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
         """Take how the tries of the other routers ended."""
-        self._outcomes.take_others(loads, now=now)
+        self._outcomes.handle_peer_counts(loads, now=now)
 
     def add_outcomes(
         self, loads: Iterable[EndpointLoad], *, now: float
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -22,7 +22,7 @@
 )
 from chivetrack.components.document.store import DocumentStore
 from chivetrack.components.replica import Replica
-from chivetrack.components.replica.formation import Formation, Hello
+from chivetrack.components.replica.bootstrap import Hello, LogBootstrap
 from chivetrack.components.replica.repair import JoinAnswer, JoinRequest, Repair
 from chivetrack.components.storage import Storage
 from chivetrack.components.storage.const import IDENTITY_NAME
@@ -94,7 +94,7 @@
         self._random = random.SystemRandom()
         # A majority of these is left when as many as may be lost are.
         self._wanted_voters = 2 * tolerated_losses + 1
-        self._repair = Repair(wanted_voters=self._wanted_voters)
+        self._repair = Repair(target_voters=self._wanted_voters)
         self._founding: Founding | None = None
         self._is_retired = False
         self._sources: dict[str, str] = {}
@@ -137,7 +137,7 @@
         if self.replica is None:
             return
         if self.is_leader:
-            self._repair.note_join(request, now=time.monotonic())
+            self._repair.record_join_request(request, now=time.monotonic())
         status = self.replica.get_status().consensus
         answer = JoinAnswer(leader_instance=status.leader_instance, members=status.members)
         self._send(source, answer)
@@ -223,7 +223,7 @@
     def _run_once(self) -> None:
         self._is_retired = False
         with self._open_folder() as storage:
-            recovered = storage.take_recovered()
+            recovered = storage.pop_recovered()
             if is_blank(recovered) and self._may_found(storage):
                 recovered = self._form(storage, recovered)
             self._serve(storage, recovered)
@@ -240,7 +240,7 @@
             self._folder,
             instance_id=self._instance_id,
             random_source=self._random,
-            founders=self._seeds if self._is_first_start else (),
+            bootstrap_instances=self._seeds if self._is_first_start else (),
         ) as storage:
             self.replica_id = storage.identity.replica_id
             self._events.write("replica_opened", replica=self.replica_id)
@@ -252,18 +252,18 @@
         After the first start that is not known: the founders may have been killed before
         any of them had written who they are.
         """
-        founders = storage.identity.founders
-        return not founders or self._instance_id in founders
+        bootstrap_instances = storage.identity.bootstrap_instances
+        return not bootstrap_instances or self._instance_id in bootstrap_instances
 
     def _form(self, storage: Storage, recovered: Recovered) -> Recovered:
         """Found the log with the others, or learn that it exists; return the state to go on."""
-        founders = storage.identity.founders
-        formation = Formation(
+        bootstrap_instances = storage.identity.bootstrap_instances
+        formation = LogBootstrap(
             instance_id=self._instance_id,
             replica_id=self.replica_id,
-            instances=founders or self._seeds,
+            instances=bootstrap_instances or self._seeds,
             contacts=self._contacts,
-            is_first=bool(founders),
+            has_first_disk=bool(bootstrap_instances),
             tolerated_losses=self._tolerated_losses,
         )
         founding = self._founding = Founding(
@@ -283,7 +283,7 @@
         """Tell, now and then, that only an operator can know whether a log was lost."""
         while True:
             gevent.sleep(DOUBT_EVERY_S)
-            if founding.is_doubtful:
+            if founding.may_have_lost_log:
                 self._events.write("founding_doubtful", tolerated_losses=self._tolerated_losses)
 
     def _serve(self, storage: Storage, recovered: Recovered) -> None:
@@ -337,7 +337,7 @@
             if not self.is_leader:
                 continue
             status = replica.get_status().consensus
-            change = self._repair.choose(status, now=time.monotonic())
+            change = self._repair.choose_change(status, now=time.monotonic())
             if change is None:
                 continue
             result = replica.change_members(change.kind, change.member, timeout_s=_CHANGE_TIMEOUT_S)
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -3,8 +3,8 @@
 import time
 from collections.abc import Callable
 
-from chivetrack.components.slow_start.const import ASK_TIMEOUT_S, UNANSWERED_S
-from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
+from chivetrack.components.slow_start.const import NO_ANSWER_BACKOFF_S, PERMIT_TIMEOUT_S
+from chivetrack.components.slow_start.messages import PermitAnswer, PermitRequest
 from chivetrack.daemon.fleet.fleet_view import FleetView
 from chivetrack.daemon.fleet.questions import Questions
 from chivetrack.helpers.codec import Message
@@ -36,7 +36,7 @@
         wait_s = self._ask(endpoint_id, self._view.find_cold_rate(service))
         if wait_s == 0:
             return True
-        self._view.directory.cold.note_refused(endpoint_id, until=time.monotonic() + wait_s)
+        self._view.directory.cold.record_refusal(endpoint_id, until=time.monotonic() + wait_s)
         self._events.write(
             "permit_refused",
             endpoint=endpoint_id,
@@ -48,14 +48,14 @@
     def _ask(self, endpoint_id: str, per_s: float) -> float:
         replica = self._find_replica()
         if not replica:
-            return UNANSWERED_S
+            return NO_ANSWER_BACKOFF_S
         answer = self._questions.ask(
             lambda number: self._send(
-                replica, AskPermit(number=number, endpoint_id=endpoint_id, per_s=per_s)
+                replica, PermitRequest(number=number, endpoint_id=endpoint_id, per_s=per_s)
             ),
-            timeout_s=ASK_TIMEOUT_S,
+            timeout_s=PERMIT_TIMEOUT_S,
         )
-        return UNANSWERED_S if answer is None else answer.wait_s
+        return NO_ANSWER_BACKOFF_S if answer is None else answer.wait_s
 
     def take(self, answer: PermitAnswer) -> None:
         """Take a replica's answer; one that comes too late is dropped with its permit."""
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -22,8 +22,8 @@
 from chivetrack.components.document.store import DocumentStore, StoredDocument, unpack_document
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.quarantine.models import Quarantine, QuarantineOrder
-from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
-from chivetrack.components.slow_start.permits import PermitBook
+from chivetrack.components.slow_start.messages import PermitAnswer, PermitRequest
+from chivetrack.components.slow_start.permits import PermitLedger
 from chivetrack.daemon.fleet.call_gate import CallGate
 from chivetrack.daemon.fleet.const import FLUSH_S, STOP_CALLS_S, TIDY_EVERY_S, TRAFFIC_EVERY
 from chivetrack.daemon.fleet.desk import Desk
@@ -78,7 +78,7 @@
             list_replicas=self.host.list_instances,
             started_at=time.monotonic(),
         )
-        self._permits = PermitBook(started_at=time.monotonic())
+        self._permits = PermitLedger(started_at=time.monotonic())
         documents = DocumentDesk(
             instance_id=own,
             control_port=listeners.control.port,
@@ -142,7 +142,7 @@
         self._events.write("message_rejected", what=what, detail=detail[:300])
 
     def _take_document(self, document: StoredDocument) -> None:
-        self._publisher.history.note(document)
+        self._publisher.history.set_current(document)
         self._metrics.count("configuration_applied")
         self._events.write("configuration_applied", version=document.version)
         self._push_soon()
@@ -208,7 +208,7 @@
                 self._order_due_quarantines()
         elif isinstance(message, FetchDocument):
             self._send_documents(source, message)
-        elif isinstance(message, AskPermit):
+        elif isinstance(message, PermitRequest):
             self._answer_permit(source, message)
         elif isinstance(message, Exchange):
             self._publisher.handle_exchange(source, message, now=time.monotonic())
@@ -219,10 +219,10 @@
         else:
             self._desk.take(source, message)
 
-    def _answer_permit(self, source: str, asked: AskPermit) -> None:
+    def _answer_permit(self, source: str, asked: PermitRequest) -> None:
         now = time.monotonic()
         share = self._publisher.get_fleet_share(now=now)
-        wait_s = self._permits.ask(asked.endpoint_id, per_s=asked.per_s, share=share, now=now)
+        wait_s = self._permits.request(asked.endpoint_id, per_s=asked.per_s, share=share, now=now)
         self.transport.answer(source, PermitAnswer(number=asked.number, wait_s=wait_s))
 
     def _send_documents(self, source: str, fetch: FetchDocument) -> None:
@@ -269,14 +269,14 @@
                 self.host.write_contacts()
                 self._events.write("distribution_sent", **self._publisher.pop_counts())
             now = time.monotonic()
-            for record in self._table.forget_old(now):
+            for record in self._table.remove_expired(now):
                 self._events.write("endpoint_forgotten", **record.describe())
             self._order_due_quarantines()
             self._file.write_soon()
             # Without a leader, this replica may be partitioned and miss all heartbeats.
             if self.host.knows_leader:
                 self._desk.mark_silent_lost()
-            if self._table.drop_unheard(now):
+            if self._table.mark_unconfirmed_lost(now):
                 self._push_soon()
 
     def _exchange(self) -> None:
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -14,10 +14,10 @@
 from chivetrack.components.placement.choice import Choice
 from chivetrack.components.quarantine.fingerprint import make_fingerprint
 from chivetrack.components.retries.sending import (
+    SendAttempt,
     SendEnd,
-    Tried,
-    allows_another,
-    count_runs,
+    allows_retry,
+    count_possible_runs,
     make_final_fault,
     may_have_run,
     may_send_again,
@@ -179,7 +179,7 @@
         return workspace
 
     def _see_through(self, call: Call) -> None:
-        self._view.budgets[call.service].note_request(time.monotonic())
+        self._view.budgets[call.service].record_request(time.monotonic())
         try:
             with gevent.Timeout(max(0.001, call.ends_at - time.monotonic()), RouteTimeoutError):
                 self._try_endpoints(call)
@@ -246,19 +246,19 @@
         endpoint_id = choice.record.endpoint_id
         reached = any(one.end is not SendEnd.NOT_SENT for one in call.tries)
         if reached:
-            self._view.budgets[call.service].note_repeat(time.monotonic())
-        may_repeat = allows_another(
-            call.route, count_runs(call.tries) + 1
+            self._view.budgets[call.service].record_retry(time.monotonic())
+        may_repeat = allows_retry(
+            call.route, count_possible_runs(call.tries) + 1
         ) and self._view.has_budget(call.service)
         self._log.write_placed(call, choice)
         with self._view.use(call, choice) as placed:
             # If the time is up or the caller leaves, this try may have run.
-            call.tries.append(Tried(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
+            call.tries.append(SendAttempt(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
             result = self._forwarder.send(call, choice, may_repeat=may_repeat)
             call.tries.pop()
             placed.is_complete = result.is_answered and result.status < 500
         if placed.is_complete:
-            self._view.crashes.note_answered(call.fingerprint, now=time.monotonic())
+            self._view.crashes.record_answered(call.fingerprint, now=time.monotonic())
         if result.end is None:
             self._view.health.note_outcome(
                 endpoint_id, SendEnd.FAILED if result.status >= 500 else None
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -188,7 +188,7 @@
         """Immediately report the requests that were running at an endpoint when it crashed."""
         self._metrics.count_crash()
         now = time.monotonic()
-        self.view.crashes.note_crash(reports, now=now)
+        self.view.crashes.record_crash(reports, now=now)
         send_all(self.transport.send, self.subscriber.report_load(now=now))
 
     def _take_limits(self, document: Document) -> None:
@@ -272,7 +272,7 @@
 
     def _tidy(self, now: float) -> None:
         self._kept.close_old()
-        for record in self.view.directory.table.forget_old(now):
+        for record in self.view.directory.table.remove_expired(now):
             self._events.write("endpoint_forgotten", **record.describe())
 
     def _run_timers(self) -> None:
--- a/chivetrack/daemon/founding.py
+++ b/chivetrack/daemon/founding.py
@@ -13,7 +13,7 @@
 from chivetrack.components.consensus.members import Members
 from chivetrack.components.consensus.models import Persist, Recovered, Snapshot, Timing
 from chivetrack.components.replica import Replica, ReplicaCore
-from chivetrack.components.replica.formation import Formation, Founded, Hello, Stranger
+from chivetrack.components.replica.bootstrap import Hello, LogBootstrap, LogBootstrapped, NotAMember
 from chivetrack.components.replica.models import StateMachine
 from chivetrack.components.storage import Storage, create_folder, open_storage
 from chivetrack.components.storage.backup import make_replica_id
@@ -33,7 +33,7 @@
     *,
     instance_id: str,
     random_source: random.Random,
-    founders: Sequence[str] = (),
+    bootstrap_instances: Sequence[str] = (),
 ) -> Iterator[Storage]:
     """Open a replica's folder; an empty one becomes that of a new replica.
 
@@ -44,7 +44,7 @@
             storage = stack.enter_context(open_storage(path=folder))
         except FolderEmptyError:
             replica_id = make_replica_id(instance_id=instance_id, random=random_source)
-            identity = Identity(replica_id, instance_id, tuple(founders))
+            identity = Identity(replica_id, instance_id, tuple(bootstrap_instances))
             create_folder(folder, identity=identity)
             storage = stack.enter_context(open_storage(path=folder))
         yield storage
@@ -58,7 +58,7 @@
 class Founding:
     """Takes part in founding the log until it exists."""
 
-    def __init__(self, *, formation: Formation, replica_id: str, send: Send) -> None:
+    def __init__(self, *, formation: LogBootstrap, replica_id: str, send: Send) -> None:
         """Take the decision, the own id and the way out."""
         self._formation = formation
         self._replica_id = replica_id
@@ -67,9 +67,9 @@
         self.members = Members()
 
     @property
-    def is_doubtful(self) -> bool:
+    def may_have_lost_log(self) -> bool:
         """Return whether a log may have been lost with all founders' disks."""
-        return self._formation.is_doubtful
+        return self._formation.may_have_lost_log
 
     @property
     def is_member(self) -> bool:
@@ -100,7 +100,7 @@
                 self._send(effect.target, effect.message)
             elif isinstance(effect, WakeAt):
                 wake_at = effect.at
-            elif isinstance(effect, Founded | Stranger):
+            elif isinstance(effect, LogBootstrapped | NotAMember):
                 self.members = effect.members
                 self._ended.set()
         return wake_at
--- a/chivetrack/node.py
+++ b/chivetrack/node.py
@@ -9,11 +9,11 @@
 from collections import deque
 from collections.abc import Sequence
 
-from chivetrack.components.claims.keeper import ClaimKeeper
+from chivetrack.components.claims.coordinator import ClaimCoordinator
 from chivetrack.components.controllers.host import ControllerHost
 from chivetrack.components.pipeline.admission import AdmissionControl
 from chivetrack.components.pipeline.flow import RequestFlow
-from chivetrack.components.pipeline.models import AskClaim, EndClaim, RequestEvent
+from chivetrack.components.pipeline.models import AcquireClaim, EndClaim, RequestEvent
 from chivetrack.components.proposals.client import ProposalClient
 from chivetrack.components.proposals.models import SubmissionEnded, Submit, SubmitRead
 from chivetrack.core import Component, Effect, Event, TimeReached, WakeAt
@@ -40,7 +40,7 @@
         *,
         flow: RequestFlow,
         proposals: ProposalClient,
-        claims: ClaimKeeper,
+        claims: ClaimCoordinator,
         admission: AdmissionControl,
         controllers: ControllerHost,
         components: Sequence[Component],
@@ -67,7 +67,7 @@
             effect = waiting.popleft()
             if isinstance(effect, WakeAt):
                 wake_at = min(wake_at, effect.at)
-            elif isinstance(effect, AskClaim | EndClaim | SubmissionEnded):
+            elif isinstance(effect, AcquireClaim | EndClaim | SubmissionEnded):
                 waiting.extend(self._follow(effect, now))
                 if isinstance(effect, SubmissionEnded):
                     effects.append(effect)
@@ -81,7 +81,7 @@
 
     def _give_turns(self, waiting: deque[Effect], now: float) -> bool:
         """Let requests on whose turn in the queue has come; tell whether anything follows."""
-        for turn in self._admission.take_turns():
+        for turn in self._admission.pop_queue_exits():
             waiting.extend(self._flow.handle(turn, now=now))
         return bool(waiting)
 
@@ -96,10 +96,10 @@
         return effects
 
     def _follow(self, effect: Effect, now: float) -> list[Effect]:
-        if isinstance(effect, AskClaim):
-            return self._proposals.handle(self._claims.ask(effect, now=now), now=now)
+        if isinstance(effect, AcquireClaim):
+            return self._proposals.handle(self._claims.request_claim(effect, now=now), now=now)
         if isinstance(effect, EndClaim):
-            report = self._claims.end(effect, now=now)
+            report = self._claims.report_end(effect, now=now)
             return [] if report is None else self._proposals.handle(report, now=now)
         assert isinstance(effect, SubmissionEnded)
         return self._follow_submission(effect, now)
