--- a/tests/components/announcements/test_table.py
+++ b/tests/components/announcements/test_table.py
@@ -1,4 +1,4 @@
-"""Which of several statements about an endpoint is believed."""
+"""Merging of announcements about an endpoint."""
 
 import itertools
 import unittest
@@ -10,7 +10,7 @@
 from chivetrack.components.announcements.table import (
     FORGET_AFTER_S,
     LOST_AFTER_S,
-    RESTORED_FOR_S,
+    RESTORED_TTL_S,
     SILENT_AFTER_S,
     EndpointTable,
 )
@@ -32,11 +32,11 @@
 
 
 class EndpointTableTest(unittest.TestCase):
-    def test_heartbeat_that_was_delayed_by_a_cut(self) -> None:
-        """An endpoint says that it drains; an earlier 'ready' arrives afterwards.
+    def test_heartbeat_delayed_by_partition(self) -> None:
+        """A "ready" announcement delayed by a partition arrives after a newer "draining" one.
 
-        The late word was held up by a cut. If it won, routers would send new work to an
-        endpoint that was promised none. The sequence tells which is newer.
+        If it took effect, routers would send new requests to a draining endpoint. The
+        sequence determines which announcement is newer.
         """
         table = EndpointTable()
         table.merge(make_record(2, state=EndpointState.DRAINING), now=0.0)
@@ -46,17 +46,17 @@
         self.assertIs(record.state, EndpointState.DRAINING)
 
     def test_restart_under_the_same_id(self) -> None:
-        """A crashed endpoint starts again under its id and counts from 1.
+        """A crashed endpoint restarts with the same id, and its sequence starts at 1.
 
-        By the sequence alone its words would be older than those of its former lifetime
-        and be ignored; the time of its start goes first.
+        By the sequence alone, its announcements would be older than those of its previous
+        incarnation and be ignored, so the start time is compared first.
         """
         table = EndpointTable()
         table.merge(make_record(50), now=0.0)
         self.assertTrue(table.merge(make_record(1, born=2000), now=1.0))
         self.assertFalse(table.merge(make_record(51), now=2.0))
 
-    def test_departure_of_an_earlier_lifetime(self) -> None:
+    def test_departure_of_an_earlier_incarnation(self) -> None:
         table = EndpointTable()
         table.merge(make_record(1, born=2000), now=0.0)
         kept = table.close("e1", born=1000, now=1.0)
@@ -89,53 +89,53 @@
         self.assertEqual(table.change, change)
         self.assertEqual(table.list_changes(change), [])
         table.merge(make_record(3, state=EndpointState.DRAINING), now=2.0)
-        self.assertEqual([one.sequence for one in table.list_changes(change)], [3])
+        self.assertEqual([record.sequence for record in table.list_changes(change)], [3])
 
-    def test_restart_of_a_replica_with_what_it_knew(self) -> None:
-        """All replicas lose power; they come back with the endpoints of before.
+    def test_restored_endpoints_need_confirmation(self) -> None:
+        """All replicas lose power and restart with the stored endpoints.
 
-        Routers can serve at once, not only after the next heartbeats. An endpoint whose
-        departure was not kept is not heard again, and is given up before long.
+        Routers can serve requests at once instead of after the next heartbeats. An endpoint
+        whose departure was not stored sends no heartbeat and is marked lost.
         """
         table = EndpointTable()
         table.restore([make_record(5), make_record(5, endpoint_id="e2")], now=0.0)
         self.assertEqual(len(table.list_changes(0)), 2)
         table.merge(make_record(6), now=1.0)
-        self.assertFalse(table.drop_unheard(2.0))
-        self.assertTrue(table.drop_unheard(3.0))
-        self.assertFalse(table.drop_unheard(4.0))
-        states = {one.endpoint_id: one.state for one in table.list_records()}
+        self.assertFalse(table.mark_unconfirmed_lost(2.0))
+        self.assertTrue(table.mark_unconfirmed_lost(3.0))
+        self.assertFalse(table.mark_unconfirmed_lost(4.0))
+        states = {record.endpoint_id: record.state for record in table.list_records()}
         self.assertEqual(states, {"e1": EndpointState.READY, "e2": EndpointState.LOST})
         self.assertTrue(table.merge(make_record(6, endpoint_id="e2"), now=5.0))
 
-    def test_router_that_heard_more_keeps_it(self) -> None:
+    def test_newer_record_is_not_marked_lost(self) -> None:
         table = EndpointTable()
         table.merge(make_record(6), now=0.0)
         self.assertFalse(table.merge(make_record(5, state=EndpointState.LOST), now=1.0))
 
     def test_successor_at_the_address_of_a_crashed_endpoint(self) -> None:
-        """An endpoint crashes; two seconds later another one announces its address.
+        """An endpoint crashes, and two seconds later another one announces its address.
 
-        The crashed one never says that it left. Each request for it was refused by its
-        successor, and after a second refusal the caller was sent away.
+        The crashed endpoint sends no departure. Requests for it were refused by its
+        successor, and after a second refusal the caller got an error.
         """
         table = EndpointTable()
         table.merge(make_record(5), now=0.0)
         successor = make_record(1, endpoint_id="e2")
         table.merge(successor, now=1.0)
-        self.assertEqual(table.supersede(successor, now=1.0), [])
-        (lost,) = table.supersede(successor, now=2.0)
+        self.assertEqual(table.mark_superseded_lost(successor, now=1.0), [])
+        (lost,) = table.mark_superseded_lost(successor, now=2.0)
         self.assertEqual((lost.endpoint_id, lost.state), ("e1", EndpointState.LOST))
         self.assertEqual(table.find("e1"), lost)
         self.assertTrue(table.merge(make_record(6), now=3.0))
 
-    def test_silence(self) -> None:
+    def test_list_silent(self) -> None:
         table = EndpointTable()
         table.merge(make_record(1), now=0.0)
         self.assertEqual(table.list_silent(SILENT_AFTER_S), [])
         self.assertEqual(table.list_silent(SILENT_AFTER_S + 0.1), ["e1"])
 
-    def test_silent_endpoint_is_lost_and_then_forgotten(self) -> None:
+    def test_silent_endpoint_is_marked_lost_and_then_removed(self) -> None:
         """Guards against keeping crashed endpoints forever, on replicas or on followers."""
         table, follower = EndpointTable(), EndpointTable()
         table.merge(make_record(1), now=0.0)
@@ -147,8 +147,8 @@
         self.assertIs(lost.state, EndpointState.LOST)
         follower.merge(lost, now=LOST_AFTER_S + 1.0)
         for each in (table, follower):
-            self.assertEqual(each.forget_old(LOST_AFTER_S + FORGET_AFTER_S), [])
-            self.assertEqual(each.forget_old(LOST_AFTER_S + FORGET_AFTER_S + 2.0), [lost])
+            self.assertEqual(each.remove_expired(LOST_AFTER_S + FORGET_AFTER_S), [])
+            self.assertEqual(each.remove_expired(LOST_AFTER_S + FORGET_AFTER_S + 2.0), [lost])
             self.assertIsNone(each.find("e1"))
 
     def test_replica_with_newer_record_refutes_lost_endpoint(self) -> None:
@@ -187,8 +187,8 @@
         """Guards against pushing to all routers every second after a replica restarts."""
         table = EndpointTable()
         table.restore([make_record(1, state=EndpointState.LOST)], now=0.0)
-        self.assertTrue(table.drop_unheard(RESTORED_FOR_S + 0.1))
-        self.assertFalse(table.drop_unheard(RESTORED_FOR_S + 1.1))
+        self.assertTrue(table.mark_unconfirmed_lost(RESTORED_TTL_S + 0.1))
+        self.assertFalse(table.mark_unconfirmed_lost(RESTORED_TTL_S + 1.1))
 
     def test_lost_endpoint_is_ready_after_next_heartbeat(self) -> None:
         """Guards against endpoints staying unused after a long network partition."""
--- a/tests/components/consensus/network.py
+++ b/tests/components/consensus/network.py
@@ -1,8 +1,8 @@
-"""Replicas in memory, with a network and disks that fail, beside an oracle.
+"""Replicas in memory, with a network and disks that fail, checked by an oracle.
 
 Only what a ``Persist`` had synced survives a crash. The oracle raises as soon as a
-promise is broken: two leaders in a term, a committed entry that differs or is applied
-out of order, a refused proposal that is committed, a read that misses a write.
+guarantee is violated: two leaders in a term, a committed entry that differs or is
+applied out of order, a refused proposal that is committed, a read that misses a write.
 """
 
 import heapq
@@ -22,26 +22,26 @@
 
 
 class Oracle:
-    """What must hold, whatever fails."""
+    """Checks the guarantees that must hold under all failures."""
 
     def __init__(self) -> None:
         self.leaders: dict[int, str] = {}
         self.committed: dict[int, Entry] = {}
         self.proposed: dict[int, bytes] = {}
         self.outcomes: dict[int, models.ProposalEnded] = {}
-        self.read_floor: dict[int, int] = {}
+        self.min_read_index: dict[int, int] = {}
         self.reads: dict[int, models.ReadReady | models.ReadRefused] = {}
         self.acknowledged = 0
 
-    def note_leader(self, term: int, replica_id: str) -> None:
+    def record_leader(self, term: int, replica_id: str) -> None:
         known = self.leaders.setdefault(term, replica_id)
         assert known == replica_id, f"two leaders in term {term}: {known}, {replica_id}"
 
-    def note_applied(self, entry: Entry) -> None:
+    def record_applied(self, entry: Entry) -> None:
         known = self.committed.setdefault(entry.index, entry)
         assert known == entry, f"committed entry {entry.index} changed"
 
-    def note_ended(self, ended: models.ProposalEnded) -> None:
+    def record_ended(self, ended: models.ProposalEnded) -> None:
         assert ended.proposal_id not in self.outcomes, "a proposal ended twice"
         self.outcomes[ended.proposal_id] = ended
         if ended.outcome is not models.Outcome.COMMITTED:
@@ -51,9 +51,9 @@
         if data is not None:
             assert self.committed[ended.index].data == data, "another entry was acknowledged"
 
-    def note_read(self, ready: models.ReadReady, applied: int) -> None:
+    def record_read(self, ready: models.ReadReady, applied: int) -> None:
         self.reads[ready.read_id] = ready
-        assert ready.index >= self.read_floor[ready.read_id], "a read misses a write"
+        assert ready.index >= self.min_read_index[ready.read_id], "a read misses a write"
         assert applied >= ready.index, "a read is ready before its index is applied"
 
     def check_refused(self) -> None:
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class Disk:
-    """What is synced."""
+    """The synced state of one replica."""
 
     hard_state: models.HardState = field(default_factory=models.HardState)
     snapshot: models.Snapshot = field(default_factory=models.Snapshot)
@@ -90,20 +90,20 @@
 
 
 class Node:
-    """One replica: its disk, its process if it runs, and what it applied."""
+    """One replica: its disk, its process if it runs, and the state that it applied."""
 
     def __init__(self, *, network: "Network", replica_id: str, disk: Disk) -> None:
         self.network = network
         self.replica_id = replica_id
         self.disk = disk
-        self.life = 0
+        self.incarnation = 0
         self.frozen: list[Event] | None = None
         self.consensus: Consensus | None = None
         self.regressed: list[str] = []
         self.start()
 
     def start(self) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.frozen = None
         self.waiting: deque[Effect] = deque()
         self.syncing = False
@@ -115,10 +115,10 @@
             recovered=self.disk.recover(),
         )
         self.restore(self.disk.snapshot)
-        self.take(TimeReached())
+        self.handle(TimeReached())
 
     def crash(self) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.consensus = None
 
     def freeze(self) -> None:
@@ -128,7 +128,7 @@
     def thaw(self) -> None:
         events, self.frozen = self.frozen or [], None
         for event in events:
-            self.take(event)
+            self.handle(event)
 
     @property
     def is_leader(self) -> bool:
@@ -138,7 +138,7 @@
         self.applied = snapshot.index
         self.values = [one for one in snapshot.data.split(b",") if one]
 
-    def take(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         if self.consensus is None:
             return
         if self.frozen is not None:
@@ -154,23 +154,25 @@
             if isinstance(effect, models.Persist):
                 self.sync(effect)
             else:
-                self.carry_out(effect)
+                self.execute(effect)
 
     def sync(self, persist: models.Persist) -> None:
         self.syncing = True
-        life = self.life
+        incarnation = self.incarnation
 
         def finish() -> None:
-            if self.life != life:
+            if self.incarnation != incarnation:
                 return
             self.disk.save(persist)
             self.syncing = False
-            self.take(models.Persisted(last_index=persist.last_index, last_term=persist.last_term))
+            self.handle(
+                models.Persisted(last_index=persist.last_index, last_term=persist.last_term)
+            )
             self.work()
 
         self.network.call_later(self.network.get_sync_s(), finish)
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         network = self.network
         match effect:
             case SendMessage():
@@ -179,8 +181,8 @@
                 network.wake(self, effect.at)
             case models.Apply():
                 self.apply(effect.entries)
-            case models.SnapshotWanted():
-                network.call_later(0.001, self.make_loader())
+            case models.LoadSnapshot():
+                network.call_later(0.001, self.make_load_callback())
             case models.RestoreSnapshot():
                 self.restore(effect.snapshot)
             case _:
@@ -190,48 +192,48 @@
         network = self.network
         match effect:
             case models.ProposalEnded():
-                network.oracle.note_ended(effect)
+                network.oracle.record_ended(effect)
             case models.ReadReady():
-                network.oracle.note_read(effect, self.applied)
+                network.oracle.record_read(effect, self.applied)
             case models.ReadRefused():
                 network.oracle.reads[effect.read_id] = effect
             case models.LeadershipChanged(role=models.Role.LEADER):
-                network.oracle.note_leader(effect.term, self.replica_id)
+                network.oracle.record_leader(effect.term, self.replica_id)
             case models.ReplicaRegressed():
                 self.regressed.append(effect.replica_id)
 
     def apply(self, entries: tuple[Entry, ...]) -> None:
         for entry in entries:
             assert entry.index == self.applied + 1, "applied out of order"
-            self.network.oracle.note_applied(entry)
+            self.network.oracle.record_applied(entry)
             self.applied = entry.index
             if entry.kind is EntryKind.DATA:
                 self.values.append(entry.data)
             if entry.index % SNAPSHOT_EVERY == 0:
                 data = b",".join(self.values)
-                self.network.call_later(0.0, self.make_taker(entry.index, data))
+                self.network.call_later(0.0, self.make_snapshot_callback(entry.index, data))
 
-    def make_loader(self) -> Callable[[], None]:
-        life = self.life
+    def make_load_callback(self) -> Callable[[], None]:
+        incarnation = self.incarnation
 
         def load() -> None:
-            if self.life == life:
-                self.take(models.SnapshotLoaded(snapshot=self.disk.snapshot))
+            if self.incarnation == incarnation:
+                self.handle(models.SnapshotLoaded(snapshot=self.disk.snapshot))
 
         return load
 
-    def make_taker(self, index: int, data: bytes) -> Callable[[], None]:
-        life = self.life
+    def make_snapshot_callback(self, index: int, data: bytes) -> Callable[[], None]:
+        incarnation = self.incarnation
 
-        def take() -> None:
-            if self.life == life:
-                self.take(models.SnapshotTaken(index=index, data=data))
+        def hand_in() -> None:
+            if self.incarnation == incarnation:
+                self.handle(models.SnapshotTaken(index=index, data=data))
 
-        return take
+        return hand_in
 
 
 class Network:
-    """Carries messages and time; deterministic for a seed."""
+    """Delivers messages and simulates time; deterministic for a seed."""
 
     def __init__(self, *, seed: int, voters: tuple[str, ...] = ("a", "b", "c")) -> None:
         self.random = Random(seed)
@@ -264,11 +266,11 @@
         return self.random.uniform(*self.sync)
 
     def wake(self, node: Node, at: float) -> None:
-        life = node.life
+        incarnation = node.incarnation
 
         def call() -> None:
-            if node.life == life:
-                node.take(TimeReached())
+            if node.incarnation == incarnation:
+                node.handle(TimeReached())
 
         self.call_later(max(0.0, at - self.now), call)
 
@@ -284,10 +286,10 @@
     def _deliver(self, source: str, effect: SendMessage) -> None:
         node = self.nodes.get(effect.target)
         if node is not None and (source, effect.target) not in self.cuts:
-            node.take(MessageReceived(source=source, message=effect.message))
+            node.handle(MessageReceived(source=source, message=effect.message))
 
     def cut(self, *replica_ids: str) -> None:
-        """Swallow all messages between these and the others, both ways."""
+        """Drop all messages between these replicas and the others, in both directions."""
         for one in replica_ids:
             for other in self.nodes:
                 if other not in replica_ids:
@@ -308,13 +310,13 @@
     def run_until(self, condition: Callable[[], bool], *, limit: float = 30.0) -> None:
         end = self.now + limit
         while not condition():
-            assert self._heap and self._heap[0][0] <= end, "nothing came of it"
+            assert self._heap and self._heap[0][0] <= end, "the condition did not come true in time"
             self.now, _, call = heapq.heappop(self._heap)
             call()
 
     @property
     def leader(self) -> Node | None:
-        """The running leader of the highest term."""
+        """Return the running leader of the highest term."""
         leading = [one for one in self.nodes.values() if one.is_leader and one.frozen is None]
         return max(leading, key=lambda one: self.get_term(one), default=None)
 
@@ -329,11 +331,13 @@
 
     def propose(self, node: Node, data: bytes | None = None) -> int:
         proposal = self._make_proposal(data)
-        node.take(models.Propose(proposals=(proposal,)))
+        node.handle(models.Propose(proposals=(proposal,)))
         return proposal.proposal_id
 
     def propose_many(self, node: Node, count: int) -> None:
-        node.take(models.Propose(proposals=tuple(self._make_proposal(None) for _ in range(count))))
+        node.handle(
+            models.Propose(proposals=tuple(self._make_proposal(None) for _ in range(count)))
+        )
 
     def _make_proposal(self, data: bytes | None) -> models.Proposal:
         proposal_id = next(self._ids)
@@ -350,14 +354,14 @@
 
     def read(self, node: Node) -> int:
         read_id = next(self._ids)
-        self.oracle.read_floor[read_id] = self.oracle.acknowledged
-        node.take(models.ReadRequested(read_id=read_id))
+        self.oracle.min_read_index[read_id] = self.oracle.acknowledged
+        node.handle(models.ReadRequested(read_id=read_id))
         return read_id
 
     def change(self, node: Node, kind: ChangeKind, replica_id: str) -> int:
         proposal_id = next(self._ids)
         member = Member(replica_id=replica_id, instance_id=replica_id, voter=False)
-        node.take(models.ChangeMembers(proposal_id=proposal_id, kind=kind, member=member))
+        node.handle(models.ChangeMembers(proposal_id=proposal_id, kind=kind, member=member))
         return proposal_id
 
     def change_and_wait(
@@ -368,10 +372,10 @@
         return self.oracle.outcomes[proposal_id]
 
     def transfer(self, node: Node, target: str = "") -> None:
-        node.take(models.TransferLeadership(target=target))
+        node.handle(models.TransferLeadership(target=target))
 
     def settle(self) -> None:
-        """Heal all, commit once more and wait until every member has applied it."""
+        """End all failures, commit an entry and wait until every member has applied it."""
         self.heal()
         for node in self.nodes.values():
             if node.consensus is None:
@@ -394,7 +398,7 @@
         self.oracle.check_refused()
 
     def list_members(self) -> list[Node]:
-        """The members that still have their disk."""
+        """Return the members that still have their disk."""
         leader = self.leader
         if leader is None or leader.consensus is None:
             return list(self.nodes.values())
--- a/tests/components/distribution/test_documents.py
+++ b/tests/components/distribution/test_documents.py
@@ -129,7 +129,7 @@
         with at most twelve copies from each.
         """
         publisher = Fixture().publisher
-        publisher.history.note(
+        publisher.history.set_current(
             StoredDocument(version=1, payload=zlib.compress(Random(1).randbytes(24_000)))
         )
         request = FetchDocument(held_version=0)
@@ -151,7 +151,9 @@
     def test_router_that_got_no_document_from_a_relay_is_served_by_the_replica(self) -> None:
         """Guards against a redirect to a router that was killed before it sent the document."""
         publisher = Fixture().publisher
-        publisher.history.note(StoredDocument(version=1, payload=Random(1).randbytes(24_000)))
+        publisher.history.set_current(
+            StoredDocument(version=1, payload=Random(1).randbytes(24_000))
+        )
         request = FetchDocument(held_version=0)
         redirected = ""
         for number in range(8):
--- a/tests/components/distribution/test_news.py
+++ b/tests/components/distribution/test_news.py
@@ -35,8 +35,8 @@
             for number in range(5):
                 fixture.table.merge(make_record(step + 1, endpoint_id=f"e{number}"), now=now)
             fixture.exchange(now)
-            directory.take_changes(now=now)
-            directory.table.forget_old(now)
+            directory.apply_changes(now=now)
+            directory.table.remove_expired(now)
 
     def test_unchanged_endpoints_are_kept(self) -> None:
         """Guards against routers dropping endpoints unchanged for over ``FORGET_AFTER_S``."""
@@ -47,7 +47,7 @@
         self.simulate_heartbeats(fixture, directory, end_s)
         fixture.table.merge(make_record(1, endpoint_id="new"), now=end_s)
         fixture.exchange(end_s)
-        directory.take_changes(now=end_s)
+        directory.apply_changes(now=end_s)
         names = {record.endpoint_id for record in directory.list_ready("llm")}
         self.assertEqual(names, {"e0", "e1", "e2", "e3", "e4", "new"})
 
--- a/tests/components/distribution/test_spreading.py
+++ b/tests/components/distribution/test_spreading.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from chivetrack.components.announcements.models import EndpointRecord, EndpointState
-from chivetrack.components.announcements.table import RESTORED_FOR_S, EndpointTable
+from chivetrack.components.announcements.table import RESTORED_TTL_S, EndpointTable
 from chivetrack.components.distribution.broadcast import EndpointBroadcaster
 from chivetrack.components.distribution.const import BROADCAST_INTERVAL_S
 from chivetrack.components.distribution.messages import BroadcastHeartbeats, BroadcastRecords
@@ -114,7 +114,7 @@
         for message in here.broadcaster.make_messages(now=1.2):
             if isinstance(message, BroadcastHeartbeats):
                 there.handle(message, here, 1.2)
-        self.assertFalse(there.table.drop_unheard(RESTORED_FOR_S + 0.1))
+        self.assertFalse(there.table.mark_unconfirmed_lost(RESTORED_TTL_S + 0.1))
 
 
 if __name__ == "__main__":
--- a/tests/components/membership/fleet.py
+++ b/tests/components/membership/fleet.py
@@ -1,16 +1,16 @@
-"""A fleet of memberships on the network in memory."""
+"""A fleet of ``Membership`` components on the in-memory network."""
 
 import random
 
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.membership.const import FLEET_TOPICS
 from chivetrack.components.membership.membership import Membership
-from chivetrack.components.membership.models import Instance, InstanceStatus, Life, Seed
+from chivetrack.components.membership.models import Instance, InstanceStatus, Seed, StateVersion
 from tests.components.network import Network
 
 
 class MembershipFleet:
-    """Routers in zones, all with the same two seeds, and every status they ever told."""
+    """Routers in zones, with two seeds per region, and every status change they reported."""
 
     def __init__(self, zones: list[int], *, seed: int = 1, region: str = "kyushu") -> None:
         self.network = Network(seed=seed)
@@ -19,7 +19,7 @@
         self.region_of: dict[str, str] = {}
         self.memberships: dict[str, Membership] = {}
         self.gossips: dict[str, Gossip] = {}
-        self.told: list[tuple[float, str, Instance]] = []
+        self.reported: list[tuple[float, str, Instance]] = []
         self.seeds: list[Seed] = []
         self.add_region(region, zones)
         for name in self.zone_of:
@@ -53,10 +53,10 @@
             region=region,
             zone=self.zone_of[name],
             roles=("router",),
-            life=Life(incarnation, 0),
+            state_version=StateVersion(incarnation, 0),
         )
         membership = Membership(gossip=gossip, own=own, seeds=self.seeds, random=stream)
-        membership.subscribe(lambda told: self.told.append((self.network.now, name, told)))
+        membership.subscribe(lambda change: self.reported.append((self.network.now, name, change)))
         self.memberships[name], self.gossips[name] = membership, gossip
         self.network.start(name, [gossip, membership])
 
@@ -71,5 +71,5 @@
             if viewer != target and self.get_status(viewer, target) is status
         ]
 
-    def list_told_dead(self) -> set[str]:
-        return {i.instance_id for _, _, i in self.told if i.status is InstanceStatus.DEAD}
+    def list_reported_dead(self) -> set[str]:
+        return {i.instance_id for _, _, i in self.reported if i.status is InstanceStatus.DEAD}
--- a/tests/components/model_placement/site.py
+++ b/tests/components/model_placement/site.py
@@ -8,11 +8,11 @@
 from chivetrack.components.model_placement.const import CONTROLLER, MODEL_KIND
 from chivetrack.components.model_placement.models import EngineView, PlacementReport
 from chivetrack.components.model_placement.runner import PlacementRunner
-from chivetrack.components.orders.desk import OrderDesk
+from chivetrack.components.orders.handler import OrderHandler
 from chivetrack.components.orders.models import Artifact
 from chivetrack.components.store.commands import Replace, Stamp
 from tests.components.controllers.simulation import Simulation
-from tests.components.orders.engines import Engine, EngineRoom
+from tests.components.orders.engines import Engine, EngineSimulation
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
         self._site = site
         self._coordinator: Any = None
 
-    def connect(self, coordinator: OrderDesk) -> None:
+    def connect(self, coordinator: OrderHandler) -> None:
         self._coordinator = coordinator
 
     def list_engines(self) -> list[EngineView]:
@@ -64,8 +64,8 @@
         )
 
 
-class Site(EngineRoom):
-    """``EngineRoom`` whose goals come from placement controllers."""
+class Site(EngineSimulation):
+    """``EngineSimulation`` whose goals come from placement controllers."""
 
     def __init__(self, engines: list[Engine], *, seed: int = 1) -> None:
         super().__init__(engines, seed=seed)
@@ -78,7 +78,7 @@
             seed=seed,
         )
         self.simulation.make_loop = self.make_loop
-        self.simulation.on_effect = self.carry_out
+        self.simulation.on_effect = self.execute
 
     def make_loop(self, *, controller: Any, **fields: Any) -> PlacementRunner:
         observer: Any = Observer(self)
--- a/tests/components/orders/engines.py
+++ b/tests/components/orders/engines.py
@@ -1,4 +1,4 @@
-"""Engines that load slowly, and instances that give them orders over a bad network."""
+"""Simulated engines that load slowly, and instances that order them over a faulty network."""
 
 from dataclasses import dataclass, field, replace
 from typing import Any
@@ -6,12 +6,11 @@
 from chivetrack.components.controllers.lease import LeaseHolder
 from chivetrack.components.model_placement.const import STORE_BUSY
 from chivetrack.components.orders import const
-from chivetrack.components.orders.desk import OrderDesk
+from chivetrack.components.orders.handler import OrderHandler
 from chivetrack.components.orders.models import (
     Artifact,
     ArtifactKind,
     ArtifactPhase,
-    AskEngine,
     EngineAnswered,
     EngineGoal,
     EngineState,
@@ -24,6 +23,7 @@
     OrderOutcome,
     OrderPhase,
     OrderRequestEnded,
+    QueryEngine,
     SendOrder,
 )
 from chivetrack.core import Effect, Event
@@ -40,6 +40,13 @@
 
 @dataclass(slots=True)
 class Engine:
+    """Simulated engine.
+
+    ``checks`` means that it checks fencing numbers. ``taken`` are the orders that it accepted,
+    ``refusals`` the artifacts whose load the weight store refused. ``announced`` replaces
+    its incarnation in the target.
+    """
+
     name: str
     checks: bool = True
     goal: EngineGoal | None = None
@@ -60,7 +67,7 @@
     taken: list[Order] = field(default_factory=list)
     refused: list[Order] = field(default_factory=list)
 
-    def take(self, order: Order, time: float) -> OrderOutcome:
+    def handle_order(self, order: Order, time: float) -> OrderOutcome:
         if self.checks and order.fencing < self.fencing:
             self.refused.append(order)
             return OrderOutcome.STALE
@@ -133,19 +140,19 @@
         return True
 
 
-class DeskLoop:
-    """A lease with an order desk, as the simulation drives it."""
+class OrderHandlerLoop:
+    """Loop of a lease holder and an order handler, for the simulation."""
 
-    def __init__(self, *, lease: LeaseHolder, desk: OrderDesk) -> None:
+    def __init__(self, *, lease: LeaseHolder, order_handler: OrderHandler) -> None:
         self.lease = lease
-        self.desk = desk
+        self.order_handler = order_handler
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        return [*self.lease.handle(event, now=now), *self.desk.handle(event, now=now)]
+        return [*self.lease.handle(event, now=now), *self.order_handler.handle(event, now=now)]
 
 
-class EngineRoom:
-    """The simulation together with engines."""
+class EngineSimulation:
+    """Simulation of instances and engines."""
 
     def __init__(self, engines: list[Engine], *, seed: int = 1, admission: Any = None) -> None:
         self.engines = {engine.name: engine for engine in engines}
@@ -155,34 +162,34 @@
         self.simulation = Simulation(
             make_controller=lambda table, to_wall_ms: None, lease="orders", seed=seed
         )
-        self.simulation.on_effect = self.carry_out
+        self.simulation.on_effect = self.execute
 
-        def make_loop(*, lease: LeaseHolder, **_: Any) -> DeskLoop:
-            desk = OrderDesk(
+        def make_loop(*, lease: LeaseHolder, **_: Any) -> OrderHandlerLoop:
+            order_handler = OrderHandler(
                 lease=lease,
                 list_targets=lambda: [engine.make_target() for engine in engines],
                 admission=admission or OpenAdmission(),
                 random=self.simulation.random,
             )
-            return DeskLoop(lease=lease, desk=desk)
+            return OrderHandlerLoop(lease=lease, order_handler=order_handler)
 
         self.simulation.make_loop = make_loop
 
     def run(self, seconds: float) -> None:
         self.simulation.run(seconds)
 
-    def carry_out(self, instance: Instance, effect: Effect) -> None:
+    def execute(self, instance: Instance, effect: Effect) -> None:
         if isinstance(effect, SendOrder):
             self.send(instance, effect)
-        elif isinstance(effect, AskEngine):
-            self.ask(instance, effect)
+        elif isinstance(effect, QueryEngine):
+            self.query(instance, effect)
         elif isinstance(effect, OrderRequestEnded):
             self.ended.append(effect)
 
     def send(self, instance: Instance, effect: SendOrder) -> None:
         def arrive() -> None:
             engine = self.engines[effect.endpoint_id]
-            outcome = engine.take(effect.order, self.simulation.time)
+            outcome = engine.handle_order(effect.order, self.simulation.time)
             if outcome is OrderOutcome.ACCEPTED:
                 self.arrived[engine.name].append(effect.order.fencing)
             self.answer(
@@ -192,14 +199,14 @@
                 ),
             )
 
-        self.simulation.call_later(self.within_delivery(), arrive)
+        self.simulation.call_later(self.limit_delay_to_delivery(), arrive)
 
-    def within_delivery(self) -> Network:
-        """Return the network with no delay beyond the bound that the desk assumes."""
+    def limit_delay_to_delivery(self) -> Network:
+        """Return the network with its delay limited to ``MAX_DELIVERY_S``."""
         low, high = self.network.delay
-        return replace(self.network, delay=(low, min(high, const.DELIVERY_S)))
+        return replace(self.network, delay=(low, min(high, const.MAX_DELIVERY_S)))
 
-    def ask(self, instance: Instance, effect: AskEngine) -> None:
+    def query(self, instance: Instance, effect: QueryEngine) -> None:
         def arrive() -> None:
             engine = self.engines[effect.endpoint_id]
             if engine.checks:
@@ -207,7 +214,7 @@
             state = engine.describe(self.simulation.time)
             self.answer(
                 instance,
-                EngineAnswered(endpoint_id=engine.name, ask_id=effect.ask_id, state=state),
+                EngineAnswered(endpoint_id=engine.name, query_id=effect.query_id, state=state),
             )
 
         self.simulation.call_later(self.network, arrive)
--- a/tests/components/storage/test_crashes.py
+++ b/tests/components/storage/test_crashes.py
@@ -1,7 +1,7 @@
-"""Crashes at random system calls, beside a model of what must be found afterwards.
+"""Crashes at random system calls, with a model of the state to be recovered.
 
-A longer run: ``CHIVETRACK_FUZZ_EXAMPLES=2000 script/test
-tests.components.storage.test_crashes``, with other seeds on each run.
+For a longer run with different seeds each time: ``CHIVETRACK_FUZZ_EXAMPLES=2000 script/test
+tests.components.storage.test_crashes``.
 """
 
 import os
@@ -20,16 +20,16 @@
 from chivetrack.components.consensus.models import HardState, Persist, Recovered, Snapshot
 from chivetrack.components.storage import Storage, create_folder, open_storage
 from chivetrack.components.storage.exceptions import WriteFailedError
-from chivetrack.components.storage.files import Calls
+from chivetrack.components.storage.files import SystemCalls
 from chivetrack.components.storage.records import Identity
 
 EXAMPLES = int(os.environ.get("CHIVETRACK_FUZZ_EXAMPLES", "0"))
-LIVES = 12
+RESTARTS = 12
 FIRST = Snapshot(index=1, term=1, members=make_voters("a"))
 
 
-class Crashing:
-    """System calls of which one fails, a write after a part of its bytes."""
+class CrashingCalls:
+    """System calls that fail after ``calls_left`` calls; a failing write is partial."""
 
     def __init__(self, *, random: Random, calls_left: int) -> None:
         self.random = random
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """What is on the disk, as ``Recovered`` gives it."""
+    """The expected state on disk, in the form of ``Recovered``."""
 
     state: Recovered
 
@@ -78,7 +78,7 @@
 
 
 def make_persist(model: Model, random: Random) -> Persist:
-    """Return something that the core might ask for next."""
+    """Return a random ``Persist`` that the consensus core might emit next."""
     index, term = model.end
     vote = HardState(term=model.state.hard_state.term + 1, vote=random.choice("abc"))
     term = max(term, vote.term - 1)
@@ -115,7 +115,7 @@
 
 
 class CrashTest(unittest.TestCase):
-    """A crash may lose what was not acknowledged, as a whole, and nothing else."""
+    """A crash may lose only unacknowledged changes, each of them completely."""
 
     def test_histories(self) -> None:
         start = SystemRandom().randrange(2**32) if EXAMPLES else 0
@@ -127,23 +127,23 @@
         identity = Identity(replica_id="a", instance_id="a")
         create_folder(path, identity=identity, snapshot=FIRST)
         model = Model(Recovered(hard_state=HardState(term=1), snapshot=FIRST))
-        for _ in range(LIVES):
-            crashing = Crashing(random=random, calls_left=random.randint(1, 40))
-            calls = Calls(write=crashing.write, sync=crashing.sync)
+        for _ in range(RESTARTS):
+            crashing_calls = CrashingCalls(random=random, calls_left=random.randint(1, 40))
+            calls = SystemCalls(write=crashing_calls.write, sync=crashing_calls.sync)
             allowed = [model]
             try:
                 with open_storage(path=path, calls=calls) as storage:
-                    self.assertEqual(storage.take_recovered(), model.state)
+                    self.assertEqual(storage.pop_recovered(), model.state)
                     self.write_until_crash(storage, random, allowed)
             except WriteFailedError:
                 pass
             with open_storage(path=path) as storage:
-                state = storage.take_recovered()
+                state = storage.pop_recovered()
             self.assertIn(state, [one.state for one in allowed])
             model = Model(state)
 
     def write_until_crash(self, storage: Storage, random: Random, allowed: list[Model]) -> None:
-        """Save until a call fails; ``allowed`` is what the next start may find."""
+        """Save until a call fails; ``allowed`` are the states that the next start may find."""
         while True:
             model = allowed[-1]
             group = []
@@ -152,7 +152,7 @@
                 persist = make_persist(states[-1], random)
                 group.append(persist)
                 if persist.snapshot is not None:
-                    # The snapshot file is there, the frame with the vote is not yet.
+                    # The snapshot file is written, but the frame with the vote is not yet.
                     without_vote = states[-1].save(replace(persist, hard_state=None))
                     term = max(without_vote.state.hard_state.term, persist.snapshot.term)
                     early = without_vote.state.hard_state
@@ -184,8 +184,8 @@
 
 class KillTest(unittest.TestCase):
     def test_kill_in_the_middle_of_writes(self) -> None:
-        """A process writes and tells of each write; it is killed with SIGKILL. The folder
-        is free for the next process at once, and holds every write that was told."""
+        """A process reports each write and is killed with SIGKILL. The next process must be
+        able to lock the folder at once, and find every write that was reported."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "data"
             identity = Identity(replica_id="a", instance_id="a")
@@ -193,12 +193,12 @@
             command = [sys.executable, "-c", WRITER, str(path)]
             with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as writer:
                 assert writer.stdout is not None
-                told = [int(writer.stdout.readline()) for _ in range(60)]
+                reported = [int(writer.stdout.readline()) for _ in range(60)]
                 writer.kill()
-                told += [int(line) for line in writer.stdout if line.endswith("\n")]
+                reported += [int(line) for line in writer.stdout if line.endswith("\n")]
             with open_storage(path=path) as storage:
-                entries = storage.take_recovered().entries
-            self.assertGreaterEqual(entries[-1].index, told[-1])
+                entries = storage.pop_recovered().entries
+            self.assertGreaterEqual(entries[-1].index, reported[-1])
             self.assertEqual([one.data for one in entries], [b"%d" % one.index for one in entries])
 
 
--- a/tests/components/store/fuzzing.py
+++ b/tests/components/store/fuzzing.py
@@ -1,5 +1,6 @@
-"""Settings of the fuzz tests: derandomised, or a longer random run by command.
+"""Settings of the fuzz tests, which are deterministic by default.
 
+A longer random run:
 CHIVETRACK_FUZZ_EXAMPLES=5000 script/test tests.components.store.test_store_fuzz
 """
 
@@ -9,11 +10,11 @@
 
 
 def make_settings(examples: int, steps: int = 40) -> settings:
-    asked = os.environ.get("CHIVETRACK_FUZZ_EXAMPLES")
+    override = os.environ.get("CHIVETRACK_FUZZ_EXAMPLES")
     return settings(
-        max_examples=int(asked) if asked else examples,
+        max_examples=int(override) if override else examples,
         stateful_step_count=steps,
-        derandomize=asked is None,
+        derandomize=override is None,
         deadline=None,
         database=None,
         suppress_health_check=list(HealthCheck),
