--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -121,7 +121,7 @@
             self._routers = max(view.routers, self._routers * ROUTERS_KEPT)
             self._stopping_share = view.stopping / max(1, view.routers)
             if view.silent is not None:
-                self.take_silent_endpoints(view.silent)
+                self.update_silent_endpoints(view.silent)
             if view.loads is not None:
                 self._take_loads(view.loads, now)
             self.placement.handle_placements(view.placed, now=now, capacity=self._memory_tokens)
@@ -150,7 +150,7 @@
         if self.table is not None and not self.directory.is_empty:
             self._ready.set()
 
-    def take_silent_endpoints(self, endpoint_ids: Iterable[str]) -> None:
+    def update_silent_endpoints(self, endpoint_ids: Iterable[str]) -> None:
         """Take which endpoints the close replica has not heard of lately."""
         silent = frozenset(endpoint_ids)
         if silent != self._silent:
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -241,7 +241,7 @@
 
     def _take_silent(self, _source: str, update: SilentUpdate) -> None:
         if update.replica == self.subscriber.close_replica:
-            self.view.take_silent_endpoints(update.endpoint_ids)
+            self.view.update_silent_endpoints(update.endpoint_ids)
         send_all(self.transport.send, self.subscriber.take_silent(update))
 
     def _take_loads(self, _source: str, update: LoadUpdate) -> None:
