--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -131,7 +131,7 @@
         self.health.take_others(loads, now=now)
         self.placement.handle_other_loads(loads, now=now)
 
-    def take_loads(self, payload: bytes) -> None:
+    def handle_loads(self, payload: bytes) -> None:
         """Take the packed loads of all routers; what this one told of itself is taken off."""
         read = unpack_loads(payload)
         if read.is_error():
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -246,7 +246,7 @@
 
     def _take_loads(self, _source: str, update: LoadUpdate) -> None:
         if update.replica == self.subscriber.close_replica:
-            self.view.take_loads(update.payload)
+            self.view.handle_loads(update.payload)
         send_all(self.transport.send, self.subscriber.hand_on(update))
 
     def _take_referral(self, _source: str, referral: FetchElsewhere) -> None:
