--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -123,11 +123,11 @@
             if view.silent is not None:
                 self.update_silent_endpoints(view.silent)
             if view.loads is not None:
-                self._take_loads(view.loads, now)
+                self._apply_loads(view.loads, now)
             self.placement.handle_placements(view.placed, now=now, capacity=self._memory_tokens)
         self._note_ready()
 
-    def _take_loads(self, loads: Sequence[EndpointLoad], now: float) -> None:
+    def _apply_loads(self, loads: Sequence[EndpointLoad], now: float) -> None:
         self.health.take_others(loads, now=now)
         self.placement.handle_other_loads(loads, now=now)
 
@@ -138,7 +138,7 @@
             self._events.write("loads_unreadable", detail=read.error)
             return
         loads = [subtract_load(one, self._told_loads.get(one.endpoint_id)) for one in read.ok]
-        self._take_loads(loads, time.monotonic())
+        self._apply_loads(loads, time.monotonic())
 
     def take_endpoints(self, *, is_partial: bool) -> None:
         """Put in force the endpoints that a replica has packed, all or departures alone."""
