--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -214,7 +214,7 @@
         yield View, self._take_view
         yield EndpointUpdate, self._take_endpoints
         yield SilentUpdate, self._take_silent
-        yield LoadUpdate, self._take_loads
+        yield LoadUpdate, self._handle_loads
         yield PermitAnswer, lambda source, answer: self._permits.take(answer)
         yield DocumentSent, lambda source, sent: self.subscriber.take_document(sent)
         yield FetchElsewhere, self._take_referral
@@ -244,7 +244,7 @@
             self.view.update_silent_endpoints(update.endpoint_ids)
         send_all(self.transport.send, self.subscriber.take_silent(update))
 
-    def _take_loads(self, _source: str, update: LoadUpdate) -> None:
+    def _handle_loads(self, _source: str, update: LoadUpdate) -> None:
         if update.replica == self.subscriber.close_replica:
             self.view.handle_loads(update.payload)
         send_all(self.transport.send, self.subscriber.hand_on(update))
