--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -241,7 +241,7 @@
         for listener in self.lifetime_end_listeners:
             listener(endpoint_id, born, is_departure)
 
-    def note_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
+    def record_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
         """Apply the endpoint state reported in the headers of an answer."""
         if facts.cold_s > 0:
             self.directory.cold.note_told(record.endpoint_id, facts.cold_s, now=time.monotonic())
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -65,7 +65,7 @@
         self,
         *,
         kept: KeptConnections,
-        note_answer: Callable[[EndpointRecord, AnswerFacts], None],
+        record_answer: Callable[[EndpointRecord, AnswerFacts], None],
         note_first_event: Callable[[Call, Choice], None],
         hear: Callable[[Call], None] | None = None,
         note_overdue: Callable[[Call], bool] | None = None,
@@ -76,7 +76,7 @@
         returns whether the endpoint is silent to all requests.
         """
         self._kept = kept
-        self._note_answer = note_answer
+        self._note_answer = record_answer
         self._note_first_event = note_first_event
         self._hear = hear or (lambda call: None)
         self._note_overdue = note_overdue or (lambda call: False)
--- a/chivetrack/daemon/fleet/meters.py
+++ b/chivetrack/daemon/fleet/meters.py
@@ -73,7 +73,7 @@
         if call.first_event_at is not None:
             self._first.record(call.first_event_at - call.came_at, kinds)
 
-    def note_answer(self, facts: AnswerFacts) -> None:
+    def record_answer(self, facts: AnswerFacts) -> None:
         """Count the head of an endpoint's answer."""
         self._answers.add(1, {"ran": "no" if facts.did_not_run else "yes"})
 
--- a/chivetrack/daemon/fleet/metrics.py
+++ b/chivetrack/daemon/fleet/metrics.py
@@ -46,9 +46,9 @@
         now = time.monotonic()
         self._record(lambda meters: meters.record_end(call, outcome, now))
 
-    def note_answer(self, endpoint_id: str, facts: AnswerFacts) -> None:
+    def record_answer(self, endpoint_id: str, facts: AnswerFacts) -> None:
         """Count the head of an endpoint's answer."""
-        self._record(lambda meters: meters.note_answer(facts))
+        self._record(lambda meters: meters.record_answer(facts))
 
     def count_crash(self) -> None:
         """Count an endpoint crash that interrupted requests of this router."""
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -123,7 +123,7 @@
             crash_detector=crash_detector,
             forwarder=Forwarder(
                 kept=self._kept,
-                note_answer=self._note_answer,
+                record_answer=self._note_answer,
                 note_first_event=lambda call, choice: self.view.note_first_event(call),
                 hear=self.view.hear,
                 note_overdue=self.view.note_overdue,
@@ -181,8 +181,8 @@
         return not self._asked.is_set() and self.view.table is not None and self.view.has_view
 
     def _note_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
-        self._metrics.note_answer(record.endpoint_id, facts)
-        self.view.note_answer(record, facts)
+        self._metrics.record_answer(record.endpoint_id, facts)
+        self.view.record_answer(record, facts)
 
     def _note_crash(self, reports: Sequence[CrashReport]) -> None:
         """Immediately report the requests that were running at an endpoint when it crashed."""
--- a/tests/daemon/fleet/test_forwarder.py
+++ b/tests/daemon/fleet/test_forwarder.py
@@ -42,7 +42,7 @@
         self.is_silent = False
         self.forwarder = Forwarder(
             kept=self.kept,
-            note_answer=lambda record, facts: None,
+            record_answer=lambda record, facts: None,
             note_first_event=lambda call, choice: None,
             note_overdue=self.note_overdue,
         )
