--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -369,7 +369,7 @@
         if call.placed is not None:
             self.placement.record_bytes(call.placed, now=time.monotonic())
 
-    def note_first_event(self, call: Call) -> None:
+    def handle_first_event(self, call: Call) -> None:
         """Take a prompt as read."""
         if call.placed is not None:
             self.placement.record_first_event(call.placed, now=time.monotonic())
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -66,7 +66,7 @@
         *,
         kept: KeptConnections,
         record_answer: Callable[[EndpointRecord, AnswerFacts], None],
-        note_first_event: Callable[[Call, Choice], None],
+        handle_first_event: Callable[[Call, Choice], None],
         hear: Callable[[Call], None] | None = None,
         note_overdue: Callable[[Call], bool] | None = None,
     ) -> None:
@@ -77,7 +77,7 @@
         """
         self._kept = kept
         self._note_answer = record_answer
-        self._note_first_event = note_first_event
+        self._note_first_event = handle_first_event
         self._hear = hear or (lambda call: None)
         self._note_overdue = note_overdue or (lambda call: False)
 
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -124,7 +124,7 @@
             forwarder=Forwarder(
                 kept=self._kept,
                 record_answer=self._note_answer,
-                note_first_event=lambda call, choice: self.view.note_first_event(call),
+                handle_first_event=lambda call, choice: self.view.handle_first_event(call),
                 hear=self.view.hear,
                 note_overdue=self.view.note_overdue,
             ),
--- a/tests/daemon/fleet/test_forwarder.py
+++ b/tests/daemon/fleet/test_forwarder.py
@@ -43,7 +43,7 @@
         self.forwarder = Forwarder(
             kept=self.kept,
             record_answer=lambda record, facts: None,
-            note_first_event=lambda call, choice: None,
+            handle_first_event=lambda call, choice: None,
             note_overdue=self.note_overdue,
         )
         self.caller = Caller()
