--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -374,14 +374,14 @@
         if call.placed is not None:
             self.placement.record_first_event(call.placed, now=time.monotonic())
 
-    def note_overdue(self, call: Call) -> bool:
+    def record_overdue(self, call: Call) -> bool:
         """Note that no byte has come in time; return whether the endpoint is silent for all."""
         if call.placed is None:
             return False
         endpoint_id = call.placed.endpoint_id
         if not self.placement.is_silent(endpoint_id, time.monotonic()):
             return False
-        self.health.note_overdue(endpoint_id)
+        self.health.record_overdue(endpoint_id)
         return True
 
     def has_budget(self, service: str) -> bool:
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -68,18 +68,18 @@
         record_answer: Callable[[EndpointRecord, AnswerFacts], None],
         handle_first_event: Callable[[Call, Choice], None],
         hear: Callable[[Call], None] | None = None,
-        note_overdue: Callable[[Call], bool] | None = None,
+        record_overdue: Callable[[Call], bool] | None = None,
     ) -> None:
         """Take the idle connections and listeners for what endpoints say.
 
-        ``hear`` is told of bytes that came, ``note_overdue`` that none came in time; it
+        ``hear`` is told of bytes that came, ``record_overdue`` that none came in time; it
         returns whether the endpoint is silent to all requests.
         """
         self._kept = kept
         self._note_answer = record_answer
         self._note_first_event = handle_first_event
         self._hear = hear or (lambda call: None)
-        self._note_overdue = note_overdue or (lambda call: False)
+        self._note_overdue = record_overdue or (lambda call: False)
 
     def send(self, call: Call, choice: Choice, *, may_repeat: bool) -> SendResult:
         """Send a request to one endpoint; ``may_repeat`` says that another may follow.
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -77,7 +77,7 @@
                 reason=breaker.reason,
             )
 
-    def note_overdue(self, endpoint_id: str) -> None:
+    def record_overdue(self, endpoint_id: str) -> None:
         """Note a try at an endpoint that has gone silent; its end is not known.
 
         Known at the caller's deadline only, most of the trouble would be over by then.
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -126,7 +126,7 @@
                 record_answer=self._note_answer,
                 handle_first_event=lambda call, choice: self.view.handle_first_event(call),
                 hear=self.view.hear,
-                note_overdue=self.view.note_overdue,
+                record_overdue=self.view.record_overdue,
             ),
             events=events,
             record=self._metrics.record_end,
--- a/tests/daemon/fleet/test_forwarder.py
+++ b/tests/daemon/fleet/test_forwarder.py
@@ -44,11 +44,11 @@
             kept=self.kept,
             record_answer=lambda record, facts: None,
             handle_first_event=lambda call, choice: None,
-            note_overdue=self.note_overdue,
+            record_overdue=self.record_overdue,
         )
         self.caller = Caller()
 
-    def note_overdue(self, call: Call) -> bool:
+    def record_overdue(self, call: Call) -> bool:
         self.overdue += 1
         return self.is_silent
 
