--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -349,7 +349,7 @@
         The body sets ``is_complete`` of what is given once the answer is whole.
         """
         now = time.monotonic()
-        self.health.note_attempt(choice.record.endpoint_id, now=now)
+        self.health.record_attempt_start(choice.record.endpoint_id, now=now)
         placed = self.placement.start(
             choice,
             call.facts,
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -51,7 +51,7 @@
 
     # What is seen
 
-    def note_attempt(self, endpoint_id: str, *, now: float) -> None:
+    def record_attempt_start(self, endpoint_id: str, *, now: float) -> None:
         """Note that a try goes out; a breaker that is half open waits for its end."""
         breaker = self._breakers.get(endpoint_id)
         if breaker is not None:
