--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -57,7 +57,7 @@
         if breaker is not None:
             breaker.record_attempt(now)
 
-    def note_outcome(self, endpoint_id: str, end: SendEnd | None) -> None:
+    def record_outcome(self, endpoint_id: str, end: SendEnd | None) -> None:
         """Note how a try ended; a refusal is no failure."""
         if end is SendEnd.REFUSED:
             return
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -260,7 +260,7 @@
         if placed.is_complete:
             self._view.crashes.note_answered(call.fingerprint, now=time.monotonic())
         if result.end is None:
-            self._view.health.note_outcome(
+            self._view.health.record_outcome(
                 endpoint_id, SendEnd.FAILED if result.status >= 500 else None
             )
             self._log.write_try(call, choice, "answered", f"status {result.status}")
@@ -268,7 +268,7 @@
         call.tries.append(make_tried(choice, result))
         if result.is_other_instance:
             self._view.health.note_other_instance(endpoint_id)
-        self._view.health.note_outcome(endpoint_id, result.end)
+        self._view.health.record_outcome(endpoint_id, result.end)
         self._log.write_try(call, choice, result.end.value, result.detail)
         if result.end is SendEnd.MAYBE_RAN:
             self._crash_detector.note_broken_answer(call, choice.record)
--- a/tests/daemon/fleet/test_fleet_view.py
+++ b/tests/daemon/fleet/test_fleet_view.py
@@ -179,13 +179,13 @@
         first = make_record(service="portal")
         self.take(first, make_record(service="portal", endpoint_id="e2"))
         for _ in range(20):
-            self.view.health.note_outcome("e1", SendEnd.REFUSED)
+            self.view.health.record_outcome("e1", SendEnd.REFUSED)
         self.assertIn("e1", {self.choose("portal"), "e1"})
         for _ in range(20):
-            self.view.health.note_outcome("e1", SendEnd.NOT_SENT)
+            self.view.health.record_outcome("e1", SendEnd.NOT_SENT)
         self.assertEqual({self.choose("portal") for _ in range(5)}, {"e2"})
         for _ in range(20):
-            self.view.health.note_outcome("e2", SendEnd.FAILED)
+            self.view.health.record_outcome("e2", SendEnd.FAILED)
         self.assertNotEqual(self.choose("portal"), "")
 
     def test_endpoint_that_fails_at_other_routers(self) -> None:
@@ -201,8 +201,8 @@
 
     def test_word_to_others_tells_how_tries_ended(self) -> None:
         self.take(make_record(service="portal"))
-        self.view.health.note_outcome("e1", None)
-        self.view.health.note_outcome("e1", SendEnd.NOT_SENT)
+        self.view.health.record_outcome("e1", None)
+        self.view.health.record_outcome("e1", SendEnd.NOT_SENT)
         (load,) = self.view.get_news().loads
         self.assertEqual((load.running, load.answered, load.failed), (0, 1, 1))
 
