--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -85,7 +85,7 @@
         self._outcomes.note(endpoint_id, ok=False, now=time.monotonic())
         self._events.write("endpoint_silent", endpoint=endpoint_id)
 
-    def note_other_instance(self, endpoint_id: str) -> None:
+    def record_misdirected(self, endpoint_id: str) -> None:
         """Leave out an endpoint at whose address another one has answered."""
         self._misdirected[endpoint_id] = time.monotonic()
         self._events.write("endpoint_misdirected", endpoint=endpoint_id)
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -267,7 +267,7 @@
             return True
         call.tries.append(make_tried(choice, result))
         if result.is_other_instance:
-            self._view.health.note_other_instance(endpoint_id)
+            self._view.health.record_misdirected(endpoint_id)
         self._view.health.record_outcome(endpoint_id, result.end)
         self._log.write_try(call, choice, result.end.value, result.detail)
         if result.end is SendEnd.MAYBE_RAN:
--- a/tests/daemon/fleet/test_fleet_view.py
+++ b/tests/daemon/fleet/test_fleet_view.py
@@ -102,7 +102,7 @@
         record = make_record(service="portal")
         self.take(record)
         self.assertEqual(self.choose("portal"), "e1")
-        self.view.health.note_other_instance("e1")
+        self.view.health.record_misdirected("e1")
         self.assertEqual(self.choose("portal"), "")
         self.take(make_record(1, service="portal", born=2000), change=2)
         self.assertEqual(self.choose("portal"), "e1")
--- a/tests/daemon/fleet/test_permits.py
+++ b/tests/daemon/fleet/test_permits.py
@@ -71,7 +71,7 @@
         self.assertEqual({self.choose("portal") for _ in range(9)}, {"e2"})
         self.assertEqual(self.asked, ["e1"])
         gevent.sleep(0.25)
-        self.view.health.note_other_instance("e2")
+        self.view.health.record_misdirected("e2")
         self.assertEqual(self.choose("portal"), "e1")
 
     def test_replica_that_does_not_answer(self) -> None:
