--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -301,7 +301,7 @@
             for record in records
             if record.endpoint_id not in tried
         ]
-        return self.health.choose_sound(left, now=now)
+        return self.health.filter_candidates(left, now=now)
 
     def _list_sources(self, service: str, now: float) -> list[Source]:
         return [
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -120,7 +120,7 @@
 
     # Who may be tried
 
-    def choose_sound(self, candidates: Sequence[Candidate], *, now: float) -> list[Candidate]:
+    def filter_candidates(self, candidates: Sequence[Candidate], *, now: float) -> list[Candidate]:
         """Return the candidates that may be tried.
 
         Where every circuit breaker of a service is open, the service as a whole is in
