--- a/chivetrack/daemon/fleet/crashes.py
+++ b/chivetrack/daemon/fleet/crashes.py
@@ -81,7 +81,7 @@
         self._broken: dict[Lifetime, _BrokenAnswers] = {}
         self._unconfirmed: dict[Lifetime, _BrokenAnswers] = {}
 
-    def note_broken_answer(self, call: Call, record: EndpointRecord) -> None:
+    def record_broken_answer(self, call: Call, record: EndpointRecord) -> None:
         """Note a request that was sent to an endpoint and received no usable answer."""
         key = record.lifetime
         broken = self._broken.get(key)
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -271,7 +271,7 @@
         self._view.health.record_outcome(endpoint_id, result.end)
         self._log.write_try(call, choice, result.end.value, result.detail)
         if result.end is SendEnd.MAYBE_RAN:
-            self._crash_detector.note_broken_answer(call, choice.record)
+            self._crash_detector.record_broken_answer(call, choice.record)
         return False
 
     def _give_up(self, call: Call, why: str) -> None:
--- a/tests/daemon/fleet/test_crashes.py
+++ b/tests/daemon/fleet/test_crashes.py
@@ -64,7 +64,7 @@
 
     def break_answers(self, detector: CrashDetector, *records: EndpointRecord) -> None:
         for record in records:
-            detector.note_broken_answer(cast(Call, FakeCall()), record)
+            detector.record_broken_answer(cast(Call, FakeCall()), record)
         gevent.sleep(0.1)
 
     def test_one_probe_covers_all_broken_answers_of_an_endpoint(self) -> None:
