--- a/chivetrack/daemon/fleet/crashes.py
+++ b/chivetrack/daemon/fleet/crashes.py
@@ -90,7 +90,7 @@
             gevent.spawn(self._probe_endpoint, key)
         broken.reports.append(call.make_crash_report(record))
 
-    def note_lifetime_end(self, endpoint_id: str, born: int, is_departure: bool) -> None:
+    def handle_incarnation_end(self, endpoint_id: str, born: int, is_departure: bool) -> None:
         """Note that a lifetime was lost or replaced or, if ``is_departure``, drains or has left."""
         broken = self._unconfirmed.pop((endpoint_id, born), None)
         if broken is None or is_departure:
--- a/tests/daemon/fleet/test_crashes.py
+++ b/tests/daemon/fleet/test_crashes.py
@@ -93,10 +93,10 @@
         """Guards against missing the crash of an endpoint whose port accepts the probe."""
         detector = self.make_detector(ProbeResult.ACCEPTED)
         self.break_answers(detector, make_record(born=1), make_record(born=1))
-        detector.note_lifetime_end("i-1", 7, False)
+        detector.handle_incarnation_end("i-1", 7, False)
         self.assertEqual(self.crashes, [])
-        detector.note_lifetime_end("i-1", 1, False)
-        detector.note_lifetime_end("i-1", 1, False)
+        detector.handle_incarnation_end("i-1", 1, False)
+        detector.handle_incarnation_end("i-1", 1, False)
         self.assertEqual(self.crashes, [("i-1", 2)])
 
     def test_endpoint_replaced_before_the_probe_has_crashed(self) -> None:
@@ -109,8 +109,8 @@
         """Guards against counting a planned stop that breaks answers as a crash."""
         detector = self.make_detector(ProbeResult.ACCEPTED)
         self.break_answers(detector, make_record(born=1))
-        detector.note_lifetime_end("i-1", 1, True)
-        detector.note_lifetime_end("i-1", 1, False)
+        detector.handle_incarnation_end("i-1", 1, True)
+        detector.handle_incarnation_end("i-1", 1, False)
         self.assertEqual(self.crashes, [])
 
     def test_lifetime_end_after_the_confirmation_window_is_no_crash(self) -> None:
@@ -119,7 +119,7 @@
         crashes_module.CONFIRMATION_WINDOW_S = 0.05
         detector = self.make_detector(ProbeResult.UNKNOWN)
         self.break_answers(detector, make_record(born=1))
-        detector.note_lifetime_end("i-1", 1, False)
+        detector.handle_incarnation_end("i-1", 1, False)
         self.assertEqual(self.crashes, [])
 
 
