--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -78,7 +78,7 @@
         self.has_view = False
         self._ready = Signal()
         self.listeners: list[Callable[[Document], None]] = []
-        self.lifetime_end_listeners: list[Callable[[str, int, bool], None]] = []
+        self.incarnation_end_listeners: list[Callable[[str, int, bool], None]] = []
 
     # What replicas tell
 
@@ -238,7 +238,7 @@
             self.directory.cold.forget(record.endpoint_id)
 
     def _notify_lifetime_end(self, endpoint_id: str, born: int, *, is_departure: bool) -> None:
-        for listener in self.lifetime_end_listeners:
+        for listener in self.incarnation_end_listeners:
             listener(endpoint_id, born, is_departure)
 
     def record_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -116,7 +116,7 @@
             note_crash=self._note_crash,
             is_lost_or_replaced=self.view.directory.is_lost_or_replaced,
         )
-        self.view.lifetime_end_listeners.append(crash_detector.handle_incarnation_end)
+        self.view.incarnation_end_listeners.append(crash_detector.handle_incarnation_end)
         self.desk = RequestDesk(
             view=self.view,
             permits=self._permits,
