--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -222,7 +222,7 @@
             has_restarted = record.endpoint_id in self._born
             if has_restarted:
                 previous_born = self._born[record.endpoint_id]
-                self._notify_lifetime_end(record.endpoint_id, previous_born, is_departure=False)
+                self._notify_incarnation_end(record.endpoint_id, previous_born, is_departure=False)
             self._born[record.endpoint_id] = record.born
             self._seen_at[record.endpoint_id] = now
             self.placement.forget(record.endpoint_id, emptied_at=now if has_restarted else None)
@@ -231,13 +231,13 @@
         if record.state is not EndpointState.READY:
             self._forget_endpoint(record.endpoint_id)
             is_departure = record.state is not EndpointState.LOST
-            self._notify_lifetime_end(record.endpoint_id, record.born, is_departure=is_departure)
+            self._notify_incarnation_end(record.endpoint_id, record.born, is_departure=is_departure)
         if record.state is EndpointState.LEFT:
             self.health.forget(record.endpoint_id)
             self.placement.forget(record.endpoint_id)
             self.directory.cold.forget(record.endpoint_id)
 
-    def _notify_lifetime_end(self, endpoint_id: str, born: int, *, is_departure: bool) -> None:
+    def _notify_incarnation_end(self, endpoint_id: str, born: int, *, is_departure: bool) -> None:
         for listener in self.incarnation_end_listeners:
             listener(endpoint_id, born, is_departure)
 
