--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -49,7 +49,7 @@
     """The route's timeout or the caller's own has passed."""
 
 
-class RequestDesk:
+class RequestHandler:
     """The application of the callers' listener."""
 
     def __init__(
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -43,7 +43,7 @@
 from chivetrack.daemon.fleet.metrics import Metrics, open_metrics_server
 from chivetrack.daemon.fleet.peering import list_seed_peers, make_transport, send_all
 from chivetrack.daemon.fleet.permits import PermitDesk
-from chivetrack.daemon.fleet.requests import RequestDesk
+from chivetrack.daemon.fleet.requests import RequestHandler
 from chivetrack.daemon.server import HttpServer, ServerLimits
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.events import EventLog
@@ -117,7 +117,7 @@
             is_lost_or_replaced=self.view.directory.is_lost_or_replaced,
         )
         self.view.incarnation_end_listeners.append(crash_detector.handle_incarnation_end)
-        self.desk = RequestDesk(
+        self.desk = RequestHandler(
             view=self.view,
             permits=self._permits,
             crash_detector=crash_detector,
