--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -11,7 +11,7 @@
 from chivetrack.helpers.events import EventLog
 
 
-class PermitDesk:
+class PermitClient:
     """Asks for one request at a time, and remembers refusals until their end."""
 
     def __init__(
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -36,7 +36,7 @@
 from chivetrack.daemon.fleet.crashes import CrashDetector
 from chivetrack.daemon.fleet.fleet_view import FleetView
 from chivetrack.daemon.fleet.forwarder import AnswerCutError, Forwarder, make_tried
-from chivetrack.daemon.fleet.permits import PermitDesk
+from chivetrack.daemon.fleet.permits import PermitClient
 from chivetrack.daemon.fleet.refusals import Refusals
 from chivetrack.daemon.fleet.request_log import RequestLog
 from chivetrack.daemon.server import ENVIRON_CONNECTED_AT, ENVIRON_HEADERS, ENVIRON_TARGET
@@ -57,7 +57,7 @@
         *,
         view: FleetView,
         forwarder: Forwarder,
-        permits: PermitDesk,
+        permits: PermitClient,
         crash_detector: CrashDetector,
         events: EventLog,
         record: Callable[[Call, str], None],
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -42,7 +42,7 @@
 from chivetrack.daemon.fleet.gauges import Gauge
 from chivetrack.daemon.fleet.metrics import Metrics, open_metrics_server
 from chivetrack.daemon.fleet.peering import list_seed_peers, make_transport, send_all
-from chivetrack.daemon.fleet.permits import PermitDesk
+from chivetrack.daemon.fleet.permits import PermitClient
 from chivetrack.daemon.fleet.requests import RequestHandler
 from chivetrack.daemon.server import HttpServer, ServerLimits
 from chivetrack.helpers.codec import Message
@@ -105,7 +105,7 @@
         )
         self._takers = dict(self._list_takers())
         self.transport = make_transport(settings, events=events, take=self._take_message)
-        self._permits = PermitDesk(
+        self._permits = PermitClient(
             view=self.view,
             find_replica=lambda: self.subscriber.close_replica,
             send=self.transport.send,
--- a/tests/daemon/fleet/test_permits.py
+++ b/tests/daemon/fleet/test_permits.py
@@ -8,7 +8,7 @@
 from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
 from chivetrack.components.traffic.models import Service
 from chivetrack.components.traffic.table import RouteTable
-from chivetrack.daemon.fleet.permits import PermitDesk
+from chivetrack.daemon.fleet.permits import PermitClient
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.events import EventLog
 from tests.components.announcements.test_table import make_record
@@ -28,7 +28,7 @@
         self.waits: dict[str, float] = {}
         self.asked: list[str] = []
         self.is_lost = False
-        self.desk = PermitDesk(
+        self.desk = PermitClient(
             view=self.view,
             find_replica=lambda: "p1",
             send=self.send,
