--- a/chivetrack/daemon/fleet/refusals.py
+++ b/chivetrack/daemon/fleet/refusals.py
@@ -27,7 +27,7 @@
         self._random = Random()
         self.window: StopWindow | None = None
 
-    def refuse_hopeless(self, call: Call, choice: Choice) -> bool:
+    def refuse_infeasible(self, call: Call, choice: Choice) -> bool:
         """Refuse a request that even the best endpoint can't begin to answer in time."""
         left_s = call.ends_at - time.monotonic()
         fault = judge_hope(
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -210,7 +210,7 @@
                 return
             if self._refusals.refuse_during_stop(call, choice):
                 return
-            if not call.tries and self._refusals.refuse_hopeless(call, choice):
+            if not call.tries and self._refusals.refuse_infeasible(call, choice):
                 return
             if self._send(call, choice):
                 return
