--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -98,7 +98,7 @@
         self._open_calls[id(call)] = call
         try:
             with watch_caller(environ.get(ENVIRON_SOCKET)):
-                self._see_through(call)
+                self._process(call)
         except CallerLeftError:
             self._end(call, "caller_left")
             raise AnswerCutError("the caller left") from None
@@ -178,7 +178,7 @@
             raise FaultError(_refuse("unknown_key", 401, None))
         return workspace
 
-    def _see_through(self, call: Call) -> None:
+    def _process(self, call: Call) -> None:
         self._view.budgets[call.service].note_request(time.monotonic())
         try:
             with gevent.Timeout(max(0.001, call.ends_at - time.monotonic()), RouteTimeoutError):
