--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -206,7 +206,7 @@
                 return
             choice = self._choose(call)
             if choice is None:
-                self._give_up(call, "no_candidate")
+                self._abandon(call, "no_candidate")
                 return
             if self._refusals.refuse_during_stop(call, choice):
                 return
@@ -215,7 +215,7 @@
             if self._send(call, choice):
                 return
             if not self._may_send_again(call):
-                self._give_up(call, "tries_used_up")
+                self._abandon(call, "tries_used_up")
                 return
 
     def _choose(self, call: Call) -> Choice | None:
@@ -274,7 +274,7 @@
             self._crash_detector.record_broken_answer(call, choice.record)
         return False
 
-    def _give_up(self, call: Call, why: str) -> None:
+    def _abandon(self, call: Call, why: str) -> None:
         if call.reply.is_started:
             raise AnswerCutError("the stream can't go on elsewhere")
         pause_s = self._view.find_shortest_pause(call.service)
