--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -185,12 +185,12 @@
                 self._try_endpoints(call)
             self._end(call, "answered")
         except RouteTimeoutError:
-            self._end_late(call)
+            self._handle_timeout(call)
         except AnswerCutError:
             self._end(call, "cut")
             raise
 
-    def _end_late(self, call: Call) -> None:
+    def _handle_timeout(self, call: Call) -> None:
         self._end(call, "timeout")
         if call.reply.is_started:
             raise AnswerCutError("the time is up in the midst of an answer")
