--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -122,13 +122,13 @@
         """Check a request against the configuration and read its body; raise ``FaultError``."""
         table = self._view.table or self._wait_for_table(facts, came_at)
         if table is None:
-            raise FaultError(_refuse("no_configuration", 503, NO_DOCUMENT_RETRY_S))
+            raise FaultError(_make_refusal("no_configuration", 503, NO_DOCUMENT_RETRY_S))
         if self.open_count > MAX_REQUESTS:
-            raise FaultError(_refuse("instance_full", 503, NO_ENDPOINT_RETRY_S))
+            raise FaultError(_make_refusal("instance_full", 503, NO_ENDPOINT_RETRY_S))
         target = environ[ENVIRON_TARGET]
         route = table.find_route(environ.get("HTTP_HOST", ""), target.partition("?")[0])
         if route is None:
-            raise FaultError(_refuse("unknown_route", 404, None))
+            raise FaultError(_make_refusal("unknown_route", 404, None))
         workspace = self._identify(table, route, facts)
         wait_s = DEFAULT_WAIT_S if facts.wait_s is None else facts.wait_s
         limit = table.document.limits.max_body_bytes
@@ -175,7 +175,7 @@
             return None
         workspace = table.find_workspace(facts.key)
         if workspace is None and not route.is_public:
-            raise FaultError(_refuse("unknown_key", 401, None))
+            raise FaultError(_make_refusal("unknown_key", 401, None))
         return workspace
 
     def _process(self, call: Call) -> None:
@@ -195,7 +195,7 @@
         if call.reply.is_started:
             raise AnswerCutError("the time is up in the midst of an answer")
         if not may_have_run(call.tries):
-            call.reply.refuse(_refuse("timeout", 503, NO_ENDPOINT_RETRY_S))
+            call.reply.refuse(_make_refusal("timeout", 503, NO_ENDPOINT_RETRY_S))
             return
         message = "The time is up; the request may have run."
         call.reply.refuse(Fault(code="timeout", message=message, status=504, ran=Ran.MAYBE))
@@ -300,6 +300,6 @@
     return route.shares[-1].service
 
 
-def _refuse(code: str, status: int, retry_after_s: float | None) -> Fault:
+def _make_refusal(code: str, status: int, retry_after_s: float | None) -> Fault:
     message = f"The request has not run: {code.replace('_', ' ')}."
     return Fault(code=code, message=message, status=status, ran=Ran.NO, retry_after_s=retry_after_s)
