--- a/chivetrack/daemon/fleet/request_log.py
+++ b/chivetrack/daemon/fleet/request_log.py
@@ -78,7 +78,7 @@
             "connected_after_stop_ms": round((call.connected_at - since) * 1000),
         }
 
-    def write_try(self, call: Call, choice: Choice, outcome: str, detail: str) -> None:
+    def write_attempt(self, call: Call, choice: Choice, outcome: str, detail: str) -> None:
         """Write how a try ended; a first try that was answered needs no line of its own."""
         if outcome == "answered" and not call.tries:
             return
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -263,13 +263,13 @@
             self._view.health.record_outcome(
                 endpoint_id, SendEnd.FAILED if result.status >= 500 else None
             )
-            self._log.write_try(call, choice, "answered", f"status {result.status}")
+            self._log.write_attempt(call, choice, "answered", f"status {result.status}")
             return True
         call.tries.append(make_tried(choice, result))
         if result.is_other_instance:
             self._view.health.record_misdirected(endpoint_id)
         self._view.health.record_outcome(endpoint_id, result.end)
-        self._log.write_try(call, choice, result.end.value, result.detail)
+        self._log.write_attempt(call, choice, result.end.value, result.detail)
         if result.end is SendEnd.MAYBE_RAN:
             self._crash_detector.record_broken_answer(call, choice.record)
         return False
