--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -69,7 +69,7 @@
         self._quarantine = Quarantine()
         self._quarantined: dict[bytes, QuarantinedRequest] = {}
         self._silent: frozenset[str] = frozenset()
-        self._told_loads: dict[str, EndpointLoad] = {}
+        self._reported_loads: dict[str, EndpointLoad] = {}
         self._born: dict[str, int] = {}
         self._seen_at: dict[str, float] = {}
         self._routers = FIRST_ROUTERS
@@ -137,7 +137,7 @@
         if read.is_error():
             self._events.write("loads_unreadable", detail=read.error)
             return
-        loads = [subtract_load(one, self._told_loads.get(one.endpoint_id)) for one in read.ok]
+        loads = [subtract_load(one, self._reported_loads.get(one.endpoint_id)) for one in read.ok]
         self._apply_loads(loads, time.monotonic())
 
     def take_endpoints(self, *, is_partial: bool) -> None:
@@ -258,7 +258,7 @@
         """Return what the other routers should know of this one."""
         now = time.monotonic()
         loads = self.health.add_outcomes(self.placement.list_own(), now=now)
-        self._told_loads = {one.endpoint_id: one for one in loads}
+        self._reported_loads = {one.endpoint_id: one for one in loads}
         return OwnNews(
             loads=loads,
             placed=tuple(self.placement.pop_placements(now)),
