--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -28,7 +28,7 @@
 # A router that is cut off, or asks a replica that is, sees few others. Were its part of the
 # budget to grow at once, the parts together would exceed it. At a word each 0.3 s, the
 # count halves in 20 s, two windows of the budget.
-ROUTERS_KEPT = 0.99
+ROUTER_COUNT_DECAY = 0.99
 # An engine that appeared so lately is the home of prompts that others still have cached.
 NEW_FOR_S = 20.0
 # Before the first word.
@@ -118,7 +118,7 @@
         if view.quarantine is not None:
             self._take_quarantine(view.quarantine)
         if view.has_loads:
-            self._routers = max(view.routers, self._routers * ROUTERS_KEPT)
+            self._routers = max(view.routers, self._routers * ROUTER_COUNT_DECAY)
             self._stopping_share = view.stopping / max(1, view.routers)
             if view.silent is not None:
                 self.update_silent_endpoints(view.silent)
