--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -32,7 +32,7 @@
 # An engine that appeared so lately is the home of prompts that others still have cached.
 NEW_FOR_S = 20.0
 # Before the first word.
-FIRST_ROUTERS = 20.0
+INITIAL_ROUTER_COUNT = 20.0
 # A caller that comes back reaches any router that the balancer may still choose.
 MAX_STOPPING_SHARE = 0.5
 # Cached by an engine whose profile the configuration does not tell.
@@ -72,7 +72,7 @@
         self._reported_loads: dict[str, EndpointLoad] = {}
         self._born: dict[str, int] = {}
         self._seen_at: dict[str, float] = {}
-        self._routers = FIRST_ROUTERS
+        self._routers = INITIAL_ROUTER_COUNT
         self._stopping_share = 0.0
         self.is_stopping = False
         self.has_view = False
