--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -30,7 +30,7 @@
 # count halves in 20 s, two windows of the budget.
 ROUTER_COUNT_DECAY = 0.99
 # An engine that appeared so lately is the home of prompts that others still have cached.
-NEW_FOR_S = 20.0
+NEW_ENDPOINT_S = 20.0
 # Before the first word.
 INITIAL_ROUTER_COUNT = 20.0
 # A caller that comes back reaches any router that the balancer may still choose.
@@ -307,7 +307,7 @@
         return [
             Source(
                 record=record,
-                is_new=now - self._seen_at.get(record.endpoint_id, now) < NEW_FOR_S,
+                is_new=now - self._seen_at.get(record.endpoint_id, now) < NEW_ENDPOINT_S,
             )
             for record in self.directory.list_sources(service)
         ]
