--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -72,7 +72,7 @@
         self._reported_loads: dict[str, EndpointLoad] = {}
         self._born: dict[str, int] = {}
         self._seen_at: dict[str, float] = {}
-        self._routers = INITIAL_ROUTER_COUNT
+        self._router_count = INITIAL_ROUTER_COUNT
         self._stopping_share = 0.0
         self.is_stopping = False
         self.has_view = False
@@ -118,7 +118,7 @@
         if view.quarantine is not None:
             self._take_quarantine(view.quarantine)
         if view.has_loads:
-            self._routers = max(view.routers, self._routers * ROUTER_COUNT_DECAY)
+            self._router_count = max(view.routers, self._router_count * ROUTER_COUNT_DECAY)
             self._stopping_share = view.stopping / max(1, view.routers)
             if view.silent is not None:
                 self.update_silent_endpoints(view.silent)
@@ -284,7 +284,7 @@
             facts=call.facts,
             now=now,
             sources=self._list_sources(call.service, now),
-            routers=round(self._routers),
+            routers=round(self._router_count),
             resting=[one.endpoint_id for one in division.resting],
         )
 
@@ -355,7 +355,7 @@
             call.facts,
             now=now,
             capacity=self._memory_tokens,
-            routers=round(self._routers),
+            routers=round(self._router_count),
         )
         call.placed = placed
         try:
@@ -386,4 +386,4 @@
 
     def has_budget(self, service: str) -> bool:
         """Return whether the fleet's budget leaves room for another repeat."""
-        return self.budgets[service].may_repeat(time.monotonic(), routers=round(self._routers))
+        return self.budgets[service].may_repeat(time.monotonic(), routers=round(self._router_count))
