--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -71,7 +71,7 @@
         self._silent: frozenset[str] = frozenset()
         self._reported_loads: dict[str, EndpointLoad] = {}
         self._born: dict[str, int] = {}
-        self._seen_at: dict[str, float] = {}
+        self._first_seen_at: dict[str, float] = {}
         self._router_count = INITIAL_ROUTER_COUNT
         self._stopping_share = 0.0
         self.is_stopping = False
@@ -224,7 +224,7 @@
                 previous_born = self._born[record.endpoint_id]
                 self._notify_incarnation_end(record.endpoint_id, previous_born, is_departure=False)
             self._born[record.endpoint_id] = record.born
-            self._seen_at[record.endpoint_id] = now
+            self._first_seen_at[record.endpoint_id] = now
             self.placement.forget(record.endpoint_id, emptied_at=now if has_restarted else None)
             self.health.forget(record.endpoint_id)
             self._forget_endpoint(record.endpoint_id)
@@ -307,7 +307,7 @@
         return [
             Source(
                 record=record,
-                is_new=now - self._seen_at.get(record.endpoint_id, now) < NEW_ENDPOINT_S,
+                is_new=now - self._first_seen_at.get(record.endpoint_id, now) < NEW_ENDPOINT_S,
             )
             for record in self.directory.list_sources(service)
         ]
