--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -113,7 +113,7 @@
         now = time.monotonic()
         self.has_view = self.has_view or not view.is_pending
         # Before the placements: what is known of an endpoint is dropped as it appears.
-        self._note_changes()
+        self._apply_changes()
         self._note_evacuations(view.evacuations)
         if view.quarantine is not None:
             self._take_quarantine(view.quarantine)
@@ -143,7 +143,7 @@
     def take_endpoints(self, *, is_partial: bool) -> None:
         """Put in force the endpoints that a replica has packed, all or departures alone."""
         self.has_view = self.has_view or not is_partial
-        self._note_changes()
+        self._apply_changes()
         self._note_ready()
 
     def _note_ready(self) -> None:
@@ -166,7 +166,7 @@
         """Wait until configuration and endpoints are known."""
         self._ready.wait(timeout_s)
 
-    def _note_changes(self) -> None:
+    def _apply_changes(self) -> None:
         for record in self.directory.take_changes(now=time.monotonic()):
             self._note_change(record)
 
