--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -168,7 +168,7 @@
 
     def _apply_changes(self) -> None:
         for record in self.directory.take_changes(now=time.monotonic()):
-            self._note_change(record)
+            self._apply_change(record)
 
     def _note_evacuations(self, evacuations: Evacuations) -> None:
         before = self.directory.evacuations.list_evacuated()
@@ -214,7 +214,7 @@
         ids = set(self.directory.list_ids_in(zones))
         return sum(one.running for one in self.placement.list_own() if one.endpoint_id in ids)
 
-    def _note_change(self, record: EndpointRecord) -> None:
+    def _apply_change(self, record: EndpointRecord) -> None:
         self._events.write("endpoint_changed", **record.describe())
         if self._born.get(record.endpoint_id) != record.born:
             # A new lifetime under the id starts with an empty memory and a clean record.
