--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -114,7 +114,7 @@
         self.has_view = self.has_view or not view.is_pending
         # Before the placements: what is known of an endpoint is dropped as it appears.
         self._apply_changes()
-        self._note_evacuations(view.evacuations)
+        self._apply_evacuations(view.evacuations)
         if view.quarantine is not None:
             self._take_quarantine(view.quarantine)
         if view.has_loads:
@@ -170,7 +170,7 @@
         for record in self.directory.take_changes(now=time.monotonic()):
             self._apply_change(record)
 
-    def _note_evacuations(self, evacuations: Evacuations) -> None:
+    def _apply_evacuations(self, evacuations: Evacuations) -> None:
         before = self.directory.evacuations.list_evacuated()
         if not self.directory.take_evacuations(evacuations, now=time.monotonic()):
             return
