--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -116,7 +116,7 @@
         self._apply_changes()
         self._apply_evacuations(view.evacuations)
         if view.quarantine is not None:
-            self._take_quarantine(view.quarantine)
+            self._apply_quarantine(view.quarantine)
         if view.has_loads:
             self._router_count = max(view.routers, self._router_count * ROUTER_COUNT_DECAY)
             self._stopping_share = view.stopping / max(1, view.routers)
@@ -185,7 +185,7 @@
             running=self.count_running_in(evacuated),
         )
 
-    def _take_quarantine(self, quarantine: Quarantine) -> None:
+    def _apply_quarantine(self, quarantine: Quarantine) -> None:
         """Apply a newer quarantine."""
         if quarantine.revision <= self._quarantine.revision:
             return
