--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -125,7 +125,7 @@
             if view.loads is not None:
                 self._apply_loads(view.loads, now)
             self.placement.handle_placements(view.placed, now=now, capacity=self._memory_tokens)
-        self._note_ready()
+        self._update_ready()
 
     def _apply_loads(self, loads: Sequence[EndpointLoad], now: float) -> None:
         self.health.take_others(loads, now=now)
@@ -144,9 +144,9 @@
         """Put in force the endpoints that a replica has packed, all or departures alone."""
         self.has_view = self.has_view or not is_partial
         self._apply_changes()
-        self._note_ready()
+        self._update_ready()
 
-    def _note_ready(self) -> None:
+    def _update_ready(self) -> None:
         if self.table is not None and not self.directory.is_empty:
             self._ready.set()
 
