--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -364,7 +364,7 @@
             call.placed = None
             self.placement.finish(placed, now=time.monotonic())
 
-    def hear(self, call: Call) -> None:
+    def handle_bytes(self, call: Call) -> None:
         """Note that the endpoint which has a request sent bytes."""
         if call.placed is not None:
             self.placement.record_bytes(call.placed, now=time.monotonic())
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -67,7 +67,7 @@
         kept: KeptConnections,
         record_answer: Callable[[EndpointRecord, AnswerFacts], None],
         handle_first_event: Callable[[Call, Choice], None],
-        hear: Callable[[Call], None] | None = None,
+        handle_bytes: Callable[[Call], None] | None = None,
         record_overdue: Callable[[Call], bool] | None = None,
     ) -> None:
         """Take the idle connections and listeners for what endpoints say.
@@ -78,7 +78,7 @@
         self._kept = kept
         self._note_answer = record_answer
         self._note_first_event = handle_first_event
-        self._hear = hear or (lambda call: None)
+        self._hear = handle_bytes or (lambda call: None)
         self._note_overdue = record_overdue or (lambda call: False)
 
     def send(self, call: Call, choice: Choice, *, may_repeat: bool) -> SendResult:
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -125,7 +125,7 @@
                 kept=self._kept,
                 record_answer=self._note_answer,
                 handle_first_event=lambda call, choice: self.view.handle_first_event(call),
-                hear=self.view.hear,
+                handle_bytes=self.view.handle_bytes,
                 record_overdue=self.view.record_overdue,
             ),
             events=events,
