--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -78,7 +78,7 @@
         self._kept = kept
         self._note_answer = record_answer
         self._note_first_event = handle_first_event
-        self._hear = handle_bytes or (lambda call: None)
+        self._handle_bytes = handle_bytes or (lambda call: None)
         self._note_overdue = record_overdue or (lambda call: False)
 
     def send(self, call: Call, choice: Choice, *, may_repeat: bool) -> SendResult:
@@ -164,7 +164,7 @@
                 raise MaybeRanError(f"silent for {wait_limit_s:.2f} s")
             if left_s <= 0 or not may_repeat:
                 return
-        self._hear(call)
+        self._handle_bytes(call)
 
     @staticmethod
     def _skip(answer: EndpointAnswer) -> None:
@@ -231,7 +231,7 @@
         splitter = EventSplitter(last_id=call.last_event_id)
         is_first = True
         for chunk in answer.read_chunks():
-            self._hear(call)
+            self._handle_bytes(call)
             if is_first:
                 is_first = False
                 self._note_first_event(call, choice)
