--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -132,10 +132,10 @@
         closed = [one for one in left if self._is_closed(one, now)]
         let_in = [one for one in closed if self._outcomes.lets_through(one.record.endpoint_id, now)]
         sound = (let_in if 2 * len(let_in) >= len(left) else closed) or left
-        heard = self._leave_out_silent(sound, now)
+        heard = self._exclude_silent(sound, now)
         return [self._add_record(one, now) for one in heard]
 
-    def _leave_out_silent(self, candidates: list[Candidate], now: float) -> list[Candidate]:
+    def _exclude_silent(self, candidates: list[Candidate], now: float) -> list[Candidate]:
         names = [one.record.endpoint_id for one in candidates]
         silent = {name for name in names if self._is_silent(name, now)}
         heard = set(exclude_silent(names, silent)) if silent else set(names)
