--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -40,7 +40,7 @@
         self._events = events
         self._is_silent = is_silent or (lambda endpoint_id, now: False)
         self._breakers: dict[str, Breaker] = {}
-        self._outcomes = OutcomeTable(random=Random(), note_change=self._note_held)
+        self._outcomes = OutcomeTable(random=Random(), note_change=self._log_hold_change)
         self._misdirected: dict[str, float] = {}
 
     def forget(self, endpoint_id: str) -> None:
@@ -90,7 +90,7 @@
         self._misdirected[endpoint_id] = time.monotonic()
         self._events.write("endpoint_misdirected", endpoint=endpoint_id)
 
-    def _note_held(self, change: HeldChange) -> None:
+    def _log_hold_change(self, change: HeldChange) -> None:
         self._events.write(
             "endpoint_held" if change.is_held else "endpoint_let_in",
             endpoint=change.endpoint_id,
