--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -103,7 +103,7 @@
             note_bad_update=self._note_bad_update,
             get_news=self.view.get_news,
         )
-        self._takers = dict(self._list_takers())
+        self._message_handlers = dict(self._list_takers())
         self.transport = make_transport(settings, events=events, take=self._take_message)
         self._permits = PermitClient(
             view=self.view,
@@ -206,7 +206,7 @@
         self._events.write("endpoints_unreadable", replica=replica, detail=detail)
 
     def _take_message(self, source: str, message: Message) -> None:
-        take = self._takers.get(type(message))
+        take = self._message_handlers.get(type(message))
         if take is not None:
             take(source, message)
 
