--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -103,7 +103,7 @@
             note_bad_update=self._note_bad_update,
             get_news=self.view.get_news,
         )
-        self._message_handlers = dict(self._list_takers())
+        self._message_handlers = dict(self._list_message_handlers())
         self.transport = make_transport(settings, events=events, take=self._take_message)
         self._permits = PermitClient(
             view=self.view,
@@ -210,7 +210,7 @@
         if take is not None:
             take(source, message)
 
-    def _list_takers(self) -> Iterator[tuple[type[Message], Callable[[str, Any], None]]]:
+    def _list_message_handlers(self) -> Iterator[tuple[type[Message], Callable[[str, Any], None]]]:
         yield View, self._take_view
         yield EndpointUpdate, self._take_endpoints
         yield SilentUpdate, self._take_silent
