--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -104,7 +104,7 @@
             get_news=self.view.get_news,
         )
         self._message_handlers = dict(self._list_message_handlers())
-        self.transport = make_transport(settings, events=events, take=self._take_message)
+        self.transport = make_transport(settings, events=events, take=self._handle_message)
         self._permits = PermitClient(
             view=self.view,
             find_replica=lambda: self.subscriber.close_replica,
@@ -205,7 +205,7 @@
     def _note_bad_update(self, replica: str, detail: str) -> None:
         self._events.write("endpoints_unreadable", replica=replica, detail=detail)
 
-    def _take_message(self, source: str, message: Message) -> None:
+    def _handle_message(self, source: str, message: Message) -> None:
         take = self._message_handlers.get(type(message))
         if take is not None:
             take(source, message)
