--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -211,7 +211,7 @@
             take(source, message)
 
     def _list_message_handlers(self) -> Iterator[tuple[type[Message], Callable[[str, Any], None]]]:
-        yield View, self._take_view
+        yield View, self._handle_view
         yield EndpointUpdate, self._take_endpoints
         yield SilentUpdate, self._take_silent
         yield LoadUpdate, self._handle_loads
@@ -220,7 +220,7 @@
         yield FetchElsewhere, self._take_referral
         yield FetchDocument, self._answer_fetch
 
-    def _take_view(self, source: str, view: View) -> None:
+    def _handle_view(self, source: str, view: View) -> None:
         effects = self.subscriber.take_view(source, view, now=time.monotonic())
         self.view.take_view(view)
         send_all(self.transport.send, effects)
