--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -212,7 +212,7 @@
 
     def _list_message_handlers(self) -> Iterator[tuple[type[Message], Callable[[str, Any], None]]]:
         yield View, self._handle_view
-        yield EndpointUpdate, self._take_endpoints
+        yield EndpointUpdate, self._handle_endpoints
         yield SilentUpdate, self._take_silent
         yield LoadUpdate, self._handle_loads
         yield PermitAnswer, lambda source, answer: self._permits.take(answer)
@@ -225,7 +225,7 @@
         self.view.take_view(view)
         send_all(self.transport.send, effects)
 
-    def _take_endpoints(self, _source: str, update: EndpointUpdate) -> None:
+    def _handle_endpoints(self, _source: str, update: EndpointUpdate) -> None:
         effects = self.subscriber.take_endpoints(update, now=time.monotonic())
         self.view.take_endpoints(is_partial=update.is_partial)
         self._events.write(
