--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -213,7 +213,7 @@
     def _list_message_handlers(self) -> Iterator[tuple[type[Message], Callable[[str, Any], None]]]:
         yield View, self._handle_view
         yield EndpointUpdate, self._handle_endpoints
-        yield SilentUpdate, self._take_silent
+        yield SilentUpdate, self._handle_silent
         yield LoadUpdate, self._handle_loads
         yield PermitAnswer, lambda source, answer: self._permits.take(answer)
         yield DocumentSent, lambda source, sent: self.subscriber.take_document(sent)
@@ -239,7 +239,7 @@
         )
         send_all(self.transport.send, effects)
 
-    def _take_silent(self, _source: str, update: SilentUpdate) -> None:
+    def _handle_silent(self, _source: str, update: SilentUpdate) -> None:
         if update.replica == self.subscriber.close_replica:
             self.view.update_silent_endpoints(update.endpoint_ids)
         send_all(self.transport.send, self.subscriber.take_silent(update))
