--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -217,7 +217,7 @@
         yield LoadUpdate, self._handle_loads
         yield PermitAnswer, lambda source, answer: self._permits.take(answer)
         yield DocumentSent, lambda source, sent: self.subscriber.take_document(sent)
-        yield FetchElsewhere, self._take_referral
+        yield FetchElsewhere, self._handle_referral
         yield FetchDocument, self._answer_fetch
 
     def _handle_view(self, source: str, view: View) -> None:
@@ -249,7 +249,7 @@
             self.view.handle_loads(update.payload)
         send_all(self.transport.send, self.subscriber.hand_on(update))
 
-    def _take_referral(self, _source: str, referral: FetchElsewhere) -> None:
+    def _handle_referral(self, _source: str, referral: FetchElsewhere) -> None:
         self._events.write(
             "configuration_asked_elsewhere", version=referral.version, holder=referral.holder
         )
