--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -91,7 +91,7 @@
             decode=decode_document,
             forget_endpoint=self._kept.forget,
         )
-        self.view.listeners.append(self._take_limits)
+        self.view.listeners.append(self._apply_limits)
         self._metrics.add_gauges(*self._list_gauges())
         self.subscriber = Subscriber(
             router=str(settings.listeners.peer),
@@ -191,7 +191,7 @@
         self.view.crashes.note_crash(reports, now=now)
         send_all(self.transport.send, self.subscriber.report_now(now=now))
 
-    def _take_limits(self, document: Document) -> None:
+    def _apply_limits(self, document: Document) -> None:
         limits = document.limits
         self._callers.limits = ServerLimits(
             max_header_bytes=limits.max_header_bytes,
