--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -232,7 +232,7 @@
     def run(self) -> int:
         """Serve until SIGTERM; leadership is handed over first."""
         gevent.signal_handler(signal.SIGTERM, self._asked.set)
-        gevent.signal_handler(signal.SIGHUP, self._note_reload)
+        gevent.signal_handler(signal.SIGHUP, self._log_reload)
         with self._serve():
             self._events.write(
                 "started",
@@ -257,7 +257,7 @@
         self._events.write("stopped", cut=cut, after_s=round(time.monotonic() - began, 2))
         return cut
 
-    def _note_reload(self) -> None:
+    def _log_reload(self) -> None:
         self._events.write("reload", detail="settings are read at the next start")
 
     def _tidy(self) -> None:
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -285,13 +285,13 @@
     def run(self) -> int:
         """Serve until SIGTERM, finish what is in flight, and return how much was cut."""
         gevent.signal_handler(signal.SIGTERM, self._asked.set)
-        gevent.signal_handler(signal.SIGHUP, self._note_reload)
+        gevent.signal_handler(signal.SIGHUP, self._log_reload)
         with self._serve():
             self._events.write("started", role="router", peer=str(self._settings.listeners.peer))
             self._asked.wait()
             return self._stop()
 
-    def _note_reload(self) -> None:
+    def _log_reload(self) -> None:
         self._events.write("reload", detail="settings are read at the next start")
 
     def _stop(self) -> int:
