--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -51,7 +51,7 @@
         assert listeners.control is not None and settings.process.data_folder is not None
         self._settings = settings
         self._events = events
-        self._asked = Signal()
+        self._stop_requested = Signal()
         self._metrics = Metrics(
             instance=settings.process.name, zone=settings.process.availability_zone
         )
@@ -133,7 +133,7 @@
         self._control = HttpServer(
             address=(listeners.control.host, listeners.control.port),
             application=self._gate,
-            is_closing=self._asked.is_set,
+            is_closing=self._stop_requested.is_set,
         )
         self._metrics_server = open_metrics_server(listeners.metrics, self._metrics)
 
@@ -231,7 +231,7 @@
 
     def run(self) -> int:
         """Serve until SIGTERM; leadership is handed over first."""
-        gevent.signal_handler(signal.SIGTERM, self._asked.set)
+        gevent.signal_handler(signal.SIGTERM, self._stop_requested.set)
         gevent.signal_handler(signal.SIGHUP, self._log_reload)
         with self._serve():
             self._events.write(
@@ -241,7 +241,7 @@
                 is_first_start=self._settings.fleet.is_first_start,
                 seeds=[str(one) for one in self._settings.fleet.seeds],
             )
-            self._asked.wait()
+            self._stop_requested.wait()
             return self._stop()
 
     def _stop(self) -> int:
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -79,7 +79,7 @@
         self._settings = settings
         self._events = events
         self._timers = TimerService()
-        self._asked = Signal()
+        self._stop_requested = Signal()
         self._kept = KeptConnections(read_clock=time.monotonic)
         self._metrics = Metrics(
             instance=settings.process.name, zone=settings.process.availability_zone
@@ -162,7 +162,7 @@
         return HttpServer(
             address=where,
             application=application,
-            is_closing=self._asked.is_set,
+            is_closing=self._stop_requested.is_set,
             listener=listener if is_open else None,
         )
 
@@ -178,7 +178,9 @@
 
     def is_ready(self) -> bool:
         """Return whether the balancer may send connections here."""
-        return not self._asked.is_set() and self.view.table is not None and self.view.has_view
+        return (
+            not self._stop_requested.is_set() and self.view.table is not None and self.view.has_view
+        )
 
     def _note_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
         self._metrics.record_answer(record.endpoint_id, facts)
@@ -284,11 +286,11 @@
 
     def run(self) -> int:
         """Serve until SIGTERM, finish what is in flight, and return how much was cut."""
-        gevent.signal_handler(signal.SIGTERM, self._asked.set)
+        gevent.signal_handler(signal.SIGTERM, self._stop_requested.set)
         gevent.signal_handler(signal.SIGHUP, self._log_reload)
         with self._serve():
             self._events.write("started", role="router", peer=str(self._settings.listeners.peer))
-            self._asked.wait()
+            self._stop_requested.wait()
             return self._stop()
 
     def _log_reload(self) -> None:
