--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -260,7 +260,7 @@
     def _answer_fetch(self, source: str, fetch: FetchDocument) -> None:
         send_all(self.transport.answer, self.subscriber.answer_fetch(source, fetch))
 
-    def _follow(self, now: float) -> None:
+    def _wake_subscriber(self, now: float) -> None:
         before = self.subscriber.close_replica
         effects = self.subscriber.wake(now=now)
         if self.subscriber.close_replica != before:
@@ -270,7 +270,7 @@
         send_all(self.transport.send, effects)
         for effect in effects:
             if isinstance(effect, WakeAt):
-                self._timers.call_at(effect.at, self._follow)
+                self._timers.call_at(effect.at, self._wake_subscriber)
 
     def _tidy(self, now: float) -> None:
         self._kept.close_old()
@@ -322,7 +322,7 @@
             if server is not None:
                 server.start()
         now = time.monotonic()
-        self._timers.call_at(now, self._follow)
+        self._timers.call_at(now, self._wake_subscriber)
         self._timers.call_every(TIDY_EVERY_S, self._tidy, now=now)
         loop = gevent.spawn(self._run_timers)
         try:
