--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -272,7 +272,7 @@
             if isinstance(effect, WakeAt):
                 self._timers.call_at(effect.at, self._wake_subscriber)
 
-    def _tidy(self, now: float) -> None:
+    def _prune(self, now: float) -> None:
         self._kept.close_old()
         for record in self.view.directory.table.forget_old(now):
             self._events.write("endpoint_forgotten", **record.describe())
@@ -323,7 +323,7 @@
                 server.start()
         now = time.monotonic()
         self._timers.call_at(now, self._wake_subscriber)
-        self._timers.call_every(TIDY_EVERY_S, self._tidy, now=now)
+        self._timers.call_every(TIDY_EVERY_S, self._prune, now=now)
         loop = gevent.spawn(self._run_timers)
         try:
             yield
