--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -113,7 +113,7 @@
         )
         crash_detector = CrashDetector(
             events=events,
-            note_crash=self._note_crash,
+            note_crash=self._handle_crash,
             is_lost_or_replaced=self.view.directory.is_lost_or_replaced,
         )
         self.view.incarnation_end_listeners.append(crash_detector.handle_incarnation_end)
@@ -186,7 +186,7 @@
         self._metrics.record_answer(record.endpoint_id, facts)
         self.view.record_answer(record, facts)
 
-    def _note_crash(self, reports: Sequence[CrashReport]) -> None:
+    def _handle_crash(self, reports: Sequence[CrashReport]) -> None:
         """Immediately report the requests that were running at an endpoint when it crashed."""
         self._metrics.count_crash()
         now = time.monotonic()
