--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -34,7 +34,7 @@
 FLUSH_S: Final = 0.02
 """Changes of endpoints within so long go out to routers together."""
 
-TIDY_EVERY_S: Final = 1.0
+PRUNE_INTERVAL_S: Final = 1.0
 
 TRAFFIC_EVERY: Final = 5
 """Rounds of tidying between two lines about the traffic with other processes."""
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -25,7 +25,7 @@
 from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
 from chivetrack.components.slow_start.permits import PermitBook
 from chivetrack.daemon.fleet.call_gate import CallGate
-from chivetrack.daemon.fleet.const import FLUSH_S, STOP_CALLS_S, TIDY_EVERY_S, TRAFFIC_EVERY
+from chivetrack.daemon.fleet.const import FLUSH_S, PRUNE_INTERVAL_S, STOP_CALLS_S, TRAFFIC_EVERY
 from chivetrack.daemon.fleet.desk import Desk
 from chivetrack.daemon.fleet.documents import DocumentDesk
 from chivetrack.daemon.fleet.gauges import Gauge
@@ -263,7 +263,7 @@
     def _tidy(self) -> None:
         traffic = TrafficLog(transport=self.transport, events=self._events)
         for number in itertools.count():
-            gevent.sleep(TIDY_EVERY_S)
+            gevent.sleep(PRUNE_INTERVAL_S)
             if number % TRAFFIC_EVERY == 0:
                 traffic.write()
                 self.host.write_contacts()
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -31,10 +31,10 @@
 from chivetrack.components.upstream.kept import KeptConnections
 from chivetrack.core import WakeAt
 from chivetrack.daemon.fleet.const import (
+    PRUNE_INTERVAL_S,
     STOP_ACCEPT_S,
     STOP_IDLE_AFTER_S,
     STOP_MARGIN_S,
-    TIDY_EVERY_S,
 )
 from chivetrack.daemon.fleet.crashes import CrashDetector
 from chivetrack.daemon.fleet.fleet_view import FleetView
@@ -323,7 +323,7 @@
                 server.start()
         now = time.monotonic()
         self._timers.call_at(now, self._wake_subscriber)
-        self._timers.call_every(TIDY_EVERY_S, self._prune, now=now)
+        self._timers.call_every(PRUNE_INTERVAL_S, self._prune, now=now)
         loop = gevent.spawn(self._run_timers)
         try:
             yield
