--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -93,7 +93,7 @@
             return SendResult(end=SendEnd.NOT_SENT, detail=str(error))
         is_kept = False
         try:
-            answer, facts = self._ask(connection, call, choice, may_repeat)
+            answer, facts = self._exchange(connection, call, choice, may_repeat)
             self._note_answer(record, facts)
             result = self._take_answer(connection, call, choice, answer, facts, may_repeat)
             ends = facts.closes or facts.is_leaving
@@ -120,7 +120,7 @@
             address=record.address, connect_timeout_s=min(CONNECT_TIMEOUT_S, left_s)
         )
 
-    def _ask(
+    def _exchange(
         self, connection: EndpointConnection, call: Call, choice: Choice, may_repeat: bool
     ) -> tuple[EndpointAnswer, AnswerFacts]:
         left_s = max(0.01, call.ends_at - time.monotonic())
