--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -33,7 +33,7 @@
         """Return whether a request may go to an endpoint now; waits a moment where it is cold."""
         if not self._view.is_cold(service, endpoint_id, time.monotonic()):
             return True
-        wait_s = self._ask(endpoint_id, self._view.find_cold_rate(service))
+        wait_s = self._request_permit(endpoint_id, self._view.find_cold_rate(service))
         if wait_s == 0:
             return True
         self._view.directory.cold.note_refused(endpoint_id, until=time.monotonic() + wait_s)
@@ -45,7 +45,7 @@
         )
         return False
 
-    def _ask(self, endpoint_id: str, per_s: float) -> float:
+    def _request_permit(self, endpoint_id: str, per_s: float) -> float:
         replica = self._find_replica()
         if not replica:
             return UNANSWERED_S
