--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -95,7 +95,7 @@
         try:
             answer, facts = self._exchange(connection, call, choice, may_repeat)
             self._note_answer(record, facts)
-            result = self._take_answer(connection, call, choice, answer, facts, may_repeat)
+            result = self._handle_answer(connection, call, choice, answer, facts, may_repeat)
             ends = facts.closes or facts.is_leaving
             is_kept = answer.keeps_connection and not ends and connection.end_request()
             if is_kept:
@@ -173,7 +173,7 @@
         for _ in answer.read_chunks():
             continue
 
-    def _take_answer(
+    def _handle_answer(
         self,
         connection: EndpointConnection,
         call: Call,
