--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -200,9 +200,9 @@
         if is_success and call.route.kind is RouteKind.STREAM:
             self._relay_stream(connection, call, choice, answer)
             return SendResult(status=status)
-        return self._pass_on(call, answer, facts, may_repeat and status >= 500)
+        return self._relay_buffered(call, answer, facts, may_repeat and status >= 500)
 
-    def _pass_on(
+    def _relay_buffered(
         self, call: Call, answer: EndpointAnswer, facts: AnswerFacts, holds_back: bool
     ) -> SendResult:
         """Read an answer whole and send it, or give it up for another try."""
