--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -238,7 +238,7 @@
                 if call.first_event_at is None:
                     call.first_event_at = time.monotonic()
                 if call.route.is_resumable:
-                    connection.set_timeout(self._get_stall(call))
+                    connection.set_timeout(self._get_stall_timeout(call))
             data = splitter.feed(chunk)
             if data:
                 self._begin(call, answer)
@@ -249,7 +249,7 @@
         self._begin(call, answer)
 
     @staticmethod
-    def _get_stall(call: Call) -> float:
+    def _get_stall_timeout(call: Call) -> float:
         left_s = call.ends_at - time.monotonic()
         return max(0.05, min(left_s + LATE_ANSWER_S, ANSWER_STALL_S))
 
