--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -145,7 +145,7 @@
             if facts.request_id is None or facts.request_id == call.facts.request_id:
                 return answer, facts
             # A late second answer to the request before; its bytes belong to nobody.
-            self._skip(answer)
+            self._discard(answer)
         raise MaybeRanError("the connection gives answers to other requests")
 
     def _await_answer(self, connection: EndpointConnection, call: Call, may_repeat: bool) -> None:
@@ -167,7 +167,7 @@
         self._handle_bytes(call)
 
     @staticmethod
-    def _skip(answer: EndpointAnswer) -> None:
+    def _discard(answer: EndpointAnswer) -> None:
         if not answer.is_framed:
             raise MaybeRanError("the answer belongs to another request")
         for _ in answer.read_chunks():
