--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -88,7 +88,7 @@
         """
         record = choice.record
         try:
-            connection = self._open(call, choice)
+            connection = self._connect(call, choice)
         except NotSentError as error:
             return SendResult(end=SendEnd.NOT_SENT, detail=str(error))
         is_kept = False
@@ -110,7 +110,7 @@
             if not is_kept:
                 connection.close()
 
-    def _open(self, call: Call, choice: Choice) -> EndpointConnection:
+    def _connect(self, call: Call, choice: Choice) -> EndpointConnection:
         record = choice.record
         kept = self._kept.take(record.endpoint_id)
         if kept is not None:
