--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -34,7 +34,7 @@
     read_answer_facts,
 )
 
-_PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 _MAX_STRAY_ANSWERS = 2
 
 
@@ -195,7 +195,7 @@
         is_success = 200 <= status < 300
         if is_success and (not facts.is_sealed or facts.is_encoded):
             raise MaybeRanError("the answer does not come from the endpoint itself")
-        if status in _PROMISES_NOT_RUN:
+        if status in _NOT_RUN_STATUSES:
             raise MaybeRanError(f"status {status} without word that the request did not run")
         if is_success and call.route.kind is RouteKind.STREAM:
             self._relay_stream(connection, call, choice, answer)
