--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -13,7 +13,7 @@
 """A resumable stream that is silent for so long after its first event goes on elsewhere;
 callers give up after eight pauses, 2.4 s at the least."""
 
-WHOLE_ANSWER_BYTES: Final = 1024 * 1024
+MAX_BUFFERED_ANSWER_BYTES: Final = 1024 * 1024
 """Answers up to this size are read whole before the caller gets a byte, so that a broken
 one can be repeated or refused and is never seen."""
 
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -25,7 +25,7 @@
     CONNECT_TIMEOUT_S,
     LATE_ANSWER_S,
     LEAST_TIME_ELSEWHERE_S,
-    WHOLE_ANSWER_BYTES,
+    MAX_BUFFERED_ANSWER_BYTES,
 )
 from chivetrack.daemon.server import AbortConnectionError
 from chivetrack.platform.headers import (
@@ -221,7 +221,7 @@
         body = b""
         for chunk in answer.read_chunks():
             body += chunk
-            if len(body) > WHOLE_ANSWER_BYTES:
+            if len(body) > MAX_BUFFERED_ANSWER_BYTES:
                 raise BrokenAnswerError("the answer is too large")
         return body
 
