--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -20,7 +20,7 @@
 DEFAULT_WAIT_S: Final = 15.0
 """For callers that do not say how long they wait."""
 
-LATE_ANSWER_S: Final = 0.1
+LATE_ANSWER_GRACE_S: Final = 0.1
 """How long after a route's timeout an answer may still be on its way."""
 
 NO_ENDPOINT_RETRY_S: Final = 0.5
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -23,7 +23,7 @@
 from chivetrack.daemon.fleet.const import (
     ANSWER_STALL_S,
     CONNECT_TIMEOUT_S,
-    LATE_ANSWER_S,
+    LATE_ANSWER_GRACE_S,
     LEAST_TIME_ELSEWHERE_S,
     MAX_BUFFERED_ANSWER_BYTES,
 )
@@ -251,7 +251,7 @@
     @staticmethod
     def _get_stall_timeout(call: Call) -> float:
         left_s = call.ends_at - time.monotonic()
-        return max(0.05, min(left_s + LATE_ANSWER_S, ANSWER_STALL_S))
+        return max(0.05, min(left_s + LATE_ANSWER_GRACE_S, ANSWER_STALL_S))
 
     @staticmethod
     def _begin(call: Call, answer: EndpointAnswer) -> None:
