--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -6,7 +6,7 @@
 """Twice the way between the farthest regions; a lost opening packet is sent again only after
 a second, and another endpoint takes the request meanwhile."""
 
-LEAST_TIME_ELSEWHERE_S: Final = 0.1
+MIN_TIME_FOR_RETRY_S: Final = 0.1
 """A silent endpoint is given up only while another one has so much time."""
 
 ANSWER_STALL_S: Final = 2.0
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -24,8 +24,8 @@
     ANSWER_STALL_S,
     CONNECT_TIMEOUT_S,
     LATE_ANSWER_GRACE_S,
-    LEAST_TIME_ELSEWHERE_S,
     MAX_BUFFERED_ANSWER_BYTES,
+    MIN_TIME_FOR_RETRY_S,
 )
 from chivetrack.daemon.server import AbortConnectionError
 from chivetrack.platform.headers import (
@@ -160,7 +160,7 @@
         while not connection.wait_readable(min(wait_limit_s, call.ends_at - time.monotonic())):
             left_s = call.ends_at - time.monotonic()
             is_silent = self._note_overdue(call)
-            if may_repeat and is_silent and left_s > LEAST_TIME_ELSEWHERE_S:
+            if may_repeat and is_silent and left_s > MIN_TIME_FOR_RETRY_S:
                 raise MaybeRanError(f"silent for {wait_limit_s:.2f} s")
             if left_s <= 0 or not may_repeat:
                 return
