--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -9,7 +9,7 @@
 MIN_TIME_FOR_RETRY_S: Final = 0.1
 """A silent endpoint is given up only while another one has so much time."""
 
-ANSWER_STALL_S: Final = 2.0
+STREAM_STALL_TIMEOUT_S: Final = 2.0
 """A resumable stream that is silent for so long after its first event goes on elsewhere;
 callers give up after eight pauses, 2.4 s at the least."""
 
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -21,11 +21,11 @@
 from chivetrack.components.upstream.models import BrokenAnswerError
 from chivetrack.daemon.fleet.calls import Call
 from chivetrack.daemon.fleet.const import (
-    ANSWER_STALL_S,
     CONNECT_TIMEOUT_S,
     LATE_ANSWER_GRACE_S,
     MAX_BUFFERED_ANSWER_BYTES,
     MIN_TIME_FOR_RETRY_S,
+    STREAM_STALL_TIMEOUT_S,
 )
 from chivetrack.daemon.server import AbortConnectionError
 from chivetrack.platform.headers import (
@@ -251,7 +251,7 @@
     @staticmethod
     def _get_stall_timeout(call: Call) -> float:
         left_s = call.ends_at - time.monotonic()
-        return max(0.05, min(left_s + LATE_ANSWER_GRACE_S, ANSWER_STALL_S))
+        return max(0.05, min(left_s + LATE_ANSWER_GRACE_S, STREAM_STALL_TIMEOUT_S))
 
     @staticmethod
     def _begin(call: Call, answer: EndpointAnswer) -> None:
