--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -81,8 +81,8 @@
         self._handle_bytes = handle_bytes or (lambda call: None)
         self._note_overdue = record_overdue or (lambda call: False)
 
-    def send(self, call: Call, choice: Choice, *, may_repeat: bool) -> SendResult:
-        """Send a request to one endpoint; ``may_repeat`` says that another may follow.
+    def send(self, call: Call, choice: Choice, *, may_retry: bool) -> SendResult:
+        """Send a request to one endpoint; ``may_retry`` says that another may follow.
 
         An endpoint's own failure goes to the caller unless another try may follow.
         """
@@ -93,9 +93,9 @@
             return SendResult(end=SendEnd.NOT_SENT, detail=str(error))
         is_kept = False
         try:
-            answer, facts = self._exchange(connection, call, choice, may_repeat)
+            answer, facts = self._exchange(connection, call, choice, may_retry)
             self._note_answer(record, facts)
-            result = self._handle_answer(connection, call, choice, answer, facts, may_repeat)
+            result = self._handle_answer(connection, call, choice, answer, facts, may_retry)
             ends = facts.closes or facts.is_leaving
             is_kept = answer.keeps_connection and not ends and connection.end_request()
             if is_kept:
@@ -121,7 +121,7 @@
         )
 
     def _exchange(
-        self, connection: EndpointConnection, call: Call, choice: Choice, may_repeat: bool
+        self, connection: EndpointConnection, call: Call, choice: Choice, may_retry: bool
     ) -> tuple[EndpointAnswer, AnswerFacts]:
         left_s = max(0.01, call.ends_at - time.monotonic())
         headers = make_endpoint_headers(
@@ -137,7 +137,7 @@
             method=call.method, target=call.target, headers=headers, body=call.body
         )
         connection.send(request, timeout_s=left_s)
-        self._await_answer(connection, call, may_repeat)
+        self._await_answer(connection, call, may_retry)
         left_s = max(0.01, call.ends_at - time.monotonic())
         for _ in range(_MAX_STRAY_ANSWERS + 1):
             answer = connection.read_answer(call.method, timeout_s=left_s)
@@ -148,7 +148,7 @@
             self._discard(answer)
         raise MaybeRanError("the connection gives answers to other requests")
 
-    def _await_answer(self, connection: EndpointConnection, call: Call, may_repeat: bool) -> None:
+    def _await_answer(self, connection: EndpointConnection, call: Call, may_retry: bool) -> None:
         """Wait for the first byte; give up an endpoint that is silent to all its requests.
 
         Held to the deadline there, a request that may run again would be lost, although
@@ -160,9 +160,9 @@
         while not connection.wait_readable(min(wait_limit_s, call.ends_at - time.monotonic())):
             left_s = call.ends_at - time.monotonic()
             is_silent = self._note_overdue(call)
-            if may_repeat and is_silent and left_s > MIN_TIME_FOR_RETRY_S:
+            if may_retry and is_silent and left_s > MIN_TIME_FOR_RETRY_S:
                 raise MaybeRanError(f"silent for {wait_limit_s:.2f} s")
-            if left_s <= 0 or not may_repeat:
+            if left_s <= 0 or not may_retry:
                 return
         self._handle_bytes(call)
 
@@ -180,7 +180,7 @@
         choice: Choice,
         answer: EndpointAnswer,
         facts: AnswerFacts,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> SendResult:
         status = answer.status
         if facts.did_not_run:
@@ -200,7 +200,7 @@
         if is_success and call.route.kind is RouteKind.STREAM:
             self._relay_stream(connection, call, choice, answer)
             return SendResult(status=status)
-        return self._relay_buffered(call, answer, facts, may_repeat and status >= 500)
+        return self._relay_buffered(call, answer, facts, may_retry and status >= 500)
 
     def _relay_buffered(
         self, call: Call, answer: EndpointAnswer, facts: AnswerFacts, holds_back: bool
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -247,14 +247,14 @@
         reached = any(one.end is not SendEnd.NOT_SENT for one in call.tries)
         if reached:
             self._view.budgets[call.service].note_repeat(time.monotonic())
-        may_repeat = allows_another(
+        may_retry = allows_another(
             call.route, count_runs(call.tries) + 1
         ) and self._view.has_budget(call.service)
         self._log.write_placed(call, choice)
         with self._view.use(call, choice) as placed:
             # If the time is up or the caller leaves, this try may have run.
             call.tries.append(Tried(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
-            result = self._forwarder.send(call, choice, may_repeat=may_repeat)
+            result = self._forwarder.send(call, choice, may_retry=may_retry)
             call.tries.pop()
             placed.is_complete = result.is_answered and result.status < 500
         if placed.is_complete:
--- a/tests/daemon/fleet/test_forwarder.py
+++ b/tests/daemon/fleet/test_forwarder.py
@@ -58,11 +58,11 @@
         return endpoint
 
     def send(
-        self, endpoint: ScriptedEndpoint, may_repeat: bool = False, **call: object
+        self, endpoint: ScriptedEndpoint, may_retry: bool = False, **call: object
     ) -> SendResult:
         self.caller = Caller()
         return self.forwarder.send(
-            make_call(self.caller, **call), make_choice(endpoint.address), may_repeat=may_repeat
+            make_call(self.caller, **call), make_choice(endpoint.address), may_retry=may_retry
         )
 
 
@@ -99,14 +99,14 @@
         self.is_silent = True
         endpoint = self.open(answer_after(1.0, make_answer(b"late")))
         began = time.monotonic()
-        result = self.send(endpoint, may_repeat=True, placed=make_placed())
+        result = self.send(endpoint, may_retry=True, placed=make_placed())
         self.assertEqual(result.end, SendEnd.MAYBE_RAN)
         self.assertIn("silent", result.detail)
         self.assertLess(time.monotonic() - began, 0.8)
 
     def test_slow_endpoint_that_answers_others_is_waited_for(self) -> None:
         endpoint = self.open(answer_after(0.35, make_answer(b"late")))
-        result = self.send(endpoint, may_repeat=True, placed=make_placed())
+        result = self.send(endpoint, may_retry=True, placed=make_placed())
         self.assertTrue(result.is_answered)
         self.assertEqual(self.caller.body, b"late")
         self.assertGreaterEqual(self.overdue, 2)
@@ -118,7 +118,7 @@
         """
         self.is_silent = True
         endpoint = self.open(answer_after(0.3, make_answer(b"late")))
-        result = self.send(endpoint, may_repeat=False, placed=make_placed())
+        result = self.send(endpoint, may_retry=False, placed=make_placed())
         self.assertTrue(result.is_answered)
         self.assertEqual(self.overdue, 1)
 
@@ -197,11 +197,11 @@
         self.assertIs(self.send(self.open(make_answer(b"", "421 No"))).end, SendEnd.REFUSED)
 
     def test_failure_is_held_back_only_if_another_try_may_follow(self) -> None:
-        for may_repeat in (True, False):
+        for may_retry in (True, False):
             failure = make_answer(b"oops", "500 Error", SEAL, ECHO)
-            result = self.send(self.open(failure), may_repeat=may_repeat)
-            self.assertEqual(result.is_answered, not may_repeat)
-            self.assertEqual(self.caller.status, 0 if may_repeat else 500)
+            result = self.send(self.open(failure), may_retry=may_retry)
+            self.assertEqual(result.is_answered, not may_retry)
+            self.assertEqual(self.caller.status, 0 if may_retry else 500)
 
     def test_nobody_listens(self) -> None:
         endpoint = self.open(b"")
@@ -281,9 +281,9 @@
         broken = self.open(close_after(make_chunks(make_event(1), make_event(2), half, ends=False)))
         other = self.open(make_chunks(make_event(3), make_event(4)))
         call = make_call(self.caller, route=STREAM)
-        first = self.forwarder.send(call, make_choice(broken.address), may_repeat=True)
+        first = self.forwarder.send(call, make_choice(broken.address), may_retry=True)
         self.assertIs(first.end, SendEnd.MAYBE_RAN)
-        second = self.forwarder.send(call, make_choice(other.address), may_repeat=False)
+        second = self.forwarder.send(call, make_choice(other.address), may_retry=False)
         self.assertTrue(second.is_answered)
         self.assertIn(b"Last-Event-Id: 2\r\n", other.requests[0])
         self.assertEqual(self.caller.body, b"".join(make_event(n) for n in (1, 2, 3, 4)))
