--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -117,7 +117,7 @@
             is_lost_or_replaced=self.view.directory.is_lost_or_replaced,
         )
         self.view.incarnation_end_listeners.append(crash_detector.handle_incarnation_end)
-        self.desk = RequestHandler(
+        self.request_handler = RequestHandler(
             view=self.view,
             permits=self._permits,
             crash_detector=crash_detector,
@@ -132,7 +132,9 @@
             record=self._metrics.record_end,
         )
         assert settings.listeners.callers is not None and settings.listeners.ready is not None
-        self._callers = self._make_server(settings.listeners.callers, self.desk, listener)
+        self._callers = self._make_server(
+            settings.listeners.callers, self.request_handler, listener
+        )
         self._ready = self._make_server(settings.listeners.ready, self._build_ready_app())
         self._metrics_server = open_metrics_server(settings.listeners.metrics, self._metrics)
 
@@ -300,18 +302,18 @@
         began = time.monotonic()
         ends_at = began + self._settings.bounds.stop_within_s - STOP_MARGIN_S
         window = StopWindow(accepts_until=min(began + STOP_ACCEPT_S, ends_at), exits_at=ends_at)
-        self.desk.begin_stop(window, now=began)
+        self.request_handler.begin_stop(window, now=began)
         send_all(self.transport.send, self.subscriber.report_now(now=began))
-        self._events.write("stopping", open=self.desk.open_count)
+        self._events.write("stopping", open=self.request_handler.open_count)
         for at in (began + STOP_IDLE_AFTER_S, window.accepts_until):
             gevent.sleep(max(0.0, min(at, ends_at) - time.monotonic()))
             self._callers.close_idle()
         # New connections are still accepted: left in the kernel's queue, their callers
         # would wait for the exit.
-        while self.desk.open_count and time.monotonic() < ends_at:
+        while self.request_handler.open_count and time.monotonic() < ends_at:
             gevent.sleep(_POLL_S)
-        cut = self.desk.open_count
-        self.desk.end_stop()
+        cut = self.request_handler.open_count
+        self.request_handler.end_stop()
         self._events.write("stopped", cut=cut, after_s=round(time.monotonic() - began, 2))
         return cut
 
