--- a/tests/daemon/fleet/test_permits.py
+++ b/tests/daemon/fleet/test_permits.py
@@ -28,7 +28,7 @@
         self.waits: dict[str, float] = {}
         self.asked: list[str] = []
         self.is_lost = False
-        self.desk = PermitClient(
+        self.client = PermitClient(
             view=self.view,
             find_replica=lambda: "p1",
             send=self.send,
@@ -40,7 +40,7 @@
         self.asked.append(message.endpoint_id)
         wait_s = self.waits.get(message.endpoint_id, 0.0)
         if not self.is_lost:
-            gevent.spawn(self.desk.take, PermitAnswer(number=message.number, wait_s=wait_s))
+            gevent.spawn(self.client.take, PermitAnswer(number=message.number, wait_s=wait_s))
 
     def take_cold(self, *endpoint_ids: str, **changes: Any) -> None:
         records = [
@@ -53,13 +53,13 @@
 class PermitDeskTest(PermitCase):
     def test_warm_endpoints_are_not_asked_for(self) -> None:
         self.take(make_record(service="portal"))
-        self.assertTrue(self.desk.allows("portal", "e1"))
+        self.assertTrue(self.client.allows("portal", "e1"))
         self.assertEqual(self.asked, [])
 
     def test_cold_endpoint_of_a_service_without_a_limit(self) -> None:
         self.view.table = RouteTable(document=make_document())
         self.take_cold("e1")
-        self.assertTrue(self.desk.allows("portal", "e1"))
+        self.assertTrue(self.client.allows("portal", "e1"))
         self.assertEqual(self.asked, [])
 
     def test_refused_endpoint_is_left_out_until_its_turn(self) -> None:
@@ -67,7 +67,7 @@
         self.take_cold("e1")
         self.take(make_record(service="portal", endpoint_id="e2"))
         self.waits["e1"] = 0.2
-        self.assertFalse(self.desk.allows("portal", "e1"))
+        self.assertFalse(self.client.allows("portal", "e1"))
         self.assertEqual({self.choose("portal") for _ in range(9)}, {"e2"})
         self.assertEqual(self.asked, ["e1"])
         gevent.sleep(0.25)
@@ -81,7 +81,7 @@
         """
         self.take_cold("e1")
         self.is_lost = True
-        self.assertFalse(self.desk.allows("portal", "e1"))
+        self.assertFalse(self.client.allows("portal", "e1"))
         self.assertEqual(self.choose("portal"), "")
 
     def test_request_asks_twice_and_then_goes_to_a_warm_endpoint(self) -> None:
@@ -99,7 +99,7 @@
         call = make_call(Caller(), service="portal")
         for endpoint_id, wait_s in (("e1", 0.4), ("e2", 0.2)):
             self.waits[endpoint_id] = wait_s
-            self.desk.allows("portal", endpoint_id)
+            self.client.allows("portal", endpoint_id)
         wait = self.view.find_permit_wait(call)
         assert wait is not None
         self.assertAlmostEqual(wait, 0.2, delta=0.1)
@@ -114,7 +114,7 @@
         self.evacuate(5, "z1")
         self.evacuate(6)
         self.waits["e1"] = 0.5
-        self.assertFalse(self.desk.allows("portal", "e1"))
+        self.assertFalse(self.client.allows("portal", "e1"))
 
 
 if __name__ == "__main__":
