--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -108,7 +108,7 @@
         for listener in self.listeners:
             listener(document)
 
-    def take_view(self, view: View) -> None:
+    def handle_view(self, view: View) -> None:
         """Take what one replica knows of loads and silent endpoints."""
         now = time.monotonic()
         self.has_view = self.has_view or not view.is_pending
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -226,7 +226,7 @@
 
     def _handle_view(self, source: str, view: View) -> None:
         effects = self.subscriber.take_view(source, view, now=time.monotonic())
-        self.view.take_view(view)
+        self.view.handle_view(view)
         send_all(self.transport.send, effects)
 
     def _handle_endpoints(self, _source: str, update: EndpointUpdate) -> None:
--- a/tests/daemon/fleet/test_fleet_view.py
+++ b/tests/daemon/fleet/test_fleet_view.py
@@ -49,7 +49,7 @@
     def take(self, *records: Any, **changes: Any) -> None:
         for record in records:
             self.view.directory.table.merge(record, now=0.0)
-        self.view.take_view(make_view(*records, **changes))
+        self.view.handle_view(make_view(*records, **changes))
 
     def choose(self, service: str = "llm", *parts: PromptPart) -> str:
         facts = RequestFacts(request_id="q", parts=parts, prompt_tokens=20_000)
