--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -140,7 +140,7 @@
         loads = [subtract_load(one, self._reported_loads.get(one.endpoint_id)) for one in read.ok]
         self._apply_loads(loads, time.monotonic())
 
-    def take_endpoints(self, *, is_partial: bool) -> None:
+    def apply_endpoints(self, *, is_partial: bool) -> None:
         """Put in force the endpoints that a replica has packed, all or departures alone."""
         self.has_view = self.has_view or not is_partial
         self._apply_changes()
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -231,7 +231,7 @@
 
     def _handle_endpoints(self, _source: str, update: EndpointUpdate) -> None:
         effects = self.subscriber.take_endpoints(update, now=time.monotonic())
-        self.view.take_endpoints(is_partial=update.is_partial)
+        self.view.apply_endpoints(is_partial=update.is_partial)
         self._events.write(
             "endpoints_taken",
             replica=update.replica,
--- a/tests/daemon/fleet/test_fleet_view.py
+++ b/tests/daemon/fleet/test_fleet_view.py
@@ -86,9 +86,9 @@
 
     def test_departures_alone_are_no_view(self) -> None:
         """Guards against a router that is ready before it knows any endpoint."""
-        self.view.take_endpoints(is_partial=True)
+        self.view.apply_endpoints(is_partial=True)
         self.assertFalse(self.view.has_view)
-        self.view.take_endpoints(is_partial=False)
+        self.view.apply_endpoints(is_partial=False)
         self.assertTrue(self.view.has_view)
 
     def test_callers_are_sent_elsewhere_only_while_half_of_the_routers_stay(self) -> None:
