--- a/chivetrack/daemon/fleet/crashes.py
+++ b/chivetrack/daemon/fleet/crashes.py
@@ -55,7 +55,7 @@
 
 
 class CrashDetector:
-    """Reports endpoints that broke answers and then refuse connections or are lost or replaced.
+    """Report endpoints that broke answers and then refuse connections or are lost or replaced.
 
     The probe succeeds if a supervisor holds the listening socket or restarts the process
     immediately. In that case the crash is detected when the lifetime is lost or replaced.
@@ -65,24 +65,24 @@
         self,
         *,
         events: EventLog,
-        note_crash: Callable[[Sequence[CrashReport]], None],
+        on_crash: Callable[[Sequence[CrashReport]], None],
         is_lost_or_replaced: Callable[[EndpointRecord], bool],
         probe: Callable[[str], ProbeResult] = probe_address,
     ) -> None:
-        """Call ``note_crash`` with the requests that a crash left without a usable answer.
+        """Call ``on_crash`` with the requests that a crash left without a usable answer.
 
         ``is_lost_or_replaced`` returns whether a lifetime is marked lost or a later one has
         started under its id.
         """
         self._events = events
-        self._note_crash = note_crash
+        self._on_crash = on_crash
         self._is_lost_or_replaced = is_lost_or_replaced
         self._probe = probe
         self._broken: dict[Lifetime, _BrokenAnswers] = {}
         self._unconfirmed: dict[Lifetime, _BrokenAnswers] = {}
 
     def record_broken_answer(self, call: Call, record: EndpointRecord) -> None:
-        """Note a request that was sent to an endpoint and received no usable answer."""
+        """Record a request that was sent to an endpoint and received no usable answer."""
         key = record.lifetime
         broken = self._broken.get(key)
         if broken is None:
@@ -91,7 +91,10 @@
         broken.reports.append(call.make_crash_report(record))
 
     def handle_incarnation_end(self, endpoint_id: str, born: int, is_departure: bool) -> None:
-        """Note that a lifetime was lost or replaced or, if ``is_departure``, drains or has left."""
+        """Handle that an incarnation was lost or replaced.
+
+        If ``is_departure``, it drains or has left instead, which is no crash.
+        """
         broken = self._unconfirmed.pop((endpoint_id, born), None)
         if broken is None or is_departure:
             return
@@ -103,7 +106,7 @@
             born=born,
             requests=len(broken.reports),
         )
-        self._note_crash(broken.reports)
+        self._on_crash(broken.reports)
 
     def _probe_endpoint(self, key: Lifetime) -> None:
         gevent.sleep(COLLECT_WINDOW_S)
@@ -123,7 +126,7 @@
             ],
         )
         if has_crashed:
-            self._note_crash(broken.reports)
+            self._on_crash(broken.reports)
         else:
             self._keep_unconfirmed(key, broken)
 
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -1,4 +1,4 @@
-"""What a router believes of the fleet: configuration, endpoints, their load and health."""
+"""The router's view of the fleet: configuration, endpoints, their load and health."""
 
 import time
 from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
@@ -25,24 +25,27 @@
 from chivetrack.daemon.fleet.health import EndpointHealth
 from chivetrack.helpers.events import EventLog
 
-# A router that is cut off, or asks a replica that is, sees few others. Were its part of the
-# budget to grow at once, the parts together would exceed it. At a word each 0.3 s, the
-# count halves in 20 s, two windows of the budget.
+# Factor by which the number of routers may fall with each view. A router that is partitioned,
+# or whose replica is, sees few others; if its share of the retry budget grew at once, all
+# shares together would exceed the budget. With a view every 0.3 s the number halves in 20 s,
+# two windows of the budget.
 ROUTER_COUNT_DECAY = 0.99
-# An engine that appeared so lately is the home of prompts that others still have cached.
+# An endpoint counts as new for this time: prompts are already placed on a new engine while
+# other engines still have them cached.
 NEW_ENDPOINT_S = 20.0
-# Before the first word.
+# Assumed number of routers until the first view arrives.
 INITIAL_ROUTER_COUNT = 20.0
-# A caller that comes back reaches any router that the balancer may still choose.
+# Up to this share of stopping routers, refused callers are told to retry: the load balancer
+# may send a retry to any router that it still considers ready.
 MAX_STOPPING_SHARE = 0.5
-# Cached by an engine whose profile the configuration does not tell.
+# Cache size of an engine whose profile is not in the configuration.
 DEFAULT_MEMORY_TOKENS = 500_000
 
 MAX_LOGGED_ENDPOINTS = 16
 
 
 class FleetView:
-    """Joins what replicas tell with what this router sees itself."""
+    """Combine the state received from replicas with this router's own observations."""
 
     def __init__(
         self,
@@ -53,7 +56,11 @@
         decode: Callable[[bytes], Document | None],
         forget_endpoint: Callable[[str], None],
     ) -> None:
-        """Start knowing nothing; ``decode`` reads a document as the operator sent it."""
+        """Start without configuration and endpoints.
+
+        ``decode`` decodes a configuration as the operator sent it, ``forget_endpoint`` closes
+        the idle connections to an endpoint.
+        """
         self._events = events
         self._decode = decode
         self._forget_endpoint = forget_endpoint
@@ -80,15 +87,15 @@
         self.listeners: list[Callable[[Document], None]] = []
         self.incarnation_end_listeners: list[Callable[[str, int, bool], None]] = []
 
-    # What replicas tell
+    # State received from replicas
 
     @property
     def version(self) -> int:
-        """Return the version of the configuration in force here."""
+        """Return the version of the configuration in force at this router, 0 without one."""
         return 0 if self.table is None else self.table.version
 
     def take_document(self, version: int, body: bytes) -> None:
-        """Put a configuration in force."""
+        """Put a configuration in force; an invalid one is logged and ignored."""
         document = self._decode(body)
         if document is None:
             self._events.write(
@@ -109,10 +116,11 @@
             listener(document)
 
     def handle_view(self, view: View) -> None:
-        """Take what one replica knows of loads and silent endpoints."""
+        """Apply the loads, silent endpoints, evacuations and quarantine that a replica sent."""
         now = time.monotonic()
         self.has_view = self.has_view or not view.is_pending
-        # Before the placements: what is known of an endpoint is dropped as it appears.
+        # Endpoint changes come before placements: when an endpoint appears, the placements
+        # recorded for its id are dropped.
         self._apply_changes()
         self._apply_evacuations(view.evacuations)
         if view.quarantine is not None:
@@ -132,16 +140,21 @@
         self.placement.handle_other_loads(loads, now=now)
 
     def handle_loads(self, payload: bytes) -> None:
-        """Take the packed loads of all routers; what this one told of itself is taken off."""
-        read = unpack_loads(payload)
-        if read.is_error():
-            self._events.write("loads_unreadable", detail=read.error)
+        """Apply the packed loads of all routers, minus the loads that this router reported."""
+        unpacked = unpack_loads(payload)
+        if unpacked.is_error():
+            self._events.write("loads_unreadable", detail=unpacked.error)
             return
-        loads = [subtract_load(one, self._reported_loads.get(one.endpoint_id)) for one in read.ok]
+        loads = [
+            subtract_load(one, self._reported_loads.get(one.endpoint_id)) for one in unpacked.ok
+        ]
         self._apply_loads(loads, time.monotonic())
 
     def apply_endpoints(self, *, is_partial: bool) -> None:
-        """Put in force the endpoints that a replica has packed, all or departures alone."""
+        """Apply the endpoint changes that were merged into the directory's table.
+
+        A partial update contains departures only and is no complete view of the endpoints.
+        """
         self.has_view = self.has_view or not is_partial
         self._apply_changes()
         self._update_ready()
@@ -151,7 +164,7 @@
             self._ready.set()
 
     def update_silent_endpoints(self, endpoint_ids: Iterable[str]) -> None:
-        """Take which endpoints the close replica has not heard of lately."""
+        """Replace the silent endpoints: those without a recent heartbeat at the replica."""
         silent = frozenset(endpoint_ids)
         if silent != self._silent:
             self._events.write(
@@ -163,7 +176,7 @@
         self._silent = silent
 
     def wait_until_ready(self, timeout_s: float) -> None:
-        """Wait until configuration and endpoints are known."""
+        """Wait until configuration and endpoints are known, at most ``timeout_s``."""
         self._ready.wait(timeout_s)
 
     def _apply_changes(self) -> None:
@@ -186,7 +199,7 @@
         )
 
     def _apply_quarantine(self, quarantine: Quarantine) -> None:
-        """Apply a newer quarantine."""
+        """Apply a quarantine if its revision is newer."""
         if quarantine.revision <= self._quarantine.revision:
             return
         self._quarantine = quarantine
@@ -197,7 +210,7 @@
 
     @property
     def do_others_accept(self) -> bool:
-        """Return whether a caller that comes back will probably reach a router that stays."""
+        """Return whether a caller's retry will probably reach a router that is not stopping."""
         return self._stopping_share <= MAX_STOPPING_SHARE
 
     @property
@@ -210,14 +223,14 @@
         return self._quarantined.get(call.fingerprint)
 
     def count_running_in(self, zones: Collection[str]) -> int:
-        """Return the requests of this router that still run at endpoints of these zones."""
+        """Return the number of this router's requests running at endpoints of ``zones``."""
         ids = set(self.directory.list_ids_in(zones))
         return sum(one.running for one in self.placement.list_own() if one.endpoint_id in ids)
 
     def _apply_change(self, record: EndpointRecord) -> None:
         self._events.write("endpoint_changed", **record.describe())
         if self._born.get(record.endpoint_id) != record.born:
-            # A new lifetime under the id starts with an empty memory and a clean record.
+            # A new incarnation under the id starts with an empty cache and no failures.
             now = time.monotonic()
             has_restarted = record.endpoint_id in self._born
             if has_restarted:
@@ -255,7 +268,7 @@
             self._forget_endpoint(record.endpoint_id)
 
     def get_news(self) -> OwnNews:
-        """Return what the other routers should know of this one."""
+        """Return the report of this router's loads, placements and crashes for other routers."""
         now = time.monotonic()
         loads = self.health.add_outcomes(self.placement.list_own(), now=now)
         self._reported_loads = {one.endpoint_id: one for one in loads}
@@ -267,10 +280,10 @@
             is_stopping=self.is_stopping,
         )
 
-    # Choosing
+    # Choice of endpoints
 
     def choose(self, call: Call) -> Choice | None:
-        """Return where a request goes next."""
+        """Return the endpoint for the next attempt of a request, ``None`` if there is none."""
         now = time.monotonic()
         is_limited = self.find_cold_rate(call.service) > 0
         division = self.directory.divide(
@@ -292,7 +305,7 @@
         self, call: Call, records: Sequence[EndpointRecord], is_limited: bool, now: float
     ) -> list[Candidate]:
         tried = {one.endpoint_id for one in call.tries}
-        left = [
+        untried = [
             Candidate(
                 record=record,
                 is_silent=record.endpoint_id in self._silent,
@@ -301,7 +314,7 @@
             for record in records
             if record.endpoint_id not in tried
         ]
-        return self.health.filter_candidates(left, now=now)
+        return self.health.filter_candidates(untried, now=now)
 
     def _list_sources(self, service: str, now: float) -> list[Source]:
         return [
@@ -313,24 +326,30 @@
         ]
 
     def find_shortest_pause(self, service: str) -> float:
-        """Return the shortest pause (s) of a service's ready endpoints, 0 if one is not paused."""
+        """Return the shortest remaining pause (s) of a service's ready endpoints.
+
+        The result is 0 if any of them is not paused.
+        """
         return self.directory.find_shortest_pause(service, time.monotonic())
 
     def count_candidates(self, service: str) -> int:
-        """Return how many endpoints of a service may get requests."""
+        """Return the number of a service's endpoints that may receive requests."""
         return len(self.directory.list_ready(service))
 
     def is_cold(self, service: str, endpoint_id: str, now: float) -> bool:
-        """Return whether an endpoint is cold and its service limits what it gets then."""
+        """Return whether an endpoint is cold and its service limits requests to cold endpoints."""
         return self.find_cold_rate(service) > 0 and self.directory.cold.is_cold(endpoint_id, now)
 
     def find_cold_rate(self, service: str) -> float:
-        """Return how many requests a second a cold endpoint bears, 0 without a limit."""
-        known = None if self.table is None else self.table.find_service(service)
-        return 0.0 if known is None else known.cold_per_s
+        """Return the limit of requests per second to a cold endpoint, 0 without a limit."""
+        configured = None if self.table is None else self.table.find_service(service)
+        return 0.0 if configured is None else configured.cold_per_s
 
     def find_permit_wait(self, call: Call) -> float | None:
-        """Return when to ask again (s) if all endpoints are cold, ``None`` if none are left."""
+        """Return the time (s) until a permit for any untried cold endpoint may be requested.
+
+        The result is ``None`` if no untried cold endpoint is left.
+        """
         now = time.monotonic()
         tried = {one.endpoint_id for one in call.tries}
         waits = [
@@ -344,9 +363,9 @@
 
     @contextmanager
     def use(self, call: Call, choice: Choice) -> Iterator[Placed]:
-        """Count a request at an endpoint for as long as it is there.
+        """Count a request as running at an endpoint within the context.
 
-        The body sets ``is_complete`` of what is given once the answer is whole.
+        The body sets ``is_complete`` of the yielded placement once the answer is complete.
         """
         now = time.monotonic()
         self.health.record_attempt_start(choice.record.endpoint_id, now=now)
@@ -365,17 +384,20 @@
             self.placement.finish(placed, now=time.monotonic())
 
     def handle_bytes(self, call: Call) -> None:
-        """Note that the endpoint which has a request sent bytes."""
+        """Record that the endpoint at which a request runs has sent bytes."""
         if call.placed is not None:
             self.placement.record_bytes(call.placed, now=time.monotonic())
 
     def handle_first_event(self, call: Call) -> None:
-        """Take a prompt as read."""
+        """Record that the engine has processed the prompt, as its first event shows."""
         if call.placed is not None:
             self.placement.record_first_event(call.placed, now=time.monotonic())
 
     def record_overdue(self, call: Call) -> bool:
-        """Note that no byte has come in time; return whether the endpoint is silent for all."""
+        """Record that no byte came within the wait limit.
+
+        Return whether the endpoint is silent: none of its requests here has received bytes.
+        """
         if call.placed is None:
             return False
         endpoint_id = call.placed.endpoint_id
@@ -385,5 +407,5 @@
         return True
 
     def has_budget(self, service: str) -> bool:
-        """Return whether the fleet's budget leaves room for another repeat."""
+        """Return whether the fleet's retry budget of a service allows another retry."""
         return self.budgets[service].may_repeat(time.monotonic(), routers=round(self._router_count))
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -1,4 +1,4 @@
-"""Sends a request to endpoints and the answer back, one endpoint after the other."""
+"""Sends a request to one endpoint and relays the answer to the caller."""
 
 import time
 from collections.abc import Callable
@@ -39,12 +39,12 @@
 
 
 class AnswerCutError(AbortConnectionError):
-    """The answer to the caller ended before it was whole; its connection has to be closed."""
+    """The answer to the caller is incomplete; the caller's connection must be closed."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SendResult:
-    """How one try ended; without ``end`` the caller has its answer."""
+    """Result of one attempt; ``end`` is ``None`` if the caller has its answer."""
 
     end: SendEnd | None = None
     detail: str = ""
@@ -59,7 +59,7 @@
 
 
 class Forwarder:
-    """Carries out one try at a time; what follows after it is decided elsewhere."""
+    """Perform one attempt per call of ``send``; the caller of ``send`` decides on retries."""
 
     def __init__(
         self,
@@ -70,35 +70,36 @@
         handle_bytes: Callable[[Call], None] | None = None,
         record_overdue: Callable[[Call], bool] | None = None,
     ) -> None:
-        """Take the idle connections and listeners for what endpoints say.
+        """Store the idle connections and the callbacks.
 
-        ``hear`` is told of bytes that came, ``record_overdue`` that none came in time; it
-        returns whether the endpoint is silent to all requests.
+        ``handle_bytes`` is called when bytes of an answer arrive. ``record_overdue`` is
+        called when none arrived within the wait limit; it returns whether the endpoint is
+        silent to all of this router's requests.
         """
         self._kept = kept
-        self._note_answer = record_answer
-        self._note_first_event = handle_first_event
+        self._record_answer = record_answer
+        self._handle_first_event = handle_first_event
         self._handle_bytes = handle_bytes or (lambda call: None)
-        self._note_overdue = record_overdue or (lambda call: False)
+        self._record_overdue = record_overdue or (lambda call: False)
 
     def send(self, call: Call, choice: Choice, *, may_retry: bool) -> SendResult:
-        """Send a request to one endpoint; ``may_retry`` says that another may follow.
+        """Send a request to one endpoint and relay the answer.
 
-        An endpoint's own failure goes to the caller unless another try may follow.
+        A failure answered by the endpoint is relayed to the caller unless ``may_retry``.
         """
         record = choice.record
         try:
             connection = self._connect(call, choice)
         except NotSentError as error:
             return SendResult(end=SendEnd.NOT_SENT, detail=str(error))
-        is_kept = False
+        is_reused = False
         try:
             answer, facts = self._exchange(connection, call, choice, may_retry)
-            self._note_answer(record, facts)
+            self._record_answer(record, facts)
             result = self._handle_answer(connection, call, choice, answer, facts, may_retry)
             ends = facts.closes or facts.is_leaving
-            is_kept = answer.keeps_connection and not ends and connection.end_request()
-            if is_kept:
+            is_reused = answer.keeps_connection and not ends and connection.end_request()
+            if is_reused:
                 self._kept.put(record.endpoint_id, connection, facts.keep_alive_s)
             return result
         except NotSentError as error:
@@ -106,8 +107,9 @@
         except (MaybeRanError, BrokenAnswerError) as error:
             return SendResult(end=SendEnd.MAYBE_RAN, detail=str(error))
         finally:
-            # Also when the caller has left or the time is up: the endpoint must stop.
-            if not is_kept:
+            # Close also if the caller disconnected or the request timed out, so that the
+            # endpoint stops processing it.
+            if not is_reused:
                 connection.close()
 
     def _connect(self, call: Call, choice: Choice) -> EndpointConnection:
@@ -144,22 +146,22 @@
             facts = read_answer_facts(answer.status, answer.headers)
             if facts.request_id is None or facts.request_id == call.facts.request_id:
                 return answer, facts
-            # A late second answer to the request before; its bytes belong to nobody.
+            # A late duplicate answer to the previous request on this connection.
             self._discard(answer)
-        raise MaybeRanError("the connection gives answers to other requests")
+        raise MaybeRanError("the connection returned answers to other requests")
 
     def _await_answer(self, connection: EndpointConnection, call: Call, may_retry: bool) -> None:
-        """Wait for the first byte; give up an endpoint that is silent to all its requests.
+        """Wait for the first byte; abandon an endpoint that is silent to all requests.
 
-        Held to the deadline there, a request that may run again would be lost, although
-        another endpoint could answer it at once.
+        A retryable request that waited for such an endpoint until its deadline would be
+        lost, although another endpoint could answer it at once.
         """
         if call.placed is None:
             return
         wait_limit_s = call.placed.wait_limit_s
         while not connection.wait_readable(min(wait_limit_s, call.ends_at - time.monotonic())):
             left_s = call.ends_at - time.monotonic()
-            is_silent = self._note_overdue(call)
+            is_silent = self._record_overdue(call)
             if may_retry and is_silent and left_s > MIN_TIME_FOR_RETRY_S:
                 raise MaybeRanError(f"silent for {wait_limit_s:.2f} s")
             if left_s <= 0 or not may_retry:
@@ -196,22 +198,22 @@
         if is_success and (not facts.is_sealed or facts.is_encoded):
             raise MaybeRanError("the answer does not come from the endpoint itself")
         if status in _NOT_RUN_STATUSES:
-            raise MaybeRanError(f"status {status} without word that the request did not run")
+            raise MaybeRanError(f"status {status} without a statement that the request did not run")
         if is_success and call.route.kind is RouteKind.STREAM:
             self._relay_stream(connection, call, choice, answer)
             return SendResult(status=status)
         return self._relay_buffered(call, answer, facts, may_retry and status >= 500)
 
     def _relay_buffered(
-        self, call: Call, answer: EndpointAnswer, facts: AnswerFacts, holds_back: bool
+        self, call: Call, answer: EndpointAnswer, facts: AnswerFacts, is_retried: bool
     ) -> SendResult:
-        """Read an answer whole and send it, or give it up for another try."""
+        """Read the complete answer, then send it or, if ``is_retried``, discard it."""
         body = self._read_whole(answer)
         status = answer.status
-        if holds_back:
+        if is_retried:
             return SendResult(end=SendEnd.FAILED, detail=f"status {status}", status=status)
         if call.reply.is_started:
-            raise AnswerCutError(f"status {status} in the midst of a stream")
+            raise AnswerCutError(f"status {status} in the middle of a stream")
         headers = list_answer_headers(answer.headers.items())
         call.reply.send(status, headers, body)
         return SendResult(status=status)
@@ -234,19 +236,19 @@
             self._handle_bytes(call)
             if is_first:
                 is_first = False
-                self._note_first_event(call, choice)
+                self._handle_first_event(call, choice)
                 if call.first_event_at is None:
                     call.first_event_at = time.monotonic()
                 if call.route.is_resumable:
                     connection.set_timeout(self._get_stall_timeout(call))
             data = splitter.feed(chunk)
             if data:
-                self._begin(call, answer)
+                self._start_reply(call, answer)
                 call.reply.write(data)
                 call.last_event_id = splitter.last_id
         if splitter.has_rest:
             raise BrokenAnswerError("the stream ended in the middle of an event")
-        self._begin(call, answer)
+        self._start_reply(call, answer)
 
     @staticmethod
     def _get_stall_timeout(call: Call) -> float:
@@ -254,13 +256,13 @@
         return max(0.05, min(left_s + LATE_ANSWER_GRACE_S, STREAM_STALL_TIMEOUT_S))
 
     @staticmethod
-    def _begin(call: Call, answer: EndpointAnswer) -> None:
+    def _start_reply(call: Call, answer: EndpointAnswer) -> None:
         if not call.reply.is_started:
             call.reply.start(answer.status, list_answer_headers(answer.headers.items()))
 
 
 def make_tried(choice: Choice, result: SendResult) -> Tried:
-    """Return what the decision about another try has to know."""
+    """Return the attempt as the decision about a retry needs it."""
     assert result.end is not None
     return Tried(
         endpoint_id=choice.record.endpoint_id,
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -1,4 +1,4 @@
-"""Which endpoints may be tried, by what this router and the others have seen of them."""
+"""Decides which endpoints may get requests, by the outcomes seen by all routers."""
 
 import time
 from collections.abc import Callable, Iterable, Sequence
@@ -16,8 +16,9 @@
 from chivetrack.components.retries.sending import SendEnd
 from chivetrack.helpers.events import EventLog
 
-# Until its replicas give up an endpoint whose address another one holds: two heartbeats
-# after which the successor is known, and as much again.
+# Time (s) for which an endpoint gets no requests after another one answered at its address.
+# The replicas mark the endpoint lost once its successor is known, after two heartbeats; this
+# is twice that time.
 MISDIRECTED_FOR_S = 5.0
 
 _OUTCOME_KINDS = {
@@ -28,14 +29,15 @@
 
 
 class EndpointHealth:
-    """Joins the circuit breakers of this router with the outcomes of the whole fleet."""
+    """Combine this router's circuit breakers with the outcomes seen by the whole fleet."""
 
     def __init__(
         self, *, events: EventLog, is_silent: Callable[[str, float], bool] | None = None
     ) -> None:
-        """Start with a clean record of every endpoint.
+        """Start without recorded failures.
 
-        ``is_silent`` tells whether an endpoint (id, now) owes this router an answer.
+        ``is_silent`` (endpoint id, now) returns whether an endpoint is overdue with answers
+        to this router.
         """
         self._events = events
         self._is_silent = is_silent or (lambda endpoint_id, now: False)
@@ -44,21 +46,21 @@
         self._misdirected: dict[str, float] = {}
 
     def forget(self, endpoint_id: str) -> None:
-        """Begin anew with an endpoint that has started again, or has left."""
+        """Drop the records of an endpoint that has restarted or left."""
         self._breakers.pop(endpoint_id, None)
         self._outcomes.forget(endpoint_id)
         self._misdirected.pop(endpoint_id, None)
 
-    # What is seen
+    # Outcomes of this router
 
     def record_attempt_start(self, endpoint_id: str, *, now: float) -> None:
-        """Note that a try goes out; a breaker that is half open waits for its end."""
+        """Record the start of an attempt; a half-open breaker waits for its result."""
         breaker = self._breakers.get(endpoint_id)
         if breaker is not None:
             breaker.record_attempt(now)
 
     def record_outcome(self, endpoint_id: str, end: SendEnd | None) -> None:
-        """Note how a try ended; a refusal is no failure."""
+        """Record the result of an attempt; ``None`` is a success, a refusal is no failure."""
         if end is SendEnd.REFUSED:
             return
         now = time.monotonic()
@@ -78,15 +80,16 @@
             )
 
     def record_overdue(self, endpoint_id: str) -> None:
-        """Note a try at an endpoint that has gone silent; its end is not known.
+        """Record a failure at a silent endpoint before the attempt has ended.
 
-        Known at the caller's deadline only, most of the trouble would be over by then.
+        Waiting for the caller's deadline would report the failure too late to keep other
+        requests away from the endpoint.
         """
         self._outcomes.note(endpoint_id, ok=False, now=time.monotonic())
         self._events.write("endpoint_silent", endpoint=endpoint_id)
 
     def record_misdirected(self, endpoint_id: str) -> None:
-        """Leave out an endpoint at whose address another one has answered."""
+        """Exclude an endpoint for a time, since another one answered at its address."""
         self._misdirected[endpoint_id] = time.monotonic()
         self._events.write("endpoint_misdirected", endpoint=endpoint_id)
 
@@ -98,16 +101,16 @@
             failed=change.failed,
         )
 
-    # What the routers tell each other
+    # Outcomes exchanged between routers
 
     def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
-        """Take how the tries of the other routers ended."""
+        """Apply the outcomes of the attempts of other routers."""
         self._outcomes.take_others(loads, now=now)
 
     def add_outcomes(
         self, loads: Iterable[EndpointLoad], *, now: float
     ) -> tuple[EndpointLoad, ...]:
-        """Return the loads of this router with how its tries ended."""
+        """Return the loads of this router, extended by the outcomes of its attempts."""
         joined = {one.endpoint_id: one for one in loads}
         for endpoint_id in self._outcomes.list_endpoints():
             answered, failed = self._outcomes.count_own(endpoint_id, now)
@@ -118,30 +121,30 @@
                 )
         return tuple(joined.values())
 
-    # Who may be tried
+    # Choice of candidates
 
     def filter_candidates(self, candidates: Sequence[Candidate], *, now: float) -> list[Candidate]:
-        """Return the candidates that may be tried.
+        """Return the candidates that may get requests.
 
-        Where every circuit breaker of a service is open, the service as a whole is in
-        trouble and not one endpoint of it. Refusing all would turn a share of failures
-        into failures throughout, so all are tried again then. Likewise no more than half
-        are held back by what the fleet has seen: the rest would drown.
+        If every circuit breaker of a service is open, the fault lies in the service and
+        not in one endpoint. Refusing all requests would turn partial failure into complete
+        failure, so all candidates are allowed then. Likewise, the outcomes of the fleet
+        exclude at most half of the candidates: the others would be overloaded.
         """
-        left = [one for one in candidates if not self._is_misdirected(one, now)]
-        closed = [one for one in left if self._is_closed(one, now)]
+        reachable = [one for one in candidates if not self._is_misdirected(one, now)]
+        closed = [one for one in reachable if self._is_closed(one, now)]
         let_in = [one for one in closed if self._outcomes.lets_through(one.record.endpoint_id, now)]
-        sound = (let_in if 2 * len(let_in) >= len(left) else closed) or left
-        heard = self._exclude_silent(sound, now)
-        return [self._add_record(one, now) for one in heard]
+        allowed = (let_in if 2 * len(let_in) >= len(reachable) else closed) or reachable
+        not_silent = self._exclude_silent(allowed, now)
+        return [self._add_failure_share(one, now) for one in not_silent]
 
     def _exclude_silent(self, candidates: list[Candidate], now: float) -> list[Candidate]:
-        names = [one.record.endpoint_id for one in candidates]
-        silent = {name for name in names if self._is_silent(name, now)}
-        heard = set(exclude_silent(names, silent)) if silent else set(names)
-        return [one for one in candidates if one.record.endpoint_id in heard] or candidates
+        ids = [one.record.endpoint_id for one in candidates]
+        silent = {endpoint_id for endpoint_id in ids if self._is_silent(endpoint_id, now)}
+        allowed = set(exclude_silent(ids, silent)) if silent else set(ids)
+        return [one for one in candidates if one.record.endpoint_id in allowed] or candidates
 
-    def _add_record(self, candidate: Candidate, now: float) -> Candidate:
+    def _add_failure_share(self, candidate: Candidate, now: float) -> Candidate:
         share = self._outcomes.find_failure_share(candidate.record.endpoint_id, now)
         return replace(candidate, failure_share=share) if share else candidate
 
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -1,4 +1,4 @@
-"""Asks the replica that a router is close to whether a cold endpoint may get a request."""
+"""Requests permits to send requests to cold endpoints from the router's assigned replica."""
 
 import time
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class PermitClient:
-    """Asks for one request at a time, and remembers refusals until their end."""
+    """Request a permit for each request to a cold endpoint; record refusals until they expire."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         send: Callable[[str, Message], None],
         events: EventLog,
     ) -> None:
-        """Take what is known of endpoints, whom to ask, and the way out."""
+        """Store the view, the lookup of the assigned replica and the transport's ``send``."""
         self._view = view
         self._find_replica = find_replica
         self._send = send
@@ -30,7 +30,10 @@
         self._questions = Questions[PermitAnswer]()
 
     def allows(self, service: str, endpoint_id: str) -> bool:
-        """Return whether a request may go to an endpoint now; waits a moment where it is cold."""
+        """Return whether a request may be sent to an endpoint now.
+
+        For a cold endpoint, wait for the replica's answer.
+        """
         if not self._view.is_cold(service, endpoint_id, time.monotonic()):
             return True
         wait_s = self._request_permit(endpoint_id, self._view.find_cold_rate(service))
@@ -57,6 +60,6 @@
         )
         return UNANSWERED_S if answer is None else answer.wait_s
 
-    def take(self, answer: PermitAnswer) -> None:
-        """Take a replica's answer; one that comes too late is dropped with its permit."""
+    def handle_answer(self, answer: PermitAnswer) -> None:
+        """Handle a replica's answer; a permit that arrives after the timeout is lost."""
         self._questions.take(answer.number, answer)
--- a/chivetrack/daemon/fleet/refusals.py
+++ b/chivetrack/daemon/fleet/refusals.py
@@ -15,20 +15,20 @@
 
 
 class Refusals:
-    """Answers requests that must not or need not be tried, and logs why.
+    """Refuse requests that must not or need not be sent to an endpoint, and log the reason.
 
-    ``window`` is that of the stop under way, if there is one.
+    ``window`` is set while the router stops.
     """
 
     def __init__(self, *, view: FleetView, log: RequestLog) -> None:
-        """Take what is known of the fleet and where lines go."""
+        """Store the view of the fleet and the request log."""
         self._view = view
         self._log = log
         self._random = Random()
         self.window: StopWindow | None = None
 
     def refuse_infeasible(self, call: Call, choice: Choice) -> bool:
-        """Refuse a request that even the best endpoint can't begin to answer in time."""
+        """Refuse a request that even the best endpoint can't start to answer in time."""
         left_s = call.ends_at - time.monotonic()
         fault = judge_hope(
             expected_s=choice.certain_ms / 1000,
@@ -52,7 +52,7 @@
         return True
 
     def refuse_during_stop(self, call: Call, choice: Choice) -> bool:
-        """Refuse a request that has not run and that the exit would probably cut."""
+        """Refuse a request that has not run and would probably be cut by the exit."""
         if self.window is None or may_have_run(call.tries):
             return False
         now = time.monotonic()
@@ -72,7 +72,7 @@
         return True
 
     def refuse_quarantined(self, call: Call) -> bool:
-        """Refuse a quarantined request; checked before each try, including retries."""
+        """Refuse a quarantined request; checked before each attempt, including retries."""
         quarantined = self._view.find_quarantined(call)
         if quarantined is None:
             return False
--- a/chivetrack/daemon/fleet/request_log.py
+++ b/chivetrack/daemon/fleet/request_log.py
@@ -1,4 +1,4 @@
-"""The lines about one request: where it went, how its tries ended, why it was refused."""
+"""Log lines about requests: placement, results of attempts, refusals and the end."""
 
 from typing import Any
 
@@ -13,10 +13,10 @@
 
 
 class RequestLog:
-    """Writes what a router decides on requests; each line has the request's id."""
+    """Write the router's decisions on requests; each line has the request id."""
 
     def __init__(self, *, view: FleetView, events: EventLog) -> None:
-        """Take the view, whose version and endpoints lines name."""
+        """Store the view, which provides the configuration version and endpoint counts."""
         self._view = view
         self._events = events
         self.stopping_since: float | None = None
@@ -24,7 +24,7 @@
     def write_rejected(
         self, facts: RequestFacts, fault: Fault, *, path: str, **evidence: Any
     ) -> None:
-        """Write why a request gets an answer of the router's own before it is sent."""
+        """Write why the router refuses a request instead of sending it to an endpoint."""
         self._events.write(
             "request_rejected",
             request=facts.request_id,
@@ -38,7 +38,7 @@
     def write_stopping(
         self, call: Call, choice: Choice, fault: Fault, *, expected_s: float, left_s: float
     ) -> None:
-        """Write that a request is not taken since the instance stops too soon for it."""
+        """Write that a request is refused because the instance stops before it could end."""
         self.write_rejected(
             call.facts,
             fault,
@@ -50,7 +50,7 @@
         )
 
     def write_placed(self, call: Call, choice: Choice) -> None:
-        """Write where a request goes next, and what that was weighed by."""
+        """Write the chosen endpoint and the values that its score is based on."""
         self._events.write(
             "request_placed",
             request=call.facts.request_id,
@@ -69,7 +69,7 @@
         )
 
     def _describe_stop(self, call: Call) -> dict[str, int]:
-        """Return how long (ms) after the stop began a request and its connection came."""
+        """Return the times (ms) from the stop signal to the request and to its connection."""
         since = self.stopping_since
         if since is None:
             return {}
@@ -79,7 +79,7 @@
         }
 
     def write_attempt(self, call: Call, choice: Choice, outcome: str, detail: str) -> None:
-        """Write how a try ended; a first try that was answered needs no line of its own."""
+        """Write how an attempt ended; an answered first attempt is not logged separately."""
         if outcome == "answered" and not call.tries:
             return
         self._events.write(
@@ -96,7 +96,7 @@
         )
 
     def write_given_up(self, call: Call, fault: Fault, *, why: str, pause_s: float) -> None:
-        """Write why no further try is made."""
+        """Write why a request is abandoned without a further attempt."""
         self._events.write(
             "request_given_up",
             request=call.facts.request_id,
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests in and sees each of them through to its answer."""
+"""Admits callers' requests and processes each of them until it is answered or refused."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -46,11 +46,11 @@
 
 
 class RouteTimeoutError(BaseException):
-    """The route's timeout or the caller's own has passed."""
+    """The timeout of the route or the caller's own wait limit has passed."""
 
 
 class RequestHandler:
-    """The application of the callers' listener."""
+    """The WSGI application of the listener for callers."""
 
     def __init__(
         self,
@@ -60,16 +60,19 @@
         permits: PermitClient,
         crash_detector: CrashDetector,
         events: EventLog,
-        record: Callable[[Call, str], None],
+        record_end: Callable[[Call, str], None],
     ) -> None:
-        """Take what requests need; ``record`` counts how each one ended."""
+        """Store the components that requests need.
+
+        ``record_end`` receives each finished request and its outcome.
+        """
         self._view = view
         self._forwarder = forwarder
         self._permits = permits
         self._crash_detector = crash_detector
         self._log = RequestLog(view=view, events=events)
         self._refusals = Refusals(view=view, log=self._log)
-        self._record = record
+        self._record_end = record_end
         self.open_count = 0
         self._open_calls: dict[int, Call] = {}
         self._started_at = time.monotonic()
@@ -88,8 +91,8 @@
 
     def _serve(self, environ: dict[str, Any], reply: Reply) -> None:
         came_at = time.monotonic()
-        lines = environ[ENVIRON_HEADERS]
-        facts = read_request_facts({name.lower(): value for name, value in lines})
+        headers = environ[ENVIRON_HEADERS]
+        facts = read_request_facts({name.lower(): value for name, value in headers})
         try:
             call = self._admit(environ, facts, reply, came_at)
         except FaultError as error:
@@ -106,13 +109,13 @@
             del self._open_calls[id(call)]
 
     def begin_stop(self, window: StopWindow, *, now: float) -> None:
-        """Take only what can end within ``window``; the stop began at ``now`` (seconds)."""
+        """Accept only requests that can end within ``window``; the stop began at ``now`` (s)."""
         self._refusals.window = window
         self._view.is_stopping = True
         self._log.stopping_since = now
 
     def end_stop(self) -> None:
-        """Record the requests that the end of the process cuts."""
+        """Record the requests in flight as cut by the exit of the process."""
         for call in list(self._open_calls.values()):
             self._end(call, "cut_by_stop")
 
@@ -156,12 +159,12 @@
         )
 
     def _wait_for_table(self, facts: RequestFacts, now: float) -> RouteTable | None:
-        """Wait for the configuration for as long as a start usually takes.
+        """Wait for the configuration until ``START_WAIT_S`` after the start of the router.
 
-        After all instances lost power, a caller's only other try may come in the very
-        second in which routers are up and no replica leads yet. Refused then, it is lost;
-        the configuration is most likely there in some hundred ms. A router that has
-        been up for longer without it refuses at once.
+        After a power loss of all instances, a caller's only retry may arrive when routers
+        run but no replica leads yet. Refusing it would lose the request, although the
+        configuration most likely arrives within a few hundred milliseconds. A router that
+        has been running longer without a configuration refuses at once.
         """
         left_s = self._started_at + START_WAIT_S - now
         wait_s = DEFAULT_WAIT_S if facts.wait_s is None else facts.wait_s
@@ -193,11 +196,11 @@
     def _handle_timeout(self, call: Call) -> None:
         self._end(call, "timeout")
         if call.reply.is_started:
-            raise AnswerCutError("the time is up in the midst of an answer")
+            raise AnswerCutError("the request timed out during its answer")
         if not may_have_run(call.tries):
             call.reply.refuse(_make_refusal("timeout", 503, NO_ENDPOINT_RETRY_S))
             return
-        message = "The time is up; the request may have run."
+        message = "The request timed out; it may have run."
         call.reply.refuse(Fault(code="timeout", message=message, status=504, ran=Ran.MAYBE))
 
     def _try_endpoints(self, call: Call) -> None:
@@ -219,9 +222,10 @@
                 return
 
     def _choose(self, call: Call) -> Choice | None:
-        """Return where a request goes next; to a cold endpoint only by permit.
+        """Return the endpoint for the next attempt; a cold endpoint needs a permit.
 
-        Where all endpoints are cold, a request waits for its turn, as long as it has time.
+        If all endpoints are cold and refuse, wait until a permit may be requested again,
+        unless the request would time out before that.
         """
         while True:
             choice = self._view.choose(call)
@@ -242,7 +246,7 @@
         return may_send_again(call.route, call.tries, left_s=left_s, has_budget=has_budget)
 
     def _send(self, call: Call, choice: Choice) -> bool:
-        """Try one endpoint; return whether the caller has its answer."""
+        """Send the request to one endpoint; return whether the caller has its answer."""
         endpoint_id = choice.record.endpoint_id
         reached = any(one.end is not SendEnd.NOT_SENT for one in call.tries)
         if reached:
@@ -252,7 +256,7 @@
         ) and self._view.has_budget(call.service)
         self._log.write_placed(call, choice)
         with self._view.use(call, choice) as placed:
-            # If the time is up or the caller leaves, this try may have run.
+            # If the request times out or the caller disconnects, this attempt may have run.
             call.tries.append(Tried(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
             result = self._forwarder.send(call, choice, may_retry=may_retry)
             call.tries.pop()
@@ -276,7 +280,7 @@
 
     def _abandon(self, call: Call, why: str) -> None:
         if call.reply.is_started:
-            raise AnswerCutError("the stream can't go on elsewhere")
+            raise AnswerCutError("the stream can't be resumed at another endpoint")
         pause_s = self._view.find_shortest_pause(call.service)
         retry_after_s = max(NO_ENDPOINT_RETRY_S, pause_s)
         fault = make_final_fault(call.tries, retry_after_s=retry_after_s)
@@ -285,12 +289,15 @@
 
     def _end(self, call: Call, outcome: str) -> None:
         now = time.monotonic()
-        self._record(call, outcome)
+        self._record_end(call, outcome)
         self._log.write_ended(call, outcome, now=now)
 
 
 def choose_service(route: Route, request_id: str) -> str:
-    """Return the service of a split route; the same request always gets the same one."""
+    """Return the service for a request by the weights of the route's shares.
+
+    The choice depends on the request id only, so retries of a caller get the same service.
+    """
     total = sum(share.weight for share in route.shares)
     point = xxhash.xxh64_intdigest(request_id.encode()) / 2**64 * total
     for share in route.shares:
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -1,4 +1,4 @@
-"""The router process: callers on one side, endpoints on the other."""
+"""The router process: forwards callers' requests to endpoints."""
 
 import signal
 import socket
@@ -57,13 +57,13 @@
 
 
 def decode_document(body: bytes) -> Document | None:
-    """Decode a configuration as the operator sent it."""
-    read = read_document(body)
-    return read.ok if read.is_ok() else None
+    """Decode a configuration as the operator sent it; return ``None`` if it is invalid."""
+    decoded = read_document(body)
+    return decoded.ok if decoded.is_ok() else None
 
 
 class Router:
-    """Owns the listeners and loops of a router; ``run`` serves until a stop has ended."""
+    """Own the listeners and loops of a router; ``run`` serves until the stop is complete."""
 
     def __init__(
         self,
@@ -72,9 +72,9 @@
         events: EventLog,
         listener: socket.socket | None = None,
     ) -> None:
-        """Build all parts; nothing is accepted before ``run``.
+        """Build all components; no connection is accepted before ``run``.
 
-        ``listener`` is the callers' one if it is open already.
+        ``listener`` is the socket for callers if the process has already opened it.
         """
         self._settings = settings
         self._events = events
@@ -113,7 +113,7 @@
         )
         crash_detector = CrashDetector(
             events=events,
-            note_crash=self._handle_crash,
+            on_crash=self._handle_crash,
             is_lost_or_replaced=self.view.directory.is_lost_or_replaced,
         )
         self.view.incarnation_end_listeners.append(crash_detector.handle_incarnation_end)
@@ -123,13 +123,13 @@
             crash_detector=crash_detector,
             forwarder=Forwarder(
                 kept=self._kept,
-                record_answer=self._note_answer,
+                record_answer=self._record_answer,
                 handle_first_event=lambda call, choice: self.view.handle_first_event(call),
                 handle_bytes=self.view.handle_bytes,
                 record_overdue=self.view.record_overdue,
             ),
             events=events,
-            record=self._metrics.record_end,
+            record_end=self._metrics.record_end,
         )
         assert settings.listeners.callers is not None and settings.listeners.ready is not None
         self._callers = self._make_server(
@@ -143,13 +143,13 @@
         yield Gauge(
             name="chivetrack.router.evacuated_zones",
             unit="{zone}",
-            description="Zones whose endpoints get nothing new.",
+            description="Zones whose endpoints get no new requests.",
             read=lambda: len(view.directory.evacuations.list_evacuated()),
         )
         yield Gauge(
             name="chivetrack.router.requests_in_evacuated_zones",
             unit="{request}",
-            description="Requests of this router that still run there.",
+            description="Requests of this router that still run in evacuated zones.",
             read=lambda: view.count_running_in(view.directory.evacuations.list_evacuated()),
         )
 
@@ -159,10 +159,10 @@
         application: Callable[..., Any],
         listener: socket.socket | None = None,
     ) -> HttpServer:
-        where = (address.host, address.port)
-        is_open = listener is not None and listener.getsockname() == where
+        host_and_port = (address.host, address.port)
+        is_open = listener is not None and listener.getsockname() == host_and_port
         return HttpServer(
-            address=where,
+            address=host_and_port,
             application=application,
             is_closing=self._stop_requested.is_set,
             listener=listener if is_open else None,
@@ -179,17 +179,17 @@
         return app
 
     def is_ready(self) -> bool:
-        """Return whether the balancer may send connections here."""
+        """Return whether the load balancer may send connections to this router."""
         return (
             not self._stop_requested.is_set() and self.view.table is not None and self.view.has_view
         )
 
-    def _note_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
+    def _record_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
         self._metrics.record_answer(record.endpoint_id, facts)
         self.view.record_answer(record, facts)
 
     def _handle_crash(self, reports: Sequence[CrashReport]) -> None:
-        """Immediately report the requests that were running at an endpoint when it crashed."""
+        """Report the requests that were running at a crashed endpoint without delay."""
         self._metrics.count_crash()
         now = time.monotonic()
         self.view.crashes.note_crash(reports, now=now)
@@ -210,16 +210,16 @@
         self._events.write("endpoints_unreadable", replica=replica, detail=detail)
 
     def _handle_message(self, source: str, message: Message) -> None:
-        take = self._message_handlers.get(type(message))
-        if take is not None:
-            take(source, message)
+        handler = self._message_handlers.get(type(message))
+        if handler is not None:
+            handler(source, message)
 
     def _list_message_handlers(self) -> Iterator[tuple[type[Message], Callable[[str, Any], None]]]:
         yield View, self._handle_view
         yield EndpointUpdate, self._handle_endpoints
         yield SilentUpdate, self._handle_silent
         yield LoadUpdate, self._handle_loads
-        yield PermitAnswer, lambda source, answer: self._permits.take(answer)
+        yield PermitAnswer, lambda source, answer: self._permits.handle_answer(answer)
         yield DocumentSent, lambda source, sent: self.subscriber.take_document(sent)
         yield FetchElsewhere, self._handle_referral
         yield FetchDocument, self._answer_fetch
@@ -287,7 +287,7 @@
             gevent.sleep(0.1 if due is None else max(0.005, due - time.monotonic()))
 
     def run(self) -> int:
-        """Serve until SIGTERM, finish what is in flight, and return how much was cut."""
+        """Serve until SIGTERM, then stop; return the number of requests cut by the exit."""
         gevent.signal_handler(signal.SIGTERM, self._stop_requested.set)
         gevent.signal_handler(signal.SIGHUP, self._log_reload)
         with self._serve():
@@ -308,8 +308,8 @@
         for at in (began + STOP_IDLE_AFTER_S, window.accepts_until):
             gevent.sleep(max(0.0, min(at, ends_at) - time.monotonic()))
             self._callers.close_idle()
-        # New connections are still accepted: left in the kernel's queue, their callers
-        # would wait for the exit.
+        # Keep accepting new connections: callers whose connections stayed in the kernel's
+        # accept queue would get no answer until the process exits.
         while self.request_handler.open_count and time.monotonic() < ends_at:
             gevent.sleep(_POLL_S)
         cut = self.request_handler.open_count
--- a/tests/daemon/fleet/scripted.py
+++ b/tests/daemon/fleet/scripted.py
@@ -1,4 +1,4 @@
-"""An endpoint that answers with the bytes it is told to, and a call to send to it."""
+"""An endpoint that answers with scripted bytes, and a call to send to it."""
 
 import contextlib
 import socket
@@ -22,24 +22,24 @@
 def make_answer(
     body: bytes = b"hello", status: str = "200 OK", *lines: str, length: int | None = None
 ) -> bytes:
-    """Return a whole answer with the marks of an endpoint."""
+    """Return a complete answer with the seal and the echoed id of an endpoint."""
     head = [f"HTTP/1.1 {status}", *(lines or (SEAL, ECHO))]
     head.append(f"Content-Length: {len(body) if length is None else length}")
     return "\r\n".join(head).encode() + b"\r\n\r\n" + body
 
 
 def make_chunks(*chunks: bytes, ends: bool = True) -> bytes:
-    """Return a chunked answer."""
+    """Return a chunked answer, without the last chunk unless ``ends``."""
     head = "\r\n".join(["HTTP/1.1 200 OK", SEAL, ECHO, "Transfer-Encoding: chunked"])
     body = b"".join(b"%x\r\n%b\r\n" % (len(chunk), chunk) for chunk in chunks)
     return head.encode() + b"\r\n\r\n" + body + (b"0\r\n\r\n" if ends else b"")
 
 
 class ScriptedEndpoint:
-    """Serves one script after the other; each gets the connection and the request."""
+    """Serves one script per request, in order; a callable gets the connection."""
 
     def __init__(self, *scripts: Callable[[socket.socket], None] | bytes) -> None:
-        """Start listening; a script of bytes is an answer that keeps the connection."""
+        """Start listening; a script of bytes is sent and leaves the connection open."""
         self._scripts = list(scripts)
         self.requests: list[bytes] = []
         self.connections = 0
@@ -117,27 +117,27 @@
 
 
 class Caller:
-    """What a caller has got."""
+    """Records the answer that a caller receives."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start without an answer."""
         self.status = 0
         self.headers: dict[str, str] = {}
         self.body = b""
 
     def start_response(self, line: str, headers: list[tuple[str, str]]) -> Any:
-        """Take the head."""
+        """Record status and headers; return the function that records the body."""
         self.status = int(line.split()[0])
         self.headers = dict(headers)
-        return self.take
+        return self.write
 
-    def take(self, data: bytes) -> None:
-        """Take bytes of the body."""
+    def write(self, data: bytes) -> None:
+        """Append bytes to the body."""
         self.body += data
 
 
 def make_call(caller: Caller, route: Route | None = None, **changes: Any) -> Call:
-    """Return a call that has two seconds."""
+    """Return a call that times out after two seconds."""
     now = time.monotonic()
     fields: dict[str, Any] = {
         "facts": RequestFacts(request_id="q1"),
@@ -156,6 +156,6 @@
 
 
 def make_choice(address: str) -> Choice:
-    """Return an endpoint as chosen."""
+    """Return a choice of the endpoint at ``address``."""
     record = make_record(endpoint_id=f"e-{address}", address=address, service="portal")
     return Choice(record=record, missing_tokens=0, running=0, cost_ms=0.0)
--- a/tests/daemon/fleet/test_crashes.py
+++ b/tests/daemon/fleet/test_crashes.py
@@ -52,12 +52,12 @@
             self.probed.append(address)
             return result
 
-        def note(reports: Sequence[CrashReport]) -> None:
+        def record_crash(reports: Sequence[CrashReport]) -> None:
             self.crashes.append((reports[0].endpoint_id, len(reports)))
 
         return CrashDetector(
             events=EventLog(instance="r"),
-            note_crash=note,
+            on_crash=record_crash,
             is_lost_or_replaced=lambda record: self.is_lost_or_replaced,
             probe=probe,
         )
--- a/tests/daemon/fleet/test_fleet_view.py
+++ b/tests/daemon/fleet/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""What a router believes after the words of replicas and its own tries."""
+"""Tests of the router's view after messages of replicas and its own attempts."""
 
 import unittest
 from typing import Any
@@ -46,7 +46,7 @@
         )
         self.view.take_document(1, b"")
 
-    def take(self, *records: Any, **changes: Any) -> None:
+    def apply_view(self, *records: Any, **changes: Any) -> None:
         for record in records:
             self.view.directory.table.merge(record, now=0.0)
         self.view.handle_view(make_view(*records, **changes))
@@ -62,16 +62,17 @@
             ZoneState(zone=one, is_evacuated=True, revision=revision, since=0) for one in zones
         ]
         last = ZoneState(zone="other", is_evacuated=False, revision=revision, since=0)
-        self.take(evacuations=Evacuations(zones=(*states, last)))
+        self.apply_view(evacuations=Evacuations(zones=(*states, last)))
 
 
 class FleetViewTest(FleetViewCase):
-    def test_first_word_brings_endpoints_and_what_they_have_cached(self) -> None:
-        """A router has just started; one message names the engines and their dossiers.
+    def test_first_view_brings_endpoints_and_their_cached_parts(self) -> None:
+        """Guards against placements that are dropped by the view that brought them.
 
-        What is known of an engine is dropped as it appears, since it may have restarted.
-        Done after the placements were taken, that threw them away, and dossiers were read
-        again all over the fleet after a restart.
+        The first view after a router's start contains the engines and the prompt parts they
+        have cached. What is recorded of an engine is dropped as it appears, since it may have
+        restarted. When this came after the placements were applied, they were lost, and
+        prompts were processed again in the whole fleet after a restart.
         """
         records = [make_record(endpoint_id=f"e{number}") for number in range(6)]
         for number in range(6):
@@ -80,7 +81,7 @@
                 PlacedPart(part="s:512", endpoint_id=f"e{number}", age_s=9.0),
                 PlacedPart(part="d:10000", endpoint_id=f"e{number}", age_s=9.0),
             )
-            self.take(*records, placed=placed)
+            self.apply_view(*records, placed=placed)
             parts = (PromptPart("s", 512), PromptPart("d", 10_000), PromptPart("o", 3))
             self.assertEqual(self.choose("llm", *parts), f"e{number}")
 
@@ -93,37 +94,39 @@
 
     def test_callers_are_sent_elsewhere_only_while_half_of_the_routers_stay(self) -> None:
         """Guards against callers sent from one stopping router to another that stops too."""
-        self.take(routers=8, stopping=4)
+        self.apply_view(routers=8, stopping=4)
         self.assertTrue(self.view.do_others_accept)
-        self.take(routers=8, stopping=5)
+        self.apply_view(routers=8, stopping=5)
         self.assertFalse(self.view.do_others_accept)
 
-    def test_leaving_lost_and_misdirected_endpoints_get_nothing(self) -> None:
+    def test_leaving_lost_and_misdirected_endpoints_get_no_requests(self) -> None:
         record = make_record(service="portal")
-        self.take(record)
+        self.apply_view(record)
         self.assertEqual(self.choose("portal"), "e1")
         self.view.health.record_misdirected("e1")
         self.assertEqual(self.choose("portal"), "")
-        self.take(make_record(1, service="portal", born=2000), change=2)
+        self.apply_view(make_record(1, service="portal", born=2000), change=2)
         self.assertEqual(self.choose("portal"), "e1")
         for number, state in enumerate((EndpointState.DRAINING, EndpointState.LOST), start=2):
-            self.take(make_record(number, service="portal", born=2000, state=state), change=number)
+            self.apply_view(
+                make_record(number, service="portal", born=2000, state=state), change=number
+            )
             self.assertEqual(self.choose("portal"), "")
         self.assertIn("e1", self.forgotten)
 
-    def test_evacuated_zone_gets_nothing_new(self) -> None:
-        """Operators empty a zone; its endpoints stay up and go on announcing themselves.
+    def test_evacuated_zone_gets_no_new_requests(self) -> None:
+        """Guards against requests to an evacuated zone before the evacuation is revoked.
 
-        A replica that lags sends an older state, and an endpoint of the zone announces
-        itself anew: neither may bring requests back before the zone is taken back.
+        Endpoints of the zone keep running and announcing themselves. Neither an older state
+        from a lagging replica nor a new announcement may bring requests back.
         """
         near = make_record(service="portal", zone="z1")
         far = make_record(service="portal", endpoint_id="e2", zone="z2")
-        self.take(near, far)
+        self.apply_view(near, far)
         self.evacuate(5, "z1")
         self.assertIn("e1", self.forgotten)
         self.evacuate(4)
-        self.take(make_record(3, service="portal", zone="z1", software="v2"), change=3)
+        self.apply_view(make_record(3, service="portal", zone="z1", software="v2"), change=3)
         self.assertEqual({self.choose("portal") for _ in range(9)}, {"e2"})
         self.evacuate(6, "z1", "z2")
         self.assertEqual(self.choose("portal"), "")
@@ -132,7 +135,7 @@
         self.assertEqual(self.choose("portal"), "e1")
 
     def test_running_requests_of_an_evacuated_zone_are_counted_and_stay(self) -> None:
-        self.take(make_record(service="portal", zone="z1"))
+        self.apply_view(make_record(service="portal", zone="z1"))
         call = make_call(Caller(), service="portal")
         choice = self.view.choose(call)
         assert choice is not None
@@ -141,12 +144,13 @@
             self.assertEqual(self.view.count_running_in(("z1",)), 1)
         self.assertEqual(self.view.count_running_in(("z1",)), 0)
 
-    def test_engine_of_an_evacuated_zone_hands_its_cache_on(self) -> None:
-        """Engines fetch from each other without a request of ours.
+    def test_engine_of_an_evacuated_zone_remains_a_cache_source(self) -> None:
+        """Guards against losing the caches of an evacuated zone as sources.
 
-        Left out as sources, the dossiers of a whole zone would be read again elsewhere.
+        Engines fetch cached parts from each other without a request of the router. Without
+        these sources, all prompts cached in the zone would be processed again elsewhere.
         """
-        self.take(make_record(zone="z1"), make_record(endpoint_id="e2", zone="z2"))
+        self.apply_view(make_record(zone="z1"), make_record(endpoint_id="e2", zone="z2"))
         self.view.table = RouteTable(
             document=make_document(
                 services=(
@@ -162,7 +166,7 @@
             PlacedPart(part="s:512", endpoint_id="e1", age_s=1.0),
             PlacedPart(part="d:10000", endpoint_id="e1", age_s=1.0),
         )
-        self.take(placed=placed)
+        self.apply_view(placed=placed)
         self.evacuate(5, "z1")
         facts = RequestFacts(request_id="q", parts=parts, prompt_tokens=10_515)
         choice = self.view.choose(make_call(Caller(), service="llm", facts=facts))
@@ -171,13 +175,13 @@
         self.assertEqual(choice.fetch_from, "127.0.0.1:80")
 
     def test_breaker_of_an_endpoint_that_fails(self) -> None:
-        """One of two endpoints fails and gets nothing; when both fail, both are tried.
+        """A failing endpoint gets no requests; if both endpoints fail, both get requests.
 
-        A service whose endpoints fail four requests of ten serves the other six. Refused by
-        the router without a try, all ten would be lost.
+        A service whose endpoints fail four of ten requests still serves the other six. If
+        the router refused them without an attempt, all ten would be lost.
         """
         first = make_record(service="portal")
-        self.take(first, make_record(service="portal", endpoint_id="e2"))
+        self.apply_view(first, make_record(service="portal", endpoint_id="e2"))
         for _ in range(20):
             self.view.health.record_outcome("e1", SendEnd.REFUSED)
         self.assertIn("e1", {self.choose("portal"), "e1"})
@@ -189,18 +193,19 @@
         self.assertNotEqual(self.choose("portal"), "")
 
     def test_endpoint_that_fails_at_other_routers(self) -> None:
-        """An engine has crashed; this router has not sent it anything for seconds.
+        """Guards against sending requests to an endpoint that fails at other routers.
 
-        The others have, and say so. Its next request would be one more that fails.
+        An engine has crashed. This router has sent it no request for seconds, but others
+        have and report failures; another request to it would fail as well.
         """
         records = [make_record(service="portal", endpoint_id=f"e{n}") for n in range(4)]
         failed = EndpointLoad(endpoint_id="e1", running=0, failed=9)
-        self.take(*records, loads=(failed,))
+        self.apply_view(*records, loads=(failed,))
         chosen = [self.choose("portal") for _ in range(40)]
         self.assertLess(chosen.count("e1"), 10)
 
-    def test_word_to_others_tells_how_tries_ended(self) -> None:
-        self.take(make_record(service="portal"))
+    def test_report_to_others_contains_outcomes_of_attempts(self) -> None:
+        self.apply_view(make_record(service="portal"))
         self.view.health.record_outcome("e1", None)
         self.view.health.record_outcome("e1", SendEnd.NOT_SENT)
         (load,) = self.view.get_news().loads
@@ -209,7 +214,7 @@
     def test_readiness(self) -> None:
         self.assertFalse(self.view.has_view)
         self.view.wait_until_ready(0.01)
-        self.take(make_record())
+        self.apply_view(make_record())
         self.assertTrue(self.view.has_view)
         self.view.wait_until_ready(5.0)
 
--- a/tests/daemon/fleet/test_forwarder.py
+++ b/tests/daemon/fleet/test_forwarder.py
@@ -1,4 +1,4 @@
-"""What a caller gets when an endpoint answers rightly, wrongly, twice or not at all."""
+"""Tests of what a caller receives for valid, invalid, duplicate and missing answers."""
 
 import contextlib
 import socket
@@ -90,11 +90,12 @@
 
 
 class SilentEndpointTest(ForwarderCase):
-    def test_silent_endpoint_is_given_up_while_time_is_left(self) -> None:
-        """An endpoint takes a status request and loses power; its connection stays open.
+    def test_silent_endpoint_is_abandoned_while_time_is_left(self) -> None:
+        """Guards against waiting for a powered-off endpoint until the caller's deadline.
 
-        The caller waits two seconds. Waited for to the end, the request is lost although
-        it may run again; given up after a tenth of a second, it is answered elsewhere.
+        The endpoint loses power after it received a request that may be retried; the
+        connection stays open. The caller waits two seconds: abandoned after the wait limit of
+        a tenth of a second, the request can still be answered by another endpoint.
         """
         self.is_silent = True
         endpoint = self.open(answer_after(1.0, make_answer(b"late")))
@@ -111,10 +112,10 @@
         self.assertEqual(self.caller.body, b"late")
         self.assertGreaterEqual(self.overdue, 2)
 
-    def test_what_must_not_run_twice_is_waited_for(self) -> None:
-        """The same endpoint has a quote; sent elsewhere it might be billed twice.
+    def test_request_that_must_not_run_twice_waits(self) -> None:
+        """Guards against running a request twice that might be billed twice.
 
-        That it is overdue is noted at once, so that others keep away from the endpoint.
+        The endpoint is still recorded as overdue at once, so that other requests avoid it.
         """
         self.is_silent = True
         endpoint = self.open(answer_after(0.3, make_answer(b"late")))
@@ -124,21 +125,24 @@
 
 
 class RankTest(ForwarderCase):
-    def test_engines_are_told_the_rank(self) -> None:
-        """Four times the load of a usual hour; engines queue, and begin the urgent first.
+    def test_request_to_engine_carries_the_priority(self) -> None:
+        """Guards against engines that queue requests without regard to urgency.
 
-        Without a rank a status line would go before a summary that is due in half a second.
+        At four times the usual load engines queue requests and start urgent ones first.
+        Without a priority, a status line could start before a summary due in half a second.
         """
         facts = RequestFacts(request_id="q1", parts=(PromptPart("a", 5),), prompt_tokens=5)
         cases = ((2, None, b"2"), (2, 0, b"0"), (2, 44, b"9"))
-        for of_route, of_workspace, told in cases:
+        for of_route, of_workspace, expected in cases:
             endpoint = self.open(make_answer())
             workspace = Workspace(name="w", keys=(), priority=of_workspace)
             route = make_route(priority=of_route)
             self.send(endpoint, route=route, workspace=workspace, facts=facts)
-            self.assertIn(b"X-Chivetrack-Request-Priority: " + told + b"\r\n", endpoint.requests[0])
+            self.assertIn(
+                b"X-Chivetrack-Request-Priority: " + expected + b"\r\n", endpoint.requests[0]
+            )
 
-    def test_plain_services_have_no_rank(self) -> None:
+    def test_request_to_plain_service_carries_no_priority(self) -> None:
         endpoint = self.open(make_answer())
         self.send(endpoint)
         self.assertNotIn(b"Request-Priority", endpoint.requests[0])
@@ -155,11 +159,11 @@
         self.assertTrue(request.startswith(b"POST /a/b%20c?x=1 HTTP/1.1\r\n"))
         self.assertTrue(request.endswith(b"Content-Length: 4\r\n\r\nbody"))
 
-    def test_answers_that_are_not_whole_or_not_the_endpoints_own(self) -> None:
-        """An endpoint breaks off, spoils or forges its answer.
+    def test_incomplete_and_forged_answers(self) -> None:
+        """Guards against relaying a truncated, corrupted or forged answer as a success.
 
-        The caller must never take any of it for a success. Nothing was sent to it yet, so
-        the try ends as one that may have run, and the caller's status stays open.
+        Nothing was sent to the caller yet, so the attempt ends as one that may have run and
+        the caller's status is still undecided.
         """
         cases = {
             "nothing": close_after(b""),
@@ -188,7 +192,7 @@
         self.assertTrue(result.is_answered)
         self.assertEqual(self.caller.body, b"hello")
 
-    def test_endpoint_that_did_not_run_it(self) -> None:
+    def test_answer_that_the_request_did_not_run(self) -> None:
         for status in ("503 Unavailable", "429 Too Many"):
             answer = make_answer(b"", status, "X-Chivetrack-Not-Executed: 1", "Retry-After: 2")
             result = self.send(self.open(answer))
@@ -196,14 +200,14 @@
             self.assertEqual(result.retry_after_s, 2.0)
         self.assertIs(self.send(self.open(make_answer(b"", "421 No"))).end, SendEnd.REFUSED)
 
-    def test_failure_is_held_back_only_if_another_try_may_follow(self) -> None:
+    def test_failure_is_withheld_only_if_a_retry_may_follow(self) -> None:
         for may_retry in (True, False):
             failure = make_answer(b"oops", "500 Error", SEAL, ECHO)
             result = self.send(self.open(failure), may_retry=may_retry)
             self.assertEqual(result.is_answered, not may_retry)
             self.assertEqual(self.caller.status, 0 if may_retry else 500)
 
-    def test_nobody_listens(self) -> None:
+    def test_refused_connection_is_not_sent(self) -> None:
         endpoint = self.open(b"")
         endpoint.stop()
         self.assertIs(self.send(endpoint).end, SendEnd.NOT_SENT)
@@ -217,11 +221,11 @@
         self.assertEqual(self.caller.body, b"again")
         self.assertEqual(endpoint.connections, 1)
 
-    def test_late_second_answer_belongs_to_nobody(self) -> None:
-        """An endpoint answers a request twice; the second answer comes late.
+    def test_late_duplicate_answer_is_discarded(self) -> None:
+        """Guards against giving a caller the answer to another caller's request.
 
-        The next caller's request goes out on the same connection and would be given the
-        answer of the one before. The echoed id shows it; it is skipped.
+        An endpoint answers a request twice. The next caller's request goes out on the same
+        connection before the duplicate arrives. The echoed request id reveals it.
         """
         endpoint = self.open(
             make_answer(),
@@ -239,7 +243,7 @@
         self.assertEqual(self.caller.body, b"again")
         self.assertEqual(endpoint.connections, 2)
 
-    def test_connection_that_the_endpoint_has_closed(self) -> None:
+    def test_connection_closed_by_the_endpoint_is_replaced(self) -> None:
         endpoint = self.open(close_after(make_answer()), make_answer(b"again"))
         self.send(endpoint)
         time.sleep(0.05)
@@ -247,10 +251,11 @@
         self.assertEqual(endpoint.connections, 2)
 
     def test_answer_before_a_long_body_was_read(self) -> None:
-        """An endpoint rejects a long request early, and reads its body on later.
+        """Guards against reusing a connection whose request body was not read completely.
 
-        If the connection were kept, the next request would arrive in the midst of that
-        body. It is closed instead, and the caller has its answer at once.
+        An endpoint rejects a long request early and reads its body later. On a reused
+        connection the next request would be read as part of that body, so the connection
+        is closed; the caller has its answer at once.
         """
         rejected = make_answer(b"", "413 Too Large", SEAL, ECHO)
 
@@ -266,16 +271,17 @@
 
 
 class StreamTest(ForwarderCase):
-    def test_events_pass_as_they_come(self) -> None:
+    def test_events_are_relayed_unchanged(self) -> None:
         endpoint = self.open(make_chunks(make_event(1), make_event(2) + make_event(3)))
         self.assertTrue(self.send(endpoint, route=STREAM).is_answered)
         self.assertEqual(self.caller.body, b"".join(make_event(n) for n in (1, 2, 3)))
 
-    def test_stream_goes_on_at_another_endpoint(self) -> None:
-        """An engine dies in the middle of the third event of a stream that may resume.
+    def test_stream_resumes_at_another_endpoint(self) -> None:
+        """Guards against gaps and duplicates when a stream resumes at another engine.
 
-        The caller has two events. The half of the third stays here; the next engine is
-        told the last id, and what it sends is joined without a gap and without a repeat.
+        An engine crashes in the middle of the third event. The caller has two events; the
+        incomplete third is discarded. The next engine receives the last event id and
+        continues after it.
         """
         half = make_event(3)[:7]
         broken = self.open(close_after(make_chunks(make_event(1), make_event(2), half, ends=False)))
@@ -288,7 +294,7 @@
         self.assertIn(b"Last-Event-Id: 2\r\n", other.requests[0])
         self.assertEqual(self.caller.body, b"".join(make_event(n) for n in (1, 2, 3, 4)))
 
-    def test_end_in_the_middle_of_an_event_is_no_end(self) -> None:
+    def test_end_in_the_middle_of_an_event_is_a_broken_answer(self) -> None:
         endpoint = self.open(make_chunks(make_event(1), make_event(2)[:5]))
         result = self.send(endpoint, route=ONCE)
         self.assertIs(result.end, SendEnd.MAYBE_RAN)
--- a/tests/daemon/fleet/test_permits.py
+++ b/tests/daemon/fleet/test_permits.py
@@ -1,4 +1,4 @@
-"""Requests for cold endpoints: who may send one, and what becomes of the others."""
+"""Tests of permits for requests to cold endpoints."""
 
 import unittest
 from typing import Any
@@ -20,13 +20,13 @@
 
 
 class PermitCase(FleetViewCase):
-    """A router beside one replica that answers as the test says."""
+    """A router with one replica that answers with the waits set by the test."""
 
     def setUp(self) -> None:
         super().setUp()
         self.view.table = RouteTable(document=make_document(services=(LIMITED,)))
         self.waits: dict[str, float] = {}
-        self.asked: list[str] = []
+        self.requested: list[str] = []
         self.is_lost = False
         self.client = PermitClient(
             view=self.view,
@@ -37,56 +37,58 @@
 
     def send(self, target: str, message: Message) -> None:
         assert isinstance(message, AskPermit)
-        self.asked.append(message.endpoint_id)
+        self.requested.append(message.endpoint_id)
         wait_s = self.waits.get(message.endpoint_id, 0.0)
         if not self.is_lost:
-            gevent.spawn(self.client.take, PermitAnswer(number=message.number, wait_s=wait_s))
+            gevent.spawn(
+                self.client.handle_answer, PermitAnswer(number=message.number, wait_s=wait_s)
+            )
 
-    def take_cold(self, *endpoint_ids: str, **changes: Any) -> None:
+    def apply_cold(self, *endpoint_ids: str, **changes: Any) -> None:
         records = [
             make_record(service="portal", endpoint_id=one, cold_s=3.0, **changes)
             for one in endpoint_ids
         ]
-        self.take(*records)
+        self.apply_view(*records)
 
 
 class PermitDeskTest(PermitCase):
-    def test_warm_endpoints_are_not_asked_for(self) -> None:
-        self.take(make_record(service="portal"))
+    def test_warm_endpoints_need_no_permit(self) -> None:
+        self.apply_view(make_record(service="portal"))
         self.assertTrue(self.client.allows("portal", "e1"))
-        self.assertEqual(self.asked, [])
+        self.assertEqual(self.requested, [])
 
     def test_cold_endpoint_of_a_service_without_a_limit(self) -> None:
         self.view.table = RouteTable(document=make_document())
-        self.take_cold("e1")
+        self.apply_cold("e1")
         self.assertTrue(self.client.allows("portal", "e1"))
-        self.assertEqual(self.asked, [])
+        self.assertEqual(self.requested, [])
 
-    def test_refused_endpoint_is_left_out_until_its_turn(self) -> None:
-        """The replica says when to ask again; every request until then goes elsewhere at once."""
-        self.take_cold("e1")
-        self.take(make_record(service="portal", endpoint_id="e2"))
+    def test_refused_endpoint_is_excluded_until_its_wait_ends(self) -> None:
+        """The replica's answer contains a wait; until it ends, requests go to other endpoints."""
+        self.apply_cold("e1")
+        self.apply_view(make_record(service="portal", endpoint_id="e2"))
         self.waits["e1"] = 0.2
         self.assertFalse(self.client.allows("portal", "e1"))
         self.assertEqual({self.choose("portal") for _ in range(9)}, {"e2"})
-        self.assertEqual(self.asked, ["e1"])
+        self.assertEqual(self.requested, ["e1"])
         gevent.sleep(0.25)
         self.view.health.record_misdirected("e2")
         self.assertEqual(self.choose("portal"), "e1")
 
     def test_replica_that_does_not_answer(self) -> None:
-        """A router that is cut off from its replica sends nothing to cold endpoints.
+        """A router partitioned from its replica sends no requests to cold endpoints.
 
-        What it sent on its own would come on top of what the others are granted.
+        Its requests would exceed the rate that the replica grants to all routers together.
         """
-        self.take_cold("e1")
+        self.apply_cold("e1")
         self.is_lost = True
         self.assertFalse(self.client.allows("portal", "e1"))
         self.assertEqual(self.choose("portal"), "")
 
-    def test_request_asks_twice_and_then_goes_to_a_warm_endpoint(self) -> None:
-        self.take_cold("e1", "e2", "e3")
-        self.take(make_record(service="portal", endpoint_id="e4"))
+    def test_request_refused_by_two_cold_endpoints_goes_to_a_warm_one(self) -> None:
+        self.apply_cold("e1", "e2", "e3")
+        self.apply_view(make_record(service="portal", endpoint_id="e4"))
         call = make_call(Caller(), service="portal")
         call.passed_over |= {"e1", "e2"}
         choice = self.view.choose(call)
@@ -94,8 +96,8 @@
         self.assertEqual(choice.record.endpoint_id, "e4")
 
     def test_all_endpoints_are_cold(self) -> None:
-        """A request waits for the first turn, and is given up where there is no endpoint."""
-        self.take_cold("e1", "e2")
+        """The shortest wait counts; a service without endpoints has none."""
+        self.apply_cold("e1", "e2")
         call = make_call(Caller(), service="portal")
         for endpoint_id, wait_s in (("e1", 0.4), ("e2", 0.2)):
             self.waits[endpoint_id] = wait_s
@@ -105,12 +107,13 @@
         self.assertAlmostEqual(wait, 0.2, delta=0.1)
         self.assertIsNone(self.view.find_permit_wait(make_call(Caller(), service="llm")))
 
-    def test_zone_that_is_taken_back_counts_as_cold(self) -> None:
-        """The operators take a zone back; its endpoints became cold a moment before.
+    def test_zone_whose_evacuation_is_revoked_counts_as_cold(self) -> None:
+        """Guards against a burst at cold endpoints when a zone's evacuation is revoked.
 
-        Their heartbeats will say so in a second. All routers find them idle at once.
+        The endpoints became cold a moment before, and their heartbeats report it only a
+        second later; until then all routers would see them idle and choose them at once.
         """
-        self.take(make_record(service="portal", zone="z1"))
+        self.apply_view(make_record(service="portal", zone="z1"))
         self.evacuate(5, "z1")
         self.evacuate(6)
         self.waits["e1"] = 0.5
