--- a/chivetrack/daemon/fleet/calls.py
+++ b/chivetrack/daemon/fleet/calls.py
@@ -100,7 +100,7 @@
     service: str
     connected_at: float = 0.0
     fingerprint: bytes = b""
-    tries: list[Tried] = field(default_factory=list)
+    attempts: list[Tried] = field(default_factory=list)
     last_event_id: str = ""
     first_event_at: float | None = None
     placed: Placed | None = None
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -304,7 +304,7 @@
     def _list_candidates(
         self, call: Call, records: Sequence[EndpointRecord], is_limited: bool, now: float
     ) -> list[Candidate]:
-        tried = {one.endpoint_id for one in call.tries}
+        tried = {one.endpoint_id for one in call.attempts}
         untried = [
             Candidate(
                 record=record,
@@ -351,7 +351,7 @@
         The result is ``None`` if no untried cold endpoint is left.
         """
         now = time.monotonic()
-        tried = {one.endpoint_id for one in call.tries}
+        tried = {one.endpoint_id for one in call.attempts}
         waits = [
             self.directory.cold.find_wait(record.endpoint_id, now)
             for record in self.directory.list_ready(call.service)
--- a/chivetrack/daemon/fleet/refusals.py
+++ b/chivetrack/daemon/fleet/refusals.py
@@ -53,7 +53,7 @@
 
     def refuse_during_stop(self, call: Call, choice: Choice) -> bool:
         """Refuse a request that has not run and would probably be cut by the exit."""
-        if self.window is None or may_have_run(call.tries):
+        if self.window is None or may_have_run(call.attempts):
             return False
         now = time.monotonic()
         expected_s = self._view.placement.expect_complete_s(choice, call.facts)
@@ -76,7 +76,7 @@
         quarantined = self._view.find_quarantined(call)
         if quarantined is None:
             return False
-        fault = make_fault(has_run=may_have_run(call.tries))
+        fault = make_fault(has_run=may_have_run(call.attempts))
         self._log.write_rejected(
             call.facts,
             fault,
@@ -84,7 +84,7 @@
             fingerprint=call.fingerprint.hex(),
             since=quarantined.since,
             crashed=quarantined.crashes,
-            tries=len(call.tries),
+            tries=len(call.attempts),
         )
         if call.reply.is_started:
             raise AnswerCutError("the request was quarantined during its answer")
--- a/chivetrack/daemon/fleet/request_log.py
+++ b/chivetrack/daemon/fleet/request_log.py
@@ -62,7 +62,7 @@
             fetch_from=choice.fetch_from,
             running=choice.running,
             cost_ms=round(choice.cost_ms),
-            tries=len(call.tries),
+            tries=len(call.attempts),
             max_output=call.facts.max_output_tokens,
             expected_output=call.facts.expected_tokens,
             **self._describe_stop(call),
@@ -80,7 +80,7 @@
 
     def write_attempt(self, call: Call, choice: Choice, outcome: str, detail: str) -> None:
         """Write how an attempt ended; an answered first attempt is not logged separately."""
-        if outcome == "answered" and not call.tries:
+        if outcome == "answered" and not call.attempts:
             return
         self._events.write(
             "try_ended",
@@ -102,7 +102,7 @@
             request=call.facts.request_id,
             why=why,
             status=fault.status,
-            tries=len(call.tries),
+            tries=len(call.attempts),
             candidates=self._view.count_candidates(call.service),
             evacuated=self._view.directory.evacuations.list_evacuated(),
             pause_s=round(pause_s, 2),
@@ -119,7 +119,7 @@
             outcome=outcome,
             status=call.reply.status,
             fingerprint=call.fingerprint.hex(),
-            tries=len(call.tries),
+            tries=len(call.attempts),
             sent=call.reply.bytes_sent,
             ms=round((now - call.came_at) * 1000),
             first_ms=None if first is None else round((first - call.came_at) * 1000),
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -197,7 +197,7 @@
         self._end(call, "timeout")
         if call.reply.is_started:
             raise AnswerCutError("the request timed out during its answer")
-        if not may_have_run(call.tries):
+        if not may_have_run(call.attempts):
             call.reply.refuse(_make_refusal("timeout", 503, NO_ENDPOINT_RETRY_S))
             return
         message = "The request timed out; it may have run."
@@ -213,7 +213,7 @@
                 return
             if self._refusals.refuse_during_stop(call, choice):
                 return
-            if not call.tries and self._refusals.refuse_infeasible(call, choice):
+            if not call.attempts and self._refusals.refuse_infeasible(call, choice):
                 return
             if self._send(call, choice):
                 return
@@ -243,23 +243,23 @@
     def _may_send_again(self, call: Call) -> bool:
         left_s = call.ends_at - time.monotonic()
         has_budget = self._view.has_budget(call.service)
-        return may_send_again(call.route, call.tries, left_s=left_s, has_budget=has_budget)
+        return may_send_again(call.route, call.attempts, left_s=left_s, has_budget=has_budget)
 
     def _send(self, call: Call, choice: Choice) -> bool:
         """Send the request to one endpoint; return whether the caller has its answer."""
         endpoint_id = choice.record.endpoint_id
-        reached = any(one.end is not SendEnd.NOT_SENT for one in call.tries)
+        reached = any(one.end is not SendEnd.NOT_SENT for one in call.attempts)
         if reached:
             self._view.budgets[call.service].note_repeat(time.monotonic())
         may_retry = allows_another(
-            call.route, count_runs(call.tries) + 1
+            call.route, count_runs(call.attempts) + 1
         ) and self._view.has_budget(call.service)
         self._log.write_placed(call, choice)
         with self._view.use(call, choice) as placed:
             # If the request times out or the caller disconnects, this attempt may have run.
-            call.tries.append(Tried(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
+            call.attempts.append(Tried(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
             result = self._forwarder.send(call, choice, may_retry=may_retry)
-            call.tries.pop()
+            call.attempts.pop()
             placed.is_complete = result.is_answered and result.status < 500
         if placed.is_complete:
             self._view.crashes.note_answered(call.fingerprint, now=time.monotonic())
@@ -269,7 +269,7 @@
             )
             self._log.write_attempt(call, choice, "answered", f"status {result.status}")
             return True
-        call.tries.append(make_tried(choice, result))
+        call.attempts.append(make_tried(choice, result))
         if result.is_other_instance:
             self._view.health.record_misdirected(endpoint_id)
         self._view.health.record_outcome(endpoint_id, result.end)
@@ -283,7 +283,7 @@
             raise AnswerCutError("the stream can't be resumed at another endpoint")
         pause_s = self._view.find_shortest_pause(call.service)
         retry_after_s = max(NO_ENDPOINT_RETRY_S, pause_s)
-        fault = make_final_fault(call.tries, retry_after_s=retry_after_s)
+        fault = make_final_fault(call.attempts, retry_after_s=retry_after_s)
         self._log.write_given_up(call, fault, why=why, pause_s=pause_s)
         call.reply.refuse(fault)
 
