--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -46,7 +46,7 @@
             self.done.set()
 
 
-class Desk:
+class ControlHandler:
     """Answers operators from the log and endpoints from the table of announcements."""
 
     def __init__(
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -26,7 +26,7 @@
 from chivetrack.components.slow_start.permits import PermitBook
 from chivetrack.daemon.fleet.call_gate import CallGate
 from chivetrack.daemon.fleet.const import FLUSH_S, PRUNE_INTERVAL_S, STOP_CALLS_S, TRAFFIC_EVERY
-from chivetrack.daemon.fleet.desk import Desk
+from chivetrack.daemon.fleet.desk import ControlHandler
 from chivetrack.daemon.fleet.documents import DocumentDesk
 from chivetrack.daemon.fleet.gauges import Gauge
 from chivetrack.daemon.fleet.log_host import LogHost
@@ -90,7 +90,7 @@
             ),
             events=events,
         )
-        self._desk = Desk(
+        self._desk = ControlHandler(
             instance_id=own,
             documents=documents,
             zones=settings.fleet.zones,
