--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -25,7 +25,7 @@
 from chivetrack.components.quarantine.models import Quarantine
 from chivetrack.components.traffic.models import Document
 from chivetrack.daemon.fleet.const import SPREAD_WAIT_S
-from chivetrack.daemon.fleet.documents import DocumentDesk, make_unavailable
+from chivetrack.daemon.fleet.documents import DocumentHandler, make_unavailable
 from chivetrack.exceptions import Fault
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.events import EventLog
@@ -53,7 +53,7 @@
         self,
         *,
         instance_id: str,
-        documents: DocumentDesk,
+        documents: DocumentHandler,
         zones: Collection[str],
         list_replicas: Callable[[], tuple[str, ...]],
         table: EndpointTable,
--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -63,7 +63,7 @@
     return Fault(code=code, message=message, status=503, ran=Ran.NO, retry_after_s=_RETRY_S)
 
 
-class DocumentDesk:
+class DocumentHandler:
     """Serves operators at any replica; a revision of the log is a document's version here.
 
     A follower hands what it is asked on to the leader, packed, and answers itself. Were the
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -27,7 +27,7 @@
 from chivetrack.daemon.fleet.call_gate import CallGate
 from chivetrack.daemon.fleet.const import FLUSH_S, PRUNE_INTERVAL_S, STOP_CALLS_S, TRAFFIC_EVERY
 from chivetrack.daemon.fleet.desk import ControlHandler
-from chivetrack.daemon.fleet.documents import DocumentDesk
+from chivetrack.daemon.fleet.documents import DocumentHandler
 from chivetrack.daemon.fleet.gauges import Gauge
 from chivetrack.daemon.fleet.log_host import LogHost
 from chivetrack.daemon.fleet.metrics import Metrics, open_metrics_server
@@ -79,7 +79,7 @@
             started_at=time.monotonic(),
         )
         self._permits = PermitBook(started_at=time.monotonic())
-        documents = DocumentDesk(
+        documents = DocumentHandler(
             instance_id=own,
             control_port=listeners.control.port,
             host=self.host,
--- a/tests/daemon/fleet/test_documents.py
+++ b/tests/daemon/fleet/test_documents.py
@@ -15,7 +15,7 @@
 )
 from chivetrack.components.replica.models import NotLeaderFault
 from chivetrack.daemon.fleet import documents as documents_module
-from chivetrack.daemon.fleet.documents import DocumentDesk
+from chivetrack.daemon.fleet.documents import DocumentHandler
 from chivetrack.daemon.fleet.log_host import LogHost
 from chivetrack.exceptions import Fault
 from chivetrack.helpers.codec import Message, decode_as
@@ -59,7 +59,7 @@
         self.has_all_voters = True
         self.leads_since = 0.0
         self.replica = self
-        self.desk = DocumentDesk(
+        self.desk = DocumentHandler(
             instance_id=name,
             control_port=9,
             host=cast(LogHost, self),
