--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -41,7 +41,7 @@
     READ_TIMEOUT_S,
 )
 from chivetrack.daemon.fleet.log_host import LogHost
-from chivetrack.daemon.fleet.questions import Questions
+from chivetrack.daemon.fleet.questions import PendingRequests
 from chivetrack.exceptions import Fault, Ran
 from chivetrack.helpers.codec import Message, decode_as
 from chivetrack.helpers.events import EventLog
@@ -95,7 +95,7 @@
         self._send = send
         self._list_readers = list_readers
         self._events = events
-        self._questions = Questions[ProposalAnswer]()
+        self._questions = PendingRequests[ProposalAnswer]()
 
     def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
         """Commit a document and return the version in force."""
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -6,7 +6,7 @@
 from chivetrack.components.slow_start.const import ASK_TIMEOUT_S, UNANSWERED_S
 from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
 from chivetrack.daemon.fleet.fleet_view import FleetView
-from chivetrack.daemon.fleet.questions import Questions
+from chivetrack.daemon.fleet.questions import PendingRequests
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.events import EventLog
 
@@ -27,7 +27,7 @@
         self._find_replica = find_replica
         self._send = send
         self._events = events
-        self._questions = Questions[PermitAnswer]()
+        self._questions = PendingRequests[PermitAnswer]()
 
     def allows(self, service: str, endpoint_id: str) -> bool:
         """Return whether a request may be sent to an endpoint now.
--- a/chivetrack/daemon/fleet/questions.py
+++ b/chivetrack/daemon/fleet/questions.py
@@ -16,7 +16,7 @@
     answer: AnswerT | None = None
 
 
-class Questions(Generic[AnswerT]):
+class PendingRequests(Generic[AnswerT]):
     """Numbers questions, and hands each answer to whoever still waits for it."""
 
     def __init__(self) -> None:
--- a/tests/daemon/fleet/test_questions.py
+++ b/tests/daemon/fleet/test_questions.py
@@ -4,12 +4,12 @@
 
 import gevent
 
-from chivetrack.daemon.fleet.questions import Questions
+from chivetrack.daemon.fleet.questions import PendingRequests
 
 
 class QuestionsTest(unittest.TestCase):
     def test_answers_reach_those_who_asked(self) -> None:
-        questions = Questions[str]()
+        questions = PendingRequests[str]()
         numbers: list[int] = []
         asked = [
             gevent.spawn(questions.ask, numbers.append, timeout_s=1.0) for _ in ("first", "second")
@@ -20,7 +20,7 @@
         self.assertEqual([one.get() for one in asked], ["first", "second"])
 
     def test_answer_that_nobody_waits_for(self) -> None:
-        questions = Questions[str]()
+        questions = PendingRequests[str]()
         numbers: list[int] = []
         self.assertIsNone(questions.ask(numbers.append, timeout_s=0.01))
         questions.take(numbers[0], "late")
@@ -28,7 +28,7 @@
 
     def test_caller_that_leaves_while_its_question_waits(self) -> None:
         """The greenlet of a request is killed; its question must not stay for ever."""
-        questions = Questions[str]()
+        questions = PendingRequests[str]()
         asking = gevent.spawn(questions.ask, lambda number: None, timeout_s=9.0)
         gevent.sleep(0)
         self.assertEqual(len(questions), 1)
