--- a/chivetrack/daemon/fleet/questions.py
+++ b/chivetrack/daemon/fleet/questions.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class _Question(Generic[AnswerT]):
+class _PendingRequest(Generic[AnswerT]):
     done: Signal = field(default_factory=Signal)
     answer: AnswerT | None = None
 
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         """Start with none."""
         self._numbers = itertools.count(1)
-        self._open: dict[int, _Question[AnswerT]] = {}
+        self._open: dict[int, _PendingRequest[AnswerT]] = {}
 
     def __len__(self) -> int:
         """Return how many are waited for."""
@@ -31,7 +31,7 @@
     def ask(self, send: Callable[[int], None], *, timeout_s: float) -> AnswerT | None:
         """Send a question by its number; return the answer, ``None`` if none comes in time."""
         number = next(self._numbers)
-        question = self._open[number] = _Question()
+        question = self._open[number] = _PendingRequest()
         try:
             send(number)
             question.done.wait(timeout_s)
