--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -95,7 +95,7 @@
         self._send = send
         self._list_readers = list_readers
         self._events = events
-        self._questions = PendingRequests[ProposalAnswer]()
+        self._pending = PendingRequests[ProposalAnswer]()
 
     def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
         """Commit a document and return the version in force."""
@@ -245,7 +245,7 @@
         leader = self._host.get_leader()
         if not leader or leader == self._instance_id:
             return Error(self._refer())
-        answer = self._questions.ask(
+        answer = self._pending.ask(
             lambda number: self._send(leader, make_call(number)), timeout_s=FORWARD_TIMEOUT_S
         )
         if answer is None:
@@ -273,7 +273,7 @@
             return True
         if not isinstance(message, ProposalAnswer):
             return False
-        self._questions.take(message.number, message)
+        self._pending.take(message.number, message)
         return True
 
     def _answer(self, source: str, call: ForwardProposal | ForwardRead) -> None:
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -27,7 +27,7 @@
         self._find_replica = find_replica
         self._send = send
         self._events = events
-        self._questions = PendingRequests[PermitAnswer]()
+        self._pending = PendingRequests[PermitAnswer]()
 
     def allows(self, service: str, endpoint_id: str) -> bool:
         """Return whether a request may be sent to an endpoint now.
@@ -52,7 +52,7 @@
         replica = self._find_replica()
         if not replica:
             return UNANSWERED_S
-        answer = self._questions.ask(
+        answer = self._pending.ask(
             lambda number: self._send(
                 replica, AskPermit(number=number, endpoint_id=endpoint_id, per_s=per_s)
             ),
@@ -62,4 +62,4 @@
 
     def handle_answer(self, answer: PermitAnswer) -> None:
         """Handle a replica's answer; a permit that arrives after the timeout is lost."""
-        self._questions.take(answer.number, answer)
+        self._pending.take(answer.number, answer)
