--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -41,7 +41,7 @@
     READ_TIMEOUT_S,
 )
 from chivetrack.daemon.fleet.log_host import LogHost
-from chivetrack.daemon.fleet.questions import PendingRequests
+from chivetrack.daemon.fleet.pending_requests import PendingRequests
 from chivetrack.exceptions import Fault, Ran
 from chivetrack.helpers.codec import Message, decode_as
 from chivetrack.helpers.events import EventLog
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -6,7 +6,7 @@
 from chivetrack.components.slow_start.const import ASK_TIMEOUT_S, UNANSWERED_S
 from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
 from chivetrack.daemon.fleet.fleet_view import FleetView
-from chivetrack.daemon.fleet.questions import PendingRequests
+from chivetrack.daemon.fleet.pending_requests import PendingRequests
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.events import EventLog
 
--- a/tests/daemon/fleet/test_questions.py
+++ b/tests/daemon/fleet/test_questions.py
@@ -4,7 +4,7 @@
 
 import gevent
 
-from chivetrack.daemon.fleet.questions import PendingRequests
+from chivetrack.daemon.fleet.pending_requests import PendingRequests
 
 
 class QuestionsTest(unittest.TestCase):
