--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -38,7 +38,7 @@
 from chivetrack.helpers.events import EventLog
 from chivetrack.platform.control_api import build_control_app
 
-_LAST_WORDS_S = 0.2
+_FINAL_SENDS_WAIT_S = 0.2
 _POLL_S = 0.02
 
 
@@ -252,7 +252,7 @@
         self.host.hand_over()
         while self._gate.open_count and time.monotonic() < began + STOP_CALLS_S:
             gevent.sleep(_POLL_S)
-        gevent.sleep(_LAST_WORDS_S)
+        gevent.sleep(_FINAL_SENDS_WAIT_S)
         cut = self._gate.open_count
         self._events.write("stopped", cut=cut, after_s=round(time.monotonic() - began, 2))
         return cut
