--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -53,7 +53,7 @@
 STOP_CALLS_S: Final = 2.0
 """From SIGTERM until a replica cuts the calls in progress: twice the longest wait of a call."""
 
-SPREAD_WAIT_S: Final = 0.6
+BROADCAST_WAIT_S: Final = 0.6
 """How long a replica waits for others to know of a departure; callers wait a second."""
 
 PROPOSE_TIMEOUT_S: Final = 0.9
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -24,7 +24,7 @@
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.quarantine.models import Quarantine
 from chivetrack.components.traffic.models import Document
-from chivetrack.daemon.fleet.const import SPREAD_WAIT_S
+from chivetrack.daemon.fleet.const import BROADCAST_WAIT_S
 from chivetrack.daemon.fleet.documents import DocumentHandler, make_unavailable
 from chivetrack.exceptions import Fault
 from chivetrack.helpers.codec import Message
@@ -172,7 +172,7 @@
         self._spreads[number] = spread
         for target in others:
             self._send(target, SpreadRecords(number=number, records=(record,)))
-        is_known = spread.needed == 0 or spread.done.wait(SPREAD_WAIT_S)
+        is_known = spread.needed == 0 or spread.done.wait(BROADCAST_WAIT_S)
         del self._spreads[number]
         if is_known:
             return Ok(None)
