--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -31,7 +31,7 @@
 start with it: 0.8 s longer than its own start to a leader, two rounds of the exchange, and
 as much again."""
 
-FLUSH_S: Final = 0.02
+PUSH_DELAY_S: Final = 0.02
 """Changes of endpoints within so long go out to routers together."""
 
 PRUNE_INTERVAL_S: Final = 1.0
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -25,7 +25,12 @@
 from chivetrack.components.slow_start.messages import AskPermit, PermitAnswer
 from chivetrack.components.slow_start.permits import PermitBook
 from chivetrack.daemon.fleet.call_gate import CallGate
-from chivetrack.daemon.fleet.const import FLUSH_S, PRUNE_INTERVAL_S, STOP_CALLS_S, TRAFFIC_EVERY
+from chivetrack.daemon.fleet.const import (
+    PRUNE_INTERVAL_S,
+    PUSH_DELAY_S,
+    STOP_CALLS_S,
+    TRAFFIC_EVERY,
+)
 from chivetrack.daemon.fleet.desk import ControlHandler
 from chivetrack.daemon.fleet.documents import DocumentHandler
 from chivetrack.daemon.fleet.gauges import Gauge
@@ -191,7 +196,7 @@
         """Tell the routers; changes that come together go out together."""
         if not self._is_pushing:
             self._is_pushing = True
-            gevent.spawn_later(FLUSH_S, self._push)
+            gevent.spawn_later(PUSH_DELAY_S, self._push)
 
     def _push(self) -> None:
         self._is_pushing = False
