--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -36,7 +36,7 @@
 
 PRUNE_INTERVAL_S: Final = 1.0
 
-TRAFFIC_EVERY: Final = 5
+PRUNE_ROUNDS_PER_TRAFFIC_LINE: Final = 5
 """Rounds of tidying between two lines about the traffic with other processes."""
 
 STOP_IDLE_AFTER_S: Final = 1.0
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -27,9 +27,9 @@
 from chivetrack.daemon.fleet.call_gate import CallGate
 from chivetrack.daemon.fleet.const import (
     PRUNE_INTERVAL_S,
+    PRUNE_ROUNDS_PER_TRAFFIC_LINE,
     PUSH_DELAY_S,
     STOP_CALLS_S,
-    TRAFFIC_EVERY,
 )
 from chivetrack.daemon.fleet.desk import ControlHandler
 from chivetrack.daemon.fleet.documents import DocumentHandler
@@ -269,7 +269,7 @@
         traffic = TrafficLog(transport=self.transport, events=self._events)
         for number in itertools.count():
             gevent.sleep(PRUNE_INTERVAL_S)
-            if number % TRAFFIC_EVERY == 0:
+            if number % PRUNE_ROUNDS_PER_TRAFFIC_LINE == 0:
                 traffic.write()
                 self.host.write_contacts()
                 self._events.write("distribution_sent", **self._publisher.take_counts())
