--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -50,7 +50,7 @@
 STOP_MARGIN_S: Final = 0.5
 """Between the end of what is in flight and the kill."""
 
-STOP_CALLS_S: Final = 2.0
+STOP_CALLS_TIMEOUT_S: Final = 2.0
 """From SIGTERM until a replica cuts the calls in progress: twice the longest wait of a call."""
 
 BROADCAST_WAIT_S: Final = 0.6
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -29,7 +29,7 @@
     PRUNE_INTERVAL_S,
     PRUNE_ROUNDS_PER_TRAFFIC_LINE,
     PUSH_DELAY_S,
-    STOP_CALLS_S,
+    STOP_CALLS_TIMEOUT_S,
 )
 from chivetrack.daemon.fleet.desk import ControlHandler
 from chivetrack.daemon.fleet.documents import DocumentHandler
@@ -255,7 +255,7 @@
         self._events.write("stopping", leads=self.host.is_leader, open=self._gate.open_count)
         self._gate.is_closed = True
         self.host.hand_over()
-        while self._gate.open_count and time.monotonic() < began + STOP_CALLS_S:
+        while self._gate.open_count and time.monotonic() < began + STOP_CALLS_TIMEOUT_S:
             gevent.sleep(_POLL_S)
         gevent.sleep(_FINAL_SENDS_WAIT_S)
         cut = self._gate.open_count
