--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -29,8 +29,8 @@
 from chivetrack.components.storage.exceptions import StorageError
 from chivetrack.core import SendMessage
 from chivetrack.daemon.fleet.const import (
-    DOUBT_EVERY_S,
     LEADER_SILENT_S,
+    POSSIBLE_LOSS_LOG_INTERVAL_S,
     REOPEN_AFTER_S,
     REPAIR_EVERY_S,
     SEEK_EVERY_S,
@@ -282,7 +282,7 @@
     def _watch_doubt(self, founding: Founding) -> None:
         """Tell, now and then, that only an operator can know whether a log was lost."""
         while True:
-            gevent.sleep(DOUBT_EVERY_S)
+            gevent.sleep(POSSIBLE_LOSS_LOG_INTERVAL_S)
             if founding.is_doubtful:
                 self._events.write("founding_doubtful", tolerated_losses=self._tolerated_losses)
 
