--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -73,7 +73,7 @@
 
 REPAIR_EVERY_S: Final = 0.1
 SEEK_EVERY_S: Final = 0.25
-LEADER_SILENT_S: Final = 1.5
+LEADER_TIMEOUT_S: Final = 1.5
 POSSIBLE_LOSS_LOG_INTERVAL_S: Final = 5.0
 REOPEN_AFTER_S: Final = 0.5
 FOUNDING_GRACE_S: Final = 8.0
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -29,7 +29,7 @@
 from chivetrack.components.storage.exceptions import StorageError
 from chivetrack.core import SendMessage
 from chivetrack.daemon.fleet.const import (
-    LEADER_SILENT_S,
+    LEADER_TIMEOUT_S,
     POSSIBLE_LOSS_LOG_INTERVAL_S,
     REOPEN_AFTER_S,
     REPAIR_EVERY_S,
@@ -350,14 +350,14 @@
 
     def _seek(self, replica: Replica) -> None:
         """Ask all known instances to be let in for as long as no leader is heard."""
-        heard_at = time.monotonic() - LEADER_SILENT_S
+        heard_at = time.monotonic() - LEADER_TIMEOUT_S
         while True:
             status = replica.get_status().consensus
             now = time.monotonic()
             is_voter = status.members.is_voter(self.replica_id)
             if status.leader_instance and is_voter:
                 heard_at = now
-            if not is_voter or now - heard_at > LEADER_SILENT_S:
+            if not is_voter or now - heard_at > LEADER_TIMEOUT_S:
                 self._ask_to_join()
             gevent.sleep(SEEK_EVERY_S)
 
