--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -71,7 +71,7 @@
 """How long a follower waits for the newest document, which the leader has told it of; a
 document of 24 kB takes 65 ms on a link of 3 Mbit/s, and heartbeats come each 0.1 s."""
 
-REPAIR_EVERY_S: Final = 0.1
+REPAIR_INTERVAL_S: Final = 0.1
 SEEK_EVERY_S: Final = 0.25
 LEADER_TIMEOUT_S: Final = 1.5
 POSSIBLE_LOSS_LOG_INTERVAL_S: Final = 5.0
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -32,7 +32,7 @@
     LEADER_TIMEOUT_S,
     POSSIBLE_LOSS_LOG_INTERVAL_S,
     REOPEN_AFTER_S,
-    REPAIR_EVERY_S,
+    REPAIR_INTERVAL_S,
     SEEK_EVERY_S,
 )
 from chivetrack.daemon.founding import (
@@ -333,7 +333,7 @@
     def _run_repair(self, replica: Replica) -> None:
         """On the leader, carry out the member changes that are due."""
         while True:
-            gevent.sleep(REPAIR_EVERY_S)
+            gevent.sleep(REPAIR_INTERVAL_S)
             if not self.is_leader:
                 continue
             status = replica.get_status().consensus
