--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -72,7 +72,7 @@
 document of 24 kB takes 65 ms on a link of 3 Mbit/s, and heartbeats come each 0.1 s."""
 
 REPAIR_INTERVAL_S: Final = 0.1
-SEEK_EVERY_S: Final = 0.25
+JOIN_REQUEST_INTERVAL_S: Final = 0.25
 LEADER_TIMEOUT_S: Final = 1.5
 POSSIBLE_LOSS_LOG_INTERVAL_S: Final = 5.0
 REOPEN_AFTER_S: Final = 0.5
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -29,11 +29,11 @@
 from chivetrack.components.storage.exceptions import StorageError
 from chivetrack.core import SendMessage
 from chivetrack.daemon.fleet.const import (
+    JOIN_REQUEST_INTERVAL_S,
     LEADER_TIMEOUT_S,
     POSSIBLE_LOSS_LOG_INTERVAL_S,
     REOPEN_AFTER_S,
     REPAIR_INTERVAL_S,
-    SEEK_EVERY_S,
 )
 from chivetrack.daemon.founding import (
     POLL_S,
@@ -359,7 +359,7 @@
                 heard_at = now
             if not is_voter or now - heard_at > LEADER_TIMEOUT_S:
                 self._ask_to_join()
-            gevent.sleep(SEEK_EVERY_S)
+            gevent.sleep(JOIN_REQUEST_INTERVAL_S)
 
     def _ask_to_join(self) -> None:
         request = JoinRequest(instance_id=self._instance_id, replica_id=self.replica_id)
