--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -32,7 +32,7 @@
     JOIN_REQUEST_INTERVAL_S,
     LEADER_TIMEOUT_S,
     POSSIBLE_LOSS_LOG_INTERVAL_S,
-    REOPEN_AFTER_S,
+    REOPEN_DELAY_S,
     REPAIR_INTERVAL_S,
 )
 from chivetrack.daemon.founding import (
@@ -215,7 +215,7 @@
                 self._is_first_start = False
             except StorageError as error:
                 self._events.write("storage_failed", detail=str(error))
-                gevent.sleep(REOPEN_AFTER_S)
+                gevent.sleep(REOPEN_DELAY_S)
             finally:
                 self.replica = None
                 self.is_leader = False
