--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -76,7 +76,7 @@
 LEADER_TIMEOUT_S: Final = 1.5
 POSSIBLE_LOSS_LOG_INTERVAL_S: Final = 5.0
 REOPEN_DELAY_S: Final = 0.5
-FOUNDING_GRACE_S: Final = 8.0
+BOOTSTRAP_GRACE_S: Final = 8.0
 """While a log is founded, documents wait this long for all voters to have joined: one that
 is acknowledged before then lies on fewer disks than losses are to be borne."""
 
--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -34,8 +34,8 @@
 from chivetrack.components.traffic.models import Document
 from chivetrack.daemon.fleet.const import (
     APPLY_WAIT_S,
+    BOOTSTRAP_GRACE_S,
     FORWARD_TIMEOUT_S,
-    FOUNDING_GRACE_S,
     LARGE_DOCUMENT_BYTES,
     PROPOSE_TIMEOUT_S,
     READ_TIMEOUT_S,
@@ -235,7 +235,7 @@
     def _is_founding(self) -> bool:
         if self._store.current.version or self._host.has_all_voters:
             return False
-        return time.monotonic() - self._host.leads_since < FOUNDING_GRACE_S
+        return time.monotonic() - self._host.leads_since < BOOTSTRAP_GRACE_S
 
     # At a follower
 
