--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -224,7 +224,7 @@
         self._is_retired = False
         with self._open_folder() as storage:
             recovered = storage.take_recovered()
-            if is_blank(recovered) and self._may_found(storage):
+            if is_blank(recovered) and self._may_bootstrap(storage):
                 recovered = self._form(storage, recovered)
             self._serve(storage, recovered)
         if self._is_retired:
@@ -246,7 +246,7 @@
             self._events.write("replica_opened", replica=self.replica_id)
             yield storage
 
-    def _may_found(self, storage: Storage) -> bool:
+    def _may_bootstrap(self, storage: Storage) -> bool:
         """Return whether this blank replica may be one of those that found the log.
 
         After the first start that is not known: the founders may have been killed before
