--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -225,7 +225,7 @@
         with self._open_folder() as storage:
             recovered = storage.take_recovered()
             if is_blank(recovered) and self._may_bootstrap(storage):
-                recovered = self._form(storage, recovered)
+                recovered = self._bootstrap_log(storage, recovered)
             self._serve(storage, recovered)
         if self._is_retired:
             raise RetiredError
@@ -255,7 +255,7 @@
         founders = storage.identity.founders
         return not founders or self._instance_id in founders
 
-    def _form(self, storage: Storage, recovered: Recovered) -> Recovered:
+    def _bootstrap_log(self, storage: Storage, recovered: Recovered) -> Recovered:
         """Found the log with the others, or learn that it exists; return the state to go on."""
         founders = storage.identity.founders
         formation = Formation(
