--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -95,7 +95,7 @@
         # A majority of these is left when as many as may be lost are.
         self._wanted_voters = 2 * tolerated_losses + 1
         self._repair = Repair(wanted_voters=self._wanted_voters)
-        self._founding: Founding | None = None
+        self._bootstrap: Founding | None = None
         self._is_retired = False
         self._sources: dict[str, str] = {}
         # Syncs have a thread of their own, so that they never wait behind other work.
@@ -126,8 +126,8 @@
             self.replica.receive(source, message)
 
     def _take_hello(self, source: str, hello: Hello) -> None:
-        if self._founding is not None:
-            self._founding.take(source, hello)
+        if self._bootstrap is not None:
+            self._bootstrap.take(source, hello)
             return
         members = self.get_members()
         if members.members and hello.members is None:
@@ -266,7 +266,7 @@
             is_first=bool(founders),
             tolerated_losses=self._tolerated_losses,
         )
-        founding = self._founding = Founding(
+        founding = self._bootstrap = Founding(
             formation=formation, replica_id=self.replica_id, send=self._send
         )
         watch = gevent.spawn(self._watch_doubt, founding)
@@ -274,7 +274,7 @@
             recovered = founding.run(storage, recovered)
         finally:
             watch.kill(block=False)
-            self._founding = None
+            self._bootstrap = None
         event = "log_founded" if founding.is_member else "log_found"
         self._events.write(event, members=len(founding.members.members))
         return recovered
