--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -269,7 +269,7 @@
         founding = self._bootstrap = Founding(
             formation=formation, replica_id=self.replica_id, send=self._send
         )
-        watch = gevent.spawn(self._watch_doubt, founding)
+        watch = gevent.spawn(self._log_possible_loss, founding)
         try:
             recovered = founding.run(storage, recovered)
         finally:
@@ -279,7 +279,7 @@
         self._events.write(event, members=len(founding.members.members))
         return recovered
 
-    def _watch_doubt(self, founding: Founding) -> None:
+    def _log_possible_loss(self, founding: Founding) -> None:
         """Tell, now and then, that only an operator can know whether a log was lost."""
         while True:
             gevent.sleep(POSSIBLE_LOSS_LOG_INTERVAL_S)
