--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -297,7 +297,7 @@
             timing=TIMING,
             random_source=self._random,
         )
-        replica.listen(self._take_notice)
+        replica.listen(self._handle_notification)
         self.replica = replica
         loops = [gevent.spawn(self._run_repair, replica), gevent.spawn(self._seek, replica)]
         try:
@@ -310,7 +310,9 @@
         # id only. Sent to that, its first answer would be lost and it never caught up.
         self._send(self._sources.get(effect.target, effect.target), effect.message)
 
-    def _take_notice(self, notice: LeadershipChanged | TransferRefused | ReplicaRegressed) -> None:
+    def _handle_notification(
+        self, notice: LeadershipChanged | TransferRefused | ReplicaRegressed
+    ) -> None:
         if isinstance(notice, ReplicaRegressed):
             self._events.write("replica_regressed", replica=notice.replica_id)
             return
