--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -299,7 +299,10 @@
         )
         replica.listen(self._handle_notification)
         self.replica = replica
-        loops = [gevent.spawn(self._run_repair, replica), gevent.spawn(self._seek, replica)]
+        loops = [
+            gevent.spawn(self._run_repair, replica),
+            gevent.spawn(self._run_join_requests, replica),
+        ]
         try:
             replica.run()
         finally:
@@ -350,7 +353,7 @@
                 outcome="committed" if result.is_ok() else result.error.code,
             )
 
-    def _seek(self, replica: Replica) -> None:
+    def _run_join_requests(self, replica: Replica) -> None:
         """Ask all known instances to be let in for as long as no leader is heard."""
         heard_at = time.monotonic() - LEADER_TIMEOUT_S
         while True:
