--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -363,10 +363,10 @@
             if status.leader_instance and is_voter:
                 heard_at = now
             if not is_voter or now - heard_at > LEADER_TIMEOUT_S:
-                self._ask_to_join()
+                self._send_join_requests()
             gevent.sleep(JOIN_REQUEST_INTERVAL_S)
 
-    def _ask_to_join(self) -> None:
+    def _send_join_requests(self) -> None:
         request = JoinRequest(instance_id=self._instance_id, replica_id=self.replica_id)
         for contact in list(self._contacts):
             if contact != self._instance_id:
