--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -116,7 +116,7 @@
         """Take a message; never blocks."""
         self._contacts[source] = None
         if isinstance(message, Hello):
-            self._take_hello(source, message)
+            self._handle_hello(source, message)
         elif isinstance(message, JoinRequest):
             self._take_join(source, message)
         elif isinstance(message, JoinAnswer):
@@ -125,7 +125,7 @@
             self._sources[message.sender] = source
             self.replica.receive(source, message)
 
-    def _take_hello(self, source: str, hello: Hello) -> None:
+    def _handle_hello(self, source: str, hello: Hello) -> None:
         if self._bootstrap is not None:
             self._bootstrap.take(source, hello)
             return
