--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -118,7 +118,7 @@
         if isinstance(message, Hello):
             self._handle_hello(source, message)
         elif isinstance(message, JoinRequest):
-            self._take_join(source, message)
+            self._handle_join_request(source, message)
         elif isinstance(message, JoinAnswer):
             self._take_join_answer(message)
         elif self.replica is not None and isinstance(message, PeerMessage):
@@ -133,7 +133,7 @@
         if members.members and hello.members is None:
             self._send(source, Hello(self._instance_id, self.replica_id, (), members))
 
-    def _take_join(self, source: str, request: JoinRequest) -> None:
+    def _handle_join_request(self, source: str, request: JoinRequest) -> None:
         if self.replica is None:
             return
         if self.is_leader:
