--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -120,7 +120,7 @@
         elif isinstance(message, JoinRequest):
             self._handle_join_request(source, message)
         elif isinstance(message, JoinAnswer):
-            self._take_join_answer(message)
+            self._handle_join_answer(message)
         elif self.replica is not None and isinstance(message, PeerMessage):
             self._sources[message.sender] = source
             self.replica.receive(source, message)
@@ -142,7 +142,7 @@
         answer = JoinAnswer(leader_instance=status.leader_instance, members=status.members)
         self._send(source, answer)
 
-    def _take_join_answer(self, answer: JoinAnswer) -> None:
+    def _handle_join_answer(self, answer: JoinAnswer) -> None:
         for member in answer.members.members:
             self._contacts[member.instance_id] = None
         if self.replica_id in answer.members.retired and not self._is_retired:
