--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -372,7 +372,7 @@
             if contact != self._instance_id:
                 self._send(contact, request)
 
-    def hand_over(self) -> None:
+    def hand_over_leadership(self) -> None:
         """Before a stop, hand leadership to another replica."""
         if self.replica is None or not self.is_leader:
             return
