--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -108,7 +108,7 @@
 
     # Messages
 
-    def takes(self, message: Message) -> bool:
+    def accepts(self, message: Message) -> bool:
         """Return whether a message is for the log."""
         return isinstance(message, PeerMessage | Hello | JoinRequest | JoinAnswer)
 
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -219,7 +219,7 @@
             self._publisher.take_exchange(source, message, now=time.monotonic())
             if message.crash_reports:
                 self._order_due_quarantines()
-        elif self.host.takes(message):
+        elif self.host.accepts(message):
             self.host.take(source, message)
         else:
             self._desk.take(source, message)
