--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -119,7 +119,7 @@
     def read_evacuations(self) -> Result[Evacuations, Fault | Elsewhere]:
         """Return the zone orders in force, for sure; a follower refers to the leader."""
         if not self._host.is_leader:
-            return Error(self._refer())
+            return Error(self._redirect())
         return self._confirm().map(lambda version: self._store.evacuations)
 
     def quarantine_request(self, order: QuarantineOrder) -> Result[int, Fault | Elsewhere]:
@@ -138,7 +138,7 @@
     def read_quarantine(self) -> Result[Quarantine, Fault | Elsewhere]:
         """Return the quarantine, confirmed by a quorum; a follower refers to the leader."""
         if not self._host.is_leader:
-            return Error(self._refer())
+            return Error(self._redirect())
         return self._confirm().map(lambda version: self._store.quarantine)
 
     def _submit(self, command: Command) -> Result[int, Fault | Elsewhere]:
@@ -211,7 +211,7 @@
     def _commit(self, command: Command) -> Result[int, Fault | Elsewhere]:
         replica = self._host.replica
         if replica is None:
-            return Error(self._refer())
+            return Error(self._redirect())
         if self._is_founding():
             return Error(make_unavailable("founding", "not all replicas have joined yet"))
         if isinstance(command, StoredDocument) and command.version <= self._store.current.version:
@@ -226,7 +226,7 @@
         """Return the version in force, after a quorum has confirmed that this replica leads."""
         replica = self._host.replica
         if replica is None:
-            return Error(self._refer())
+            return Error(self._redirect())
         confirmed = replica.confirm_read(timeout_s=READ_TIMEOUT_S)
         if confirmed.is_error():
             return Error(self._refer_after(confirmed.error))
@@ -244,17 +244,17 @@
     ) -> Result[int, Fault | Elsewhere]:
         leader = self._host.get_leader()
         if not leader or leader == self._instance_id:
-            return Error(self._refer())
+            return Error(self._redirect())
         answer = self._pending.ask(
             lambda number: self._send(leader, make_call(number)), timeout_s=FORWARD_TIMEOUT_S
         )
         if answer is None:
-            return Error(self._refer())
+            return Error(self._redirect())
         if answer.verdict is not Verdict.ACCEPTED:
             return Error(make_unavailable("leader_failed", "the leader could not do it now"))
         return Ok(answer.revision)
 
-    def _refer(self) -> Fault | Elsewhere:
+    def _redirect(self) -> Fault | Elsewhere:
         leader = self._host.get_leader()
         if not leader or leader == self._instance_id:
             return make_unavailable("no_leader", "no replica leads at the moment")
@@ -262,7 +262,7 @@
         return Elsewhere(address=f"{host}:{self._control_port}")
 
     def _refer_after(self, fault: Fault) -> Fault | Elsewhere:
-        return self._refer() if isinstance(fault, NotLeaderFault) else fault
+        return self._redirect() if isinstance(fault, NotLeaderFault) else fault
 
     # Messages
 
@@ -288,7 +288,7 @@
 
     def _carry_out(self, call: ForwardProposal | ForwardRead) -> Result[int, Fault | Elsewhere]:
         if not self._host.is_leader:
-            return Error(self._refer())
+            return Error(self._redirect())
         if isinstance(call, ForwardRead):
             return self._confirm()
         command = decode_command(call.data)
