--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -219,7 +219,7 @@
             return self._confirm()
         result = replica.propose(encode_command(command), timeout_s=PROPOSE_TIMEOUT_S)
         if result.is_error():
-            return Error(self._refer_after(result.error))
+            return Error(self._redirect_after(result.error))
         return _read_outcome(command, result.ok)
 
     def _confirm(self) -> Result[int, Fault | Elsewhere]:
@@ -229,7 +229,7 @@
             return Error(self._redirect())
         confirmed = replica.confirm_read(timeout_s=READ_TIMEOUT_S)
         if confirmed.is_error():
-            return Error(self._refer_after(confirmed.error))
+            return Error(self._redirect_after(confirmed.error))
         return Ok(self._store.current.version)
 
     def _is_founding(self) -> bool:
@@ -261,7 +261,7 @@
         host = leader.rpartition(":")[0]
         return Elsewhere(address=f"{host}:{self._control_port}")
 
-    def _refer_after(self, fault: Fault) -> Fault | Elsewhere:
+    def _redirect_after(self, fault: Fault) -> Fault | Elsewhere:
         return self._redirect() if isinstance(fault, NotLeaderFault) else fault
 
     # Messages
