--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -161,9 +161,11 @@
             return Error(make_unavailable("no_configuration", "no configuration was sent yet"))
         if not self._wait_until_applied(newest.ok):
             return Error(make_unavailable("behind", "this replica lacks the newest one yet"))
-        return self._hand_out(self._store.current)
+        return self._serve_document(self._store.current)
 
-    def _hand_out(self, document: StoredDocument) -> Result[StoredDocument, Fault | Elsewhere]:
+    def _serve_document(
+        self, document: StoredDocument
+    ) -> Result[StoredDocument, Fault | Elsewhere]:
         """Return a document, or a router that has it where it is large.
 
         Links of routers are wider. 480 kB of 1,600 routes take 1.3 s on 3 Mbit/s, longer
