--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -214,7 +214,7 @@
         replica = self._host.replica
         if replica is None:
             return Error(self._redirect())
-        if self._is_founding():
+        if self._is_bootstrapping():
             return Error(make_unavailable("founding", "not all replicas have joined yet"))
         if isinstance(command, StoredDocument) and command.version <= self._store.current.version:
             # A resend, or an older one: nothing changes, so the log needs no entry.
@@ -234,7 +234,7 @@
             return Error(self._redirect_after(confirmed.error))
         return Ok(self._store.current.version)
 
-    def _is_founding(self) -> bool:
+    def _is_bootstrapping(self) -> bool:
         if self._store.current.version or self._host.has_all_voters:
             return False
         return time.monotonic() - self._host.leads_since < BOOTSTRAP_GRACE_S
