--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -145,14 +145,14 @@
         if self._host.is_leader:
             return self._commit(command)
         data = encode_command(command)
-        return self._ask_leader(lambda number: ForwardProposal(number=number, data=data))
+        return self._request_from_leader(lambda number: ForwardProposal(number=number, data=data))
 
     def read(self) -> Result[StoredDocument, Fault | Elsewhere]:
         """Return the newest document, once a quorum has confirmed which one that is."""
         if self._host.is_leader:
             newest = self._confirm()
         else:
-            newest = self._ask_leader(lambda number: ForwardRead(number=number))
+            newest = self._request_from_leader(lambda number: ForwardRead(number=number))
         held = self._store.current.version
         self._log("configuration_read", newest, version=held, held=held)
         if newest.is_error():
@@ -241,7 +241,7 @@
 
     # At a follower
 
-    def _ask_leader(
+    def _request_from_leader(
         self, make_call: Callable[[int], ForwardProposal | ForwardRead]
     ) -> Result[int, Fault | Elsewhere]:
         leader = self._host.get_leader()
