--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -279,7 +279,7 @@
         return True
 
     def _answer(self, source: str, call: ForwardProposal | ForwardRead) -> None:
-        outcome = self._carry_out(call)
+        outcome = self._execute(call)
         if outcome.is_error():
             answer = ProposalAnswer(number=call.number, verdict=Verdict.UNKNOWN)
         else:
@@ -288,7 +288,7 @@
             )
         self._send(source, answer)
 
-    def _carry_out(self, call: ForwardProposal | ForwardRead) -> Result[int, Fault | Elsewhere]:
+    def _execute(self, call: ForwardProposal | ForwardRead) -> Result[int, Fault | Elsewhere]:
         if not self._host.is_leader:
             return Error(self._redirect())
         if isinstance(call, ForwardRead):
