--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -222,7 +222,7 @@
         result = replica.propose(encode_command(command), timeout_s=PROPOSE_TIMEOUT_S)
         if result.is_error():
             return Error(self._redirect_after(result.error))
-        return _read_outcome(command, result.ok)
+        return _decode_outcome(command, result.ok)
 
     def _confirm(self) -> Result[int, Fault | Elsewhere]:
         """Return the version in force, after a quorum has confirmed that this replica leads."""
@@ -308,7 +308,7 @@
     return {"outcome": "failed", "code": outcome.error.code, "detail": outcome.error.message}
 
 
-def _read_outcome(command: Command, data: bytes) -> Result[int, Fault | Elsewhere]:
+def _decode_outcome(command: Command, data: bytes) -> Result[int, Fault | Elsewhere]:
     if isinstance(command, StoredDocument):
         return Ok(decode_as(PutOutcome, data).version)
     if not isinstance(command, ZoneOrder):
