--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -110,7 +110,7 @@
         is_change = self._table.merge(record, now=time.monotonic())
         known = self._table.find(record.endpoint_id)
         if is_change:
-            self._pass_on_lost(self._table.supersede(record, now=time.monotonic()))
+            self._broadcast_lost(self._table.supersede(record, now=time.monotonic()))
             self._log(record)
             self._push()
         if known is not None and known.state is not EndpointState.READY and is_change:
@@ -139,11 +139,11 @@
         A replica that still receives the heartbeats refutes it to its followers.
         """
         lost = self._table.mark_silent_lost(time.monotonic())
-        self._pass_on_lost(lost)
+        self._broadcast_lost(lost)
         if lost:
             self._push()
 
-    def _pass_on_lost(self, lost: Iterable[EndpointRecord]) -> None:
+    def _broadcast_lost(self, lost: Iterable[EndpointRecord]) -> None:
         for record in lost:
             self._log(record)
             self._spreading.note_change(record)
