--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -114,7 +114,7 @@
             self._log(record)
             self._push()
         if known is not None and known.state is not EndpointState.READY and is_change:
-            return self._spread_for_sure(known)
+            return self._broadcast_to_majority(known)
         if is_change:
             self._spreading.note_change(record)
         elif known is record:
@@ -131,7 +131,7 @@
             self._table.merge(known, now=now)
         self._log(known)
         self._push()
-        return self._spread_for_sure(known)
+        return self._broadcast_to_majority(known)
 
     def mark_silent_lost(self) -> None:
         """Mark endpoints without recent heartbeats as lost and send this to other replicas.
@@ -161,7 +161,7 @@
             for message in messages:
                 self._send(target, message)
 
-    def _spread_for_sure(self, record: EndpointRecord) -> Result[None, Fault]:
+    def _broadcast_to_majority(self, record: EndpointRecord) -> Result[None, Fault]:
         """Return once a majority knows; a single replica might be lost with the news.
 
         Routers ask every replica, so one of a majority reaches each of them in time.
