--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -32,7 +32,7 @@
 from chivetrack.platform.control_api import Elsewhere
 
 
-class _Spread:
+class _PendingBroadcast:
     """A statement on its way to the other replicas."""
 
     def __init__(self, needed: int) -> None:
@@ -75,7 +75,7 @@
         self._events = events
         self._spreading = Spreading(table=table)
         self._numbers = itertools.count(1)
-        self._spreads: dict[int, _Spread] = {}
+        self._spreads: dict[int, _PendingBroadcast] = {}
 
     def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
         """Commit a document and return the version in force."""
@@ -168,7 +168,7 @@
         """
         others = self._list_others()
         number = next(self._numbers)
-        spread = _Spread((len(others) + 1) // 2)
+        spread = _PendingBroadcast((len(others) + 1) // 2)
         self._spreads[number] = spread
         for target in others:
             self._send(target, SpreadRecords(number=number, records=(record,)))
