--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -75,7 +75,7 @@
         self._events = events
         self._spreading = Spreading(table=table)
         self._numbers = itertools.count(1)
-        self._spreads: dict[int, _PendingBroadcast] = {}
+        self._pending_broadcasts: dict[int, _PendingBroadcast] = {}
 
     def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
         """Commit a document and return the version in force."""
@@ -169,11 +169,11 @@
         others = self._list_others()
         number = next(self._numbers)
         spread = _PendingBroadcast((len(others) + 1) // 2)
-        self._spreads[number] = spread
+        self._pending_broadcasts[number] = spread
         for target in others:
             self._send(target, SpreadRecords(number=number, records=(record,)))
         is_known = spread.needed == 0 or spread.done.wait(BROADCAST_WAIT_S)
-        del self._spreads[number]
+        del self._pending_broadcasts[number]
         if is_known:
             return Ok(None)
         self._events.write("departure_not_spread", endpoint=record.endpoint_id)
@@ -184,7 +184,7 @@
         if self._documents.take(source, message):
             return True
         if isinstance(message, RecordsTaken):
-            spread = self._spreads.get(message.number)
+            spread = self._pending_broadcasts.get(message.number)
             if spread is not None:
                 spread.take(source)
             return True
