--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -198,14 +198,14 @@
             return True
         if not isinstance(message, SpreadRecords):
             return False
-        self._take_records(source, message)
+        self._handle_records(source, message)
         return True
 
     def _send_if_any(self, target: str, message: Message | None) -> None:
         if message is not None:
             self._send(target, message)
 
-    def _take_records(self, source: str, message: SpreadRecords) -> None:
+    def _handle_records(self, source: str, message: SpreadRecords) -> None:
         now = time.monotonic()
         changes = [self._table.merge(record, now=now) for record in message.records]
         changes += [self._table.refute_lost(record) for record in message.records]
