--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -154,7 +154,7 @@
     def _list_others(self) -> list[str]:
         return [one for one in self._list_replicas() if one != self._instance_id]
 
-    def spread(self) -> None:
+    def broadcast(self) -> None:
         """Tell the other replicas what endpoints have announced here since the last call."""
         messages = self._endpoint_broadcaster.make_messages(now=time.monotonic())
         for target in self._list_others():
@@ -168,11 +168,11 @@
         """
         others = self._list_others()
         number = next(self._numbers)
-        spread = _PendingBroadcast((len(others) + 1) // 2)
-        self._pending_broadcasts[number] = spread
+        broadcast = _PendingBroadcast((len(others) + 1) // 2)
+        self._pending_broadcasts[number] = broadcast
         for target in others:
             self._send(target, SpreadRecords(number=number, records=(record,)))
-        is_known = spread.needed == 0 or spread.done.wait(BROADCAST_WAIT_S)
+        is_known = broadcast.needed == 0 or broadcast.done.wait(BROADCAST_WAIT_S)
         del self._pending_broadcasts[number]
         if is_known:
             return Ok(None)
@@ -184,9 +184,9 @@
         if self._documents.take(source, message):
             return True
         if isinstance(message, RecordsTaken):
-            spread = self._pending_broadcasts.get(message.number)
-            if spread is not None:
-                spread.take(source)
+            broadcast = self._pending_broadcasts.get(message.number)
+            if broadcast is not None:
+                broadcast.take(source)
             return True
         if isinstance(message, SpreadHeartbeats):
             self._send_if_any(
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -304,7 +304,7 @@
         """Tell the other replicas what endpoints say here."""
         while True:
             gevent.sleep(SPREAD_EVERY_S)
-            self._desk.spread()
+            self._desk.broadcast()
 
     @contextmanager
     def _serve(self) -> Iterator[None]:
