--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -300,7 +300,7 @@
             gevent.sleep(ROUND_EVERY_S / 2)
             send_all(self.transport.answer, self._publisher.send_round(now=time.monotonic()))
 
-    def _spread(self) -> None:
+    def _run_broadcasts(self) -> None:
         """Tell the other replicas what endpoints say here."""
         while True:
             gevent.sleep(SPREAD_EVERY_S)
@@ -313,7 +313,13 @@
         self._control.start()
         if self._metrics_server is not None:
             self._metrics_server.start()
-        jobs = (self.host.run, self._tidy, self._exchange, self._send_endpoints, self._spread)
+        jobs = (
+            self.host.run,
+            self._tidy,
+            self._exchange,
+            self._send_endpoints,
+            self._run_broadcasts,
+        )
         loops = [gevent.spawn(one) for one in jobs]
         try:
             yield
