--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -284,7 +284,7 @@
             if self._table.drop_unheard(now):
                 self._push_soon()
 
-    def _exchange(self) -> None:
+    def _run_exchange(self) -> None:
         """Tell the other replicas what the routers close to this one use."""
         own = str(self._settings.listeners.peer)
         while True:
@@ -316,7 +316,7 @@
         jobs = (
             self.host.run,
             self._tidy,
-            self._exchange,
+            self._run_exchange,
             self._send_endpoints,
             self._run_broadcasts,
         )
