--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -294,7 +294,7 @@
                 if target != own:
                     self.transport.send(target, exchange)
 
-    def _send_endpoints(self) -> None:
+    def _run_endpoint_rounds(self) -> None:
         """Send routers in rounds what has changed at many endpoints."""
         while True:
             gevent.sleep(ROUND_EVERY_S / 2)
@@ -317,7 +317,7 @@
             self.host.run,
             self._tidy,
             self._run_exchange,
-            self._send_endpoints,
+            self._run_endpoint_rounds,
             self._run_broadcasts,
         )
         loops = [gevent.spawn(one) for one in jobs]
