--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -265,7 +265,7 @@
     def _log_reload(self) -> None:
         self._events.write("reload", detail="settings are read at the next start")
 
-    def _tidy(self) -> None:
+    def _run_pruning(self) -> None:
         traffic = TrafficLog(transport=self.transport, events=self._events)
         for number in itertools.count():
             gevent.sleep(PRUNE_INTERVAL_S)
@@ -315,7 +315,7 @@
             self._metrics_server.start()
         jobs = (
             self.host.run,
-            self._tidy,
+            self._run_pruning,
             self._run_exchange,
             self._run_endpoint_rounds,
             self._run_broadcasts,
