--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -95,7 +95,7 @@
             ),
             events=events,
         )
-        self._desk = ControlHandler(
+        self._control_handler = ControlHandler(
             instance_id=own,
             documents=documents,
             zones=settings.fleet.zones,
@@ -132,7 +132,7 @@
         self._pending_orders: set[bytes] = set()
         self._gate = CallGate(
             application=build_control_app(
-                desk=self._desk, unpack=unpack_document, note_bad=self._note_bad
+                desk=self._control_handler, unpack=unpack_document, note_bad=self._note_bad
             )
         )
         self._control = HttpServer(
@@ -222,7 +222,7 @@
         elif self.host.accepts(message):
             self.host.take(source, message)
         else:
-            self._desk.take(source, message)
+            self._control_handler.take(source, message)
 
     def _answer_permit(self, source: str, asked: AskPermit) -> None:
         now = time.monotonic()
@@ -280,7 +280,7 @@
             self._file.write_soon()
             # Without a leader, this replica may be partitioned and miss all heartbeats.
             if self.host.knows_leader:
-                self._desk.mark_silent_lost()
+                self._control_handler.mark_silent_lost()
             if self._table.drop_unheard(now):
                 self._push_soon()
 
@@ -304,7 +304,7 @@
         """Tell the other replicas what endpoints say here."""
         while True:
             gevent.sleep(SPREAD_EVERY_S)
-            self._desk.broadcast()
+            self._control_handler.broadcast()
 
     @contextmanager
     def _serve(self) -> Iterator[None]:
