--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -105,7 +105,7 @@
             push=self._push_soon,
             events=events,
         )
-        self._file = RestartFile(
+        self._restart_file = RestartFile(
             folder=settings.process.data_folder,
             table=self._table,
             placements=self._publisher.placements,
@@ -200,7 +200,7 @@
 
     def _push(self) -> None:
         self._is_pushing = False
-        self._file.write_soon()
+        self._restart_file.write_soon()
         send_all(self.transport.answer, self._publisher.publish(now=time.monotonic()))
 
     def _take_message(self, source: str, message: Message) -> None:
@@ -277,7 +277,7 @@
             for record in self._table.forget_old(now):
                 self._events.write("endpoint_forgotten", **record.describe())
             self._order_due_quarantines()
-            self._file.write_soon()
+            self._restart_file.write_soon()
             # Without a leader, this replica may be partitioned and miss all heartbeats.
             if self.host.knows_leader:
                 self._control_handler.mark_silent_lost()
@@ -308,7 +308,7 @@
 
     @contextmanager
     def _serve(self) -> Iterator[None]:
-        self._file.load(now=time.monotonic())
+        self._restart_file.load(now=time.monotonic())
         self.transport.start()
         self._control.start()
         if self._metrics_server is not None:
