--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -132,7 +132,7 @@
         self._pending_orders: set[bytes] = set()
         self._gate = CallGate(
             application=build_control_app(
-                desk=self._control_handler, unpack=unpack_document, note_bad=self._note_bad
+                desk=self._control_handler, unpack=unpack_document, note_bad=self._log_rejected
             )
         )
         self._control = HttpServer(
@@ -142,7 +142,7 @@
         )
         self._metrics_server = open_metrics_server(listeners.metrics, self._metrics)
 
-    def _note_bad(self, what: str, detail: str) -> None:
+    def _log_rejected(self, what: str, detail: str) -> None:
         self._metrics.count("message_rejected")
         self._events.write("message_rejected", what=what, detail=detail[:300])
 
