--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -125,7 +125,7 @@
                 read=lambda: len(self._store.quarantine.requests),
             ),
         )
-        self._store.listen(self._take_document)
+        self._store.listen(self._apply_document)
         self._store.listen_to_evacuations(self._take_evacuations)
         self._store.listen_to_quarantine(self._take_quarantine)
         self._documents = documents
@@ -146,7 +146,7 @@
         self._metrics.count("message_rejected")
         self._events.write("message_rejected", what=what, detail=detail[:300])
 
-    def _take_document(self, document: StoredDocument) -> None:
+    def _apply_document(self, document: StoredDocument) -> None:
         self._publisher.history.note(document)
         self._metrics.count("configuration_applied")
         self._events.write("configuration_applied", version=document.version)
