--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -126,7 +126,7 @@
             ),
         )
         self._store.listen(self._apply_document)
-        self._store.listen_to_evacuations(self._take_evacuations)
+        self._store.listen_to_evacuations(self._apply_evacuations)
         self._store.listen_to_quarantine(self._take_quarantine)
         self._documents = documents
         self._pending_orders: set[bytes] = set()
@@ -152,7 +152,7 @@
         self._events.write("configuration_applied", version=document.version)
         self._push_soon()
 
-    def _take_evacuations(self, evacuations: Evacuations) -> None:
+    def _apply_evacuations(self, evacuations: Evacuations) -> None:
         self._publisher.evacuations = evacuations
         self._events.write(
             "evacuation_applied",
