--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -127,7 +127,7 @@
         )
         self._store.listen(self._apply_document)
         self._store.listen_to_evacuations(self._apply_evacuations)
-        self._store.listen_to_quarantine(self._take_quarantine)
+        self._store.listen_to_quarantine(self._apply_quarantine)
         self._documents = documents
         self._pending_orders: set[bytes] = set()
         self._gate = CallGate(
@@ -161,7 +161,7 @@
         )
         self._push_soon()
 
-    def _take_quarantine(self, quarantine: Quarantine) -> None:
+    def _apply_quarantine(self, quarantine: Quarantine) -> None:
         before = self._publisher.quarantine
         self._publisher.quarantine = quarantine
         for one in before.requests:
