--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -63,7 +63,7 @@
         self._is_pushing = False
         self._store = DocumentStore()
         self._table = EndpointTable()
-        self.transport = make_transport(settings, events=events, take=self._take_message)
+        self.transport = make_transport(settings, events=events, take=self._handle_message)
         seeds = list_seed_peers(settings)
         own = str(listeners.peer)
         self.host = LogHost(
@@ -203,7 +203,7 @@
         self._restart_file.write_soon()
         send_all(self.transport.answer, self._publisher.publish(now=time.monotonic()))
 
-    def _take_message(self, source: str, message: Message) -> None:
+    def _handle_message(self, source: str, message: Message) -> None:
         if isinstance(message, Follow):
             effects = self._publisher.take_follow(
                 message, now=time.monotonic(), knows_leader=self.host.knows_leader
