--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -60,7 +60,7 @@
         self._metrics = Metrics(
             instance=settings.process.name, zone=settings.process.availability_zone
         )
-        self._is_pushing = False
+        self._is_push_scheduled = False
         self._store = DocumentStore()
         self._table = EndpointTable()
         self.transport = make_transport(settings, events=events, take=self._handle_message)
@@ -194,12 +194,12 @@
 
     def _push_soon(self) -> None:
         """Tell the routers; changes that come together go out together."""
-        if not self._is_pushing:
-            self._is_pushing = True
+        if not self._is_push_scheduled:
+            self._is_push_scheduled = True
             gevent.spawn_later(PUSH_DELAY_S, self._push)
 
     def _push(self) -> None:
-        self._is_pushing = False
+        self._is_push_scheduled = False
         self._restart_file.write_soon()
         send_all(self.transport.answer, self._publisher.publish(now=time.monotonic()))
 
