--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -102,7 +102,7 @@
             list_replicas=self.host.list_instances,
             table=self._table,
             send=self.transport.send,
-            push=self._push_soon,
+            push=self._schedule_push,
             events=events,
         )
         self._restart_file = RestartFile(
@@ -150,7 +150,7 @@
         self._publisher.history.note(document)
         self._metrics.count("configuration_applied")
         self._events.write("configuration_applied", version=document.version)
-        self._push_soon()
+        self._schedule_push()
 
     def _apply_evacuations(self, evacuations: Evacuations) -> None:
         self._publisher.evacuations = evacuations
@@ -159,7 +159,7 @@
             revision=evacuations.revision,
             zones=evacuations.list_evacuated(),
         )
-        self._push_soon()
+        self._schedule_push()
 
     def _apply_quarantine(self, quarantine: Quarantine) -> None:
         before = self._publisher.quarantine
@@ -171,7 +171,7 @@
         for one in quarantine.requests:
             if before.find(one.fingerprint) is None:
                 self._events.write("request_quarantined", **one.describe())
-        self._push_soon()
+        self._schedule_push()
 
     def _order_due_quarantines(self) -> None:
         """At the leader, order the quarantine of requests that reached the crash threshold.
@@ -192,7 +192,7 @@
         finally:
             self._pending_orders.discard(order.fingerprint)
 
-    def _push_soon(self) -> None:
+    def _schedule_push(self) -> None:
         """Tell the routers; changes that come together go out together."""
         if not self._is_push_scheduled:
             self._is_push_scheduled = True
@@ -282,7 +282,7 @@
             if self.host.knows_leader:
                 self._control_handler.mark_silent_lost()
             if self._table.drop_unheard(now):
-                self._push_soon()
+                self._schedule_push()
 
     def _run_exchange(self) -> None:
         """Tell the other replicas what the routers close to this one use."""
