--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -1,4 +1,4 @@
-"""What a replica does for operators and endpoints."""
+"""Handles the control API calls of operators and endpoints at a replica."""
 
 import itertools
 import time
@@ -33,21 +33,21 @@
 
 
 class _PendingBroadcast:
-    """A statement on its way to the other replicas."""
+    """A record that was sent to the other replicas and awaits ``needed`` acknowledgements."""
 
     def __init__(self, needed: int) -> None:
         self.done = Signal()
         self.needed = needed
-        self.takers: set[str] = set()
+        self.acknowledged_by: set[str] = set()
 
-    def take(self, source: str) -> None:
-        self.takers.add(source)
-        if len(self.takers) >= self.needed:
+    def handle_ack(self, source: str) -> None:
+        self.acknowledged_by.add(source)
+        if len(self.acknowledged_by) >= self.needed:
             self.done.set()
 
 
 class ControlHandler:
-    """Answers operators from the log and endpoints from the table of announcements."""
+    """Answer operators from the log and endpoints from the table of announcements."""
 
     def __init__(
         self,
@@ -61,9 +61,9 @@
         push: Callable[[], None],
         events: EventLog,
     ) -> None:
-        """Take the table; ``push`` tells the routers of a change.
+        """Store the components; ``push`` schedules an update to the routers.
 
-        ``zones`` are those of the deployment; without any, orders name zones freely.
+        ``zones`` are the zones of the deployment; if empty, orders may name any zone.
         """
         self._instance_id = instance_id
         self._documents = documents
@@ -86,7 +86,7 @@
         return self._documents.read()
 
     def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | Elsewhere]:
-        """Commit that a zone is to be evacuated, or taken back; return the order's revision."""
+        """Commit the evacuation of a zone or its revocation; return the order's revision."""
         if self._zones and zone not in self._zones:
             return Error(_make_unknown_zone(zone, self._zones))
         return self._documents.order(zone, is_evacuated=is_evacuated)
@@ -106,7 +106,10 @@
     # Endpoints
 
     def announce(self, record: EndpointRecord) -> Result[None, Fault]:
-        """Take an endpoint's statement; one that it drains is acknowledged once others know."""
+        """Handle an endpoint's announcement.
+
+        A change to a state other than ready is acknowledged once a majority knows it.
+        """
         is_change = self._table.merge(record, now=time.monotonic())
         known = self._table.find(record.endpoint_id)
         if is_change:
@@ -122,11 +125,11 @@
         return Ok(None)
 
     def leave(self, endpoint_id: str, born: int | None) -> Result[None, Fault]:
-        """Take an endpoint's departure."""
+        """Handle an endpoint's departure; acknowledged once a majority knows it."""
         now = time.monotonic()
         known = self._table.close(endpoint_id, born=born, now=now)
         if known is None:
-            # Nobody has announced it here since the start; a router may still know it.
+            # The endpoint is unknown here since the start; a router may still know it.
             known = _make_departure(endpoint_id, born)
             self._table.merge(known, now=now)
         self._log(known)
@@ -155,16 +158,17 @@
         return [one for one in self._list_replicas() if one != self._instance_id]
 
     def broadcast(self) -> None:
-        """Tell the other replicas what endpoints have announced here since the last call."""
+        """Send the other replicas the announcements received since the last call."""
         messages = self._endpoint_broadcaster.make_messages(now=time.monotonic())
         for target in self._list_others():
             for message in messages:
                 self._send(target, message)
 
     def _broadcast_to_majority(self, record: EndpointRecord) -> Result[None, Fault]:
-        """Return once a majority knows; a single replica might be lost with the news.
+        """Send a record to the other replicas and wait until a majority has it.
 
-        Routers ask every replica, so one of a majority reaches each of them in time.
+        A record known to one replica only could be lost with it. Routers query every replica,
+        so a majority ensures that each router receives the record in time.
         """
         others = self._list_others()
         number = next(self._numbers)
@@ -177,16 +181,16 @@
         if is_known:
             return Ok(None)
         self._events.write("departure_not_spread", endpoint=record.endpoint_id)
-        return Error(make_unavailable("no_majority", "too few replicas know of it yet"))
+        return Error(make_unavailable("no_majority", "no majority of replicas has the record yet"))
 
-    def take(self, source: str, message: Message) -> bool:
-        """Take a message of another replica; return whether it was for the desk."""
-        if self._documents.take(source, message):
+    def handle_message(self, source: str, message: Message) -> bool:
+        """Handle a message of another replica; return whether its kind is known here."""
+        if self._documents.handle_message(source, message):
             return True
         if isinstance(message, RecordsTaken):
             broadcast = self._pending_broadcasts.get(message.number)
             if broadcast is not None:
-                broadcast.take(source)
+                broadcast.handle_ack(source)
             return True
         if isinstance(message, SpreadHeartbeats):
             self._send_if_any(
--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -1,4 +1,4 @@
-"""Commits documents and orders through the log, and reads the state in force."""
+"""Commits documents and orders through the log, and reads the committed state."""
 
 import random
 import time
@@ -59,18 +59,18 @@
 
 
 def make_unavailable(code: str, message: str) -> Fault:
-    """Return the fault for a call that another replica, or this one later, may answer."""
+    """Return the fault for a call that may succeed at another replica or on a retry."""
     return Fault(code=code, message=message, status=503, ran=Ran.NO, retry_after_s=_RETRY_S)
 
 
 class DocumentHandler:
-    """Serves operators at any replica; a revision of the log is a document's version here.
+    """Serve operators' calls at any replica; a revision of the log is a document's version.
 
-    A follower hands what it is asked on to the leader, packed, and answers itself. Were the
-    operator sent to the leader instead, 480 kB of 1,600 routes would cross two links of
-    3 Mbit/s one after the other, and all reads would share the leader's; the operator
-    gives up after some seconds. A leader that doesn't answer a follower may still answer
-    the operator, who is referred to it then.
+    A follower forwards the packed call to the leader and answers the operator itself. If it
+    redirected the operator instead, 480 kB for 1,600 routes would cross two links of
+    3 Mbit/s one after the other, and all reads would share the leader's link; operators
+    abandon a call after some seconds. Only if the leader doesn't answer the follower is the
+    operator redirected, since the leader may still be reachable from there.
     """
 
     def __init__(
@@ -84,9 +84,9 @@
         list_readers: Callable[[int], list[str]],
         events: EventLog,
     ) -> None:
-        """Take the log and the state machine that it feeds.
+        """Store the log's host and its state machine.
 
-        ``list_readers`` tells at which addresses a version can be read as well.
+        ``list_readers`` returns the addresses of routers that can serve a version.
         """
         self._instance_id = instance_id
         self._control_port = control_port
@@ -105,7 +105,7 @@
         return outcome
 
     def order(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | Elsewhere]:
-        """Commit that a zone is to be evacuated, or taken back; return the order's revision."""
+        """Commit the evacuation of a zone or its revocation; return the order's revision."""
         order = ZoneOrder(
             zone=zone,
             is_evacuated=is_evacuated,
@@ -117,7 +117,7 @@
         return outcome
 
     def read_evacuations(self) -> Result[Evacuations, Fault | Elsewhere]:
-        """Return the zone orders in force, for sure; a follower refers to the leader."""
+        """Return the zone orders in force, confirmed by a quorum; a follower redirects."""
         if not self._host.is_leader:
             return Error(self._redirect())
         return self._confirm().map(lambda version: self._store.evacuations)
@@ -136,7 +136,7 @@
         return outcome
 
     def read_quarantine(self) -> Result[Quarantine, Fault | Elsewhere]:
-        """Return the quarantine, confirmed by a quorum; a follower refers to the leader."""
+        """Return the quarantine, confirmed by a quorum; a follower redirects."""
         if not self._host.is_leader:
             return Error(self._redirect())
         return self._confirm().map(lambda version: self._store.quarantine)
@@ -148,7 +148,10 @@
         return self._request_from_leader(lambda number: ForwardProposal(number=number, data=data))
 
     def read(self) -> Result[StoredDocument, Fault | Elsewhere]:
-        """Return the newest document, once a quorum has confirmed which one that is."""
+        """Return the newest document after a quorum has confirmed its version.
+
+        Large documents are redirected to a router that has them.
+        """
         if self._host.is_leader:
             newest = self._confirm()
         else:
@@ -158,18 +161,19 @@
         if newest.is_error():
             return Error(newest.error)
         if not newest.ok:
-            return Error(make_unavailable("no_configuration", "no configuration was sent yet"))
+            return Error(make_unavailable("no_configuration", "no configuration is committed yet"))
         if not self._wait_until_applied(newest.ok):
-            return Error(make_unavailable("behind", "this replica lacks the newest one yet"))
+            message = "this replica has not applied the newest configuration yet"
+            return Error(make_unavailable("behind", message))
         return self._serve_document(self._store.current)
 
     def _serve_document(
         self, document: StoredDocument
     ) -> Result[StoredDocument, Fault | Elsewhere]:
-        """Return a document, or a router that has it where it is large.
+        """Return a document, or a redirect to a router that has it if it is large.
 
-        Links of routers are wider. 480 kB of 1,600 routes take 1.3 s on 3 Mbit/s, longer
-        than operators wait.
+        Routers have more bandwidth: 480 kB for 1,600 routes take 1.3 s on a replica's link
+        of 3 Mbit/s, longer than operators wait.
         """
         if len(unpack_document(document.payload)) <= LARGE_DOCUMENT_BYTES:
             return Ok(document)
@@ -217,7 +221,7 @@
         if self._is_bootstrapping():
             return Error(make_unavailable("founding", "not all replicas have joined yet"))
         if isinstance(command, StoredDocument) and command.version <= self._store.current.version:
-            # A resend, or an older one: nothing changes, so the log needs no entry.
+            # A resend or an older version changes nothing, so the log needs no entry.
             return self._confirm()
         result = replica.propose(encode_command(command), timeout_s=PROPOSE_TIMEOUT_S)
         if result.is_error():
@@ -225,7 +229,7 @@
         return _decode_outcome(command, result.ok)
 
     def _confirm(self) -> Result[int, Fault | Elsewhere]:
-        """Return the version in force, after a quorum has confirmed that this replica leads."""
+        """Return the version in force after a quorum has confirmed this replica as leader."""
         replica = self._host.replica
         if replica is None:
             return Error(self._redirect())
@@ -247,13 +251,13 @@
         leader = self._host.get_leader()
         if not leader or leader == self._instance_id:
             return Error(self._redirect())
-        answer = self._pending.ask(
+        answer = self._pending.request(
             lambda number: self._send(leader, make_call(number)), timeout_s=FORWARD_TIMEOUT_S
         )
         if answer is None:
             return Error(self._redirect())
         if answer.verdict is not Verdict.ACCEPTED:
-            return Error(make_unavailable("leader_failed", "the leader could not do it now"))
+            return Error(make_unavailable("leader_failed", "the leader could not execute the call"))
         return Ok(answer.revision)
 
     def _redirect(self) -> Fault | Elsewhere:
@@ -268,14 +272,14 @@
 
     # Messages
 
-    def take(self, source: str, message: Message) -> bool:
-        """Take a message of another replica; return whether it was about documents."""
+    def handle_message(self, source: str, message: Message) -> bool:
+        """Handle a message of another replica; return whether it was about documents."""
         if isinstance(message, ForwardProposal | ForwardRead):
             gevent.spawn(self._answer, source, message)
             return True
         if not isinstance(message, ProposalAnswer):
             return False
-        self._pending.take(message.number, message)
+        self._pending.handle_answer(message.number, message)
         return True
 
     def _answer(self, source: str, call: ForwardProposal | ForwardRead) -> None:
@@ -300,7 +304,7 @@
 
 
 def _describe_outcome(outcome: Result[int, Fault | Elsewhere]) -> dict[str, str | int]:
-    """Return what a line says of an outcome; ``code`` is what on-call searches for."""
+    """Return the log fields of an outcome; on-call engineers search for ``code``."""
     if outcome.is_ok():
         return {"outcome": "done", "code": "", "revision": outcome.ok}
     if isinstance(outcome.error, Elsewhere):
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -1,4 +1,4 @@
-"""Runs a replica of the log: founds it, joins it, repairs it, and opens its folder again."""
+"""Runs a replica of the log: bootstrap, join, repair and reopening of its folder."""
 
 import random
 import shutil
@@ -50,20 +50,21 @@
 _FOLDER_NAME = "log"
 
 
-# A start takes replicas of one size alike; the last of them finds the others listening and
-# needs a connection to each, 0.1 s, before its pre-vote can be answered.
+# Replicas of the same size start in about the same time. The last one finds the others
+# listening and needs 0.1 s to connect to each of them before its pre-vote can be answered.
 TIMING = Timing(first_election_min_s=0.1, first_election_max_s=0.4)
 
 
 class RetiredError(Exception):
-    """The log has removed this replica for good; it has to come back under a new id."""
+    """The log has permanently removed this replica; it must rejoin under a new replica id."""
 
 
 class LogHost:
-    """Owns the data folder and the replica that lives in it.
+    """Own the data folder and run the replica stored in it.
 
-    A folder that can't be written is opened again and again: the disk may be full for a
-    while. Until then this replica says nothing, so nobody counts on what is not on disk.
+    A folder that can't be written is reopened until it succeeds, since a full disk may be
+    temporary. Until then this replica sends nothing, so that no other replica relies on
+    entries that are not on disk.
     """
 
     def __init__(
@@ -78,9 +79,9 @@
         send: Callable[[str, Message], None],
         events: EventLog,
     ) -> None:
-        """Take the folder, ways out, and how many disks may be lost at once.
+        """Set up the replica in ``folder``; ``tolerated_losses`` disks may be lost at once.
 
-        At the first start of the deployment the ``seeds`` found the log.
+        At the first start of the deployment the ``seeds`` bootstrap the log.
         """
         self._instance_id = instance_id
         self._folder = folder / _FOLDER_NAME
@@ -92,13 +93,13 @@
         self._send = send
         self._events = events
         self._random = random.SystemRandom()
-        # A majority of these is left when as many as may be lost are.
+        # A majority of the voters remains after the tolerated losses.
         self._wanted_voters = 2 * tolerated_losses + 1
         self._repair = Repair(wanted_voters=self._wanted_voters)
         self._bootstrap: Founding | None = None
         self._is_retired = False
         self._sources: dict[str, str] = {}
-        # Syncs have a thread of their own, so that they never wait behind other work.
+        # A separate thread for disk syncs, so that they never queue behind other work.
         self._sync_pool = ThreadPool(1)
         self.replica: Replica | None = None
         self.replica_id = ""
@@ -112,8 +113,8 @@
         """Return whether a message is for the log."""
         return isinstance(message, PeerMessage | Hello | JoinRequest | JoinAnswer)
 
-    def take(self, source: str, message: Message) -> None:
-        """Take a message; never blocks."""
+    def handle_message(self, source: str, message: Message) -> None:
+        """Handle a message for the log without blocking."""
         self._contacts[source] = None
         if isinstance(message, Hello):
             self._handle_hello(source, message)
@@ -152,15 +153,16 @@
                 self.replica.stop()
 
     def get_members(self) -> Members:
-        """Return the members of the log as they are known here."""
+        """Return the members of the log as known to this replica."""
         if self.replica is None:
             return Members()
         return self.replica.get_status().consensus.members
 
     def get_leader(self) -> str:
-        """Return the instance that leads as far as it is known here, or an empty text.
+        """Return the leader's instance as known to this replica, or an empty string.
 
-        Before a replica has learnt the members it knows the leader by its replica id.
+        A replica that has not received the members yet knows only the leader's replica id;
+        the address from which the leader's messages came is returned then.
         """
         if self.replica is None:
             return ""
@@ -172,7 +174,7 @@
         return tuple(member.instance_id for member in self.get_members().members)
 
     def write_contacts(self) -> None:
-        """On the leader, write when each replica last answered and how far its log reaches."""
+        """At the leader, log the time since each replica's last answer and its match index."""
         if self.replica is None or not self.is_leader:
             return
         status = self.replica.get_status().consensus
@@ -192,10 +194,10 @@
 
     @property
     def has_all_voters(self) -> bool:
-        """Return whether the log has as many voters as the losses to be borne ask for.
+        """Return whether the log has the number of voters that the tolerated losses require.
 
-        Only those count that have the log on their disks, as far as a leader knows: a founder
-        that has not heard of its founding yet would come back as one that knows of no log.
+        Only voters that have the log on disk, as known to the leader, count: a bootstrap
+        instance that has not learnt of the bootstrap yet would restart without any log.
         """
         if self.replica is None:
             return False
@@ -203,10 +205,10 @@
         voters = [one for one in replicas if one.voter and one.match_index > 0]
         return len(voters) >= self._wanted_voters
 
-    # Life
+    # Lifecycle
 
     def run(self) -> None:
-        """Serve until killed; whatever ends the replica is logged and tried again."""
+        """Run the replica until killed; restart it after storage errors and retirement."""
         while True:
             try:
                 self._run_once()
@@ -233,8 +235,8 @@
     @contextmanager
     def _open_folder(self) -> Iterator[Storage]:
         if not (self._folder / IDENTITY_NAME).exists():
-            # Half of a folder is left where an earlier start was cut off before its end;
-            # it has no identity yet, so nobody can have counted on it.
+            # An earlier start was interrupted while it created the folder. The folder has no
+            # identity yet, so no other replica can rely on it.
             shutil.rmtree(self._folder, ignore_errors=True)
         with open_replica_folder(
             self._folder,
@@ -247,18 +249,21 @@
             yield storage
 
     def _may_bootstrap(self, storage: Storage) -> bool:
-        """Return whether this blank replica may be one of those that found the log.
+        """Return whether this blank replica may take part in the bootstrap of the log.
 
-        After the first start that is not known: the founders may have been killed before
-        any of them had written who they are.
+        A folder created after the first start does not name the bootstrap instances: all of
+        them may have been killed before they wrote their identities.
         """
         founders = storage.identity.founders
         return not founders or self._instance_id in founders
 
     def _bootstrap_log(self, storage: Storage, recovered: Recovered) -> Recovered:
-        """Found the log with the others, or learn that it exists; return the state to go on."""
+        """Bootstrap the log with the other instances, or learn that a log exists already.
+
+        Return the recovered state to serve from.
+        """
         founders = storage.identity.founders
-        formation = Formation(
+        log_bootstrap = Formation(
             instance_id=self._instance_id,
             replica_id=self.replica_id,
             instances=founders or self._seeds,
@@ -266,24 +271,24 @@
             is_first=bool(founders),
             tolerated_losses=self._tolerated_losses,
         )
-        founding = self._bootstrap = Founding(
-            formation=formation, replica_id=self.replica_id, send=self._send
+        bootstrap = self._bootstrap = Founding(
+            formation=log_bootstrap, replica_id=self.replica_id, send=self._send
         )
-        watch = gevent.spawn(self._log_possible_loss, founding)
+        loss_logger = gevent.spawn(self._log_possible_loss, bootstrap)
         try:
-            recovered = founding.run(storage, recovered)
+            recovered = bootstrap.run(storage, recovered)
         finally:
-            watch.kill(block=False)
+            loss_logger.kill(block=False)
             self._bootstrap = None
-        event = "log_founded" if founding.is_member else "log_found"
-        self._events.write(event, members=len(founding.members.members))
+        event = "log_founded" if bootstrap.is_member else "log_found"
+        self._events.write(event, members=len(bootstrap.members.members))
         return recovered
 
-    def _log_possible_loss(self, founding: Founding) -> None:
-        """Tell, now and then, that only an operator can know whether a log was lost."""
+    def _log_possible_loss(self, bootstrap: Founding) -> None:
+        """Log regularly that a log may have been lost, which only an operator can decide."""
         while True:
             gevent.sleep(POSSIBLE_LOSS_LOG_INTERVAL_S)
-            if founding.is_doubtful:
+            if bootstrap.is_doubtful:
                 self._events.write("founding_doubtful", tolerated_losses=self._tolerated_losses)
 
     def _serve(self, storage: Storage, recovered: Recovered) -> None:
@@ -309,34 +314,34 @@
             gevent.killall(loops)
 
     def _send_to_replica(self, effect: SendMessage) -> None:
-        # A replica that has not learnt the members yet knows the leader by its replica
-        # id only. Sent to that, its first answer would be lost and it never caught up.
+        # A replica that has not received the members yet knows only the leader's replica id.
+        # An answer addressed to this id would be lost, and the replica would never catch up.
         self._send(self._sources.get(effect.target, effect.target), effect.message)
 
     def _handle_notification(
-        self, notice: LeadershipChanged | TransferRefused | ReplicaRegressed
+        self, notification: LeadershipChanged | TransferRefused | ReplicaRegressed
     ) -> None:
-        if isinstance(notice, ReplicaRegressed):
-            self._events.write("replica_regressed", replica=notice.replica_id)
+        if isinstance(notification, ReplicaRegressed):
+            self._events.write("replica_regressed", replica=notification.replica_id)
             return
-        if not isinstance(notice, LeadershipChanged):
+        if not isinstance(notification, LeadershipChanged):
             return
-        leads = notice.role is Role.LEADER
-        self.knows_leader = bool(notice.leader_instance)
+        leads = notification.role is Role.LEADER
+        self.knows_leader = bool(notification.leader_instance)
         if leads and not self.is_leader:
             self.leads_since = time.monotonic()
         self.is_leader = leads
         self._events.write(
             "leader_changed",
-            term=notice.term,
-            leader=notice.leader_instance,
-            role=notice.role.value,
+            term=notification.term,
+            leader=notification.leader_instance,
+            role=notification.role.value,
         )
 
     # Repair
 
     def _run_repair(self, replica: Replica) -> None:
-        """On the leader, carry out the member changes that are due."""
+        """At the leader, execute the member changes that are due."""
         while True:
             gevent.sleep(REPAIR_INTERVAL_S)
             if not self.is_leader:
@@ -354,15 +359,15 @@
             )
 
     def _run_join_requests(self, replica: Replica) -> None:
-        """Ask all known instances to be let in for as long as no leader is heard."""
-        heard_at = time.monotonic() - LEADER_TIMEOUT_S
+        """Send join requests to all known instances while not a voter or without a leader."""
+        leader_seen_at = time.monotonic() - LEADER_TIMEOUT_S
         while True:
             status = replica.get_status().consensus
             now = time.monotonic()
             is_voter = status.members.is_voter(self.replica_id)
             if status.leader_instance and is_voter:
-                heard_at = now
-            if not is_voter or now - heard_at > LEADER_TIMEOUT_S:
+                leader_seen_at = now
+            if not is_voter or now - leader_seen_at > LEADER_TIMEOUT_S:
                 self._send_join_requests()
             gevent.sleep(JOIN_REQUEST_INTERVAL_S)
 
@@ -373,7 +378,7 @@
                 self._send(contact, request)
 
     def hand_over_leadership(self) -> None:
-        """Before a stop, hand leadership to another replica."""
+        """Transfer leadership to another replica before a stop; wait until it has moved."""
         if self.replica is None or not self.is_leader:
             return
         self.replica.transfer_leadership()
--- a/chivetrack/daemon/fleet/peering.py
+++ b/chivetrack/daemon/fleet/peering.py
@@ -1,4 +1,4 @@
-"""The transport between the processes of a deployment; an id is an address."""
+"""The transport between the processes of a deployment; a peer id is its address."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -11,12 +11,15 @@
 
 
 def make_transport(
-    settings: DeploymentSettings, *, events: EventLog, take: Callable[[str, Message], None]
+    settings: DeploymentSettings,
+    *,
+    events: EventLog,
+    handle_message: Callable[[str, Message], None],
 ) -> LinkTransport:
-    """Return the transport of a process; messages that can't be read are logged."""
+    """Return the transport of a process; messages that can't be decoded are logged."""
     return LinkTransport(
         address=str(settings.listeners.peer),
-        on_message=take,
+        on_message=handle_message,
         on_error=lambda text: events.write("message_unreadable", detail=text),
     )
 
@@ -28,10 +31,10 @@
 
 
 class TrafficLog:
-    """Writes what the transport has carried since the line before."""
+    """Write the traffic of the transport since the previous line."""
 
     def __init__(self, *, transport: LinkTransport, events: EventLog) -> None:
-        """Take the transport that counts."""
+        """Start with all counts at zero."""
         self._transport = transport
         self._events = events
         self._before = (0, 0, 0, 0)
@@ -39,7 +42,7 @@
         self._received_before: Counter[str] = Counter()
 
     def write(self) -> None:
-        """Write one line."""
+        """Write one line with the differences since the previous call."""
         traffic = self._transport.traffic
         counts = (
             traffic.sent_bytes,
@@ -69,7 +72,7 @@
 
 
 def send_all(send: Callable[[str, Message], None], effects: Iterable[Effect]) -> None:
-    """Send the messages among effects by ``send``."""
+    """Send the messages among ``effects`` with ``send``; other effects are ignored."""
     for effect in effects:
         if isinstance(effect, SendMessage):
             send(effect.target, effect.message)
--- a/chivetrack/daemon/fleet/pending_requests.py
+++ b/chivetrack/daemon/fleet/pending_requests.py
@@ -1,4 +1,4 @@
-"""Questions to other processes that a greenlet waits for the answer to."""
+"""Requests to other processes whose answers greenlets wait for."""
 
 import itertools
 from collections.abc import Callable
@@ -17,32 +17,35 @@
 
 
 class PendingRequests(Generic[AnswerT]):
-    """Numbers questions, and hands each answer to whoever still waits for it."""
+    """Number requests and deliver each answer to the greenlet that waits for it."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without pending requests."""
         self._numbers = itertools.count(1)
         self._open: dict[int, _PendingRequest[AnswerT]] = {}
 
     def __len__(self) -> int:
-        """Return how many are waited for."""
+        """Return the number of pending requests."""
         return len(self._open)
 
-    def ask(self, send: Callable[[int], None], *, timeout_s: float) -> AnswerT | None:
-        """Send a question by its number; return the answer, ``None`` if none comes in time."""
+    def request(self, send: Callable[[int], None], *, timeout_s: float) -> AnswerT | None:
+        """Call ``send`` with a new request number and wait for the answer.
+
+        Return ``None`` if no answer arrives within ``timeout_s``.
+        """
         number = next(self._numbers)
-        question = self._open[number] = _PendingRequest()
+        pending = self._open[number] = _PendingRequest()
         try:
             send(number)
-            question.done.wait(timeout_s)
+            pending.done.wait(timeout_s)
         finally:
-            # Also when the waiting greenlet is killed, as by a caller that leaves.
+            # Also if the waiting greenlet is killed, for example when a caller disconnects.
             del self._open[number]
-        return question.answer
-
-    def take(self, number: int, answer: AnswerT) -> None:
-        """Take an answer; one that nobody waits for any more is dropped."""
-        question = self._open.get(number)
-        if question is not None:
-            question.answer = answer
-            question.done.set()
+        return pending.answer
+
+    def handle_answer(self, number: int, answer: AnswerT) -> None:
+        """Deliver an answer; drop it if its request is no longer pending."""
+        pending = self._open.get(number)
+        if pending is not None:
+            pending.answer = answer
+            pending.done.set()
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -52,7 +52,7 @@
         replica = self._find_replica()
         if not replica:
             return UNANSWERED_S
-        answer = self._pending.ask(
+        answer = self._pending.request(
             lambda number: self._send(
                 replica, AskPermit(number=number, endpoint_id=endpoint_id, per_s=per_s)
             ),
@@ -62,4 +62,4 @@
 
     def handle_answer(self, answer: PermitAnswer) -> None:
         """Handle a replica's answer; a permit that arrives after the timeout is lost."""
-        self._pending.take(answer.number, answer)
+        self._pending.handle_answer(answer.number, answer)
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -1,4 +1,4 @@
-"""The replica process: operators and endpoints on one side, routers on the other."""
+"""The replica process: serves operators and endpoints and keeps routers up to date."""
 
 import itertools
 import secrets
@@ -48,10 +48,10 @@
 
 
 class ReplicaProcess:
-    """Owns the listeners and loops of a replica; ``run`` serves until a stop has ended."""
+    """Own the listeners and loops of a replica; ``run`` serves until the stop is complete."""
 
     def __init__(self, *, settings: DeploymentSettings, events: EventLog) -> None:
-        """Build all parts; nothing listens before ``run``."""
+        """Build all components; no listener is opened before ``run``."""
         listeners = settings.listeners
         assert listeners.control is not None and settings.process.data_folder is not None
         self._settings = settings
@@ -63,7 +63,9 @@
         self._is_push_scheduled = False
         self._store = DocumentStore()
         self._table = EndpointTable()
-        self.transport = make_transport(settings, events=events, take=self._handle_message)
+        self.transport = make_transport(
+            settings, events=events, handle_message=self._handle_message
+        )
         seeds = list_seed_peers(settings)
         own = str(listeners.peer)
         self.host = LogHost(
@@ -121,7 +123,7 @@
             Gauge(
                 name="chivetrack.replica.quarantined_requests",
                 unit="{request}",
-                description="Requests that are rejected since they crash endpoints.",
+                description="Requests that are rejected because they crash endpoints.",
                 read=lambda: len(self._store.quarantine.requests),
             ),
         )
@@ -193,7 +195,7 @@
             self._pending_orders.discard(order.fingerprint)
 
     def _schedule_push(self) -> None:
-        """Tell the routers; changes that come together go out together."""
+        """Schedule an update to the routers; changes within ``PUSH_DELAY_S`` are batched."""
         if not self._is_push_scheduled:
             self._is_push_scheduled = True
             gevent.spawn_later(PUSH_DELAY_S, self._push)
@@ -220,22 +222,22 @@
             if message.crash_reports:
                 self._order_due_quarantines()
         elif self.host.accepts(message):
-            self.host.take(source, message)
+            self.host.handle_message(source, message)
         else:
-            self._control_handler.take(source, message)
+            self._control_handler.handle_message(source, message)
 
-    def _answer_permit(self, source: str, asked: AskPermit) -> None:
+    def _answer_permit(self, source: str, request: AskPermit) -> None:
         now = time.monotonic()
         share = self._publisher.find_share(now=now)
-        wait_s = self._permits.ask(asked.endpoint_id, per_s=asked.per_s, share=share, now=now)
-        self.transport.answer(source, PermitAnswer(number=asked.number, wait_s=wait_s))
+        wait_s = self._permits.ask(request.endpoint_id, per_s=request.per_s, share=share, now=now)
+        self.transport.answer(source, PermitAnswer(number=request.number, wait_s=wait_s))
 
     def _send_documents(self, source: str, fetch: FetchDocument) -> None:
         for one in self._publisher.take_fetch(source, fetch, now=time.monotonic()):
             gevent.spawn_later(one.delay_s, self.transport.answer, one.target, one.message)
 
     def run(self) -> int:
-        """Serve until SIGTERM; leadership is handed over first."""
+        """Serve until SIGTERM, then stop; return the number of calls cut by the exit."""
         gevent.signal_handler(signal.SIGTERM, self._stop_requested.set)
         gevent.signal_handler(signal.SIGHUP, self._log_reload)
         with self._serve():
@@ -250,7 +252,7 @@
             return self._stop()
 
     def _stop(self) -> int:
-        """Hand leadership over, finish the calls in progress, and return how many were cut."""
+        """Hand over leadership, finish the calls in progress and return the number cut."""
         began = time.monotonic()
         self._events.write("stopping", leads=self.host.is_leader, open=self._gate.open_count)
         self._gate.is_closed = True
@@ -285,7 +287,7 @@
                 self._schedule_push()
 
     def _run_exchange(self) -> None:
-        """Tell the other replicas what the routers close to this one use."""
+        """Send the other replicas the loads of the routers assigned to this one."""
         own = str(self._settings.listeners.peer)
         while True:
             gevent.sleep(CLOSE_EVERY_S)
@@ -295,13 +297,13 @@
                     self.transport.send(target, exchange)
 
     def _run_endpoint_rounds(self) -> None:
-        """Send routers in rounds what has changed at many endpoints."""
+        """Send routers endpoint changes in rounds, which bundle many changes."""
         while True:
             gevent.sleep(ROUND_EVERY_S / 2)
             send_all(self.transport.answer, self._publisher.send_round(now=time.monotonic()))
 
     def _run_broadcasts(self) -> None:
-        """Tell the other replicas what endpoints say here."""
+        """Broadcast the announcements received from endpoints to the other replicas."""
         while True:
             gevent.sleep(SPREAD_EVERY_S)
             self._control_handler.broadcast()
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -104,7 +104,9 @@
             get_news=self.view.get_news,
         )
         self._message_handlers = dict(self._list_message_handlers())
-        self.transport = make_transport(settings, events=events, take=self._handle_message)
+        self.transport = make_transport(
+            settings, events=events, handle_message=self._handle_message
+        )
         self._permits = PermitClient(
             view=self.view,
             find_replica=lambda: self.subscriber.close_replica,
--- a/tests/daemon/fleet/test_documents.py
+++ b/tests/daemon/fleet/test_documents.py
@@ -1,4 +1,4 @@
-"""Operators' calls at replicas that lead and at those that follow."""
+"""Tests of operators' calls at leaders and followers."""
 
 import unittest
 from typing import Any, cast
@@ -50,7 +50,7 @@
 
 
 class Node:
-    """A replica: its desk, its state machine, and the part of ``LogHost`` that a desk uses."""
+    """A replica: its handler, its state machine, and the part of ``LogHost`` they use."""
 
     def __init__(self, name: str, log: Log) -> None:
         self.name = name
@@ -59,7 +59,7 @@
         self.has_all_voters = True
         self.leads_since = 0.0
         self.replica = self
-        self.desk = DocumentHandler(
+        self.handler = DocumentHandler(
             instance_id=name,
             control_port=9,
             host=cast(LogHost, self),
@@ -84,10 +84,10 @@
 
     def send(self, target: str, message: Message) -> None:
         if (self.name, target) not in self.log.lost:
-            gevent.spawn(self.log.nodes[target].desk.take, self.name, message)
+            gevent.spawn(self.log.nodes[target].handler.handle_message, self.name, message)
 
     def put(self, version: int, body: bytes = BODY) -> Result[int, Fault | Elsewhere]:
-        return self.desk.put(make_document(version), body)
+        return self.handler.put(make_document(version), body)
 
 
 def make_lost() -> Fault:
@@ -102,101 +102,103 @@
         documents_module.FORWARD_TIMEOUT_S = 0.1  # type: ignore[misc]
 
     def read(self, node: Node) -> bytes:
-        outcome = node.desk.read()
+        outcome = node.handler.read()
         assert outcome.is_ok(), outcome
         return unpack_document(outcome.ok.payload)
 
 
 class DocumentDeskTest(DeskCase):
     def test_operator_is_served_at_any_replica(self) -> None:
-        """The operator sends 480 kB to a follower, on links of 3 Mbit/s.
+        """Guards against redirecting an operator who sends 480 kB on links of 3 Mbit/s.
 
-        Referred to the leader, it sent them again, 1.3 s each time, and gave up before the
-        answer. The follower hands the packed document on and acknowledges it itself.
+        After a redirect to the leader the operator had to send the document again, 1.3 s each
+        time, and abandoned the call before the answer. The follower forwards the packed
+        document and acknowledges it itself.
         """
         self.assertEqual(self.second.put(5).ok, 5)
         for node in self.log.nodes.values():
             self.assertEqual(self.read(node), BODY)
 
-    def test_resend_and_older_version_change_nothing(self) -> None:
-        """The acknowledgement was lost; the same change comes again, at another replica.
+    def test_resend_and_older_version_are_acknowledged_without_change(self) -> None:
+        """Guards against replacing a document by other content under the same version.
 
-        It is acknowledged. Other content under the version held must never be in force.
+        After a lost acknowledgement the operator sends the same change to another replica,
+        which acknowledges it.
         """
         self.second.put(5)
         self.assertEqual(self.third.put(5, b'{"other":1}').ok, 5)
         self.assertEqual(self.third.put(3).ok, 5)
         self.assertEqual(self.read(self.third), BODY)
 
-    def test_follower_that_lags_gives_no_older_document(self) -> None:
-        """A follower has not applied the newest version, which the leader tells it of.
+    def test_lagging_follower_returns_no_older_document(self) -> None:
+        """Guards against reads that return an older version than was acknowledged.
 
-        What it holds would be an older one than was acknowledged; it says 503 instead.
+        A follower that has not applied the version which the leader confirms answers 503.
         """
         self.first.put(5)
         self.log.behind = {"p3:1"}
         self.first.put(7, b'{"version":7}')
-        outcome = self.third.desk.read()
+        outcome = self.third.handler.read()
         assert outcome.is_error() and isinstance(outcome.error, Fault)
         self.assertEqual((outcome.error.code, outcome.error.status), ("behind", 503))
         late = StoredDocument(version=7, payload=pack_document(b'{"version":7}'))
         gevent.spawn_later(0.1, self.third.store.restore_snapshot, encode_stored(late))
         self.assertEqual(self.read(self.third), b'{"version":7}')
 
-    def test_leader_that_is_cut_off_from_the_follower(self) -> None:
-        """The follower believes in a leader that does not answer it.
+    def test_follower_partitioned_from_the_leader_redirects(self) -> None:
+        """The leader known to the follower does not answer the follower.
 
-        The operator may still reach that one and is referred to it.
+        The operator may still reach the leader and is redirected to it.
         """
         self.log.lost = {("p2:1", "p1:1")}
         outcome = self.second.put(5)
         self.assertEqual(outcome.error, Elsewhere(address="p1:9"))
-        self.assertEqual(self.second.desk.read().error, Elsewhere(address="p1:9"))
+        self.assertEqual(self.second.handler.read().error, Elsewhere(address="p1:9"))
 
     def test_leader_without_a_quorum_acknowledges_nothing(self) -> None:
         self.log.is_quorate = False
         for node in (self.first, self.second):
-            for outcome in (node.put(5), node.desk.read()):
+            for outcome in (node.put(5), node.handler.read()):
                 assert outcome.is_error() and isinstance(outcome.error, Fault)
                 self.assertEqual(outcome.error.status, 503)
 
-    def test_replica_that_does_not_lead_any_more(self) -> None:
-        """A follower asks the leader of before; that one must not answer for the log."""
+    def test_former_leader_does_not_answer(self) -> None:
+        """A follower forwards a read to the former leader, which must not answer it."""
         self.first.put(5)
         self.log.leader = "p3:1"
-        outcome = self.second.desk.read()
+        outcome = self.second.handler.read()
         assert outcome.is_error() and isinstance(outcome.error, Fault)
         self.assertEqual(outcome.error.code, "leader_failed")
 
     def test_large_document_is_read_at_a_router(self) -> None:
-        """1,600 routes are 480 kB, which take 1.3 s on a replica's link of 3 Mbit/s.
+        """Guards against reads that exceed the operator's timeout of one second.
 
-        The operator gives up after a second, at every replica in turn. A router that holds
-        the version has a wider link; without one the replica answers itself.
+        1,600 routes are 480 kB, which take 1.3 s on a replica's link of 3 Mbit/s. A router
+        that has the version has more bandwidth; without one the replica answers itself.
         """
         large = b"{" + b"x" * 480_000 + b"}"
         self.first.put(5, large)
         self.assertEqual(self.read(self.second), large)
         self.log.readers = ["r1"]
         for node in (self.first, self.second):
-            refusal = node.desk.read().error
+            refusal = node.handler.read().error
             self.assertEqual(refusal, Elsewhere(address="r1:5", min_version=5))
         self.first.put(7)
         self.assertEqual(self.read(self.second), BODY)
 
-    def test_nobody_leads(self) -> None:
+    def test_no_leader(self) -> None:
         self.log.leader = self.log.believed_leader = ""
         outcome = self.second.put(5)
         assert outcome.is_error() and isinstance(outcome.error, Fault)
         self.assertEqual(outcome.error.code, "no_leader")
 
-    def test_founding_waits_for_all_voters(self) -> None:
+    def test_bootstrap_waits_for_all_voters(self) -> None:
         self.first.has_all_voters = False
         self.first.leads_since = float("inf")
         for node in (self.first, self.second):
             self.assertTrue(node.put(5).is_error())
 
-    def test_not_leader_fault_refers_to_the_new_leader(self) -> None:
+    def test_not_leader_fault_redirects_to_the_new_leader(self) -> None:
         self.log.believed_leader = "p3:1"
         fault = NotLeaderFault(code="not_leader", message="", status=503)
         self.first.propose = lambda data, *, timeout_s: Error(fault)  # type: ignore[method-assign]
@@ -205,7 +207,7 @@
 
 class OutcomeLineTest(DeskCase):
     def test_lines_have_the_code_of_a_failure(self) -> None:
-        """Guards against failures that on-call can't search for by their code."""
+        """Guards against log lines of failures without the code to search for."""
         self.log.is_quorate = False
         with mock.patch.object(EventLog, "write") as write:
             self.first.put(5)
@@ -216,7 +218,7 @@
 
 class ZoneOrderTest(DeskCase):
     def order(self, node: Node, *, is_evacuated: bool = True) -> Result[int, Fault | Elsewhere]:
-        return node.desk.order("z1", is_evacuated=is_evacuated)
+        return node.handler.order("z1", is_evacuated=is_evacuated)
 
     def test_order_is_served_at_any_replica(self) -> None:
         self.assertEqual(self.order(self.second).ok, 1)
@@ -224,12 +226,13 @@
         for node in self.log.nodes.values():
             self.assertEqual(node.store.evacuations.list_evacuated(), ("z1",))
         self.assertTrue(self.order(self.third, is_evacuated=False).is_ok())
-        self.assertEqual(self.first.desk.read_evacuations().ok.list_evacuated(), ())
+        self.assertEqual(self.first.handler.read_evacuations().ok.list_evacuated(), ())
 
-    def test_order_from_a_replica_that_lags(self) -> None:
-        """A replica that missed the withdrawal hands on a resend of the first order.
+    def test_order_from_a_lagging_replica(self) -> None:
+        """Guards against a resent order that undoes the revocation of an evacuation.
 
-        The resend is refused as one that may pass later, and changes nothing.
+        A replica that missed the revocation forwards a resend of the first order. The resend
+        is refused with a retryable fault and changes nothing.
         """
         self.order(self.first)
         self.log.behind = {"p3:1"}
@@ -239,8 +242,8 @@
         self.assertEqual(outcome.error.status, 503)
         self.assertEqual(self.first.store.evacuations.list_evacuated(), ())
 
-    def test_what_may_pass_by_waiting_is_unavailable(self) -> None:
-        """Without a leader, a quorum or all voters, operators are told to come again."""
+    def test_temporary_failure_is_unavailable(self) -> None:
+        """Without a leader, a quorum or all voters, operators receive a retryable fault."""
         for name, value in (("is_quorate", False), ("leader", "")):
             with self.subTest(name=name):
                 self.setUp()
@@ -250,7 +253,7 @@
                     outcome = self.order(node)
                     assert outcome.is_error() and isinstance(outcome.error, Fault)
                     self.assertEqual(outcome.error.status, 503)
-        self.assertEqual(self.third.desk.read_evacuations().is_error(), True)
+        self.assertEqual(self.third.handler.read_evacuations().is_error(), True)
 
 
 def encode_stored(document: StoredDocument) -> bytes:
--- a/tests/daemon/fleet/test_log_host.py
+++ b/tests/daemon/fleet/test_log_host.py
@@ -1,4 +1,4 @@
-"""What a replica remembers of the first start in its folder."""
+"""Tests of the bootstrap instances that a replica's folder stores at the first start."""
 
 import unittest
 from pathlib import Path
@@ -32,35 +32,40 @@
             events=EventLog(instance="i1"),
         )
 
-    def read_founders(self, host: LogHost) -> tuple[str, ...]:
+    def read_bootstrap_instances(self, host: LogHost) -> tuple[str, ...]:
         with host._open_folder() as storage:
             return storage.identity.founders
 
-    def test_founders_are_remembered_by_a_folder_of_the_first_start(self) -> None:
-        self.assertEqual(self.read_founders(self.make_host(is_first_start=True)), tuple(SEEDS))
-        self.assertEqual(self.read_founders(self.make_host(is_first_start=False)), tuple(SEEDS))
+    def test_folder_of_the_first_start_stores_the_bootstrap_instances(self) -> None:
+        self.assertEqual(
+            self.read_bootstrap_instances(self.make_host(is_first_start=True)), tuple(SEEDS)
+        )
+        self.assertEqual(
+            self.read_bootstrap_instances(self.make_host(is_first_start=False)), tuple(SEEDS)
+        )
 
-    def test_half_made_folder_of_the_first_start(self) -> None:
-        """A replica was killed in its first start, between the folder and its identity."""
+    def test_incomplete_folder_of_the_first_start(self) -> None:
+        """A replica was killed in its first start before it wrote its folder's identity."""
         (self.folder / "log").mkdir()
-        self.assertEqual(self.read_founders(self.make_host(is_first_start=False)), ())
+        self.assertEqual(self.read_bootstrap_instances(self.make_host(is_first_start=False)), ())
 
-    def test_retired_replica_makes_a_folder_that_is_not_of_the_first_start(self) -> None:
-        """The log has removed a replica in the process that had founded it.
+    def test_folder_of_a_retired_replica_names_no_bootstrap_instances(self) -> None:
+        """Guards against a second bootstrap caused by a replica that the log has removed.
 
-        It empties its folder and joins anew. Taken for a founder that never lost its disk, it
-        would prove to others, who did lose theirs, that no log was ever founded.
+        The removed replica empties its folder and rejoins within the process that had
+        bootstrapped the log. If it passed for a bootstrap instance that never lost its disk,
+        instances that lost theirs would conclude that no log was ever bootstrapped.
         """
         host = self.make_host(is_first_start=True)
-        seen: list[tuple[str, ...]] = []
+        results: list[tuple[str, ...]] = []
 
         def run_once() -> None:
-            seen.append(self.read_founders(host))
-            raise RetiredError if len(seen) == 1 else StopTestError
+            results.append(self.read_bootstrap_instances(host))
+            raise RetiredError if len(results) == 1 else StopTestError
 
         with mock.patch.object(host, "_run_once", run_once), self.assertRaises(StopTestError):
             host.run()
-        self.assertEqual(seen, [tuple(SEEDS), ()])
+        self.assertEqual(results, [tuple(SEEDS), ()])
 
 
 if __name__ == "__main__":
