--- a/chivetrack/daemon/fleet/metrics.py
+++ b/chivetrack/daemon/fleet/metrics.py
@@ -18,7 +18,7 @@
 
 
 # Records that wait until somebody asks for metrics; more open the library by themselves.
-MAX_WAITING = 20_000
+MAX_PENDING_RECORDS = 20_000
 
 
 class Metrics:
@@ -63,7 +63,7 @@
             record(self._meters)
             return
         self._waiting.append(record)
-        if len(self._waiting) >= MAX_WAITING:
+        if len(self._waiting) >= MAX_PENDING_RECORDS:
             self.open()
 
     def open(self) -> "Meters":
