--- a/chivetrack/daemon/fleet/metrics.py
+++ b/chivetrack/daemon/fleet/metrics.py
@@ -34,7 +34,7 @@
         self._instance = instance
         self._zone = zone
         self._gauges: list[Gauge] = []
-        self._waiting: deque[Callable[[Meters], None]] = deque()
+        self._pending_records: deque[Callable[[Meters], None]] = deque()
         self._meters: Meters | None = None
 
     def add_gauges(self, *gauges: Gauge) -> None:
@@ -62,8 +62,8 @@
         if self._meters is not None:
             record(self._meters)
             return
-        self._waiting.append(record)
-        if len(self._waiting) >= MAX_PENDING_RECORDS:
+        self._pending_records.append(record)
+        if len(self._pending_records) >= MAX_PENDING_RECORDS:
             self.open()
 
     def open(self) -> "Meters":
@@ -74,8 +74,8 @@
             self._meters = open_meters(
                 instance=self._instance, zone=self._zone, gauges=self._gauges
             )
-        while self._waiting:
-            self._waiting.popleft()(self._meters)
+        while self._pending_records:
+            self._pending_records.popleft()(self._meters)
         return self._meters
 
     def build_app(self) -> Bottle:
