--- a/chivetrack/daemon/fleet/restart_file.py
+++ b/chivetrack/daemon/fleet/restart_file.py
@@ -16,7 +16,7 @@
 
 _FILE_NAME = "restart"
 # Changes within so long are written together; a disk takes a sync in some ms.
-_WRITE_AFTER_S = 0.3
+_WRITE_DELAY_S = 0.3
 
 
 class _Content(msgspec.Struct, array_like=True):
@@ -71,7 +71,7 @@
         """Write after a moment, if anything has changed."""
         if not self._is_due and self._get_state() != self._written:
             self._is_due = True
-            gevent.spawn_later(_WRITE_AFTER_S, self._write)
+            gevent.spawn_later(_WRITE_DELAY_S, self._write)
 
     def _get_state(self) -> tuple[int, int]:
         return (self._table.change, self._placements.change)
