--- a/chivetrack/daemon/fleet/restart_file.py
+++ b/chivetrack/daemon/fleet/restart_file.py
@@ -45,7 +45,7 @@
         self._events = events
         self._pool = ThreadPool(1)
         self._written = (0, 0)
-        self._is_due = False
+        self._is_write_scheduled = False
 
     def load(self, *, now: float) -> None:
         """Take over what the file holds; ``now`` is of the steady clock."""
@@ -69,15 +69,15 @@
 
     def write_soon(self) -> None:
         """Write after a moment, if anything has changed."""
-        if not self._is_due and self._get_state() != self._written:
-            self._is_due = True
+        if not self._is_write_scheduled and self._get_state() != self._written:
+            self._is_write_scheduled = True
             gevent.spawn_later(_WRITE_DELAY_S, self._write)
 
     def _get_state(self) -> tuple[int, int]:
         return (self._table.change, self._placements.change)
 
     def _write(self) -> None:
-        self._is_due = False
+        self._is_write_scheduled = False
         self._written = self._get_state()
         placed, _ = self._placements.list_after(0, now=time.monotonic())
         content = _Content(
