--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -202,7 +202,7 @@
 
     def _push(self) -> None:
         self._is_push_scheduled = False
-        self._restart_file.write_soon()
+        self._restart_file.schedule_write()
         send_all(self.transport.answer, self._publisher.publish(now=time.monotonic()))
 
     def _handle_message(self, source: str, message: Message) -> None:
@@ -279,7 +279,7 @@
             for record in self._table.forget_old(now):
                 self._events.write("endpoint_forgotten", **record.describe())
             self._order_due_quarantines()
-            self._restart_file.write_soon()
+            self._restart_file.schedule_write()
             # Without a leader, this replica may be partitioned and miss all heartbeats.
             if self.host.knows_leader:
                 self._control_handler.mark_silent_lost()
--- a/chivetrack/daemon/fleet/restart_file.py
+++ b/chivetrack/daemon/fleet/restart_file.py
@@ -67,7 +67,7 @@
             "restart_file_read", endpoints=len(content.records), placements=len(placed)
         )
 
-    def write_soon(self) -> None:
+    def schedule_write(self) -> None:
         """Write after a moment, if anything has changed."""
         if not self._is_write_scheduled and self._get_state() != self._written:
             self._is_write_scheduled = True
