--- a/chivetrack/daemon/fleet/meters.py
+++ b/chivetrack/daemon/fleet/meters.py
@@ -35,7 +35,7 @@
             description="From the request to its end.",
             explicit_bucket_boundaries_advisory=DURATION_BOUNDS_S,
         )
-        self._first = meter.create_histogram(
+        self._first_event = meter.create_histogram(
             "chivetrack.router.first_event",
             unit="s",
             description="From the request to a stream's first event.",
@@ -71,7 +71,7 @@
         self._requests.add(1, names)
         self._duration.record(now - call.came_at, kinds)
         if call.first_event_at is not None:
-            self._first.record(call.first_event_at - call.came_at, kinds)
+            self._first_event.record(call.first_event_at - call.came_at, kinds)
 
     def record_answer(self, facts: AnswerFacts) -> None:
         """Count the head of an endpoint's answer."""
