--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -17,7 +17,7 @@
 """Answers up to this size are read whole before the caller gets a byte, so that a broken
 one can be repeated or refused and is never seen."""
 
-DEFAULT_WAIT_S: Final = 15.0
+DEFAULT_CALLER_WAIT_S: Final = 15.0
 """For callers that do not say how long they wait."""
 
 LATE_ANSWER_GRACE_S: Final = 0.1
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -27,7 +27,7 @@
 from chivetrack.components.traffic.table import RouteTable
 from chivetrack.daemon.fleet.calls import Call, Reply
 from chivetrack.daemon.fleet.const import (
-    DEFAULT_WAIT_S,
+    DEFAULT_CALLER_WAIT_S,
     MAX_REQUESTS,
     NO_DOCUMENT_RETRY_S,
     NO_ENDPOINT_RETRY_S,
@@ -133,7 +133,7 @@
         if route is None:
             raise FaultError(_make_refusal("unknown_route", 404, None))
         workspace = self._identify(table, route, facts)
-        wait_s = DEFAULT_WAIT_S if facts.wait_s is None else facts.wait_s
+        wait_s = DEFAULT_CALLER_WAIT_S if facts.wait_s is None else facts.wait_s
         limit = table.document.limits.max_body_bytes
         body = read_body(environ, limit=limit, timeout_s=BODY_TIMEOUT_S)
         return Call(
@@ -167,7 +167,7 @@
         has been running longer without a configuration refuses at once.
         """
         left_s = self._started_at + START_WAIT_S - now
-        wait_s = DEFAULT_WAIT_S if facts.wait_s is None else facts.wait_s
+        wait_s = DEFAULT_CALLER_WAIT_S if facts.wait_s is None else facts.wait_s
         if left_s > 0:
             self._view.wait_until_ready(min(left_s, wait_s / 2))
         return self._view.table
