--- a/chivetrack/daemon/fleet/calls.py
+++ b/chivetrack/daemon/fleet/calls.py
@@ -20,7 +20,7 @@
 # Engines know ten ranks.
 MAX_PRIORITY = 9
 
-REASONS: Mapping[int, str] = {
+STATUS_REASONS: Mapping[int, str] = {
     200: "OK",
     400: "Bad Request",
     401: "Unauthorized",
@@ -53,7 +53,7 @@
 
     def start(self, status: int, headers: Sequence[tuple[str, str]], reason: str = "") -> None:
         """Begin the answer; the head goes out with the first bytes."""
-        line = f"{status} {reason or REASONS.get(status, 'Status')}"
+        line = f"{status} {reason or STATUS_REASONS.get(status, 'Status')}"
         self.status = status
         self._write = self._start_response(line, list(headers))
 
