--- a/chivetrack/daemon/fleet/__init__.py
+++ b/chivetrack/daemon/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The processes of a deployment that runs routers and replicas on instances of their own."""
+"""The processes of a deployment in which routers and replicas run on separate instances."""
--- a/chivetrack/daemon/fleet/__main__.py
+++ b/chivetrack/daemon/fleet/__main__.py
@@ -1,25 +1,25 @@
-"""The program of the deployed processes: a router or a replica, as the settings say."""
+"""The program of the deployed processes: a router or a replica, as the settings define."""
 
 import gc
 
-# Nothing of what is imported becomes garbage; looking for it takes a fifth of the start.
+# Imports create no garbage; collections during the imports would take a fifth of the start.
 gc.disable()
 
 from chivetrack.daemon.fleet.early import ENV_SETTINGS, open_callers_listener  # noqa: E402
 
-# Before all that takes time to load.
+# Open the listener before the imports that take time.
 EARLY_LISTENER = open_callers_listener()
 
 from gevent import config as gevent_config  # noqa: E402
 from gevent import events as gevent_events  # noqa: E402
 from gevent import monkey  # noqa: E402
 
-# All addresses are IP numbers. Handing each to a thread, as names would have to be, costs more
-# than the rest of a connection.
+# All addresses are numeric. Resolving each in a thread, as host names require, takes longer
+# than the rest of opening a connection.
 gevent_config.resolver = "block"
 
-# Each step of the patching would look for plug-ins in the metadata of every installed package;
-# this program has none, and callers wait for its start.
+# Without this, each patching step searches the metadata of every installed package for entry
+# points. This program has none, and the search would delay its start, for which callers wait.
 gevent_events.notify_and_call_entry_points = gevent_events.notify
 monkey.patch_all()
 
@@ -38,7 +38,7 @@
 
 
 def _run(settings: DeploymentSettings, events: EventLog) -> int:
-    """Load and run the program of the role; each role needs half of the modules."""
+    """Import and run the program of the role; each role needs only half of the modules."""
     if settings.process.role is ProcessRole.REPLICA:
         from chivetrack.daemon.fleet.replica import ReplicaProcess
 
@@ -53,7 +53,7 @@
 
 
 def serve(settings: DeploymentSettings) -> int:
-    """Run the process until it was stopped, and return the exit code."""
+    """Run the process until it has stopped and return the exit code."""
     with (
         open_logs(level=settings.log.level, form="json"),
         open_events(instance=settings.process.name) as events,
@@ -67,19 +67,22 @@
 
 
 def start(config: Path) -> None:
-    """Run the process of a settings file, and end with its exit code."""
+    """Run the process of a settings file and exit with its exit code."""
     settings = load_deployment(config)
     if settings.is_error():
         for finding in settings.error:
             print(finding, file=sys.stderr)
         sys.exit(EXIT_SETTINGS)
-    # A thread that waits for a stalled disk would hold up the end until the kill, although
-    # nothing is in flight any more.
+    # Skip waiting for threads: one that waits for a stalled disk would delay the exit until
+    # SIGKILL, although no request is in flight.
     os._exit(serve(settings.ok))
 
 
 def main() -> None:
-    """Read the command line, if there is any; loading what reads it takes time."""
+    """Start from the environment or the command line.
+
+    The command-line parser is only imported if there are arguments, since this takes time.
+    """
     if len(sys.argv) == 1 and ENV_SETTINGS in os.environ:
         start(Path(os.environ[ENV_SETTINGS]))
     from chivetrack.daemon.fleet.command import build_app
--- a/chivetrack/daemon/fleet/call_gate.py
+++ b/chivetrack/daemon/fleet/call_gate.py
@@ -1,4 +1,4 @@
-"""The calls in progress at a control listener, and the end of new ones during a stop."""
+"""Counts the calls in progress at a control listener and refuses new ones during a stop."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -8,21 +8,21 @@
 from chivetrack.components.limits.stopping import RETRY_AFTER_S
 
 _BODY = msgspec.json.encode(
-    {"error": "stopping", "message": "this replica is stopping; ask another one"}
+    {"error": "stopping", "message": "this replica is stopping; use another replica"}
 )
 
 
 class CallGate:
-    """Wraps an application: counts its calls, and refuses new ones once it is closed."""
+    """WSGI wrapper that counts an application's calls and refuses new ones once closed."""
 
     def __init__(self, *, application: Callable[..., Iterable[bytes]]) -> None:
-        """Start open."""
+        """Wrap ``application``; the gate is open at first."""
         self._application = application
         self.open_count = 0
         self.is_closed = False
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
-        """Serve one call."""
+        """Serve one call, or answer 503 if the gate is closed."""
         if self.is_closed:
             headers = [
                 ("Content-Type", "application/json"),
--- a/chivetrack/daemon/fleet/calls.py
+++ b/chivetrack/daemon/fleet/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request and the way back to the caller."""
+"""A caller's request and the reply to it."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
@@ -17,7 +17,7 @@
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Callable[[bytes], Any]]
 
-# Engines know ten ranks.
+# Engines support ten priorities, 0 to 9.
 MAX_PRIORITY = 9
 
 STATUS_REASONS: Mapping[int, str] = {
@@ -37,10 +37,10 @@
 
 
 class Reply:
-    """The answer to one caller; its head goes out once."""
+    """The reply to one caller; status and headers are sent once."""
 
     def __init__(self, *, start_response: StartResponse) -> None:
-        """Take the server's way to begin an answer."""
+        """Store the WSGI server's ``start_response``."""
         self._start_response = start_response
         self._write: Callable[[bytes], Any] | None = None
         self.bytes_sent = 0
@@ -48,29 +48,29 @@
 
     @property
     def is_started(self) -> bool:
-        """Return whether the head is out."""
+        """Return whether status and headers are decided."""
         return self._write is not None
 
     def start(self, status: int, headers: Sequence[tuple[str, str]], reason: str = "") -> None:
-        """Begin the answer; the head goes out with the first bytes."""
+        """Set status and headers; they are sent with the first bytes of the body."""
         line = f"{status} {reason or STATUS_REASONS.get(status, 'Status')}"
         self.status = status
         self._write = self._start_response(line, list(headers))
 
     def write(self, data: bytes) -> None:
-        """Send bytes of the body on at once."""
+        """Send bytes of the body without buffering."""
         assert self._write is not None
         self._write(data)
         self.bytes_sent += len(data)
 
     def send(self, status: int, headers: Sequence[tuple[str, str]], body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete reply with its length."""
         framed = [*headers, ("Content-Length", str(len(body)))]
         self.start(status, framed)
         self.write(body)
 
     def refuse(self, fault: Fault) -> None:
-        """Send a fault as the answer."""
+        """Send a fault as the reply."""
         headers = [("Content-Type", "application/json")]
         if fault.retry_after_s is not None:
             headers.append(("Retry-After", f"{fault.retry_after_s:.2f}"))
@@ -80,11 +80,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Call:
-    """One request on its way; times are of the steady clock in seconds.
+    """One request in flight; times are monotonic, in seconds.
 
-    ``passed_over`` are cold endpoints that may not be sent this request just now.
+    ``passed_over`` are cold endpoints without a permit for this request at the moment.
     ``fingerprint`` is equal for requests with the same method, target, workspace and body.
-    ``connected_at`` is when the caller opened its connection.
+    ``connected_at`` is the time when the caller opened its connection.
     """
 
     facts: RequestFacts
@@ -119,7 +119,7 @@
 
     @property
     def priority(self) -> int:
-        """Return the rank at the engine, 0 is first; the workspace's goes before the route's."""
-        given = None if self.workspace is None else self.workspace.priority
-        rank = self.route.priority if given is None else given
-        return min(MAX_PRIORITY, max(0, rank))
+        """Return the priority at the engine, 0 is first; the workspace overrides the route."""
+        of_workspace = None if self.workspace is None else self.workspace.priority
+        priority = self.route.priority if of_workspace is None else of_workspace
+        return min(MAX_PRIORITY, max(0, priority))
--- a/chivetrack/daemon/fleet/early.py
+++ b/chivetrack/daemon/fleet/early.py
@@ -1,7 +1,7 @@
 """Opens the callers' listener before the rest of the program is loaded.
 
-Imports nothing but the standard library's light modules: a start takes 0.4 s, nearly all of
-it for imports, and until the listener is open each new connection is reset.
+Imports only small modules of the standard library: a start takes 0.4 s, nearly all of it for
+imports, and until the listener is open each new connection is reset.
 """
 
 import os
@@ -17,11 +17,10 @@
 def open_callers_listener() -> socket.socket | None:
     """Return a listening socket at the settings' ``listeners.callers``.
 
-    It answers the load pattern in which all routers were killed at once and callers come
-    back while they start: connections wait in the kernel's queue, for at most the rest of
-    the start, and are served then. Settings that can't be read, a process that is no
-    router and an address that can't be bound give ``None``: the start that follows checks
-    and binds again, and says what is wrong.
+    If all routers were killed at once, callers reconnect while the routers start. Their
+    connections wait in the kernel's accept queue for the rest of the start and are served
+    then. Return ``None`` if the settings can't be read, the process is no router or the
+    address can't be bound; the start checks and binds again and reports the error.
     """
     try:
         text = Path(os.environ[ENV_SETTINGS]).read_text(encoding="utf-8")
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -362,7 +362,7 @@
         return min(waits, default=None)
 
     @contextmanager
-    def use(self, call: Call, choice: Choice) -> Iterator[Placed]:
+    def track_request(self, call: Call, choice: Choice) -> Iterator[Placed]:
         """Count a request as running at an endpoint within the context.
 
         The body sets ``is_complete`` of the yielded placement once the answer is complete.
@@ -396,7 +396,8 @@
     def record_overdue(self, call: Call) -> bool:
         """Record that no byte came within the wait limit.
 
-        Return whether the endpoint is silent: none of its requests here has received bytes.
+        Return whether the endpoint is silent: answers of it are overdue and it has sent no bytes
+        to this router since.
         """
         if call.placed is None:
             return False
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -64,7 +64,7 @@
     def __init__(
         self,
         *,
-        kept: KeptConnections,
+        idle_connections: KeptConnections,
         record_answer: Callable[[EndpointRecord, AnswerFacts], None],
         handle_first_event: Callable[[Call, Choice], None],
         handle_bytes: Callable[[Call], None] | None = None,
@@ -76,7 +76,7 @@
         called when none arrived within the wait limit; it returns whether the endpoint is
         silent to all of this router's requests.
         """
-        self._kept = kept
+        self._idle_connections = idle_connections
         self._record_answer = record_answer
         self._handle_first_event = handle_first_event
         self._handle_bytes = handle_bytes or (lambda call: None)
@@ -100,7 +100,7 @@
             ends = facts.closes or facts.is_leaving
             is_reused = answer.keeps_connection and not ends and connection.end_request()
             if is_reused:
-                self._kept.put(record.endpoint_id, connection, facts.keep_alive_s)
+                self._idle_connections.put(record.endpoint_id, connection, facts.keep_alive_s)
             return result
         except NotSentError as error:
             return SendResult(end=SendEnd.NOT_SENT, detail=str(error))
@@ -114,9 +114,9 @@
 
     def _connect(self, call: Call, choice: Choice) -> EndpointConnection:
         record = choice.record
-        kept = self._kept.take(record.endpoint_id)
-        if kept is not None:
-            return kept
+        idle = self._idle_connections.take(record.endpoint_id)
+        if idle is not None:
+            return idle
         left_s = max(0.01, call.ends_at - time.monotonic())
         return EndpointConnection(
             address=record.address, connect_timeout_s=min(CONNECT_TIMEOUT_S, left_s)
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -98,7 +98,7 @@
         self._repair = Repair(wanted_voters=self._wanted_voters)
         self._bootstrap: Founding | None = None
         self._is_retired = False
-        self._sources: dict[str, str] = {}
+        self._address_by_replica: dict[str, str] = {}
         # A separate thread for disk syncs, so that they never queue behind other work.
         self._sync_pool = ThreadPool(1)
         self.replica: Replica | None = None
@@ -123,7 +123,7 @@
         elif isinstance(message, JoinAnswer):
             self._handle_join_answer(message)
         elif self.replica is not None and isinstance(message, PeerMessage):
-            self._sources[message.sender] = source
+            self._address_by_replica[message.sender] = source
             self.replica.receive(source, message)
 
     def _handle_hello(self, source: str, hello: Hello) -> None:
@@ -167,7 +167,7 @@
         if self.replica is None:
             return ""
         leader = self.replica.get_status().consensus.leader_instance
-        return self._sources.get(leader, leader)
+        return self._address_by_replica.get(leader, leader)
 
     def list_instances(self) -> tuple[str, ...]:
         """Return the instances of all members."""
@@ -316,7 +316,7 @@
     def _send_to_replica(self, effect: SendMessage) -> None:
         # A replica that has not received the members yet knows only the leader's replica id.
         # An answer addressed to this id would be lost, and the replica would never catch up.
-        self._send(self._sources.get(effect.target, effect.target), effect.message)
+        self._send(self._address_by_replica.get(effect.target, effect.target), effect.message)
 
     def _handle_notification(
         self, notification: LeadershipChanged | TransferRefused | ReplicaRegressed
--- a/chivetrack/daemon/fleet/meters.py
+++ b/chivetrack/daemon/fleet/meters.py
@@ -1,4 +1,4 @@
-"""The instruments of the deployed processes, on the library's side."""
+"""The metric instruments of the deployed processes; imports the OpenTelemetry library."""
 
 from collections.abc import Callable, Iterable, Sequence
 from contextlib import ExitStack
@@ -13,16 +13,16 @@
 
 
 class Meters:
-    """Counts requests by kind, workspace, service and outcome.
+    """Count requests by kind, workspace, service and outcome.
 
-    The names come from the configuration or from fixed lists; the provider's limit on
-    series bounds them where a configuration names many.
+    Label values come from the configuration or from fixed lists. If a configuration has many
+    names, the metric provider's limit on series bounds their number.
     """
 
     def __init__(
         self, *, telemetry: Telemetry, lifetime: ExitStack, gauges: Sequence[Gauge]
     ) -> None:
-        """Create the instruments; the telemetry closes when ``lifetime`` is collected."""
+        """Create the instruments; keep ``lifetime``, whose release closes the telemetry."""
         self._lifetime = lifetime
         meter = telemetry.instruments.meter
         self._telemetry = telemetry
@@ -32,19 +32,19 @@
         self._duration = meter.create_histogram(
             "chivetrack.router.duration",
             unit="s",
-            description="From the request to its end.",
+            description="Time from the arrival of a request to its end.",
             explicit_bucket_boundaries_advisory=DURATION_BOUNDS_S,
         )
         self._first_event = meter.create_histogram(
             "chivetrack.router.first_event",
             unit="s",
-            description="From the request to a stream's first event.",
+            description="Time from the arrival of a request to the first event of its stream.",
             explicit_bucket_boundaries_advisory=DURATION_BOUNDS_S,
         )
         self._answers = meter.create_counter(
             "chivetrack.router.endpoint_answers",
             unit="{answer}",
-            description="Heads of answers by what they say of the request.",
+            description="Answers of endpoints by whether the request ran.",
         )
         self._crashes = meter.create_counter(
             "chivetrack.router.endpoint_crashes",
@@ -60,7 +60,7 @@
             )
 
     def record_end(self, call: Call, outcome: str, now: float) -> None:
-        """Count a request that ended at ``now`` (seconds)."""
+        """Count a request that ended at ``now`` (seconds) and record its durations."""
         kinds = {"kind": call.route.kind.value, "service": call.service}
         names = {
             **kinds,
@@ -74,7 +74,7 @@
             self._first_event.record(call.first_event_at - call.came_at, kinds)
 
     def record_answer(self, facts: AnswerFacts) -> None:
-        """Count the head of an endpoint's answer."""
+        """Count an endpoint's answer by whether the request ran."""
         self._answers.add(1, {"ran": "no" if facts.did_not_run else "yes"})
 
     def count_crash(self) -> None:
@@ -86,7 +86,7 @@
         self._events.add(1, {"event": event})
 
     def render(self) -> tuple[str, bytes]:
-        """Return the content type and the text of all metrics."""
+        """Return the content type and the exposition of all metrics."""
         return METRICS_CONTENT_TYPE, self._telemetry.render_metrics()
 
 
@@ -95,7 +95,7 @@
 
 
 def open_meters(*, instance: str, zone: str, gauges: Sequence[Gauge]) -> Meters:
-    """Return meters that are read at the metrics address for as long as the process lives."""
+    """Return the meters that the metrics listener exposes until the process exits."""
     stack = ExitStack()
     telemetry = stack.enter_context(open_telemetry(instance_id=instance, availability_zone=zone))
     return Meters(telemetry=telemetry, lifetime=stack, gauges=gauges)
--- a/chivetrack/daemon/fleet/metrics.py
+++ b/chivetrack/daemon/fleet/metrics.py
@@ -1,4 +1,4 @@
-"""What the deployed processes count, and the address where it can be read."""
+"""The metrics of the deployed processes and the listener that exposes them."""
 
 import time
 from collections import deque
@@ -17,20 +17,20 @@
     from chivetrack.daemon.fleet.meters import Meters
 
 
-# Records that wait until somebody asks for metrics; more open the library by themselves.
+# Records kept until metrics are first requested; at this number the library is loaded anyway.
 MAX_PENDING_RECORDS = 20_000
 
 
 class Metrics:
-    """Keeps records until metrics are read for the first time.
+    """Keep records until metrics are requested for the first time.
 
-    The library takes a tenth of a process's start, which is the time in which callers
-    are refused after all instances lost power. Nothing is lost by the delay: the records
-    are handed in when the library is there.
+    Loading the library takes a tenth of a process's start, and after a power loss of all
+    instances callers are refused until the start is complete. No record is lost by the
+    delay: the kept records are replayed once the library is loaded.
     """
 
     def __init__(self, *, instance: str, zone: str) -> None:
-        """Take the names that metrics are kept under."""
+        """Set the instance and zone that identify the metrics."""
         self._instance = instance
         self._zone = zone
         self._gauges: list[Gauge] = []
@@ -38,7 +38,7 @@
         self._meters: Meters | None = None
 
     def add_gauges(self, *gauges: Gauge) -> None:
-        """Show values that are read off other parts; only before metrics are first asked for."""
+        """Add gauges; this has an effect only before metrics are first requested."""
         self._gauges += gauges
 
     def record_end(self, call: Call, outcome: str) -> None:
@@ -47,7 +47,7 @@
         self._record(lambda meters: meters.record_end(call, outcome, now))
 
     def record_answer(self, endpoint_id: str, facts: AnswerFacts) -> None:
-        """Count the head of an endpoint's answer."""
+        """Count an endpoint's answer by whether the request ran."""
         self._record(lambda meters: meters.record_answer(facts))
 
     def count_crash(self) -> None:
@@ -67,7 +67,7 @@
             self.open()
 
     def open(self) -> "Meters":
-        """Load the library, hand in what waits and return the meters."""
+        """Load the library, replay the pending records and return the meters."""
         if self._meters is None:
             from chivetrack.daemon.fleet.meters import open_meters
 
@@ -79,7 +79,7 @@
         return self._meters
 
     def build_app(self) -> Bottle:
-        """Return the application that answers with all metrics as text."""
+        """Return the application that serves all metrics as text."""
         app = Bottle()
 
         def show_metrics() -> HTTPResponse:
@@ -91,7 +91,7 @@
 
 
 def open_metrics_server(address: Address | None, metrics: Metrics) -> HttpServer | None:
-    """Return the server of the metrics address, if the settings name one."""
+    """Return the server of the metrics address, ``None`` if the settings have no address."""
     if address is None:
         return None
     return HttpServer(
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -255,7 +255,7 @@
             call.route, count_runs(call.attempts) + 1
         ) and self._view.has_budget(call.service)
         self._log.write_placed(call, choice)
-        with self._view.use(call, choice) as placed:
+        with self._view.track_request(call, choice) as placed:
             # If the request times out or the caller disconnects, this attempt may have run.
             call.attempts.append(Tried(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
             result = self._forwarder.send(call, choice, may_retry=may_retry)
--- a/chivetrack/daemon/fleet/restart_file.py
+++ b/chivetrack/daemon/fleet/restart_file.py
@@ -1,4 +1,4 @@
-"""Keeps in a file what routers need at once after all instances were lost."""
+"""Stores the state that routers need at once after all instances lost power."""
 
 import time
 from pathlib import Path
@@ -15,12 +15,15 @@
 from chivetrack.helpers.events import EventLog
 
 _FILE_NAME = "restart"
-# Changes within so long are written together; a disk takes a sync in some ms.
+# Changes within this time are written together; a disk sync takes a few milliseconds.
 _WRITE_DELAY_S = 0.3
 
 
 class _Content(msgspec.Struct, array_like=True):
-    """``written_at`` is the time of day in seconds; ages of placements count from it."""
+    """The content of the file.
+
+    ``written_at`` is the Unix time (s) of the write; the ages of placements are as of then.
+    """
 
     written_at: float
     records: list[EndpointRecord]
@@ -28,17 +31,18 @@
 
 
 class RestartFile:
-    """A copy that may be old: endpoints hold only until they are heard again.
+    """A possibly outdated copy of endpoints and placements.
 
-    After all replicas lost power, routers would know of no endpoint until the next
-    heartbeats, more than a second later than of the configuration, and of no cached
-    prompt at all: a tenth of what engines read in a minute was read again by them.
+    Restored endpoints must be confirmed by a heartbeat. Without the file, after a power loss
+    of all replicas routers would know no endpoints until the next heartbeats, more than a
+    second after the configuration, and no cached prompts at all: engines had to process a
+    tenth of the prompt tokens of a minute a second time.
     """
 
     def __init__(
         self, *, folder: Path, table: EndpointTable, placements: Placements, events: EventLog
     ) -> None:
-        """Take the folder and what is kept."""
+        """Set the folder of the file and the state to store."""
         self._path = folder / _FILE_NAME
         self._table = table
         self._placements = placements
@@ -48,7 +52,7 @@
         self._is_write_scheduled = False
 
     def load(self, *, now: float) -> None:
-        """Take over what the file holds; ``now`` is of the steady clock."""
+        """Restore the content of the file; ``now`` is the monotonic time (s)."""
         try:
             content = msgspec.msgpack.decode(self._path.read_bytes(), type=_Content)
         except FileNotFoundError:
@@ -56,7 +60,7 @@
         except (OSError, msgspec.MsgspecError) as error:
             self._events.write("restart_file_not_read", detail=str(error))
             return
-        # The time of day may have jumped back meanwhile.
+        # The wall clock may have been set back since the write.
         passed_s = max(0.0, time.time() - content.written_at)
         placed = [
             msgspec.structs.replace(one, age_s=one.age_s + passed_s) for one in content.placed
@@ -68,7 +72,7 @@
         )
 
     def schedule_write(self) -> None:
-        """Write after a moment, if anything has changed."""
+        """Schedule a write after ``_WRITE_DELAY_S`` if the state has changed."""
         if not self._is_write_scheduled and self._get_state() != self._written:
             self._is_write_scheduled = True
             gevent.spawn_later(_WRITE_DELAY_S, self._write)
@@ -89,5 +93,5 @@
             data = msgspec.msgpack.encode(content)
             self._pool.apply(write_file, (self._path, [data], Calls()))
         except OSError as error:
-            # A full disk; the copy is old then, and nothing else depends on it.
+            # The disk may be full. The copy is outdated then; no other component relies on it.
             self._events.write("restart_file_not_written", detail=str(error))
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -80,7 +80,7 @@
         self._events = events
         self._timers = TimerService()
         self._stop_requested = Signal()
-        self._kept = KeptConnections(read_clock=time.monotonic)
+        self._idle_connections = KeptConnections(read_clock=time.monotonic)
         self._metrics = Metrics(
             instance=settings.process.name, zone=settings.process.availability_zone
         )
@@ -89,7 +89,7 @@
             bounds=settings.bounds,
             events=events,
             decode=decode_document,
-            forget_endpoint=self._kept.forget,
+            forget_endpoint=self._idle_connections.forget,
         )
         self.view.listeners.append(self._apply_limits)
         self._metrics.add_gauges(*self._list_gauges())
@@ -124,7 +124,7 @@
             permits=self._permits,
             crash_detector=crash_detector,
             forwarder=Forwarder(
-                kept=self._kept,
+                idle_connections=self._idle_connections,
                 record_answer=self._record_answer,
                 handle_first_event=lambda call, choice: self.view.handle_first_event(call),
                 handle_bytes=self.view.handle_bytes,
@@ -277,7 +277,7 @@
                 self._timers.call_at(effect.at, self._wake_subscriber)
 
     def _prune(self, now: float) -> None:
-        self._kept.close_old()
+        self._idle_connections.close_old()
         for record in self.view.directory.table.forget_old(now):
             self._events.write("endpoint_forgotten", **record.describe())
 
--- a/tests/daemon/fleet/test_call_gate.py
+++ b/tests/daemon/fleet/test_call_gate.py
@@ -1,4 +1,4 @@
-"""Calls at a control listener while its replica stops."""
+"""Tests of calls at a control listener while its replica stops."""
 
 import unittest
 from collections.abc import Iterable
--- a/tests/daemon/fleet/test_early.py
+++ b/tests/daemon/fleet/test_early.py
@@ -1,4 +1,4 @@
-"""Callers that come back while a router is still starting."""
+"""Tests of the callers' listener that is opened before the router is loaded."""
 
 import json
 import os
@@ -34,11 +34,11 @@
             self.addCleanup(listener.close)
         return listener
 
-    def test_connection_waits_before_anything_heavy_is_loaded(self) -> None:
-        """All routers were killed; callers connect again while the first one starts.
+    def test_listener_opens_before_heavy_modules_are_loaded(self) -> None:
+        """Guards against connections that are reset while a killed router starts again.
 
-        Its imports take nearly all of its start. Opened after them, the listener is missing
-        for that time and every connection is reset, which uses up the callers' few tries.
+        Imports take nearly all of a start. If the listener were opened after them, every
+        connection until then would be reset, which uses up the callers' few retries.
         """
         self.settings.write_text('[listeners]\ncallers = "127.0.0.1:0"\n')
         answer = subprocess.run(
@@ -48,9 +48,9 @@
             check=True,
             timeout=60,
         )
-        told = json.loads(answer.stdout)
-        self.assertEqual(told["heavy"], [])
-        self.assertEqual(told["address"][0], "127.0.0.1")
+        reported = json.loads(answer.stdout)
+        self.assertEqual(reported["heavy"], [])
+        self.assertEqual(reported["address"][0], "127.0.0.1")
 
     def test_caller_is_queued(self) -> None:
         listener = self.open('[listeners]\ncallers = "127.0.0.1:0"\n')
@@ -61,8 +61,8 @@
             with accepted:
                 self.assertEqual(accepted.recv(3), b"GET")
 
-    def test_what_is_no_routers_settings(self) -> None:
-        """Replicas have no callers; faults in settings are reported by the start itself."""
+    def test_settings_without_a_usable_callers_address(self) -> None:
+        """Replicas have no such listener; the start itself reports errors in settings."""
         taken = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(taken.close)
         port = taken.getsockname()[1]
--- a/tests/daemon/fleet/test_fleet_view.py
+++ b/tests/daemon/fleet/test_fleet_view.py
@@ -139,7 +139,7 @@
         call = make_call(Caller(), service="portal")
         choice = self.view.choose(call)
         assert choice is not None
-        with self.view.use(call, choice):
+        with self.view.track_request(call, choice):
             self.evacuate(5, "z1")
             self.assertEqual(self.view.count_running_in(("z1",)), 1)
         self.assertEqual(self.view.count_running_in(("z1",)), 0)
--- a/tests/daemon/fleet/test_forwarder.py
+++ b/tests/daemon/fleet/test_forwarder.py
@@ -37,11 +37,11 @@
 
 class ForwarderCase(unittest.TestCase):
     def setUp(self) -> None:
-        self.kept = KeptConnections(read_clock=time.monotonic)
+        self.idle_connections = KeptConnections(read_clock=time.monotonic)
         self.overdue = 0
         self.is_silent = False
         self.forwarder = Forwarder(
-            kept=self.kept,
+            idle_connections=self.idle_connections,
             record_answer=lambda record, facts: None,
             handle_first_event=lambda call, choice: None,
             record_overdue=self.record_overdue,
@@ -267,7 +267,7 @@
         body = b"x" * 8_000_000
         self.assertTrue(self.send(endpoint, body=body).is_answered)
         self.assertEqual(self.caller.status, 413)
-        self.assertIsNone(self.kept.take(f"e-{endpoint.address}"))
+        self.assertIsNone(self.idle_connections.take(f"e-{endpoint.address}"))
 
 
 class StreamTest(ForwarderCase):
--- a/tests/daemon/fleet/test_start.py
+++ b/tests/daemon/fleet/test_start.py
@@ -1,4 +1,4 @@
-"""What a deployed process has loaded and started once it can serve."""
+"""Tests of the modules and threads that a deployed process has loaded at its start."""
 
 import subprocess
 import sys
@@ -26,10 +26,10 @@
 
 class StartTest(unittest.TestCase):
     def test_start_loads_little_and_connecting_starts_no_thread(self) -> None:
-        """All of some hundred processes start at once after a loss of power.
+        """Guards against a slow start when a hundred processes start after a power loss.
 
-        Callers are refused until they have loaded, and each connection to a process or an
-        endpoint used to pass through a thread that looks up names, of which there are none.
+        Callers are refused until the modules are loaded. Each connection to a process or an
+        endpoint used to pass through a resolver thread, although all addresses are numeric.
         """
         ended = subprocess.run(
             [sys.executable, "-c", _PROGRAM],
