--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -84,7 +84,7 @@
         self.is_stopping = False
         self.has_view = False
         self._ready = Signal()
-        self.listeners: list[Callable[[Document], None]] = []
+        self.document_listeners: list[Callable[[Document], None]] = []
         self.incarnation_end_listeners: list[Callable[[str, int, bool], None]] = []
 
     # State received from replicas
@@ -112,7 +112,7 @@
             before=before,
             routes=len(document.routes),
         )
-        for listener in self.listeners:
+        for listener in self.document_listeners:
             listener(document)
 
     def handle_view(self, view: View) -> None:
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -104,7 +104,7 @@
                 self._process(call)
         except CallerLeftError:
             self._end(call, "caller_left")
-            raise AnswerCutError("the caller left") from None
+            raise AnswerCutError("the caller disconnected") from None
         finally:
             del self._open_calls[id(call)]
 
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -91,7 +91,7 @@
             decode=decode_document,
             forget_endpoint=self._idle_connections.forget,
         )
-        self.view.listeners.append(self._apply_limits)
+        self.view.document_listeners.append(self._apply_limits)
         self._metrics.add_gauges(*self._list_gauges())
         self.subscriber = Subscriber(
             router=str(settings.listeners.peer),
