--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -163,8 +163,7 @@
         if not newest.ok:
             return Error(make_unavailable("no_configuration", "no configuration is committed yet"))
         if not self._wait_until_applied(newest.ok):
-            message = "this replica has not applied the newest configuration yet"
-            return Error(make_unavailable("behind", message))
+            return Error(make_unavailable("behind", "this replica lacks the newest version yet"))
         return self._serve_document(self._store.current)
 
     def _serve_document(
