--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -62,7 +62,7 @@
 class LogHost:
     """Own the data folder and run the replica stored in it.
 
-    A folder that can't be written is reopened until it succeeds, since a full disk may be
+    A folder that can't be written is reopened until writes succeed, since a full disk may be
     temporary. Until then this replica sends nothing, so that no other replica relies on
     entries that are not on disk.
     """
@@ -94,8 +94,8 @@
         self._events = events
         self._random = random.SystemRandom()
         # A majority of the voters remains after the tolerated losses.
-        self._wanted_voters = 2 * tolerated_losses + 1
-        self._repair = Repair(wanted_voters=self._wanted_voters)
+        self._target_voters = 2 * tolerated_losses + 1
+        self._repair = Repair(wanted_voters=self._target_voters)
         self._bootstrap: Founding | None = None
         self._is_retired = False
         self._address_by_replica: dict[str, str] = {}
@@ -203,7 +203,7 @@
             return False
         replicas = self.replica.get_status().consensus.replicas
         voters = [one for one in replicas if one.voter and one.match_index > 0]
-        return len(voters) >= self._wanted_voters
+        return len(voters) >= self._target_voters
 
     # Lifecycle
 
