--- a/chivetrack/components/upstream/chunks.py
+++ b/chivetrack/components/upstream/chunks.py
@@ -36,7 +36,7 @@
         return self._part is _Part.ENDED
 
     @property
-    def has_rest(self) -> bool:
+    def has_trailing_data(self) -> bool:
         """Return whether bytes came after the end, which belong to no answer."""
         return self.is_ended and bool(self._buffer)
 
--- a/chivetrack/components/upstream/client.py
+++ b/chivetrack/components/upstream/client.py
@@ -89,7 +89,7 @@
             if decoder.is_ended:
                 break
             last_read_at = self._pace(last_read_at)
-        if decoder.has_rest:
+        if decoder.has_trailing_data:
             raise ChunkError("bytes came after the end of the answer")
         # The connection is free for the next request: nothing is left on it.
         raw.close()  # type: ignore[union-attr]
--- a/chivetrack/components/upstream/connection.py
+++ b/chivetrack/components/upstream/connection.py
@@ -120,7 +120,7 @@
                 raise ChunkError("the answer ended before its last chunk")
             if payload := decoder.feed(data):
                 yield payload
-        if decoder.has_rest:
+        if decoder.has_trailing_data:
             self._response.will_close = True
 
     def _read_length(self, left: int) -> Iterator[bytes]:
--- a/tests/components/upstream/test_chunks.py
+++ b/tests/components/upstream/test_chunks.py
@@ -37,7 +37,7 @@
                     body += decoder.feed(data[:size])
                     data = data[size:]
                 self.assertTrue(decoder.is_ended)
-                self.assertFalse(decoder.has_rest)
+                self.assertFalse(decoder.has_trailing_data)
                 self.assertEqual(body, b"".join(parts))
 
     def test_framing_that_is_not_understood(self) -> None:
@@ -55,4 +55,4 @@
     def test_bytes_after_the_end(self) -> None:
         decoder = ChunkDecoder()
         decoder.feed(b"0\r\n\r\nHTTP/1.1")
-        self.assertTrue(decoder.has_rest)
+        self.assertTrue(decoder.has_trailing_data)
