--- a/chivetrack/components/upstream/events.py
+++ b/chivetrack/components/upstream/events.py
@@ -17,7 +17,7 @@
         self.count = 0
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Return whether a part of an event is left."""
         return bool(self._buffer)
 
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -244,7 +244,7 @@
                 self._begin(call, answer)
                 call.reply.write(data)
                 call.last_event_id = splitter.last_id
-        if splitter.has_rest:
+        if splitter.has_partial_event:
             raise BrokenAnswerError("the stream ended in the middle of an event")
         self._begin(call, answer)
 
