--- a/chivetrack/components/upstream/events.py
+++ b/chivetrack/components/upstream/events.py
@@ -41,6 +41,6 @@
                 self.last_id = line[3:].strip().decode("latin-1")
                 self.count += 1
 
-    def drop_rest(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget the part of an event that will never be whole."""
         self._buffer = b""
