--- a/chivetrack/components/upstream/connection.py
+++ b/chivetrack/components/upstream/connection.py
@@ -56,7 +56,7 @@
         self._buffer = b""
 
     @property
-    def has_rest(self) -> bool:
+    def has_buffered_data(self) -> bool:
         return bool(self._buffer)
 
     def makefile(self, mode: str) -> "_Reader":
@@ -173,7 +173,7 @@
 
         Bytes that belong to no request would be taken for the next answer.
         """
-        if self._http.sock is None or self._reader.has_rest:
+        if self._http.sock is None or self._reader.has_buffered_data:
             return False
         readable, _, _ = select.select([self._socket], [], [], 0)
         return not readable
@@ -209,7 +209,7 @@
 
     def wait_readable(self, timeout_s: float) -> bool:
         """Return whether bytes, or an end, have come within a time."""
-        if self._reader.has_rest:
+        if self._reader.has_buffered_data:
             return True
         readable, _, _ = select.select([self._socket], [], [], max(0.0, timeout_s))
         return bool(readable)
