--- a/chivetrack/components/upstream/connection.py
+++ b/chivetrack/components/upstream/connection.py
@@ -245,7 +245,7 @@
             sender.kill(block=False)
         self._http.close()
 
-    def rest(self, *, now: float, idle_limit_s: float) -> None:
+    def mark_idle(self, *, now: float, idle_limit_s: float) -> None:
         """Note that the connection is idle from now on."""
         self.idle_since = now
         self.idle_limit_s = idle_limit_s
