--- a/chivetrack/components/upstream/kept.py
+++ b/chivetrack/components/upstream/kept.py
@@ -58,7 +58,7 @@
             if not fresh:
                 del self._idle[endpoint_id]
 
-    def forget(self, endpoint_id: str) -> None:
+    def close_endpoint(self, endpoint_id: str) -> None:
         """Close all idle connections to an endpoint."""
         for connection in self._idle.pop(endpoint_id, []):
             connection.close()
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -89,7 +89,7 @@
             bounds=settings.bounds,
             events=events,
             decode=decode_document,
-            forget_endpoint=self._kept.forget,
+            forget_endpoint=self._kept.close_endpoint,
         )
         self.view.listeners.append(self._take_limits)
         self._metrics.add_gauges(*self._list_gauges())
