--- a/chivetrack/components/upstream/kept.py
+++ b/chivetrack/components/upstream/kept.py
@@ -46,7 +46,7 @@
         connection.rest(now=self._read_clock(), idle_limit_s=limit_s)
         idle.append(connection)
 
-    def close_old(self) -> None:
+    def close_expired(self) -> None:
         """Close what has been idle for too long."""
         now = self._read_clock()
         for endpoint_id, idle in list(self._idle.items()):
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -271,7 +271,7 @@
                 self._timers.call_at(effect.at, self._follow)
 
     def _tidy(self, now: float) -> None:
-        self._kept.close_old()
+        self._kept.close_expired()
         for record in self.view.directory.table.forget_old(now):
             self._events.write("endpoint_forgotten", **record.describe())
 
