--- a/chivetrack/components/upstream/client.py
+++ b/chivetrack/components/upstream/client.py
@@ -226,7 +226,7 @@
         if sock is not None:
             sock.settimeout(timeout_s)
 
-    def forget(self, address: str) -> None:
+    def close_endpoint(self, address: str) -> None:
         """Close the idle connections to an endpoint that has gone."""
         pool = self._pools.pop(address, None)
         if pool is not None:
@@ -235,4 +235,4 @@
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._pools):
-            self.forget(address)
+            self.close_endpoint(address)
