--- a/chivetrack/components/upstream/kept.py
+++ b/chivetrack/components/upstream/kept.py
@@ -13,7 +13,7 @@
 MAX_IDLE_PER_ENDPOINT = 32
 
 
-class KeptConnections:
+class IdleConnections:
     """Idle connections by endpoint; the one used last is taken first."""
 
     def __init__(self, *, read_clock: Callable[[], float]) -> None:
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -17,7 +17,7 @@
     NotSentError,
 )
 from chivetrack.components.upstream.events import EventSplitter
-from chivetrack.components.upstream.kept import KeptConnections
+from chivetrack.components.upstream.kept import IdleConnections
 from chivetrack.components.upstream.models import BrokenAnswerError
 from chivetrack.daemon.fleet.calls import Call
 from chivetrack.daemon.fleet.const import (
@@ -64,7 +64,7 @@
     def __init__(
         self,
         *,
-        kept: KeptConnections,
+        kept: IdleConnections,
         note_answer: Callable[[EndpointRecord, AnswerFacts], None],
         note_first_event: Callable[[Call, Choice], None],
         hear: Callable[[Call], None] | None = None,
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -28,7 +28,7 @@
 from chivetrack.components.slow_start.messages import PermitAnswer
 from chivetrack.components.traffic.models import Document
 from chivetrack.components.traffic.requests import AnswerFacts
-from chivetrack.components.upstream.kept import KeptConnections
+from chivetrack.components.upstream.kept import IdleConnections
 from chivetrack.core import WakeAt
 from chivetrack.daemon.fleet.const import (
     STOP_ACCEPT_S,
@@ -80,7 +80,7 @@
         self._events = events
         self._timers = TimerService()
         self._asked = Signal()
-        self._kept = KeptConnections(read_clock=time.monotonic)
+        self._kept = IdleConnections(read_clock=time.monotonic)
         self._metrics = Metrics(
             instance=settings.process.name, zone=settings.process.availability_zone
         )
--- a/tests/daemon/fleet/test_forwarder.py
+++ b/tests/daemon/fleet/test_forwarder.py
@@ -10,7 +10,7 @@
 from chivetrack.components.retries.sending import SendEnd
 from chivetrack.components.traffic.models import RouteKind, Workspace
 from chivetrack.components.traffic.requests import PromptPart, RequestFacts
-from chivetrack.components.upstream.kept import KeptConnections
+from chivetrack.components.upstream.kept import IdleConnections
 from chivetrack.daemon.fleet.calls import Call
 from chivetrack.daemon.fleet.forwarder import Forwarder, SendResult
 from tests.components.traffic.documents import make_route
@@ -37,7 +37,7 @@
 
 class ForwarderCase(unittest.TestCase):
     def setUp(self) -> None:
-        self.kept = KeptConnections(read_clock=time.monotonic)
+        self.kept = IdleConnections(read_clock=time.monotonic)
         self.overdue = 0
         self.is_silent = False
         self.forwarder = Forwarder(
