--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -17,7 +17,7 @@
     NotSentError,
 )
 from chivetrack.components.upstream.events import EventSplitter
-from chivetrack.components.upstream.kept import IdleConnections
+from chivetrack.components.upstream.idle_connections import IdleConnections
 from chivetrack.components.upstream.models import BrokenAnswerError
 from chivetrack.daemon.fleet.calls import Call
 from chivetrack.daemon.fleet.const import (
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -28,7 +28,7 @@
 from chivetrack.components.slow_start.messages import PermitAnswer
 from chivetrack.components.traffic.models import Document
 from chivetrack.components.traffic.requests import AnswerFacts
-from chivetrack.components.upstream.kept import IdleConnections
+from chivetrack.components.upstream.idle_connections import IdleConnections
 from chivetrack.core import WakeAt
 from chivetrack.daemon.fleet.const import (
     STOP_ACCEPT_S,
--- a/tests/daemon/fleet/test_forwarder.py
+++ b/tests/daemon/fleet/test_forwarder.py
@@ -10,7 +10,7 @@
 from chivetrack.components.retries.sending import SendEnd
 from chivetrack.components.traffic.models import RouteKind, Workspace
 from chivetrack.components.traffic.requests import PromptPart, RequestFacts
-from chivetrack.components.upstream.kept import IdleConnections
+from chivetrack.components.upstream.idle_connections import IdleConnections
 from chivetrack.daemon.fleet.calls import Call
 from chivetrack.daemon.fleet.forwarder import Forwarder, SendResult
 from tests.components.traffic.documents import make_route
