--- a/chivetrack/components/upstream/connection.py
+++ b/chivetrack/components/upstream/connection.py
@@ -18,7 +18,7 @@
 UNACKNOWLEDGED_MS = 2000
 # Larger bodies are sent by a greenlet of their own, so that an answer which comes before
 # the body was read is seen at once.
-SEND_ASIDE_BYTES = 16 * 1024
+MAX_INLINE_BODY_BYTES = 16 * 1024
 _SOCKET_OPTIONS: list[tuple[int, int, int | bytes]] = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
@@ -182,7 +182,7 @@
         """Send a request; raise ``NotSentError`` or ``MaybeRanError``."""
         self._socket.settimeout(timeout_s)
         head = _make_head(request)
-        aside = len(request.body) > SEND_ASIDE_BYTES
+        aside = len(request.body) > MAX_INLINE_BODY_BYTES
         first = head if aside else head + request.body
         self._send_first(first)
         if aside:
