--- a/chivetrack/components/upstream/connection.py
+++ b/chivetrack/components/upstream/connection.py
@@ -15,13 +15,13 @@
 
 # Bytes that stay unacknowledged for longer end the connection: the other side has no
 # power or is behind a cut, and would never say so.
-UNACKNOWLEDGED_MS = 2000
+UNACKNOWLEDGED_TIMEOUT_MS = 2000
 # Larger bodies are sent by a greenlet of their own, so that an answer which comes before
 # the body was read is seen at once.
 MAX_INLINE_BODY_BYTES = 16 * 1024
 _SOCKET_OPTIONS: list[tuple[int, int, int | bytes]] = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
 ]
 
 
