--- a/chivetrack/components/upstream/client.py
+++ b/chivetrack/components/upstream/client.py
@@ -13,7 +13,7 @@
     ATTEMPT_HEADER,
     CONNECT_TIMEOUT_S,
     DID_NOT_RUN_HEADER,
-    PACE_S,
+    MIN_READ_INTERVAL_S,
     POOL_SIZE,
     READ_SIZE,
     STREAM_END,
@@ -99,12 +99,12 @@
         """Give a fast stream a moment, so that its next chunks come in one read.
 
         A wake-up and a write for each chunk cost more than all else. Streams whose
-        chunks are further apart than ``PACE_S`` never wait.
+        chunks are further apart than ``MIN_READ_INTERVAL_S`` never wait.
         """
         now = time.monotonic()
-        if now - last_read_at >= PACE_S:
+        if now - last_read_at >= MIN_READ_INTERVAL_S:
             return now
-        gevent.sleep(PACE_S)
+        gevent.sleep(MIN_READ_INTERVAL_S)
         return time.monotonic()
 
     def _check_end(self, tail: bytes) -> None:
--- a/chivetrack/components/upstream/const.py
+++ b/chivetrack/components/upstream/const.py
@@ -11,7 +11,7 @@
 READ_SIZE: Final = 65536
 # How long a stream whose chunks come faster than this is let alone between two reads.
 # A seventh of the 75 ms that may pass between two tokens.
-PACE_S: Final = 0.01
+MIN_READ_INTERVAL_S: Final = 0.01
 POOL_SIZE: Final = 256
 STREAM_END: Final = b"data: [DONE]"
 TAIL_SIZE: Final = 64
