--- a/chivetrack/components/upstream/client.py
+++ b/chivetrack/components/upstream/client.py
@@ -17,7 +17,7 @@
     POOL_SIZE,
     READ_SIZE,
     STREAM_END,
-    TAIL_SIZE,
+    STREAM_TAIL_BYTES,
 )
 from chivetrack.components.upstream.models import (
     AttemptOutcome,
@@ -58,7 +58,7 @@
         chunks = self._read_stream() if self._response.chunked else self._read_blocks()
         try:
             for chunk in chunks:
-                tail = (tail + chunk)[-TAIL_SIZE:]
+                tail = (tail + chunk)[-STREAM_TAIL_BYTES:]
                 yield chunk
         except _BROKEN as error:
             raise BrokenAnswerError(str(error)) from error
--- a/chivetrack/components/upstream/const.py
+++ b/chivetrack/components/upstream/const.py
@@ -14,7 +14,7 @@
 MIN_READ_INTERVAL_S: Final = 0.01
 POOL_SIZE: Final = 256
 STREAM_END: Final = b"data: [DONE]"
-TAIL_SIZE: Final = 64
+STREAM_TAIL_BYTES: Final = 64
 
 HOP_BY_HOP: Final = frozenset(
     {
