--- a/chivetrack/components/upstream/chunks.py
+++ b/chivetrack/components/upstream/chunks.py
@@ -2,7 +2,7 @@
 
 from enum import StrEnum
 
-MAX_SIZE_LINE = 64
+MAX_SIZE_LINE_BYTES = 64
 MAX_TRAILER = 8192
 
 
@@ -69,7 +69,7 @@
         return line
 
     def _take_size(self) -> bool:
-        line = self._take_line(MAX_SIZE_LINE)
+        line = self._take_line(MAX_SIZE_LINE_BYTES)
         if line is None:
             return False
         digits = line.partition(b";")[0].strip()
