--- a/chivetrack/components/upstream/chunks.py
+++ b/chivetrack/components/upstream/chunks.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 
 MAX_SIZE_LINE_BYTES = 64
-MAX_TRAILER = 8192
+MAX_TRAILER_LINE_BYTES = 8192
 
 
 class ChunkError(Exception):
@@ -100,7 +100,7 @@
         return True
 
     def _take_trailer(self) -> bool:
-        line = self._take_line(MAX_TRAILER)
+        line = self._take_line(MAX_TRAILER_LINE_BYTES)
         if line is None:
             return False
         if not line:
