--- a/chivetrack/components/upstream/connection.py
+++ b/chivetrack/components/upstream/connection.py
@@ -93,7 +93,7 @@
         self._response = response
         self.status = response.status
         self.headers = response.headers
-        self.is_whole = False
+        self.is_complete = False
         self.is_framed = bool(response.chunked) or response.length is not None
 
     def read_chunks(self) -> Iterator[bytes]:
@@ -102,7 +102,7 @@
             yield from self._read()
         except (OSError, ChunkError, http.client.HTTPException, ValueError) as error:
             raise BrokenAnswerError(f"{type(error).__name__}: {error}") from error
-        self.is_whole = True
+        self.is_complete = True
 
     def _read(self) -> Iterator[bytes]:
         if self._response.chunked:
@@ -140,7 +140,7 @@
     @property
     def keeps_connection(self) -> bool:
         """Return whether the connection may serve another request after this answer."""
-        return self.is_whole and self.is_framed and not self._response.will_close
+        return self.is_complete and self.is_framed and not self._response.will_close
 
 
 class EndpointConnection:
