--- a/chivetrack/components/upstream/idle_connections.py
+++ b/chivetrack/components/upstream/idle_connections.py
@@ -21,7 +21,7 @@
         self._read_clock = read_clock
         self._idle: dict[str, list[EndpointConnection]] = {}
 
-    def take(self, endpoint_id: str) -> EndpointConnection | None:
+    def pop_idle(self, endpoint_id: str) -> EndpointConnection | None:
         """Return a connection on which nothing is known to be wrong."""
         now = self._read_clock()
         idle = self._idle.get(endpoint_id, [])
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -112,7 +112,7 @@
 
     def _open(self, call: Call, choice: Choice) -> EndpointConnection:
         record = choice.record
-        kept = self._kept.take(record.endpoint_id)
+        kept = self._kept.pop_idle(record.endpoint_id)
         if kept is not None:
             return kept
         left_s = max(0.01, call.ends_at - time.monotonic())
--- a/tests/daemon/fleet/test_forwarder.py
+++ b/tests/daemon/fleet/test_forwarder.py
@@ -262,7 +262,7 @@
         body = b"x" * 8_000_000
         self.assertTrue(self.send(endpoint, body=body).is_answered)
         self.assertEqual(self.caller.status, 413)
-        self.assertIsNone(self.kept.take(f"e-{endpoint.address}"))
+        self.assertIsNone(self.kept.pop_idle(f"e-{endpoint.address}"))
 
 
 class StreamTest(ForwarderCase):
