--- a/chivetrack/components/upstream/idle_connections.py
+++ b/chivetrack/components/upstream/idle_connections.py
@@ -43,7 +43,7 @@
         if limit_s <= 0 or len(idle) >= MAX_IDLE_PER_ENDPOINT:
             connection.close()
             return
-        connection.rest(now=self._read_clock(), idle_limit_s=limit_s)
+        connection.mark_idle(now=self._read_clock(), idle_limit_s=limit_s)
         idle.append(connection)
 
     def close_expired(self) -> None:
