--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -37,7 +37,7 @@
 from chivetrack.components.upstream.const import (
     ATTEMPT_HEADER,
     DEADLINE_HEADER,
-    HOP_BY_HOP,
+    NOT_FORWARDED_HEADERS,
     PRIORITY_HEADER,
 )
 from chivetrack.components.upstream.models import (
@@ -375,5 +375,5 @@
 
 def _keep_end_to_end(headers: Mapping[str, str]) -> Iterator[tuple[str, str]]:
     for name, value in headers.items():
-        if name not in HOP_BY_HOP and not name.startswith("x-request-"):
+        if name not in NOT_FORWARDED_HEADERS and not name.startswith("x-request-"):
             yield name.title(), value
--- a/chivetrack/components/upstream/const.py
+++ b/chivetrack/components/upstream/const.py
@@ -16,7 +16,7 @@
 STREAM_END: Final = b"data: [DONE]"
 STREAM_TAIL_BYTES: Final = 64
 
-HOP_BY_HOP: Final = frozenset(
+NOT_FORWARDED_HEADERS: Final = frozenset(
     {
         "connection",
         "keep-alive",
