--- a/chivetrack/components/upstream/__init__.py
+++ b/chivetrack/components/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Sends a request to an endpoint and reads its answer, over HTTP."""
+"""HTTP client that sends requests to endpoints and reads their answers."""
--- a/chivetrack/components/upstream/chunks.py
+++ b/chivetrack/components/upstream/chunks.py
@@ -1,4 +1,4 @@
-"""Takes the framing off a chunked answer, whatever pieces it arrives in."""
+"""Incremental decoder for the chunked transfer coding of HTTP/1.1."""
 
 from enum import StrEnum
 
@@ -7,7 +7,7 @@
 
 
 class ChunkError(Exception):
-    """The framing can't be understood, so the end of the answer can't be told."""
+    """The chunked framing is invalid, so the end of the answer cannot be determined."""
 
 
 class _Part(StrEnum):
@@ -19,78 +19,79 @@
 
 
 class ChunkDecoder:
-    """Feeds on raw bytes and gives back all body bytes in them, joined.
+    """Decodes raw bytes that are split at arbitrary positions.
 
-    What arrived together goes on together: one write for many chunks, without a wait.
+    ``feed`` joins the payload of all chunks in its input, so that chunks which were
+    received in one read are written to the caller in one write, without a delay.
     """
 
     def __init__(self) -> None:
-        """Start before the first chunk."""
+        """Create a decoder that expects the first chunk."""
         self._buffer = b""
         self._part = _Part.SIZE
-        self._left = 0
+        self._bytes_left = 0
 
     @property
     def is_ended(self) -> bool:
-        """Return whether the last chunk and the trailer were read."""
+        """Return whether the last chunk and the trailer have been read."""
         return self._part is _Part.ENDED
 
     @property
     def has_trailing_data(self) -> bool:
-        """Return whether bytes came after the end, which belong to no answer."""
+        """Return whether bytes were received after the end of the answer."""
         return self.is_ended and bool(self._buffer)
 
     def feed(self, data: bytes) -> bytes:
-        """Return the body bytes in ``data``; raise ``ChunkError`` for a bad frame."""
+        """Return the body bytes in ``data``; raise ``ChunkError`` for invalid framing."""
         self._buffer += data
         payload: list[bytes] = []
-        while self._take(payload):
+        while self._decode_part(payload):
             pass
         return b"".join(payload)
 
-    def _take(self, payload: list[bytes]) -> bool:
+    def _decode_part(self, payload: list[bytes]) -> bool:
         if self._part is _Part.SIZE:
-            return self._take_size()
+            return self._read_size()
         if self._part is _Part.DATA:
-            return self._take_data(payload)
+            return self._read_data(payload)
         if self._part is _Part.DATA_END:
-            return self._take_data_end()
+            return self._read_data_end()
         if self._part is _Part.TRAILER:
-            return self._take_trailer()
+            return self._read_trailer_line()
         return False
 
-    def _take_line(self, limit: int) -> bytes | None:
+    def _read_line(self, limit: int) -> bytes | None:
         line, end, rest = self._buffer.partition(b"\r\n")
         if len(line) > limit:
-            raise ChunkError("a line of the framing is too long")
+            raise ChunkError(f"a line of the chunked framing is longer than {limit} bytes")
         if not end:
             return None
         self._buffer = rest
         return line
 
-    def _take_size(self) -> bool:
-        line = self._take_line(MAX_SIZE_LINE_BYTES)
+    def _read_size(self) -> bool:
+        line = self._read_line(MAX_SIZE_LINE_BYTES)
         if line is None:
             return False
         digits = line.partition(b";")[0].strip()
         if not digits or digits.strip(b"0123456789abcdefABCDEF"):
-            raise ChunkError("a chunk's size is not a number")
-        self._left = int(digits, 16)
-        self._part = _Part.DATA if self._left else _Part.TRAILER
+            raise ChunkError("the size of a chunk is not a hexadecimal number")
+        self._bytes_left = int(digits, 16)
+        self._part = _Part.DATA if self._bytes_left else _Part.TRAILER
         return True
 
-    def _take_data(self, payload: list[bytes]) -> bool:
+    def _read_data(self, payload: list[bytes]) -> bool:
         if not self._buffer:
             return False
-        taken = self._buffer[: self._left]
-        self._buffer = self._buffer[len(taken) :]
-        self._left -= len(taken)
-        payload.append(taken)
-        if not self._left:
+        data = self._buffer[: self._bytes_left]
+        self._buffer = self._buffer[len(data) :]
+        self._bytes_left -= len(data)
+        payload.append(data)
+        if not self._bytes_left:
             self._part = _Part.DATA_END
         return True
 
-    def _take_data_end(self) -> bool:
+    def _read_data_end(self) -> bool:
         if len(self._buffer) < 2:
             return False
         if self._buffer[:2] != b"\r\n":
@@ -99,8 +100,8 @@
         self._part = _Part.SIZE
         return True
 
-    def _take_trailer(self) -> bool:
-        line = self._take_line(MAX_TRAILER_LINE_BYTES)
+    def _read_trailer_line(self) -> bool:
+        line = self._read_line(MAX_TRAILER_LINE_BYTES)
         if line is None:
             return False
         if not line:
--- a/chivetrack/components/upstream/client.py
+++ b/chivetrack/components/upstream/client.py
@@ -1,4 +1,4 @@
-"""The HTTP client towards endpoints."""
+"""HTTP client for requests to endpoints."""
 
 import contextlib
 import time
@@ -26,16 +26,16 @@
     UpstreamRequest,
 )
 
-_NOT_CONNECTED = (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
-_BROKEN = (urllib3.exceptions.HTTPError, ChunkError, OSError)
+_CONNECT_ERRORS = (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
+_TRANSFER_ERRORS = (urllib3.exceptions.HTTPError, ChunkError, OSError)
 
 
 class UpstreamAnswer:
-    """An answer whose head has arrived; the body is read by ``read_chunks``.
+    """An answer whose status and headers were received; ``read_chunks`` reads its body.
 
-    Its connection goes back to the pool only when the whole body was read. Every
-    other end closes it: bytes left on a reused connection would become the start
-    of another caller's answer.
+    The connection returns to the pool only after the complete body was read. In every
+    other case it is closed: bytes that are left on a reused connection would be read
+    as the start of another caller's answer.
     """
 
     def __init__(
@@ -43,39 +43,39 @@
         *,
         response: urllib3.HTTPResponse,
         request: UpstreamRequest,
-        own_pool: urllib3.HTTPConnectionPool | None,
+        dedicated_pool: urllib3.HTTPConnectionPool | None,
     ) -> None:
-        """Take over a response; ``own_pool`` is closed with it."""
+        """Wrap a response; ``dedicated_pool`` is closed together with it."""
         self._response = response
         self._request = request
-        self._own_pool = own_pool
+        self._dedicated_pool = dedicated_pool
         self.status = response.status
         self.headers: Mapping[str, str] = response.headers
 
     def read_chunks(self) -> Iterator[bytes]:
-        """Yield the body as it comes; raise ``BrokenAnswerError`` if it is not whole."""
+        """Yield the body as it arrives; raise ``BrokenAnswerError`` if it is incomplete."""
         tail = b""
         chunks = self._read_stream() if self._response.chunked else self._read_blocks()
         try:
             for chunk in chunks:
                 tail = (tail + chunk)[-STREAM_TAIL_BYTES:]
                 yield chunk
-        except _BROKEN as error:
+        except _TRANSFER_ERRORS as error:
             raise BrokenAnswerError(str(error)) from error
         finally:
-            # Also on GeneratorExit: the caller has gone, so the engine must stop.
+            # Also runs on GeneratorExit: the caller has left, so the engine must stop.
             if not self._response.closed:
                 self.cancel()
-            self._close_own_pool()
+            self._close_dedicated_pool()
         self._check_end(tail)
 
     def _read_blocks(self) -> Iterator[bytes]:
-        # Read in full blocks: read1 does not see the end of an answer with a length.
+        # read1 does not detect the end of an answer with Content-Length; read does.
         while chunk := self._response.read(READ_SIZE, decode_content=False):
             yield chunk
 
     def _read_stream(self) -> Iterator[bytes]:
-        """Yield what arrived together as one piece, as soon as it is there."""
+        """Yield the payload of each read as one piece, without waiting for more."""
         raw = self._response._fp
         source = raw.fp  # type: ignore[union-attr]
         decoder = ChunkDecoder()
@@ -88,18 +88,19 @@
                 yield payload
             if decoder.is_ended:
                 break
-            last_read_at = self._pace(last_read_at)
+            last_read_at = self._limit_read_rate(last_read_at)
         if decoder.has_trailing_data:
-            raise ChunkError("bytes came after the end of the answer")
-        # The connection is free for the next request: nothing is left on it.
+            raise ChunkError("bytes were received after the end of the answer")
+        # No bytes are left on the connection, so the next request may use it.
         raw.close()  # type: ignore[union-attr]
         self._response.release_conn()
 
-    def _pace(self, last_read_at: float) -> float:
-        """Give a fast stream a moment, so that its next chunks come in one read.
+    def _limit_read_rate(self, last_read_at: float) -> float:
+        """Delay the next read of a fast stream, so that one read returns several chunks.
 
-        A wake-up and a write for each chunk cost more than all else. Streams whose
-        chunks are further apart than ``MIN_READ_INTERVAL_S`` never wait.
+        The wake-up and the write for each chunk dominate the cost of relaying a stream.
+        A stream whose chunks are at least ``MIN_READ_INTERVAL_S`` apart is not delayed.
+        Returns the time of the last read, in seconds.
         """
         now = time.monotonic()
         if now - last_read_at >= MIN_READ_INTERVAL_S:
@@ -108,37 +109,37 @@
         return time.monotonic()
 
     def _check_end(self, tail: bytes) -> None:
-        # An engine that dies behind a proxy of its own may leave a stream that ends
-        # cleanly as HTTP and yet lacks its last events; only the end mark tells.
+        # When an engine dies behind its own proxy, the stream may end correctly as HTTP
+        # and still lack its last events. Only the end mark shows that it is complete.
         if not self._request.expects_stream_end or self.status != 200:
             return
         if STREAM_END not in tail:
             raise BrokenAnswerError("the stream ended without its end mark")
 
-    def _close_own_pool(self) -> None:
-        if self._own_pool is not None:
-            self._own_pool.close()
+    def _close_dedicated_pool(self) -> None:
+        if self._dedicated_pool is not None:
+            self._dedicated_pool.close()
 
     def cancel(self) -> None:
-        """Close the connection, which tells the engine to stop."""
+        """Close the connection, which makes the engine stop."""
         connection = self._response.connection
         with contextlib.suppress(OSError):
             self._response.close()
         if connection is not None:
             connection.close()
-        self._close_own_pool()
+        self._close_dedicated_pool()
 
 
 class UpstreamClient:
     """Sends requests to endpoints over pooled connections."""
 
     def __init__(self, *, connect_timeout_s: float = CONNECT_TIMEOUT_S) -> None:
-        """Create a client with no connections."""
+        """Create a client without open connections."""
         self._connect_timeout_s = connect_timeout_s
         self._pools: dict[str, urllib3.HTTPConnectionPool] = {}
 
     def send(self, request: UpstreamRequest) -> Result[UpstreamAnswer, UpstreamFault]:
-        """Send a request once and wait for the head of its answer."""
+        """Send a request once and wait for the status and headers of its answer."""
         pool = self._get_pool(request)
         timeout = urllib3.Timeout(
             connect=min(self._connect_timeout_s, request.timeout_s), read=request.timeout_s
@@ -155,20 +156,20 @@
                 decode_content=False,
                 timeout=timeout,
             )
-        except _NOT_CONNECTED as error:
+        except _CONNECT_ERRORS as error:
             return Error(UpstreamFault(outcome=AttemptOutcome.NOT_SENT, message=str(error)))
-        except _BROKEN as error:
+        except _TRANSFER_ERRORS as error:
             return Error(UpstreamFault(outcome=AttemptOutcome.MAYBE_RAN, message=str(error)))
-        own_pool = None if request.idempotent else pool
+        dedicated_pool = None if request.idempotent else pool
         answer = UpstreamAnswer(
-            response=response, request=request, own_pool=own_pool  # type: ignore[arg-type]
+            response=response, request=request, dedicated_pool=dedicated_pool  # type: ignore[arg-type]
         )
         return self._check_head(request, response, answer)  # type: ignore[arg-type]
 
     def _get_pool(self, request: UpstreamRequest) -> urllib3.HTTPConnectionPool:
-        # An idle connection may be closed by the endpoint just as a request goes out
-        # on it; nobody can tell then whether it ran. A request that must not run
-        # twice gets a connection of its own, so that race cannot happen to it.
+        # An endpoint may close an idle connection while a request is being sent on it,
+        # and it is then unknown whether the request ran. A request that must not run
+        # twice uses a new connection, which rules out this race.
         if not request.idempotent:
             return self._open_pool(request.address)
         pool = self._pools.get(request.address)
@@ -188,16 +189,17 @@
     ) -> Result[UpstreamAnswer, UpstreamFault]:
         echoed = response.headers.get(ATTEMPT_HEADER)
         if echoed is not None and echoed != request.request_id:
-            # A connection that is one answer behind would hand every caller the
-            # answer of the one before. The echo shows it; the connection goes.
+            # If a connection is one answer behind, every caller would get the answer to
+            # the previous request. The echoed request id reveals this, and the
+            # connection is closed.
             answer.cancel()
-            message = "the endpoint answered another request"
+            message = "the answer carries the id of another request"
             return Error(UpstreamFault(outcome=AttemptOutcome.MAYBE_RAN, message=message))
         if response.headers.get(DID_NOT_RUN_HEADER) == "true":
             return Error(self._read_refusal(answer, response))
         if not self._is_framed(response):
             answer.cancel()
-            message = "the answer has no length, so its end could not be told from a cut"
+            message = "the answer has neither a length nor chunks, so a cut would go unnoticed"
             return Error(UpstreamFault(outcome=AttemptOutcome.MAYBE_RAN, message=message))
         self._set_stall_timeout(response, request.stall_timeout_s)
         return Ok(answer)
@@ -208,7 +210,7 @@
         retry_after = response.headers.get("Retry-After", "")
         return UpstreamFault(
             outcome=AttemptOutcome.REFUSED,
-            message=f"the endpoint refused with status {response.status}",
+            message=f"the endpoint refused the request with status {response.status}",
             retry_after_s=float(retry_after) if retry_after.isdigit() else None,
         )
 
@@ -227,7 +229,7 @@
             sock.settimeout(timeout_s)
 
     def close_endpoint(self, address: str) -> None:
-        """Close the idle connections to an endpoint that has gone."""
+        """Close the idle connections to an endpoint that has left."""
         pool = self._pools.pop(address, None)
         if pool is not None:
             pool.close()
--- a/chivetrack/components/upstream/connection.py
+++ b/chivetrack/components/upstream/connection.py
@@ -1,4 +1,7 @@
-"""One connection to an endpoint: a request at a time, and what is known if it fails."""
+"""A connection to one endpoint that serves one request at a time.
+
+Failures distinguish requests that were not sent from requests that may have run.
+"""
 
 import http.client
 import select
@@ -13,11 +16,11 @@
 from chivetrack.components.upstream.const import READ_SIZE
 from chivetrack.components.upstream.models import BrokenAnswerError
 
-# Bytes that stay unacknowledged for longer end the connection: the other side has no
-# power or is behind a cut, and would never say so.
+# TCP closes the connection when sent bytes stay unacknowledged for longer. A host that lost
+# power or is behind a network partition does not close its connections itself.
 UNACKNOWLEDGED_TIMEOUT_MS = 2000
-# Larger bodies are sent by a greenlet of their own, so that an answer which comes before
-# the body was read is seen at once.
+# Larger bodies are sent by a separate greenlet, so that an answer that arrives before the
+# endpoint has read the body is detected immediately.
 MAX_INLINE_BODY_BYTES = 16 * 1024
 _SOCKET_OPTIONS: list[tuple[int, int, int | bytes]] = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -26,16 +29,16 @@
 
 
 class NotSentError(Exception):
-    """No byte of the request has left."""
+    """No byte of the request was sent."""
 
 
 class MaybeRanError(Exception):
-    """Bytes have left and there is no whole head of an answer."""
+    """Bytes of the request were sent, but no complete answer head was received."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointRequest:
-    """A request as it goes out; ``target`` is the raw target of the request line."""
+    """A request as it is sent; ``target`` is the raw target of the request line."""
 
     method: str
     target: str
@@ -44,11 +47,11 @@
 
 
 class _Reader:
-    """Reads a connection for one answer after the other.
+    """A read buffer that is shared by all answers on a connection.
 
-    The library gives each answer a buffer of its own. What that one had read ahead, the
-    beginning of a second answer perhaps, would be lost with it, and the rest would be
-    taken for the next answer.
+    ``http.client`` creates a new buffer for each answer. Bytes that this buffer had read
+    ahead, such as the beginning of a second answer, would be lost with it, and the
+    remaining bytes would be parsed as the next answer.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -79,17 +82,21 @@
         return data
 
     def flush(self) -> None:
-        """Do nothing; the library calls it at the end of an answer."""
+        """Do nothing; ``http.client`` calls this at the end of an answer."""
 
     def close(self) -> None:
-        """Leave the connection open; the library calls it at the end of an answer."""
+        """Leave the connection open; ``http.client`` calls this at the end of an answer."""
 
 
 class EndpointAnswer:
-    """The head of an answer, and its body as it comes."""
+    """An answer whose status and headers were received; ``read_chunks`` reads its body.
+
+    ``is_complete`` is set once the body was read to its end. ``is_framed`` tells whether
+    the answer has a length or is chunked; otherwise its end is the end of the connection.
+    """
 
     def __init__(self, *, response: http.client.HTTPResponse) -> None:
-        """Take over a response whose head was read."""
+        """Wrap a response whose head was read."""
         self._response = response
         self.status = response.status
         self.headers = response.headers
@@ -97,7 +104,7 @@
         self.is_framed = bool(response.chunked) or response.length is not None
 
     def read_chunks(self) -> Iterator[bytes]:
-        """Yield the body as it comes; raise ``BrokenAnswerError`` if it is not whole."""
+        """Yield the body as it arrives; raise ``BrokenAnswerError`` if it is incomplete."""
         try:
             yield from self._read()
         except (OSError, ChunkError, http.client.HTTPException, ValueError) as error:
@@ -128,7 +135,7 @@
         while left > 0:
             data = source.read1(min(left, READ_SIZE))
             if not data:
-                raise ChunkError(f"the answer ended {left} bytes early")
+                raise ChunkError(f"the answer ended {left} bytes before its Content-Length")
             left -= len(data)
             yield data
 
@@ -144,10 +151,10 @@
 
 
 class EndpointConnection:
-    """A connection that is used for one request after the other."""
+    """A connection that serves one request after the other."""
 
     def __init__(self, *, address: str, connect_timeout_s: float) -> None:
-        """Connect; raise ``NotSentError``."""
+        """Connect to ``address`` (host:port); raise ``NotSentError`` if this fails."""
         host, _, port = address.rpartition(":")
         self._http = HTTPConnection(
             host, int(port), timeout=connect_timeout_s, socket_options=_SOCKET_OPTIONS
@@ -156,7 +163,7 @@
             self._http.connect()
         except Exception as error:
             self._http.close()
-            raise NotSentError(f"no connection: {error}") from error
+            raise NotSentError(f"cannot connect to {address}: {error}") from error
         self._reader = _Reader(self._socket)
         self._sender: gevent.Greenlet | None = None
         self.idle_since = 0.0
@@ -169,9 +176,9 @@
         return sock
 
     def is_clean(self) -> bool:
-        """Return whether nothing has come since the last answer, neither bytes nor an end.
+        """Return whether the connection is open and has no unread bytes.
 
-        Bytes that belong to no request would be taken for the next answer.
+        Bytes that belong to no request would be read as the next answer.
         """
         if self._http.sock is None or self._reader.has_buffered_data:
             return False
@@ -179,43 +186,44 @@
         return not readable
 
     def send(self, request: EndpointRequest, *, timeout_s: float) -> None:
-        """Send a request; raise ``NotSentError`` or ``MaybeRanError``."""
+        """Send a request; raise ``NotSentError`` or ``MaybeRanError`` if this fails."""
         self._socket.settimeout(timeout_s)
         head = _make_head(request)
-        aside = len(request.body) > MAX_INLINE_BODY_BYTES
-        first = head if aside else head + request.body
-        self._send_first(first)
-        if aside:
-            self._sender = gevent.spawn(self._send_aside, request.body)
+        in_background = len(request.body) > MAX_INLINE_BODY_BYTES
+        inline_data = head if in_background else head + request.body
+        self._send_inline(inline_data)
+        if in_background:
+            self._sender = gevent.spawn(self._send_body, request.body)
 
-    def _send_first(self, data: bytes) -> None:
+    def _send_inline(self, data: bytes) -> None:
         try:
             sent = self._socket.send(data)
         except OSError as error:
-            # Refused as a whole: the other side had closed before the request was there.
-            raise NotSentError(f"not sent: {error}") from error
+            # No byte was sent: the endpoint had closed the connection before.
+            raise NotSentError(f"the request was not sent: {error}") from error
         try:
             self._socket.sendall(data[sent:])
         except OSError as error:
-            raise MaybeRanError(f"sent in part: {error}") from error
+            raise MaybeRanError(f"the request was sent only in part: {error}") from error
 
-    def _send_aside(self, body: bytes) -> bool:
+    def _send_body(self, body: bytes) -> bool:
         try:
             self._socket.sendall(body)
         except OSError:
-            # An answer that was sent before the end of the body may still be read.
+            # The endpoint may have answered before the end of the body; that answer can
+            # still be read.
             return False
         return True
 
     def wait_readable(self, timeout_s: float) -> bool:
-        """Return whether bytes, or an end, have come within a time."""
+        """Wait up to ``timeout_s`` and return whether bytes or a close were received."""
         if self._reader.has_buffered_data:
             return True
         readable, _, _ = select.select([self._socket], [], [], max(0.0, timeout_s))
         return bool(readable)
 
     def read_answer(self, method: str, *, timeout_s: float) -> EndpointAnswer:
-        """Read the head of the next answer; raise ``MaybeRanError``."""
+        """Read the head of the next answer; raise ``MaybeRanError`` if there is none."""
         self._socket.settimeout(timeout_s)
         response = http.client.HTTPResponse(self._reader, method=method)  # type: ignore[arg-type]
         try:
@@ -225,11 +233,14 @@
         return EndpointAnswer(response=response)
 
     def set_timeout(self, timeout_s: float) -> None:
-        """Bound the wait for the next bytes."""
+        """Set the longest wait for the next bytes, in seconds."""
         self._socket.settimeout(timeout_s)
 
     def end_request(self) -> bool:
-        """Return whether the whole request has been sent, so that another one may follow."""
+        """Stop sending, and return whether the complete request has been sent.
+
+        The connection can serve another request only if the complete request was sent.
+        """
         sender, self._sender = self._sender, None
         if sender is None:
             return True
@@ -239,14 +250,14 @@
         return bool(sender.value)
 
     def close(self) -> None:
-        """Close the connection, which tells the endpoint to stop."""
+        """Close the connection, which makes the endpoint stop."""
         sender, self._sender = self._sender, None
         if sender is not None:
             sender.kill(block=False)
         self._http.close()
 
     def mark_idle(self, *, now: float, idle_limit_s: float) -> None:
-        """Note that the connection is idle from now on."""
+        """Record that the connection is idle since ``now`` for at most ``idle_limit_s``."""
         self.idle_since = now
         self.idle_limit_s = idle_limit_s
 
--- a/chivetrack/components/upstream/const.py
+++ b/chivetrack/components/upstream/const.py
@@ -1,4 +1,4 @@
-"""Constants of the client towards endpoints."""
+"""Constants of the client for endpoints."""
 
 from typing import Final
 
@@ -9,13 +9,16 @@
 
 CONNECT_TIMEOUT_S: Final = 1.0
 READ_SIZE: Final = 65536
-# How long a stream whose chunks come faster than this is let alone between two reads.
-# A seventh of the 75 ms that may pass between two tokens.
+# Shortest time between two reads of a stream, so that one read returns several chunks.
+# A seventh of the 75 ms that are allowed between two tokens.
 MIN_READ_INTERVAL_S: Final = 0.01
 POOL_SIZE: Final = 256
+# Last event of a complete stream; it is searched for in the last bytes of the body.
 STREAM_END: Final = b"data: [DONE]"
 STREAM_TAIL_BYTES: Final = 64
 
+# Headers of a caller that are not forwarded to the endpoint: those of one connection, and
+# those that the router consumes or sets itself.
 NOT_FORWARDED_HEADERS: Final = frozenset(
     {
         "connection",
--- a/chivetrack/components/upstream/idle_connections.py
+++ b/chivetrack/components/upstream/idle_connections.py
@@ -1,28 +1,32 @@
-"""Idle connections to endpoints, kept for the next request."""
+"""Pool of idle connections to endpoints."""
 
 from collections.abc import Callable
 
 from chivetrack.components.upstream.connection import EndpointConnection
 
-# Endpoints say how long they keep an idle connection; a request that is sent in the last
-# moment of it meets the close on its way, and nobody can tell whether it ran.
+# Subtracted from the keep-alive time that an endpoint announces. A request that is sent just
+# before that time ends may cross the close, and it is then unknown whether it ran.
 KEEP_ALIVE_MARGIN_S = 1.0
-# Where an endpoint says nothing.
+# Used for an endpoint that announces no keep-alive time.
 DEFAULT_IDLE_S = 4.0
 MAX_IDLE_S = 30.0
 MAX_IDLE_PER_ENDPOINT = 32
 
 
 class IdleConnections:
-    """Idle connections by endpoint; the one used last is taken first."""
+    """Idle connections by endpoint; the most recently used one is reused first."""
 
     def __init__(self, *, read_clock: Callable[[], float]) -> None:
-        """Start with none; ``read_clock`` gives seconds."""
+        """Create an empty pool; ``read_clock`` returns seconds of a monotonic clock."""
         self._read_clock = read_clock
         self._idle: dict[str, list[EndpointConnection]] = {}
 
     def pop_idle(self, endpoint_id: str) -> EndpointConnection | None:
-        """Return a connection on which nothing is known to be wrong."""
+        """Remove and return a usable connection, or ``None`` if there is none.
+
+        Connections that are over their idle limit, closed by the endpoint or hold unread
+        bytes are closed.
+        """
         now = self._read_clock()
         idle = self._idle.get(endpoint_id, [])
         while idle:
@@ -35,7 +39,10 @@
     def put(
         self, endpoint_id: str, connection: EndpointConnection, keep_alive_s: float | None
     ) -> None:
-        """Keep a connection whose answer was read to the end."""
+        """Add a connection whose answer was read to its end.
+
+        ``keep_alive_s`` is the keep-alive time that the endpoint announced, in seconds.
+        """
         limit_s = DEFAULT_IDLE_S
         if keep_alive_s is not None:
             limit_s = min(keep_alive_s - KEEP_ALIVE_MARGIN_S, MAX_IDLE_S)
@@ -47,10 +54,10 @@
         idle.append(connection)
 
     def close_expired(self) -> None:
-        """Close what has been idle for too long."""
+        """Close the connections whose idle limit has passed."""
         now = self._read_clock()
         for endpoint_id, idle in list(self._idle.items()):
-            fresh = [one for one in idle if now - one.idle_since < one.idle_limit_s]
+            fresh = [each for each in idle if now - each.idle_since < each.idle_limit_s]
             for connection in idle:
                 if connection not in fresh:
                     connection.close()
--- a/chivetrack/components/upstream/models.py
+++ b/chivetrack/components/upstream/models.py
@@ -1,4 +1,4 @@
-"""A request to an endpoint, its answer, and what is known when there is none."""
+"""Requests to endpoints, outcomes of attempts and their errors."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,10 +6,10 @@
 
 
 class AttemptOutcome(StrEnum):
-    """How far an attempt at an endpoint got.
+    """The outcome of an attempt at an endpoint.
 
-    ``NOT_SENT``: no byte left. ``REFUSED``: the endpoint said that it did not run the
-    request. ``MAYBE_RAN``: a byte may have left and there is no whole answer.
+    ``NOT_SENT``: no byte was sent. ``REFUSED``: the endpoint reported that it did not run
+    the request. ``MAYBE_RAN``: bytes may have been sent and there is no complete answer.
     ``RAN``: the endpoint answered.
     """
 
@@ -21,9 +21,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UpstreamRequest:
-    """One request as it goes to one endpoint.
+    """A request as it is sent to one endpoint.
 
-    ``address`` is the endpoint's base URL, times are in seconds.
+    ``address`` is the base URL of the endpoint. ``stall_timeout_s`` limits the wait for
+    the next bytes of the body. Times are in seconds.
     """
 
     request_id: str
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UpstreamFault:
-    """Why an attempt has no answer."""
+    """The reason why an attempt has no answer."""
 
     outcome: AttemptOutcome
     message: str
@@ -48,4 +49,4 @@
 
 
 class BrokenAnswerError(Exception):
-    """An answer ended before it was whole, or stalled for too long."""
+    """An answer ended before it was complete, or stalled longer than its timeout."""
--- a/tests/components/upstream/server.py
+++ b/tests/components/upstream/server.py
@@ -1,4 +1,4 @@
-"""A scripted endpoint: answers raw bytes, so that every fault can be played exactly."""
+"""Scripted endpoint that answers with raw bytes, to reproduce faults byte by byte."""
 
 import socket
 import threading
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Stall:
-    """Send nothing until the client has gone."""
+    """Send nothing until the client closes the connection."""
 
 
 @dataclass(slots=True)
 class Script:
-    """What one connection answers to each of its requests; then it is closed."""
+    """The answers of one connection, one per request; the connection is closed after them."""
 
     answers: list[list[bytes | Stall]] = field(default_factory=list)
 
 
 class ScriptedServer:
-    """Serves one script a connection and keeps what it received."""
+    """Serves one script per connection and records the received requests."""
 
     def __init__(self, scripts: list[Script]) -> None:
         self._scripts = scripts
@@ -64,8 +64,8 @@
             if not received:
                 return False
             data += received
-        # The body may come behind the head; answered too soon, a test would find a
-        # request without it.
+        # The body may arrive after the head. Answering earlier would record a request
+        # without its body.
         length = _find_length(data)
         while len(data) < length:
             received = connection.recv(65536)
@@ -80,7 +80,7 @@
 
 
 def _find_length(data: bytes) -> int:
-    """Return how long the whole request is, its body included."""
+    """Return the length of a request including its body, in bytes."""
     head, end, _ = data.partition(HEAD_END)
     for line in head.lower().split(b"\r\n"):
         if line.startswith(b"content-length:"):
@@ -90,7 +90,7 @@
 
 @contextmanager
 def open_server(*scripts: Script) -> Iterator[ScriptedServer]:
-    """Give a server for so many connections."""
+    """Yield a server that accepts one connection per script."""
     server = ScriptedServer(list(scripts))
     try:
         yield server
--- a/tests/components/upstream/test_chunks.py
+++ b/tests/components/upstream/test_chunks.py
@@ -1,4 +1,4 @@
-"""The framing of chunked answers, in whatever pieces it arrives."""
+"""Tests for the decoder of chunked answers."""
 
 import random
 import unittest
@@ -7,7 +7,7 @@
 
 
 def frame(rng: random.Random, parts: list[bytes]) -> bytes:
-    """Return the chunked form of a body, with extensions and a trailer at times."""
+    """Return the chunked form of a body, with random extensions and a random trailer."""
     lines = []
     for part in parts:
         extension = rng.choice([b"", b";a=b"])
@@ -19,10 +19,10 @@
 
 class ChunkDecoderTest(unittest.TestCase):
     def test_any_cuts_give_the_same_body(self) -> None:
-        """A stream arrives in pieces that fall anywhere, also inside a size or a line end.
+        """A stream is split at random positions, also inside a size or a line end.
 
-        The body comes out as it was, not a byte more or less, and the end is told
-        exactly when the last byte of the framing is there.
+        The decoded body equals the original, and the end is reported exactly with the
+        last byte of the framing.
         """
         for seed in range(500):
             with self.subTest(seed=seed):
@@ -40,7 +40,7 @@
                 self.assertFalse(decoder.has_trailing_data)
                 self.assertEqual(body, b"".join(parts))
 
-    def test_framing_that_is_not_understood(self) -> None:
+    def test_invalid_framing(self) -> None:
         table = [
             ("no size", b"\r\n"),
             ("sign", b"+5\r\nhello\r\n"),
--- a/tests/components/upstream/test_client.py
+++ b/tests/components/upstream/test_client.py
@@ -1,4 +1,4 @@
-"""The engine client against broken answers, as a table."""
+"""Tests for the endpoint client with complete and broken answers."""
 
 import socket
 import unittest
@@ -33,11 +33,11 @@
 
 
 class NoAnswerTest(unittest.TestCase):
-    def test_what_is_known_of_an_attempt_without_an_answer(self) -> None:
-        """An engine fails before the head of an answer has arrived.
+    def test_outcome_of_an_attempt_without_an_answer(self) -> None:
+        """An engine fails before the head of its answer was received.
 
-        "Not sent" may be retried by anybody, so it must be said only when no byte
-        can have left; a mixed-up answer must reach nobody.
+        Any request may be retried after ``NOT_SENT``, so this outcome is allowed only when
+        no byte was sent. An answer to another request must not reach the caller.
         """
         wrong = OK + b"X-Request-Id: r0\r\nContent-Length: 2\r\n\r\nhi"
         refusal = (
@@ -59,8 +59,8 @@
                     self.assertEqual(result.error.retry_after_s, 7.0)
 
     def test_nobody_listens(self) -> None:
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            address = f"http://127.0.0.1:{taken.getsockname()[1]}"
+        with socket.create_server(("127.0.0.1", 0)) as unused_socket:
+            address = f"http://127.0.0.1:{unused_socket.getsockname()[1]}"
         result = UpstreamClient().send(make_request(address))
         self.assertIs(result.error.outcome, AttemptOutcome.NOT_SENT)
 
@@ -71,11 +71,11 @@
 
 
 class BrokenAnswerTest(unittest.TestCase):
-    def test_an_answer_that_is_not_whole_is_an_error(self) -> None:
-        """An engine dies, stalls or loses the end of its answer after the head.
+    def test_incomplete_answer_is_an_error(self) -> None:
+        """An engine dies, stalls or omits the end of its answer after the head.
 
-        Each must end as an error: taken for whole, half a report would go to the
-        caller as if it were all.
+        Each case must raise an error. Otherwise the caller would receive part of an
+        answer as if it were complete.
         """
         chunk = b"5\r\nhello\r\n"
         table = [
@@ -93,10 +93,11 @@
                 with self.assertRaises(BrokenAnswerError):
                     b"".join(answer.read_chunks())
 
-    def test_bytes_after_the_end_are_no_part_of_any_answer(self) -> None:
-        """An engine sends its stream's end, and then the start of another answer.
+    def test_bytes_after_the_end_are_an_error(self) -> None:
+        """An engine sends the end of its stream and then the start of another answer.
 
-        Left on the connection, the next caller would read it as its own.
+        If those bytes stayed on the connection, the next caller would read them as the
+        answer to its own request.
         """
         parts = [CHUNKED, b"5\r\nhello\r\n" + LAST + OK + b"Content-Length: 1\r\n\r\nx"]
         with open_server(Script([parts])) as server:
@@ -105,22 +106,22 @@
                 list(answer.read_chunks())
 
     def test_stream_connection_is_reused_after_its_end(self) -> None:
-        whole = [CHUNKED, b"5\r\nhello\r\n", LAST]
-        with open_server(Script([whole, whole])) as server:
+        complete = [CHUNKED, b"5\r\nhello\r\n", LAST]
+        with open_server(Script([complete, complete])) as server:
             client = UpstreamClient()
             for _ in range(2):
                 chunks = client.send(make_request(server.address)).ok.read_chunks()
                 self.assertEqual(b"".join(chunks), b"hello")
             self.assertEqual(server.connections, 1)
 
-    def test_chunk_goes_on_before_the_next_one_comes(self) -> None:
-        """An engine sends a token and thinks; the caller must not wait for the next one."""
+    def test_chunk_is_relayed_before_the_next_arrives(self) -> None:
+        """An engine sends one chunk and pauses; the chunk must be relayed without a delay."""
         with open_server(Script([[CHUNKED, b"5\r\nhello\r\n", Stall()]])) as server:
             chunks = UpstreamClient().send(make_request(server.address)).ok.read_chunks()
             self.assertEqual(next(chunks), b"hello")
             chunks.close()
 
-    def test_whole_stream(self) -> None:
+    def test_complete_stream(self) -> None:
         with open_server(Script([[CHUNKED, b"5\r\nhello\r\n", STREAM_END, LAST]])) as server:
             request = make_request(server.address, expects_stream_end=True)
             chunks = list(UpstreamClient().send(request).ok.read_chunks())
@@ -128,9 +129,9 @@
 
 
 class ReuseTest(unittest.TestCase):
-    def test_connection_is_reused_after_a_whole_answer(self) -> None:
-        whole = [OK + b"Content-Length: 5\r\n\r\nhello"]
-        with open_server(Script([whole, whole])) as server:
+    def test_connection_is_reused_after_a_complete_answer(self) -> None:
+        complete = [OK + b"Content-Length: 5\r\n\r\nhello"]
+        with open_server(Script([complete, complete])) as server:
             client = UpstreamClient()
             for _ in range(2):
                 answer = client.send(make_request(server.address)).ok
@@ -138,10 +139,10 @@
             self.assertEqual(server.connections, 1)
 
     def test_connection_is_not_reused_after_a_cancel(self) -> None:
-        """A caller leaves in the middle of a stream; another caller comes next.
+        """A caller leaves in the middle of a stream, and another caller sends a request.
 
-        The rest of the first answer is still on the connection. Reused, the second
-        caller would read the first one's words; so it gets a connection of its own.
+        The rest of the first answer is still on the connection. If the connection was
+        reused, the second caller would read it, so the request gets a new connection.
         """
         first = [CHUNKED, b"5\r\nfirst\r\n", b"4\r\nrest\r\n"]
         second = [OK + b"Content-Length: 6\r\n\r\nsecond"]
@@ -155,13 +156,13 @@
             self.assertEqual(server.connections, 2)
 
     def test_non_idempotent_request_gets_a_new_connection(self) -> None:
-        """An engine closes an idle connection just as a quote is sent on it.
+        """An engine may close an idle connection while a request is being sent on it.
 
-        Nobody can tell then whether the quote was made. On a connection of its own
-        the race can't happen.
+        It is then unknown whether the request ran. A new connection for each request that
+        is not idempotent rules out this race.
         """
-        whole = [OK + b"Content-Length: 5\r\n\r\nhello"]
-        with open_server(Script([whole, whole]), Script([whole])) as server:
+        complete = [OK + b"Content-Length: 5\r\n\r\nhello"]
+        with open_server(Script([complete, complete]), Script([complete])) as server:
             client = UpstreamClient()
             first = client.send(make_request(server.address)).ok
             self.assertEqual(b"".join(first.read_chunks()), b"hello")
