--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -88,7 +88,7 @@
     """Runs each request in the greenlet of its caller.
 
     ``post`` hands an event to the decisions, whose effects on requests come back
-    by ``take_effect``.
+    by ``handle_effect``.
     """
 
     def __init__(
@@ -116,7 +116,7 @@
         """Return how many callers wait for an answer or are receiving one."""
         return len(self._mailboxes)
 
-    def take_effect(self, effect: RequestEffect) -> None:
+    def handle_effect(self, effect: RequestEffect) -> None:
         """Hand an effect to the greenlet of its request."""
         mailbox = self._mailboxes.get(effect.request_id)
         if mailbox is not None:
--- a/chivetrack/daemon/instance.py
+++ b/chivetrack/daemon/instance.py
@@ -242,7 +242,7 @@
 
     def _connect_effects(self) -> None:
         self.runner.handle_effects(SendMessage, self._send)
-        self.runner.handle_effects(RequestEffect, self.gateway.take_effect)
+        self.runner.handle_effects(RequestEffect, self.gateway.handle_effect)
         self.runner.handle_effects(SubmissionEnded, self.submissions.take_end)
 
     def _send(self, effect: SendMessage) -> None:
