--- a/chivetrack/components/caller_api/const.py
+++ b/chivetrack/components/caller_api/const.py
@@ -13,7 +13,7 @@
 DEFAULT_MAX_BODY: Final = 4 * MEBIBYTE
 BODY_TIMEOUT_S: Final = 15.0
 DEFAULT_MAX_OPEN: Final = 1_000
-FULL_RETRY_AFTER_S: Final = 1.0
+OVERLOAD_RETRY_AFTER_S: Final = 1.0
 # Answers up to this size are read whole before the first byte goes to the caller, so
 # that a broken one becomes a typed error or a retry rather than a cut connection.
 WHOLE_ANSWER_LIMIT: Final = MEBIBYTE
--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -9,9 +9,9 @@
 
 from chivetrack.components.caller_api.const import (
     DEFAULT_MAX_OPEN,
-    FULL_RETRY_AFTER_S,
     HEADER_ENDPOINT,
     HEADER_REQUEST_ID,
+    OVERLOAD_RETRY_AFTER_S,
     STORED_ANSWER_LIMIT,
     STREAM_TYPE,
     WHOLE_ANSWER_LIMIT,
@@ -126,7 +126,7 @@
         """Bring a request to its end, or to the first chunk of a streamed answer."""
         # Without a bound a surge would take the memory that open streams need.
         if self.open_count >= self._max_open:
-            fault = faults.too_many_requests(self._max_open, FULL_RETRY_AFTER_S)
+            fault = faults.too_many_requests(self._max_open, OVERLOAD_RETRY_AFTER_S)
             return GatewayAnswer(request_id=self._make_id(), fault=fault)
         conversation = self._open(request)
         headers = {**request.headers, **conversation.hop.write_headers()}
