--- a/chivetrack/components/caller_api/const.py
+++ b/chivetrack/components/caller_api/const.py
@@ -16,7 +16,7 @@
 OVERLOAD_RETRY_AFTER_S: Final = 1.0
 # Answers up to this size are read whole before the first byte goes to the caller, so
 # that a broken one becomes a typed error or a retry rather than a cut connection.
-WHOLE_ANSWER_LIMIT: Final = MEBIBYTE
+MAX_BUFFERED_ANSWER_BYTES: Final = MEBIBYTE
 # The largest answer that an idempotency key keeps for a resend.
 STORED_ANSWER_LIMIT: Final = 64 * 1024
 
--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -11,10 +11,10 @@
     DEFAULT_MAX_OPEN,
     HEADER_ENDPOINT,
     HEADER_REQUEST_ID,
+    MAX_BUFFERED_ANSWER_BYTES,
     OVERLOAD_RETRY_AFTER_S,
     STORED_ANSWER_LIMIT,
     STREAM_TYPE,
-    WHOLE_ANSWER_LIMIT,
 )
 from chivetrack.components.caller_api.relay import RelayBody
 from chivetrack.components.pipeline import faults
@@ -271,7 +271,7 @@
         if answer.status in (204, 304):
             return True
         length = answer.headers.get("Content-Length", "")
-        return length.isdigit() and int(length) <= WHOLE_ANSWER_LIMIT
+        return length.isdigit() and int(length) <= MAX_BUFFERED_ANSWER_BYTES
 
     def _relay_whole(self, conversation: _Conversation, answer: UpstreamAnswer) -> GatewayAnswer:
         body = b"".join(answer.read_chunks())
