--- a/chivetrack/components/caller_api/const.py
+++ b/chivetrack/components/caller_api/const.py
@@ -18,7 +18,7 @@
 # that a broken one becomes a typed error or a retry rather than a cut connection.
 MAX_BUFFERED_ANSWER_BYTES: Final = MEBIBYTE
 # The largest answer that an idempotency key keeps for a resend.
-STORED_ANSWER_LIMIT: Final = 64 * 1024
+MAX_STORED_ANSWER_BYTES: Final = 64 * 1024
 
 ENVIRON_SOCKET: Final = "chivetrack.socket"
 HEADER_REQUEST_ID: Final = "X-Request-Id"
--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -12,8 +12,8 @@
     HEADER_ENDPOINT,
     HEADER_REQUEST_ID,
     MAX_BUFFERED_ANSWER_BYTES,
+    MAX_STORED_ANSWER_BYTES,
     OVERLOAD_RETRY_AFTER_S,
-    STORED_ANSWER_LIMIT,
     STREAM_TYPE,
 )
 from chivetrack.components.caller_api.relay import RelayBody
@@ -275,7 +275,7 @@
 
     def _relay_whole(self, conversation: _Conversation, answer: UpstreamAnswer) -> GatewayAnswer:
         body = b"".join(answer.read_chunks())
-        stored = body if len(body) <= STORED_ANSWER_LIMIT else None
+        stored = body if len(body) <= MAX_STORED_ANSWER_BYTES else None
         self._end(conversation, answer, whole=True, body=stored)
         return GatewayAnswer(
             request_id=conversation.request_id,
