--- a/chivetrack/components/caller_api/app.py
+++ b/chivetrack/components/caller_api/app.py
@@ -8,7 +8,7 @@
 from chivetrack.components.caller_api.body import read_body
 from chivetrack.components.caller_api.const import (
     BODY_TIMEOUT_S,
-    DEFAULT_MAX_BODY,
+    DEFAULT_MAX_BODY_BYTES,
     ENVIRON_SOCKET,
     PATH_ANNOUNCE,
     PATH_CHAT,
@@ -57,7 +57,7 @@
         gateway: Gateway,
         announce: Announce,
         is_ready: Callable[[], bool],
-        max_body: int = DEFAULT_MAX_BODY,
+        max_body: int = DEFAULT_MAX_BODY_BYTES,
         body_timeout_s: float = BODY_TIMEOUT_S,
     ) -> None:
         """Take what the routes lead to."""
--- a/chivetrack/components/caller_api/const.py
+++ b/chivetrack/components/caller_api/const.py
@@ -10,7 +10,7 @@
 PATH_HEALTH: Final = "/healthz"
 PATH_READY: Final = "/readyz"
 
-DEFAULT_MAX_BODY: Final = 4 * MEBIBYTE
+DEFAULT_MAX_BODY_BYTES: Final = 4 * MEBIBYTE
 BODY_TIMEOUT_S: Final = 15.0
 DEFAULT_MAX_OPEN: Final = 1_000
 OVERLOAD_RETRY_AFTER_S: Final = 1.0
