--- a/chivetrack/components/caller_api/const.py
+++ b/chivetrack/components/caller_api/const.py
@@ -12,7 +12,7 @@
 
 DEFAULT_MAX_BODY_BYTES: Final = 4 * MEBIBYTE
 BODY_TIMEOUT_S: Final = 15.0
-DEFAULT_MAX_OPEN: Final = 1_000
+DEFAULT_MAX_OPEN_REQUESTS: Final = 1_000
 OVERLOAD_RETRY_AFTER_S: Final = 1.0
 # Answers up to this size are read whole before the first byte goes to the caller, so
 # that a broken one becomes a typed error or a retry rather than a cut connection.
--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -8,7 +8,7 @@
 from opentelemetry.trace import SpanKind
 
 from chivetrack.components.caller_api.const import (
-    DEFAULT_MAX_OPEN,
+    DEFAULT_MAX_OPEN_REQUESTS,
     HEADER_ENDPOINT,
     HEADER_REQUEST_ID,
     MAX_BUFFERED_ANSWER_BYTES,
@@ -99,7 +99,7 @@
         telemetry: Telemetry,
         read_clock: Callable[[], float],
         make_id: Callable[[], str],
-        max_open: int = DEFAULT_MAX_OPEN,
+        max_open: int = DEFAULT_MAX_OPEN_REQUESTS,
     ) -> None:
         """Take the decisions' entry, the client, telemetry, the clock and a source of ids."""
         self._max_open = max_open
