--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Conversation:
+class _PendingRequest:
     """One caller's wait for its answer."""
 
     request_id: str
@@ -149,14 +149,14 @@
             if not keep:
                 self._close(conversation)
 
-    def _open(self, request: CallerRequest) -> _Conversation:
+    def _open(self, request: CallerRequest) -> _PendingRequest:
         hops = ExitStack()
         parent = extract_context(request.headers)
         hop = hops.enter_context(
             self._tracer.open_hop("request", parent=parent, kind=SpanKind.SERVER)
         )
         now = self._read_clock()
-        conversation = _Conversation(
+        conversation = _PendingRequest(
             request_id=self._make_id(),
             mailbox=SimpleQueue(),
             begun_at=now,
@@ -169,13 +169,13 @@
         self._instruments.change_in_flight(1)
         return conversation
 
-    def _close(self, conversation: _Conversation) -> None:
+    def _close(self, conversation: _PendingRequest) -> None:
         if self._mailboxes.pop(conversation.request_id, None) is None:
             return
         self._instruments.change_in_flight(-1)
         conversation.hops.close()
 
-    def _follow(self, conversation: _Conversation) -> GatewayAnswer:
+    def _follow(self, conversation: _PendingRequest) -> GatewayAnswer:
         while True:
             effect = self._wait(conversation)
             if isinstance(effect, Refuse):
@@ -189,7 +189,7 @@
                 if answer is not None:
                     return answer
 
-    def _wait(self, conversation: _Conversation) -> RequestEffect:
+    def _wait(self, conversation: _PendingRequest) -> RequestEffect:
         try:
             remaining = max(0.0, conversation.deadline - self._read_clock())
             return conversation.mailbox.get(timeout=remaining)
@@ -210,7 +210,7 @@
             body=effect.answer.body,
         )
 
-    def _start(self, conversation: _Conversation, effect: StartAttempt) -> None:
+    def _start(self, conversation: _PendingRequest, effect: StartAttempt) -> None:
         if conversation.answer is not None:
             conversation.answer.cancel()
             conversation.answer = None
@@ -247,7 +247,7 @@
             )
         )
 
-    def _relay(self, conversation: _Conversation) -> GatewayAnswer | None:
+    def _relay(self, conversation: _PendingRequest) -> GatewayAnswer | None:
         answer = conversation.answer
         assert answer is not None
         try:
@@ -273,7 +273,7 @@
         length = answer.headers.get("Content-Length", "")
         return length.isdigit() and int(length) <= MAX_BUFFERED_ANSWER_BYTES
 
-    def _relay_whole(self, conversation: _Conversation, answer: UpstreamAnswer) -> GatewayAnswer:
+    def _relay_whole(self, conversation: _PendingRequest, answer: UpstreamAnswer) -> GatewayAnswer:
         body = b"".join(answer.read_chunks())
         stored = body if len(body) <= MAX_STORED_ANSWER_BYTES else None
         self._end(conversation, answer, whole=True, body=stored)
@@ -284,7 +284,7 @@
             body=body,
         )
 
-    def _relay_stream(self, conversation: _Conversation, answer: UpstreamAnswer) -> GatewayAnswer:
+    def _relay_stream(self, conversation: _PendingRequest, answer: UpstreamAnswer) -> GatewayAnswer:
         chunks = answer.read_chunks()
         first = next(chunks, b"")
         service = self._get_service(conversation)
@@ -313,13 +313,13 @@
         )
 
     @staticmethod
-    def _get_service(conversation: _Conversation) -> str:
+    def _get_service(conversation: _PendingRequest) -> str:
         started = conversation.started
         return "" if started is None else started.exchange.service
 
     def _end(
         self,
-        conversation: _Conversation,
+        conversation: _PendingRequest,
         answer: UpstreamAnswer,
         *,
         whole: bool,
@@ -337,7 +337,7 @@
         )
 
     @staticmethod
-    def _make_headers(conversation: _Conversation, answer: UpstreamAnswer) -> dict[str, str]:
+    def _make_headers(conversation: _PendingRequest, answer: UpstreamAnswer) -> dict[str, str]:
         headers = {
             name.title(): answer.headers[name] for name in _ANSWER_HEADERS if name in answer.headers
         }
