--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -128,26 +128,26 @@
         if self.open_count >= self._max_open:
             fault = faults.too_many_requests(self._max_open, OVERLOAD_RETRY_AFTER_S)
             return GatewayAnswer(request_id=self._make_id(), fault=fault)
-        conversation = self._open(request)
-        headers = {**request.headers, **conversation.hop.write_headers()}
+        pending = self._open(request)
+        headers = {**request.headers, **pending.hop.write_headers()}
         request = replace(request, headers=headers)
-        request_id = conversation.request_id
+        request_id = pending.request_id
         keep = False
         try:
             self._post(RequestArrived(request_id=request_id, request=request))
-            answer = self._follow(conversation)
+            answer = self._follow(pending)
             keep = isinstance(answer.body, RelayBody)
             if answer.fault is not None:
-                conversation.hop.fail(answer.fault.code)
+                pending.hop.fail(answer.fault.code)
             return answer
         except BaseException:
             self._post(CallerGone(request_id=request_id))
-            if conversation.answer is not None:
-                conversation.answer.cancel()
+            if pending.answer is not None:
+                pending.answer.cancel()
             raise
         finally:
             if not keep:
-                self._close(conversation)
+                self._close(pending)
 
     def _open(self, request: CallerRequest) -> _PendingRequest:
         hops = ExitStack()
@@ -156,7 +156,7 @@
             self._tracer.open_hop("request", parent=parent, kind=SpanKind.SERVER)
         )
         now = self._read_clock()
-        conversation = _PendingRequest(
+        pending = _PendingRequest(
             request_id=self._make_id(),
             mailbox=SimpleQueue(),
             begun_at=now,
@@ -164,38 +164,38 @@
             hops=hops,
             hop=hop,
         )
-        hop.set_attribute("request.id", conversation.request_id)
-        self._mailboxes[conversation.request_id] = conversation.mailbox
+        hop.set_attribute("request.id", pending.request_id)
+        self._mailboxes[pending.request_id] = pending.mailbox
         self._instruments.change_in_flight(1)
-        return conversation
+        return pending
 
-    def _close(self, conversation: _PendingRequest) -> None:
-        if self._mailboxes.pop(conversation.request_id, None) is None:
+    def _close(self, pending: _PendingRequest) -> None:
+        if self._mailboxes.pop(pending.request_id, None) is None:
             return
         self._instruments.change_in_flight(-1)
-        conversation.hops.close()
+        pending.hops.close()
 
-    def _follow(self, conversation: _PendingRequest) -> GatewayAnswer:
+    def _follow(self, pending: _PendingRequest) -> GatewayAnswer:
         while True:
-            effect = self._wait(conversation)
+            effect = self._wait(pending)
             if isinstance(effect, Refuse):
-                return GatewayAnswer(request_id=conversation.request_id, fault=effect.fault)
+                return GatewayAnswer(request_id=pending.request_id, fault=effect.fault)
             if isinstance(effect, ReplayAnswer):
                 return self._replay(effect)
             if isinstance(effect, StartAttempt):
-                self._start(conversation, effect)
+                self._start(pending, effect)
             elif isinstance(effect, RelayAnswer):
-                answer = self._relay(conversation)
+                answer = self._relay(pending)
                 if answer is not None:
                     return answer
 
-    def _wait(self, conversation: _PendingRequest) -> RequestEffect:
+    def _wait(self, pending: _PendingRequest) -> RequestEffect:
         try:
-            remaining = max(0.0, conversation.deadline - self._read_clock())
-            return conversation.mailbox.get(timeout=remaining)
+            remaining = max(0.0, pending.deadline - self._read_clock())
+            return pending.mailbox.get(timeout=remaining)
         except Empty:
-            self._post(DeadlineReached(request_id=conversation.request_id))
-            return conversation.mailbox.get()
+            self._post(DeadlineReached(request_id=pending.request_id))
+            return pending.mailbox.get()
 
     def _replay(self, effect: ReplayAnswer) -> GatewayAnswer:
         headers = {
@@ -210,16 +210,16 @@
             body=effect.answer.body,
         )
 
-    def _start(self, conversation: _PendingRequest, effect: StartAttempt) -> None:
-        if conversation.answer is not None:
-            conversation.answer.cancel()
-            conversation.answer = None
-        conversation.started = effect
-        conversation.deadline = effect.exchange.deadline
-        hop = conversation.hops.enter_context(
+    def _start(self, pending: _PendingRequest, effect: StartAttempt) -> None:
+        if pending.answer is not None:
+            pending.answer.cancel()
+            pending.answer = None
+        pending.started = effect
+        pending.deadline = effect.exchange.deadline
+        hop = pending.hops.enter_context(
             self._tracer.open_hop(
                 "attempt",
-                parent=conversation.hop.context,
+                parent=pending.hop.context,
                 kind=SpanKind.CLIENT,
                 attributes={"endpoint.id": effect.attempt.endpoint_id},
             )
@@ -238,7 +238,7 @@
                 )
             )
             return
-        conversation.answer = result.ok
+        pending.answer = result.ok
         self._post(
             AttemptAnswered(
                 request_id=effect.request_id,
@@ -247,19 +247,19 @@
             )
         )
 
-    def _relay(self, conversation: _PendingRequest) -> GatewayAnswer | None:
-        answer = conversation.answer
+    def _relay(self, pending: _PendingRequest) -> GatewayAnswer | None:
+        answer = pending.answer
         assert answer is not None
         try:
             if self._is_small(answer):
-                return self._relay_whole(conversation, answer)
-            return self._relay_stream(conversation, answer)
+                return self._relay_whole(pending, answer)
+            return self._relay_stream(pending, answer)
         except BrokenAnswerError as error:
-            conversation.answer = None
+            pending.answer = None
             self._post(
                 AttemptFailed(
-                    request_id=conversation.request_id,
-                    attempt=conversation.attempt_number,
+                    request_id=pending.request_id,
+                    attempt=pending.attempt_number,
                     outcome=AttemptOutcome.MAYBE_RAN,
                     message=str(error),
                 )
@@ -273,53 +273,53 @@
         length = answer.headers.get("Content-Length", "")
         return length.isdigit() and int(length) <= MAX_BUFFERED_ANSWER_BYTES
 
-    def _relay_whole(self, conversation: _PendingRequest, answer: UpstreamAnswer) -> GatewayAnswer:
+    def _relay_whole(self, pending: _PendingRequest, answer: UpstreamAnswer) -> GatewayAnswer:
         body = b"".join(answer.read_chunks())
         stored = body if len(body) <= MAX_STORED_ANSWER_BYTES else None
-        self._end(conversation, answer, whole=True, body=stored)
+        self._end(pending, answer, whole=True, body=stored)
         return GatewayAnswer(
-            request_id=conversation.request_id,
+            request_id=pending.request_id,
             status=answer.status,
-            headers=self._make_headers(conversation, answer),
+            headers=self._make_headers(pending, answer),
             body=body,
         )
 
-    def _relay_stream(self, conversation: _PendingRequest, answer: UpstreamAnswer) -> GatewayAnswer:
+    def _relay_stream(self, pending: _PendingRequest, answer: UpstreamAnswer) -> GatewayAnswer:
         chunks = answer.read_chunks()
         first = next(chunks, b"")
-        service = self._get_service(conversation)
-        waited_s = self._read_clock() - conversation.begun_at
+        service = self._get_service(pending)
+        waited_s = self._read_clock() - pending.begun_at
         self._instruments.record_first_chunk(service=service, duration_s=waited_s)
 
         def end(whole: bool, count: int) -> None:
             self._instruments.record_chunks(service=service, count=count)
-            self._end(conversation, answer, whole=whole, body=None)
-            self._close(conversation)
+            self._end(pending, answer, whole=whole, body=None)
+            self._close(pending)
 
         content_type = answer.headers.get("Content-Type", "")
         body = RelayBody(
             answer=answer,
             first=first,
             rest=chunks,
-            request_id=conversation.request_id,
+            request_id=pending.request_id,
             is_event_stream=content_type.startswith(STREAM_TYPE),
             on_end=end,
         )
         return GatewayAnswer(
-            request_id=conversation.request_id,
+            request_id=pending.request_id,
             status=answer.status,
-            headers=self._make_headers(conversation, answer),
+            headers=self._make_headers(pending, answer),
             body=body,
         )
 
     @staticmethod
-    def _get_service(conversation: _PendingRequest) -> str:
-        started = conversation.started
+    def _get_service(pending: _PendingRequest) -> str:
+        started = pending.started
         return "" if started is None else started.exchange.service
 
     def _end(
         self,
-        conversation: _PendingRequest,
+        pending: _PendingRequest,
         answer: UpstreamAnswer,
         *,
         whole: bool,
@@ -327,8 +327,8 @@
     ) -> None:
         self._post(
             AnswerEnded(
-                request_id=conversation.request_id,
-                attempt=conversation.attempt_number,
+                request_id=pending.request_id,
+                attempt=pending.attempt_number,
                 whole=whole,
                 status=answer.status,
                 content_type=answer.headers.get("Content-Type", ""),
@@ -337,13 +337,13 @@
         )
 
     @staticmethod
-    def _make_headers(conversation: _PendingRequest, answer: UpstreamAnswer) -> dict[str, str]:
+    def _make_headers(pending: _PendingRequest, answer: UpstreamAnswer) -> dict[str, str]:
         headers = {
             name.title(): answer.headers[name] for name in _ANSWER_HEADERS if name in answer.headers
         }
-        headers[HEADER_REQUEST_ID] = conversation.request_id
-        if conversation.started is not None:
-            headers[HEADER_ENDPOINT] = conversation.started.attempt.endpoint_id
+        headers[HEADER_REQUEST_ID] = pending.request_id
+        if pending.started is not None:
+            headers[HEADER_ENDPOINT] = pending.started.attempt.endpoint_id
         return headers
 
 
