--- a/chivetrack/components/caller_api/__init__.py
+++ b/chivetrack/components/caller_api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface towards callers."""
+"""HTTP interface for callers."""
--- a/chivetrack/components/caller_api/app.py
+++ b/chivetrack/components/caller_api/app.py
@@ -1,4 +1,4 @@
-"""The bottle application that callers, endpoints and the balancer talk to."""
+"""Bottle application for callers, announcing endpoints and the load balancer."""
 
 from collections.abc import Callable
 from urllib.parse import quote
@@ -29,7 +29,7 @@
 
 
 def read_headers() -> dict[str, str]:
-    """Return the headers of the current request, names in lower case."""
+    """Return the headers of the current request with names in lower case."""
     headers = {
         name[5:].replace("_", "-").lower(): value
         for name, value in request.environ.items()
@@ -42,14 +42,18 @@
 
 
 def make_response(answer: GatewayAnswer) -> HTTPResponse:
-    """Return a gateway's answer as a bottle response."""
+    """Convert an answer of the gateway to a bottle response."""
     if answer.fault is not None:
         return make_error_response(answer.fault, answer.request_id)
     return HTTPResponse(body=answer.body, status=answer.status, headers=dict(answer.headers))
 
 
 class CallerApi:
-    """Builds the application; ``announce`` takes an endpoint's announcement."""
+    """Routes of the caller interface.
+
+    ``announce`` receives the body and the Authorization header of an endpoint's
+    announcement, and returns a fault if the announcement is refused.
+    """
 
     def __init__(
         self,
@@ -60,7 +64,7 @@
         max_body: int = DEFAULT_MAX_BODY_BYTES,
         body_timeout_s: float = BODY_TIMEOUT_S,
     ) -> None:
-        """Take what the routes lead to."""
+        """Store the handlers of the routes; ``max_body`` is in bytes."""
         self._gateway = gateway
         self._announce = announce
         self._is_ready = is_ready
@@ -68,13 +72,13 @@
         self._body_timeout_s = body_timeout_s
 
     def build(self) -> Bottle:
-        """Return the application."""
+        """Return the bottle application with all routes."""
         app = Bottle()
         app.route(PATH_CHAT, "POST", self._serve_chat)
         app.route(PATH_SERVICE, SERVICE_METHODS, self._serve_service)
-        app.route(PATH_ANNOUNCE, "POST", self._take_announcement)
-        app.route(PATH_HEALTH, "GET", self._tell_health)
-        app.route(PATH_READY, "GET", self._tell_ready)
+        app.route(PATH_ANNOUNCE, "POST", self._handle_announcement)
+        app.route(PATH_HEALTH, "GET", self._handle_health)
+        app.route(PATH_READY, "GET", self._handle_ready)
         app.default_error_handler = self._make_default_error
         return app
 
@@ -106,7 +110,7 @@
             return make_error_response(faults.caller_gone(error.ran))
         return make_response(answer)
 
-    def _take_announcement(self) -> HTTPResponse:
+    def _handle_announcement(self) -> HTTPResponse:
         try:
             body = read_body(request.environ, limit=self._max_body, timeout_s=self._body_timeout_s)
         except FaultError as error:
@@ -117,10 +121,10 @@
         return HTTPResponse(status=204)
 
     @staticmethod
-    def _tell_health() -> HTTPResponse:
+    def _handle_health() -> HTTPResponse:
         return HTTPResponse(body="ok\n", status=200, headers={"Content-Type": "text/plain"})
 
-    def _tell_ready(self) -> HTTPResponse:
+    def _handle_ready(self) -> HTTPResponse:
         if self._is_ready():
             return HTTPResponse(body="ready\n", status=200, headers={"Content-Type": "text/plain"})
         return make_error_response(faults.not_ready())
--- a/chivetrack/components/caller_api/body.py
+++ b/chivetrack/components/caller_api/body.py
@@ -1,4 +1,4 @@
-"""Reads a caller's body."""
+"""Reading of request bodies with a size limit and a timeout."""
 
 from typing import Any
 
@@ -9,16 +9,21 @@
 
 
 def read_body(environ: dict[str, Any], *, limit: int, timeout_s: float) -> bytes:
-    """Return the whole body of a request; raise ``FaultError``."""
+    """Return the complete body of a request.
+
+    Raises ``FaultError`` if the body is larger than ``limit`` bytes, takes longer than
+    ``timeout_s`` seconds, or is incomplete.
+    """
     length = environ.get("CONTENT_LENGTH") or ""
     if length.isdigit() and int(length) > limit:
         raise FaultError(faults.body_too_large(limit))
-    # A caller that stops in the middle of its body would hold its place for ever.
+    # Without the timeout, a caller that stops sending in the middle of its body would
+    # occupy a connection forever.
     with gevent.Timeout(timeout_s, FaultError(faults.body_timeout(timeout_s))):
         try:
             body: bytes = environ["wsgi.input"].read(limit + 1)
         except (OSError, ValueError) as error:
-            raise FaultError(faults.malformed_body(f"body not readable: {error}")) from error
+            raise FaultError(faults.malformed_body(f"cannot read the body: {error}")) from error
     if len(body) > limit:
         raise FaultError(faults.body_too_large(limit))
     if length.isdigit() and len(body) < int(length):
--- a/chivetrack/components/caller_api/const.py
+++ b/chivetrack/components/caller_api/const.py
@@ -1,4 +1,4 @@
-"""Constants of the interface towards callers."""
+"""Constants of the caller interface."""
 
 from typing import Final
 
@@ -14,12 +14,14 @@
 BODY_TIMEOUT_S: Final = 15.0
 DEFAULT_MAX_OPEN_REQUESTS: Final = 1_000
 OVERLOAD_RETRY_AFTER_S: Final = 1.0
-# Answers up to this size are read whole before the first byte goes to the caller, so
-# that a broken one becomes a typed error or a retry rather than a cut connection.
+# Answers up to this size (bytes) are buffered completely before the first byte is sent to
+# the caller, so that a broken answer becomes a typed error or a retry rather than a cut
+# connection.
 MAX_BUFFERED_ANSWER_BYTES: Final = MEBIBYTE
-# The largest answer that an idempotency key keeps for a resend.
+# Largest answer (bytes) that is stored under an idempotency key and replayed on a resend.
 MAX_STORED_ANSWER_BYTES: Final = 64 * 1024
 
+# WSGI environment key of the caller's socket.
 ENVIRON_SOCKET: Final = "chivetrack.socket"
 HEADER_REQUEST_ID: Final = "X-Request-Id"
 HEADER_ENDPOINT: Final = "X-Served-By"
--- a/chivetrack/components/caller_api/errors.py
+++ b/chivetrack/components/caller_api/errors.py
@@ -1,4 +1,4 @@
-"""Faults as HTTP answers."""
+"""Conversion of faults to HTTP answers."""
 
 import math
 from typing import Any
@@ -25,7 +25,7 @@
 
 
 def make_error_response(fault: Fault, request_id: str = "") -> HTTPResponse:
-    """Return the HTTP answer for a fault; ``Retry-After`` is in whole seconds."""
+    """Return the HTTP answer for a fault; ``Retry-After`` is rounded up to whole seconds."""
     headers = {"Content-Type": JSON_TYPE}
     if request_id:
         headers[HEADER_REQUEST_ID] = request_id
@@ -36,7 +36,7 @@
 
 
 def make_raw_error(fault: Fault) -> bytes:
-    """Return the whole HTTP answer for a request that no application has seen."""
+    """Return the raw HTTP answer for a request that did not reach an application."""
     response = make_error_response(fault)
     lines = [f"HTTP/1.1 {response.status_line}", "Connection: close"]
     lines += [f"{name}: {value}" for name, value in response.headerlist]
@@ -45,5 +45,5 @@
 
 
 def make_stream_error(fault: Fault, request_id: str) -> bytes:
-    """Return a fault as the last event of a stream."""
+    """Return a fault as the last event of an event stream."""
     return b"data: " + msgspec.json.encode(make_error_body(fault, request_id)) + b"\n\n"
--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -1,4 +1,4 @@
-"""Carries out what the request flow decides, for one caller after another."""
+"""Executes the effects of the request flow on behalf of callers."""
 
 from collections.abc import Callable, Iterator, Mapping
 from contextlib import ExitStack
@@ -49,14 +49,14 @@
 from chivetrack.exceptions import Fault
 from chivetrack.helpers.telemetry import Hop, Telemetry, extract_context
 
-# A request waits longer than this only for what has a deadline of its own.
+# Longest wait for the first attempt; afterwards the deadline of the attempt applies.
 WAIT_LIMIT_S = 3600.0
 _ANSWER_HEADERS = ("content-type", "content-length", "retry-after", "cache-control", "etag")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GatewayAnswer:
-    """What goes to the caller: an answer, or the fault that stands for one."""
+    """The answer to a caller, or the fault that replaces it."""
 
     request_id: str
     status: int = 0
@@ -67,28 +67,32 @@
 
 @dataclass(slots=True, kw_only=True)
 class _PendingRequest:
-    """One caller's wait for its answer."""
+    """State of a request whose answer is not complete.
+
+    ``mailbox`` receives the effects of the request, ``hops`` holds the open trace spans,
+    and ``last_start`` is the newest attempt.
+    """
 
     request_id: str
     mailbox: SimpleQueue
-    begun_at: float
+    started_at: float
     deadline: float
     hops: ExitStack
     hop: Hop
     answer: UpstreamAnswer | None = None
-    started: StartAttempt | None = None
+    last_start: StartAttempt | None = None
 
     @property
     def attempt_number(self) -> int:
-        """Return the number of the newest attempt, 0 before the first."""
-        return 0 if self.started is None else self.started.attempt.number
+        """Return the number of the newest attempt, or 0 before the first one."""
+        return 0 if self.last_start is None else self.last_start.attempt.number
 
 
 class Gateway:
-    """Runs each request in the greenlet of its caller.
+    """Processes each request in the greenlet of its caller.
 
-    ``post`` hands an event to the decisions, whose effects on requests come back
-    by ``handle_effect``.
+    ``post`` sends an event to the decision logic. The effects on requests that result
+    from it arrive through ``handle_effect``.
     """
 
     def __init__(
@@ -101,7 +105,11 @@
         make_id: Callable[[], str],
         max_open: int = DEFAULT_MAX_OPEN_REQUESTS,
     ) -> None:
-        """Take the decisions' entry, the client, telemetry, the clock and a source of ids."""
+        """Create a gateway that has at most ``max_open`` requests open at a time.
+
+        ``read_clock`` returns seconds of a monotonic clock; ``make_id`` returns a new
+        request id.
+        """
         self._max_open = max_open
         self._tracer = telemetry.tracer
         self._instruments = telemetry.instruments
@@ -113,18 +121,19 @@
 
     @property
     def open_count(self) -> int:
-        """Return how many callers wait for an answer or are receiving one."""
+        """Return the number of requests that wait for an answer or are receiving one."""
         return len(self._mailboxes)
 
     def handle_effect(self, effect: RequestEffect) -> None:
-        """Hand an effect to the greenlet of its request."""
+        """Forward an effect to the greenlet of its request; ignore a finished request."""
         mailbox = self._mailboxes.get(effect.request_id)
         if mailbox is not None:
             mailbox.put(effect)
 
     def serve(self, request: CallerRequest) -> GatewayAnswer:
-        """Bring a request to its end, or to the first chunk of a streamed answer."""
-        # Without a bound a surge would take the memory that open streams need.
+        """Process a request up to its answer, or the first chunk of a streamed answer."""
+        # Without this limit, a surge of requests would exhaust the memory that open
+        # streams need.
         if self.open_count >= self._max_open:
             fault = faults.too_many_requests(self._max_open, OVERLOAD_RETRY_AFTER_S)
             return GatewayAnswer(request_id=self._make_id(), fault=fault)
@@ -132,11 +141,11 @@
         headers = {**request.headers, **pending.hop.write_headers()}
         request = replace(request, headers=headers)
         request_id = pending.request_id
-        keep = False
+        stays_open = False
         try:
             self._post(RequestArrived(request_id=request_id, request=request))
-            answer = self._follow(pending)
-            keep = isinstance(answer.body, RelayBody)
+            answer = self._execute_effects(pending)
+            stays_open = isinstance(answer.body, RelayBody)
             if answer.fault is not None:
                 pending.hop.fail(answer.fault.code)
             return answer
@@ -146,7 +155,7 @@
                 pending.answer.cancel()
             raise
         finally:
-            if not keep:
+            if not stays_open:
                 self._close(pending)
 
     def _open(self, request: CallerRequest) -> _PendingRequest:
@@ -159,7 +168,7 @@
         pending = _PendingRequest(
             request_id=self._make_id(),
             mailbox=SimpleQueue(),
-            begun_at=now,
+            started_at=now,
             deadline=now + WAIT_LIMIT_S,
             hops=hops,
             hop=hop,
@@ -175,21 +184,21 @@
         self._instruments.change_in_flight(-1)
         pending.hops.close()
 
-    def _follow(self, pending: _PendingRequest) -> GatewayAnswer:
+    def _execute_effects(self, pending: _PendingRequest) -> GatewayAnswer:
         while True:
-            effect = self._wait(pending)
+            effect = self._wait_for_effect(pending)
             if isinstance(effect, Refuse):
                 return GatewayAnswer(request_id=pending.request_id, fault=effect.fault)
             if isinstance(effect, ReplayAnswer):
                 return self._replay(effect)
             if isinstance(effect, StartAttempt):
-                self._start(pending, effect)
+                self._start_attempt(pending, effect)
             elif isinstance(effect, RelayAnswer):
-                answer = self._relay(pending)
+                answer = self._relay_answer(pending)
                 if answer is not None:
                     return answer
 
-    def _wait(self, pending: _PendingRequest) -> RequestEffect:
+    def _wait_for_effect(self, pending: _PendingRequest) -> RequestEffect:
         try:
             remaining = max(0.0, pending.deadline - self._read_clock())
             return pending.mailbox.get(timeout=remaining)
@@ -210,11 +219,11 @@
             body=effect.answer.body,
         )
 
-    def _start(self, pending: _PendingRequest, effect: StartAttempt) -> None:
+    def _start_attempt(self, pending: _PendingRequest, effect: StartAttempt) -> None:
         if pending.answer is not None:
             pending.answer.cancel()
             pending.answer = None
-        pending.started = effect
+        pending.last_start = effect
         pending.deadline = effect.exchange.deadline
         hop = pending.hops.enter_context(
             self._tracer.open_hop(
@@ -247,12 +256,12 @@
             )
         )
 
-    def _relay(self, pending: _PendingRequest) -> GatewayAnswer | None:
+    def _relay_answer(self, pending: _PendingRequest) -> GatewayAnswer | None:
         answer = pending.answer
         assert answer is not None
         try:
             if self._is_small(answer):
-                return self._relay_whole(pending, answer)
+                return self._relay_buffered(pending, answer)
             return self._relay_stream(pending, answer)
         except BrokenAnswerError as error:
             pending.answer = None
@@ -273,10 +282,10 @@
         length = answer.headers.get("Content-Length", "")
         return length.isdigit() and int(length) <= MAX_BUFFERED_ANSWER_BYTES
 
-    def _relay_whole(self, pending: _PendingRequest, answer: UpstreamAnswer) -> GatewayAnswer:
+    def _relay_buffered(self, pending: _PendingRequest, answer: UpstreamAnswer) -> GatewayAnswer:
         body = b"".join(answer.read_chunks())
         stored = body if len(body) <= MAX_STORED_ANSWER_BYTES else None
-        self._end(pending, answer, whole=True, body=stored)
+        self._post_answer_ended(pending, answer, whole=True, body=stored)
         return GatewayAnswer(
             request_id=pending.request_id,
             status=answer.status,
@@ -288,22 +297,22 @@
         chunks = answer.read_chunks()
         first = next(chunks, b"")
         service = self._get_service(pending)
-        waited_s = self._read_clock() - pending.begun_at
+        waited_s = self._read_clock() - pending.started_at
         self._instruments.record_first_chunk(service=service, duration_s=waited_s)
 
-        def end(whole: bool, count: int) -> None:
+        def finish_stream(whole: bool, count: int) -> None:
             self._instruments.record_chunks(service=service, count=count)
-            self._end(pending, answer, whole=whole, body=None)
+            self._post_answer_ended(pending, answer, whole=whole, body=None)
             self._close(pending)
 
         content_type = answer.headers.get("Content-Type", "")
         body = RelayBody(
             answer=answer,
             first=first,
-            rest=chunks,
+            remaining_chunks=chunks,
             request_id=pending.request_id,
             is_event_stream=content_type.startswith(STREAM_TYPE),
-            on_end=end,
+            on_end=finish_stream,
         )
         return GatewayAnswer(
             request_id=pending.request_id,
@@ -314,10 +323,10 @@
 
     @staticmethod
     def _get_service(pending: _PendingRequest) -> str:
-        started = pending.started
-        return "" if started is None else started.exchange.service
+        last_start = pending.last_start
+        return "" if last_start is None else last_start.exchange.service
 
-    def _end(
+    def _post_answer_ended(
         self,
         pending: _PendingRequest,
         answer: UpstreamAnswer,
@@ -342,8 +351,8 @@
             name.title(): answer.headers[name] for name in _ANSWER_HEADERS if name in answer.headers
         }
         headers[HEADER_REQUEST_ID] = pending.request_id
-        if pending.started is not None:
-            headers[HEADER_ENDPOINT] = pending.started.attempt.endpoint_id
+        if pending.last_start is not None:
+            headers[HEADER_ENDPOINT] = pending.last_start.attempt.endpoint_id
         return headers
 
 
--- a/chivetrack/components/caller_api/relay.py
+++ b/chivetrack/components/caller_api/relay.py
@@ -1,4 +1,4 @@
-"""Passes an endpoint's answer on to the caller as it comes."""
+"""Relay of a streamed answer from an endpoint to a caller."""
 
 from collections.abc import Callable, Iterator
 
@@ -11,16 +11,17 @@
 
 
 class AnswerCutError(Exception):
-    """Ends a caller's answer without the mark of a whole one."""
+    """Raised to end a caller's answer so that it is recognizable as incomplete."""
 
 
 class RelayBody:
-    """The body of a streamed answer.
+    """Body of a streamed answer.
 
-    ``on_end`` is called once, with whether it is whole and how many chunks went on.
+    ``on_end`` is called once, with whether the answer is complete and the number of
+    relayed chunks.
 
-    An object rather than a generator: closing a generator that was never started
-    runs none of its code, and the engine would go on for a caller that has left.
+    This is an iterator object rather than a generator: closing a generator that was never
+    started runs none of its code, and the engine would continue for a caller that left.
     """
 
     def __init__(
@@ -28,15 +29,15 @@
         *,
         answer: UpstreamAnswer,
         first: bytes,
-        rest: Iterator[bytes],
+        remaining_chunks: Iterator[bytes],
         request_id: str,
         is_event_stream: bool,
         on_end: EndCallback,
     ) -> None:
-        """Take over an answer whose first chunk was read."""
+        """Wrap an answer whose first chunk was read."""
         self._answer = answer
         self._first: bytes | None = first
-        self._rest = rest
+        self._remaining_chunks = remaining_chunks
         self._request_id = request_id
         self._is_event_stream = is_event_stream
         self._on_end: EndCallback | None = on_end
@@ -52,32 +53,32 @@
             self._chunks = 1
             return first
         if self._cut:
-            # The server closes the connection without the last chunk on an error:
-            # the caller's library then reports a broken answer. Ending here would
-            # show the caller half a report as if it were whole.
+            # On an error the server closes the connection without the last chunk, and
+            # the caller's HTTP library reports a broken answer. A normal end would make
+            # an incomplete answer look complete.
             raise AnswerCutError(self._request_id)
         try:
-            chunk = next(self._rest)
+            chunk = next(self._remaining_chunks)
             self._chunks += 1
             return chunk
         except StopIteration:
-            self._end(whole=True)
+            self._finish(whole=True)
             raise
         except BrokenAnswerError as error:
-            self._end(whole=False)
+            self._finish(whole=False)
             if not self._is_event_stream:
                 raise AnswerCutError(self._request_id) from error
             self._cut = True
             return make_stream_error(faults.answer_cut(), self._request_id)
 
     def close(self) -> None:
-        """Stop the engine's stream if it is not at its end."""
+        """Cancel the stream of the engine if it has not ended."""
         if self._on_end is None:
             return
         self._answer.cancel()
-        self._end(whole=False)
+        self._finish(whole=False)
 
-    def _end(self, *, whole: bool) -> None:
+    def _finish(self, *, whole: bool) -> None:
         if self._on_end is not None:
             on_end, self._on_end = self._on_end, None
             on_end(whole, self._chunks)
--- a/chivetrack/components/caller_api/watch.py
+++ b/chivetrack/components/caller_api/watch.py
@@ -1,4 +1,4 @@
-"""Notices a caller that leaves while its request waits."""
+"""Detection of callers that leave while their request is being processed."""
 
 import socket
 from collections.abc import Iterator
@@ -11,45 +11,45 @@
 
 
 class CallerLeftError(Exception):
-    """The caller closed its connection; nobody reads the answer any more."""
+    """The caller closed its connection, so the answer would not be read."""
 
     def __init__(self) -> None:
-        """Say that the request may have run."""
-        super().__init__("the caller left")
+        """Create an error that reports that the request may have run."""
+        super().__init__("the caller closed its connection")
         self.ran = Ran.MAYBE
 
 
 def _wait_for_end(caller_socket: socket.socket, waiter: gevent.Greenlet) -> None:
     wait_read(caller_socket.fileno())
     try:
-        ahead = socket.socket.recv(caller_socket, 1, socket.MSG_PEEK)
+        unread = socket.socket.recv(caller_socket, 1, socket.MSG_PEEK)
     except OSError:
-        ahead = b""
-    # Bytes ahead are the caller's next request: it is still there.
-    if not ahead:
+        unread = b""
+    # Unread bytes belong to the next request of the caller, so it is still connected.
+    if not unread:
         waiter.kill(CallerLeftError(), block=False)
 
 
 def has_left(caller_socket: socket.socket | None) -> bool:
-    """Return whether a caller has closed its connection by now; never waits."""
+    """Return whether a caller has closed its connection; does not block."""
     if not isinstance(caller_socket, gevent.socket.socket):
         return False
     try:
-        # Below gevent, whose own call waits for bytes whatever the flags say.
-        ahead = caller_socket._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        # Calls the underlying socket, because recv of gevent blocks despite MSG_DONTWAIT.
+        unread = caller_socket._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return False
     except OSError:
         return True
-    return not ahead
+    return not unread
 
 
 @contextmanager
 def watch_caller(caller_socket: socket.socket | None) -> Iterator[None]:
-    """Raise ``CallerLeftError`` in the body when the caller's connection ends.
+    """Raise ``CallerLeftError`` in the ``with`` block when the caller closes its connection.
 
-    Without it an engine would work on for minutes for a caller that has left, since
-    a router that only waits writes nothing that could fail.
+    Otherwise an engine would continue for minutes for a caller that has left, because
+    the router writes nothing while it waits, so no write can fail.
     """
     if not isinstance(caller_socket, gevent.socket.socket):
         yield
