--- a/chivetrack/components/upstream/chunks.py
+++ b/chivetrack/components/upstream/chunks.py
@@ -63,7 +63,7 @@
     def _read_line(self, limit: int) -> bytes | None:
         line, end, rest = self._buffer.partition(b"\r\n")
         if len(line) > limit:
-            raise ChunkError(f"a line of the chunked framing is longer than {limit} bytes")
+            raise ChunkError("a line of the chunked framing is too long")
         if not end:
             return None
         self._buffer = rest
