--- a/chivetrack/daemon/announcements.py
+++ b/chivetrack/daemon/announcements.py
@@ -12,7 +12,7 @@
 from chivetrack.helpers.keys import KeyRing
 
 
-class AnnouncementDesk:
+class AnnouncementHandler:
     """Checks key and form of an announcement and hands it in."""
 
     def __init__(
--- a/chivetrack/daemon/instance.py
+++ b/chivetrack/daemon/instance.py
@@ -25,7 +25,7 @@
 from chivetrack.components.upstream.client import UpstreamClient
 from chivetrack.const import MILLISECONDS_PER_SECOND
 from chivetrack.core import SendMessage
-from chivetrack.daemon.announcements import AnnouncementDesk
+from chivetrack.daemon.announcements import AnnouncementHandler
 from chivetrack.daemon.encryption import Encryption
 from chivetrack.daemon.explanations import Explanations
 from chivetrack.daemon.gauges import GAUGE_EVERY_S, Gauges
@@ -193,7 +193,7 @@
 
     def _build_listeners(self) -> Listeners:
         operators = make_key_ring(self._settings.operators.keys)
-        announcements = AnnouncementDesk(
+        announcements = AnnouncementHandler(
             registry=self.router.registry,
             keys=make_key_ring(self._settings.announcers.keys),
             read_clock=time.monotonic,
