--- a/chivetrack/daemon/instance.py
+++ b/chivetrack/daemon/instance.py
@@ -35,7 +35,7 @@
 from chivetrack.daemon.peering import MessageDesk
 from chivetrack.daemon.recorder import RequestRecorder
 from chivetrack.daemon.replica_host import ReplicaHost
-from chivetrack.daemon.resources import ResourceDesk, build_resources_app, make_key_ring
+from chivetrack.daemon.resources import ResourceHandler, build_resources_app, make_key_ring
 from chivetrack.daemon.runner import Runner
 from chivetrack.daemon.server import make_server_limits
 from chivetrack.daemon.stop import GracefulStop, StopReport
@@ -205,7 +205,7 @@
             max_body=self._settings.limits.max_body_bytes,
         )
         resources = build_resources_app(
-            desk=ResourceDesk(submissions=self.submissions, registry=self.router.registry),
+            desk=ResourceHandler(submissions=self.submissions, registry=self.router.registry),
             view=self.router.configuration.view,
             operators=operators,
         )
--- a/chivetrack/daemon/resources.py
+++ b/chivetrack/daemon/resources.py
@@ -23,7 +23,7 @@
 OWN_REQUEST_PREFIX = "auto:"
 
 
-class ResourceDesk:
+class ResourceHandler:
     """Carries the resource API's commands and queries to the leader."""
 
     def __init__(self, *, submissions: Submissions, registry: EndpointRegistry) -> None:
@@ -88,7 +88,7 @@
     return ObservedResource(name=endpoint.endpoint_id, spec=spec, status=status)
 
 
-def build_resources_app(*, desk: ResourceDesk, view: ConfigView, operators: KeyRing) -> Bottle:
+def build_resources_app(*, desk: ResourceHandler, view: ConfigView, operators: KeyRing) -> Bottle:
     """Return the resource API of an instance."""
     ports = Ports(
         submit=desk.submit,
