--- a/chivetrack/daemon/instance.py
+++ b/chivetrack/daemon/instance.py
@@ -32,7 +32,7 @@
 from chivetrack.daemon.listeners import Applications, Listeners
 from chivetrack.daemon.management import Management
 from chivetrack.daemon.metrics import build_metrics_app
-from chivetrack.daemon.peering import MessageDesk
+from chivetrack.daemon.peering import MessageDispatcher
 from chivetrack.daemon.recorder import RequestRecorder
 from chivetrack.daemon.replica_host import ReplicaHost
 from chivetrack.daemon.resources import ResourceHandler, build_resources_app, make_key_ring
@@ -78,7 +78,7 @@
         self.runner = Runner(
             decisions=self.router.node, timers=self._timers, read_clock=time.monotonic
         )
-        self.desk = MessageDesk(post=self.runner.post)
+        self.desk = MessageDispatcher(post=self.runner.post)
         self.submissions = Submissions(
             post=self.runner.post, read_clock=time.monotonic, make_id=_make_id
         )
--- a/chivetrack/daemon/peering.py
+++ b/chivetrack/daemon/peering.py
@@ -19,7 +19,7 @@
         ...
 
 
-class MessageDesk:
+class MessageDispatcher:
     """Gives messages for the replicated log to the replica, the others to the router."""
 
     def __init__(self, *, post: Callable[[Event], None]) -> None:
