--- a/chivetrack/daemon/leader_desk.py
+++ b/chivetrack/daemon/leader_desk.py
@@ -41,7 +41,7 @@
     return Fault(code="malformed_command", message=detail, status=400, ran=Ran.NO)
 
 
-class LeaderDesk:
+class LeaderRequestHandler:
     """Proposes for others; every answer says whether the command can be in the log."""
 
     def __init__(self, *, store: Store, send: Callable[[str, Message], None]) -> None:
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -36,7 +36,7 @@
     is_blank,
     open_replica_folder,
 )
-from chivetrack.daemon.leader_desk import LeaderDesk
+from chivetrack.daemon.leader_desk import LeaderRequestHandler
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.log import get_logger
 
@@ -85,7 +85,7 @@
         self.replica: Replica | None = None
         self.replica_id = ""
         self.failure = ""
-        self.desk = LeaderDesk(store=store, send=send)
+        self.desk = LeaderRequestHandler(store=store, send=send)
         store.table.subscribe(self._note_update)
 
     # Messages
