--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -36,7 +36,7 @@
     is_blank,
     open_replica_folder,
 )
-from chivetrack.daemon.leader_desk import LeaderRequestHandler
+from chivetrack.daemon.leader_requests import LeaderRequestHandler
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.log import get_logger
 
