--- a/chivetrack/daemon/peering.py
+++ b/chivetrack/daemon/peering.py
@@ -7,7 +7,7 @@
 from chivetrack.helpers.codec import Message
 
 
-class ReplicaEdge(Protocol):
+class ReplicaMessageHandler(Protocol):
     """The replica of this instance, if it has one."""
 
     def takes(self, message: Message) -> bool:
@@ -25,7 +25,7 @@
     def __init__(self, *, post: Callable[[Event], None]) -> None:
         """Take the decisions' entry; the replica is set when there is one."""
         self._post = post
-        self.replica: ReplicaEdge | None = None
+        self.replica: ReplicaMessageHandler | None = None
 
     def take(self, source: str, message: Message) -> None:
         """Take a message from another instance, or from this one."""
