--- a/chivetrack/daemon/gauges.py
+++ b/chivetrack/daemon/gauges.py
@@ -7,7 +7,7 @@
 from chivetrack.helpers.telemetry import Instruments
 from chivetrack.helpers.telemetry.instruments import Direction
 
-GAUGE_EVERY_S = 1.0
+GAUGE_INTERVAL_S = 1.0
 ALL_KINDS = "all"
 
 
--- a/chivetrack/daemon/instance.py
+++ b/chivetrack/daemon/instance.py
@@ -28,7 +28,7 @@
 from chivetrack.daemon.announcements import AnnouncementHandler
 from chivetrack.daemon.encryption import Encryption
 from chivetrack.daemon.explanations import Explanations
-from chivetrack.daemon.gauges import GAUGE_EVERY_S, Gauges
+from chivetrack.daemon.gauges import GAUGE_INTERVAL_S, Gauges
 from chivetrack.daemon.listeners import Applications, Listeners
 from chivetrack.daemon.management import Management
 from chivetrack.daemon.metrics import build_metrics_app
@@ -294,7 +294,7 @@
             configuration=self.router.configuration,
             is_leader=lambda: self._replica is not None and self._replica.is_leader,
         )
-        self._timers.call_every(GAUGE_EVERY_S, gauges.read, now=now)
+        self._timers.call_every(GAUGE_INTERVAL_S, gauges.read, now=now)
         self.runner.start()
         loops = [gevent.spawn(self.runner.run)]
         if self._replica is not None:
