--- a/chivetrack/daemon/recorder.py
+++ b/chivetrack/daemon/recorder.py
@@ -8,7 +8,7 @@
 from chivetrack.exceptions import Fault
 from chivetrack.helpers.telemetry import Instruments
 
-KEPT_REQUESTS = 2_000
+MAX_RECORDED_REQUESTS = 2_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -44,7 +44,7 @@
         """Take note of a request that has ended."""
         duration_s = now - exchange.arrived_at
         self._records[exchange.request_id] = _make_record(exchange, fault, now, duration_s)
-        if len(self._records) > KEPT_REQUESTS:
+        if len(self._records) > MAX_RECORDED_REQUESTS:
             self._records.popitem(last=False)
         code = "ok" if fault is None else fault.code
         self._instruments.record_request(service=exchange.service, code=code, duration_s=duration_s)
