--- a/chivetrack/daemon/leader_requests.py
+++ b/chivetrack/daemon/leader_requests.py
@@ -34,7 +34,7 @@
 PROPOSE_TIMEOUT_S = 5.0
 READ_TIMEOUT_S = 2.0
 # What a change of members finds done already counts as done: it may be a resend.
-DONE_CODES = frozenset({"already_a_member", "not_a_member", "retired_id"})
+ALREADY_DONE_CODES = frozenset({"already_a_member", "not_a_member", "retired_id"})
 
 
 def _make_unknown_message(detail: str) -> Fault:
@@ -92,7 +92,7 @@
             voter=False,
         )
         result = replica.change_members(change.kind, member, timeout_s=PROPOSE_TIMEOUT_S)
-        if result.is_ok() or result.error.code in DONE_CODES:
+        if result.is_ok() or result.error.code in ALREADY_DONE_CODES:
             return Ok(b"")
         if isinstance(result.error, NotLeaderFault) or result.error.ran is not Ran.NO:
             return result.map(lambda index: b"")
