--- a/chivetrack/daemon/instance.py
+++ b/chivetrack/daemon/instance.py
@@ -47,7 +47,7 @@
 from chivetrack.helpers.tls import RELOAD_INTERVAL_S
 
 # Time for the news that this instance leaves, and for the writer's last sync.
-LEAVE_S = 0.5
+LEAVE_NOTICE_S = 0.5
 STOP_WRITER_S = 2.0
 
 _LOGGER = get_logger("daemon")
@@ -280,7 +280,7 @@
         if self._replica is not None:
             self._replica.hand_over()
         self.router.membership.leave(now=time.monotonic())
-        gevent.sleep(LEAVE_S)
+        gevent.sleep(LEAVE_NOTICE_S)
 
     @contextmanager
     def _serve(self) -> Iterator[None]:
