--- a/chivetrack/daemon/instance.py
+++ b/chivetrack/daemon/instance.py
@@ -48,7 +48,7 @@
 
 # Time for the news that this instance leaves, and for the writer's last sync.
 LEAVE_NOTICE_S = 0.5
-STOP_WRITER_S = 2.0
+STOP_WRITER_TIMEOUT_S = 2.0
 
 _LOGGER = get_logger("daemon")
 
@@ -304,7 +304,7 @@
         finally:
             if self._replica is not None:
                 self._replica.stop()
-            gevent.joinall(loops[1:], timeout=STOP_WRITER_S)
+            gevent.joinall(loops[1:], timeout=STOP_WRITER_TIMEOUT_S)
             gevent.killall(loops)
             self._listeners.stop()
             self.transport.stop()
