--- a/chivetrack/daemon/const.py
+++ b/chivetrack/daemon/const.py
@@ -11,7 +11,7 @@
 LINGER_BYTES: Final = 1024 * 1024
 STOP_POLL_S: Final = 0.02
 STOP_QUIET_S: Final = 0.2
-LONGEST_SLEEP_S: Final = 0.5
+MAX_SLEEP_S: Final = 0.5
 
 EXIT_OK: Final = 0
 EXIT_CUT: Final = 1
--- a/chivetrack/daemon/runner.py
+++ b/chivetrack/daemon/runner.py
@@ -7,7 +7,7 @@
 from gevent.event import Event as Signal
 
 from chivetrack.core import Effect, Event, TimeReached, WakeAt
-from chivetrack.daemon.const import LONGEST_SLEEP_S
+from chivetrack.daemon.const import MAX_SLEEP_S
 from chivetrack.helpers.timer import TimerService
 
 EffectT = TypeVar("EffectT", bound=Effect)
@@ -73,7 +73,7 @@
         """Hand in the time and call the timers whenever they are due; runs until killed."""
         while True:
             self._rearmed.clear()
-            wait_s = min(self._find_next() - self._read_clock(), LONGEST_SLEEP_S)
+            wait_s = min(self._find_next() - self._read_clock(), MAX_SLEEP_S)
             if wait_s > 0 and self._rearmed.wait(wait_s):
                 continue
             now = self._read_clock()
