--- a/chivetrack/daemon/server.py
+++ b/chivetrack/daemon/server.py
@@ -18,7 +18,7 @@
     HEADER_TIMEOUT_S,
     IDLE_TIMEOUT_S,
     LINGER_BYTES,
-    LINGER_S,
+    LINGER_TIMEOUT_S,
     MAX_HEADER_BYTES,
     MAX_HEADERS,
 )
@@ -193,7 +193,7 @@
         """
         self.close_connection = True
         self.wsgi_input = Input(self.rfile, 0)
-        with gevent.Timeout(LINGER_S, False):
+        with gevent.Timeout(LINGER_TIMEOUT_S, False):
             try:
                 self.socket.shutdown(socket.SHUT_WR)
                 left = LINGER_BYTES
