--- a/chivetrack/daemon/server.py
+++ b/chivetrack/daemon/server.py
@@ -17,10 +17,10 @@
     BACKLOG,
     HEADER_TIMEOUT_S,
     IDLE_TIMEOUT_S,
-    LINGER_BYTES,
     LINGER_TIMEOUT_S,
     MAX_HEADER_BYTES,
     MAX_HEADERS,
+    MAX_LINGER_BYTES,
 )
 from chivetrack.daemon.headers import read_headers
 from chivetrack.exceptions import ChivetrackError, FaultError
@@ -196,8 +196,8 @@
         with gevent.Timeout(LINGER_TIMEOUT_S, False):
             try:
                 self.socket.shutdown(socket.SHUT_WR)
-                left = LINGER_BYTES
-                while left > 0 and (data := self.socket.recv(LINGER_BYTES)):
+                left = MAX_LINGER_BYTES
+                while left > 0 and (data := self.socket.recv(MAX_LINGER_BYTES)):
                     left -= len(data)
             except OSError:
                 return
