--- a/chivetrack/daemon/stop.py
+++ b/chivetrack/daemon/stop.py
@@ -7,7 +7,7 @@
 import gevent
 from gevent.event import Event as Signal
 
-from chivetrack.daemon.const import STOP_POLL_S, STOP_QUIET_S
+from chivetrack.daemon.const import STOP_POLL_INTERVAL_S, STOP_QUIET_S
 from chivetrack.helpers.log import get_logger
 
 _LOGGER = get_logger("stop")
@@ -91,4 +91,4 @@
                 quiet_since = self._read_clock()
             elif self._read_clock() - quiet_since >= STOP_QUIET_S:
                 return
-            gevent.sleep(STOP_POLL_S)
+            gevent.sleep(STOP_POLL_INTERVAL_S)
