--- a/chivetrack/daemon/stop.py
+++ b/chivetrack/daemon/stop.py
@@ -7,7 +7,7 @@
 import gevent
 from gevent.event import Event as Signal
 
-from chivetrack.daemon.const import STOP_POLL_INTERVAL_S, STOP_QUIET_S
+from chivetrack.daemon.const import STOP_POLL_INTERVAL_S, STOP_QUIET_PERIOD_S
 from chivetrack.helpers.log import get_logger
 
 _LOGGER = get_logger("stop")
@@ -89,6 +89,6 @@
         while not self._forced.is_set() and self._read_clock() < ends_at:
             if self._count_open():
                 quiet_since = self._read_clock()
-            elif self._read_clock() - quiet_since >= STOP_QUIET_S:
+            elif self._read_clock() - quiet_since >= STOP_QUIET_PERIOD_S:
                 return
             gevent.sleep(STOP_POLL_INTERVAL_S)
