--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -40,7 +40,7 @@
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.log import get_logger
 
-CONFIRM_EVERY_S = 0.5
+CONFIRM_INTERVAL_S = 0.5
 CONFIRM_TIMEOUT_S = 2.0
 PROMOTE_EVERY_S = 1.0
 TRANSFER_WAIT_S = 2.0
@@ -219,7 +219,7 @@
         while True:
             if self.is_leader and self.replica is not None:
                 self._confirm_once(self.replica)
-            gevent.sleep(CONFIRM_EVERY_S)
+            gevent.sleep(CONFIRM_INTERVAL_S)
 
     def _confirm_once(self, replica: Replica) -> None:
         started_at = time.monotonic()
