--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -42,7 +42,7 @@
 
 CONFIRM_INTERVAL_S = 0.5
 CONFIRM_TIMEOUT_S = 2.0
-PROMOTE_EVERY_S = 1.0
+PROMOTE_INTERVAL_S = 1.0
 TRANSFER_WAIT_S = 2.0
 
 _LOGGER = get_logger("replica")
@@ -232,7 +232,7 @@
     def _promote(self) -> None:
         """On the leader, let learners vote once they have caught up."""
         while True:
-            gevent.sleep(PROMOTE_EVERY_S)
+            gevent.sleep(PROMOTE_INTERVAL_S)
             if self.is_leader and self.replica is not None:
                 self.desk.promote_learners()
 
