--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -43,7 +43,7 @@
 CONFIRM_INTERVAL_S = 0.5
 CONFIRM_TIMEOUT_S = 2.0
 PROMOTE_INTERVAL_S = 1.0
-TRANSFER_WAIT_S = 2.0
+TRANSFER_TIMEOUT_S = 2.0
 
 _LOGGER = get_logger("replica")
 
@@ -241,7 +241,7 @@
         if self.replica is None or not self.is_leader:
             return
         self.replica.transfer_leadership()
-        ends_at = time.monotonic() + TRANSFER_WAIT_S
+        ends_at = time.monotonic() + TRANSFER_TIMEOUT_S
         while self.is_leader and time.monotonic() < ends_at:
             gevent.sleep(POLL_S)
 
