--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -36,7 +36,7 @@
     SEEK_EVERY_S,
 )
 from chivetrack.daemon.founding import (
-    POLL_S,
+    POLL_INTERVAL_S,
     Founding,
     build_replica,
     is_blank,
@@ -374,4 +374,4 @@
         self.replica.transfer_leadership()
         ends_at = time.monotonic() + _TRANSFER_WAIT_S
         while self.is_leader and time.monotonic() < ends_at:
-            gevent.sleep(POLL_S)
+            gevent.sleep(POLL_INTERVAL_S)
--- a/chivetrack/daemon/founding.py
+++ b/chivetrack/daemon/founding.py
@@ -22,7 +22,7 @@
 from chivetrack.core import Effect, MessageReceived, SendMessage, TimeReached, WakeAt
 from chivetrack.helpers.codec import Message
 
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 Send = Callable[[str, Message], None]
 
@@ -86,7 +86,7 @@
         while not self._ended.is_set():
             now = time.monotonic()
             wake_at = self._follow(self._formation.handle(TimeReached(), now=now))
-            self._ended.wait(max(POLL_S, wake_at - now))
+            self._ended.wait(max(POLL_INTERVAL_S, wake_at - now))
         if not self.is_member:
             return recovered
         first = Snapshot(index=1, term=1, members=self.members)
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -30,7 +30,7 @@
 from chivetrack.components.store.table import TableUpdate
 from chivetrack.core import Event, SendMessage
 from chivetrack.daemon.founding import (
-    POLL_S,
+    POLL_INTERVAL_S,
     Founding,
     build_replica,
     is_blank,
@@ -243,7 +243,7 @@
         self.replica.transfer_leadership()
         ends_at = time.monotonic() + TRANSFER_TIMEOUT_S
         while self.is_leader and time.monotonic() < ends_at:
-            gevent.sleep(POLL_S)
+            gevent.sleep(POLL_INTERVAL_S)
 
     def stop(self) -> None:
         """End the replica's writer."""
