--- a/chivetrack/daemon/resources.py
+++ b/chivetrack/daemon/resources.py
@@ -20,7 +20,7 @@
 
 WRITE_TIMEOUT_S = 10.0
 READ_TIMEOUT_S = 5.0
-OWN_REQUEST_PREFIX = "auto:"
+GENERATED_REQUEST_ID_PREFIX = "auto:"
 
 
 class ResourceHandler:
@@ -38,7 +38,7 @@
         lost, and must not be applied twice then.
         """
         if not command.stamp.request_id:
-            request_id = OWN_REQUEST_PREFIX + self._submissions.make_id()
+            request_id = GENERATED_REQUEST_ID_PREFIX + self._submissions.make_id()
             stamp = msgspec.structs.replace(command.stamp, request_id=request_id)
             command = msgspec.structs.replace(command, stamp=stamp)
         result = self._submissions.submit(pack(command), timeout_s=WRITE_TIMEOUT_S)
