--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -103,7 +103,7 @@
     )
 
 
-class _Dispatches:
+class _DispatchRecorder:
     """Counts requests in flight, and tells the circuit breakers of each attempt.
 
     A breaker that is half open lets one request through; without this word of it,
@@ -224,7 +224,7 @@
         "limit": {"limiter": admission},
         "route": {
             "placer": placer,
-            "load": _Dispatches(load=exchange, registry=registry),
+            "load": _DispatchRecorder(load=exchange, registry=registry),
             "region": identity.region,
             "zone": identity.zone,
         },
