--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -37,7 +37,7 @@
 )
 from chivetrack.daemon.founding import (
     POLL_INTERVAL_S,
-    Founding,
+    LogBootstrapRunner,
     build_replica,
     is_blank,
     open_replica_folder,
@@ -95,7 +95,7 @@
         # A majority of these is left when as many as may be lost are.
         self._wanted_voters = 2 * tolerated_losses + 1
         self._repair = Repair(wanted_voters=self._wanted_voters)
-        self._founding: Founding | None = None
+        self._founding: LogBootstrapRunner | None = None
         self._is_retired = False
         self._sources: dict[str, str] = {}
         # Syncs have a thread of their own, so that they never wait behind other work.
@@ -266,7 +266,7 @@
             is_first=bool(founders),
             tolerated_losses=self._tolerated_losses,
         )
-        founding = self._founding = Founding(
+        founding = self._founding = LogBootstrapRunner(
             formation=formation, replica_id=self.replica_id, send=self._send
         )
         watch = gevent.spawn(self._watch_doubt, founding)
@@ -279,7 +279,7 @@
         self._events.write(event, members=len(founding.members.members))
         return recovered
 
-    def _watch_doubt(self, founding: Founding) -> None:
+    def _watch_doubt(self, founding: LogBootstrapRunner) -> None:
         """Tell, now and then, that only an operator can know whether a log was lost."""
         while True:
             gevent.sleep(DOUBT_EVERY_S)
--- a/chivetrack/daemon/founding.py
+++ b/chivetrack/daemon/founding.py
@@ -55,7 +55,7 @@
     return not recovered.snapshot.members.members and not recovered.entries
 
 
-class Founding:
+class LogBootstrapRunner:
     """Takes part in founding the log until it exists."""
 
     def __init__(self, *, formation: Formation, replica_id: str, send: Send) -> None:
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -31,7 +31,7 @@
 from chivetrack.core import Event, SendMessage
 from chivetrack.daemon.founding import (
     POLL_INTERVAL_S,
-    Founding,
+    LogBootstrapRunner,
     build_replica,
     is_blank,
     open_replica_folder,
@@ -75,7 +75,7 @@
         self._post = post
         self._send = send
         self._random = system_random
-        self._founding: Founding | None = None
+        self._founding: LogBootstrapRunner | None = None
         self._instances: dict[str, str] = {}
         # Syncs have a thread of their own, so that they never wait for one behind
         # whatever else uses the common pool.
@@ -152,7 +152,7 @@
             replica_id=self.replica_id,
             instances=self._first_instances,
         )
-        founding = self._founding = Founding(
+        founding = self._founding = LogBootstrapRunner(
             formation=formation, replica_id=self.replica_id, send=self._send
         )
         recovered = founding.run(storage, recovered)
