--- a/chivetrack/daemon/__main__.py
+++ b/chivetrack/daemon/__main__.py
@@ -4,9 +4,9 @@
 
 monkey.patch_all()
 
-# Each stream to another instance waits in a thread of this pool for as long as it is
-# open. With the default of 10, an instance that talks to more of them has no thread
-# left: nothing is received any more and no leader is ever elected.
+# Each open stream to another instance occupies a thread of this pool. With the default of
+# 10 threads, an instance that has streams to more instances has no thread left: it receives
+# no messages, and no leader is elected.
 get_hub().threadpool.maxsize = 512
 
 import grpc.experimental.gevent as grpc_gevent  # noqa: E402
@@ -52,7 +52,7 @@
 
 
 def serve(settings: Settings) -> int:
-    """Run an instance until it was stopped, and return the exit code."""
+    """Run an instance until it is stopped, and return the exit code."""
     instance = settings.instance
     encryption = open_encryption(settings)
     if encryption.is_error():
--- a/chivetrack/daemon/announcements.py
+++ b/chivetrack/daemon/announcements.py
@@ -1,4 +1,4 @@
-"""Takes announcements of endpoints from HTTP to the registry."""
+"""Handling of endpoint announcements that arrive over HTTP."""
 
 from collections.abc import Callable
 
@@ -13,18 +13,18 @@
 
 
 class AnnouncementHandler:
-    """Checks key and form of an announcement and hands it in."""
+    """Validates the key and the content of an announcement and forwards it to the registry."""
 
     def __init__(
         self, *, registry: EndpointRegistry, keys: KeyRing, read_clock: Callable[[], float]
     ) -> None:
-        """Take the registry; without keys anybody may announce."""
+        """Create a handler; with an empty key ring, announcements need no key."""
         self._registry = registry
         self._keys = keys
         self._read_clock = read_clock
 
-    def take(self, body: bytes, authorization: str) -> Fault | None:
-        """Take an announcement; return what is wrong with it."""
+    def handle(self, body: bytes, authorization: str) -> Fault | None:
+        """Handle an announcement; return a fault if it is refused."""
         if len(self._keys):
             key = authorization.removeprefix(BEARER_PREFIX)
             if self._keys.find_holder(key) is None:
--- a/chivetrack/daemon/const.py
+++ b/chivetrack/daemon/const.py
@@ -2,17 +2,24 @@
 
 from typing import Final
 
+# HTTP server
 HEADER_TIMEOUT_S: Final = 20.0
 IDLE_TIMEOUT_S: Final = 75.0
 BACKLOG: Final = 1024
 MAX_HEADER_BYTES: Final = 32 * 1024
 MAX_HEADERS: Final = 100
+# Limits on reading the rest of a request before its connection is closed.
 LINGER_TIMEOUT_S: Final = 1.0
 MAX_LINGER_BYTES: Final = 1024 * 1024
+
+# Graceful stop; it is complete after the quiet period without an open request.
 STOP_POLL_INTERVAL_S: Final = 0.02
 STOP_QUIET_PERIOD_S: Final = 0.2
+
+# Longest sleep of the runner between two checks of the timers.
 MAX_SLEEP_S: Final = 0.5
 
+# Exit codes
 EXIT_OK: Final = 0
 EXIT_CUT: Final = 1
 EXIT_SETTINGS: Final = 3
--- a/chivetrack/daemon/encryption.py
+++ b/chivetrack/daemon/encryption.py
@@ -1,4 +1,4 @@
-"""TLS of every listener, from the settings."""
+"""TLS configuration of the listeners."""
 
 from dataclasses import dataclass
 
@@ -14,22 +14,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Encryption:
-    """The TLS of each listener by its name; empty when plain text was accepted."""
+    """TLS contexts by listener name; empty if the settings disable TLS."""
 
     listeners: dict[str, Tls]
 
     def get(self, name: str) -> Tls | None:
-        """Return the TLS of a listener."""
+        """Return the TLS context of a listener, or ``None`` if it uses plain text."""
         return self.listeners.get(name)
 
     def check(self) -> None:
-        """Take up files that have changed."""
+        """Reload certificate and key files that have changed."""
         for tls in self.listeners.values():
             tls.check()
 
 
 def open_encryption(settings: Settings) -> Result[Encryption, Findings]:
-    """Load the files of all listeners; all faults are reported together."""
+    """Load the TLS files of all listeners; return the findings of all of them together."""
     if not settings.tls.enabled:
         return Ok(Encryption(listeners={}))
     findings = Findings()
--- a/chivetrack/daemon/explanations.py
+++ b/chivetrack/daemon/explanations.py
@@ -1,4 +1,4 @@
-"""Explanations of requests and endpoints as documents."""
+"""Documents that explain the routing of a request or the state of an endpoint."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class Explanations:
-    """Tells why a request went where it went, and why an endpoint is in or out."""
+    """Explains why a request was sent to an endpoint, and why an endpoint is available or not."""
 
     def __init__(
         self,
@@ -21,14 +21,14 @@
         registry: EndpointRegistry,
         read_clock: Callable[[], float],
     ) -> None:
-        """Take what is remembered here."""
+        """Create explanations from the recorded requests and the registry of this instance."""
         self._instance_id = instance_id
         self._recorder = recorder
         self._registry = registry
         self._read_clock = read_clock
 
     def explain_request(self, request_id: str) -> Document | None:
-        """Return what this instance remembers of a request."""
+        """Return the record of a request on this instance, or ``None`` if there is none."""
         record = self._recorder.find(request_id)
         if record is None:
             return None
@@ -56,20 +56,20 @@
         return document
 
     def explain_endpoint(self, endpoint_id: str) -> Document | None:
-        """Return why an endpoint is in or out, since when and on whose word."""
-        found = self._registry.explain(endpoint_id, now=self._read_clock())
+        """Return why an endpoint is available or not, since when, and from which source."""
+        explanation = self._registry.explain(endpoint_id, now=self._read_clock())
         return {
-            "endpoint": found.endpoint_id,
+            "endpoint": explanation.endpoint_id,
             "router": self._instance_id,
-            "verdict": found.verdict,
-            "reason": found.reason,
-            "since_s": round(found.since_s, 3),
-            "word": found.word,
-            "incarnation": found.incarnation,
-            "lease_left_s": found.lease_left_s,
-            "carriers": list(found.carriers),
-            "failures": found.failures,
-            "flaps": found.flaps,
+            "verdict": explanation.verdict,
+            "reason": explanation.reason,
+            "since_s": round(explanation.since_s, 3),
+            "word": explanation.word,
+            "incarnation": explanation.incarnation,
+            "lease_left_s": explanation.lease_left_s,
+            "carriers": list(explanation.carriers),
+            "failures": explanation.failures,
+            "flaps": explanation.flaps,
         }
 
 
--- a/chivetrack/daemon/founding.py
+++ b/chivetrack/daemon/founding.py
@@ -1,4 +1,4 @@
-"""What every host of a replica does with its folder: open it, found the log, run the writer."""
+"""Steps that all hosts of a replica share: open the folder, bootstrap the log, run the replica."""
 
 import random
 import time
@@ -35,9 +35,10 @@
     random_source: random.Random,
     founders: Sequence[str] = (),
 ) -> Iterator[Storage]:
-    """Open a replica's folder; an empty one becomes that of a new replica.
+    """Open the folder of a replica; create a new replica in an empty folder.
 
-    A new folder remembers ``founders``: at a later start the settings do not name them.
+    A new folder stores ``founders``, because the settings do not name these instances at
+    a later start.
     """
     with ExitStack() as stack:
         try:
@@ -51,16 +52,16 @@
 
 
 def is_blank(recovered: Recovered) -> bool:
-    """Return whether a folder belongs to no log yet."""
+    """Return whether the recovered folder holds no part of a log."""
     return not recovered.snapshot.members.members and not recovered.entries
 
 
 class LogBootstrapRunner:
-    """Takes part in founding the log until it exists."""
+    """Takes part in the bootstrap of the log until the log exists."""
 
     def __init__(self, *, formation: Formation, replica_id: str, send: Send) -> None:
-        """Take the decision, the own id and the way out."""
-        self._formation = formation
+        """Create a runner; ``formation`` is the decision logic, ``send`` sends messages."""
+        self._log_bootstrap = formation
         self._replica_id = replica_id
         self._send = send
         self._ended = Signal()
@@ -68,32 +69,33 @@
 
     @property
     def is_doubtful(self) -> bool:
-        """Return whether a log may have been lost with all founders' disks."""
-        return self._formation.is_doubtful
+        """Return whether a log may have been lost with the disks of all bootstrap instances."""
+        return self._log_bootstrap.is_doubtful
 
     @property
     def is_member(self) -> bool:
-        """Return whether the log began with this replica."""
+        """Return whether this replica is one of the first members of the log."""
         return self.members.find(self._replica_id) is not None
 
     def take(self, source: str, hello: Hello) -> None:
-        """Take the word of another instance."""
+        """Handle a hello message from another instance."""
         event = MessageReceived(source=source, message=hello)
-        self._follow(self._formation.handle(event, now=time.monotonic()))
+        self._execute(self._log_bootstrap.handle(event, now=time.monotonic()))
 
     def run(self, storage: Storage, recovered: Recovered) -> Recovered:
-        """Wait until the log exists; return the state to start from."""
+        """Wait until the log exists; return the state that the replica starts from."""
         while not self._ended.is_set():
             now = time.monotonic()
-            wake_at = self._follow(self._formation.handle(TimeReached(), now=now))
+            wake_at = self._execute(self._log_bootstrap.handle(TimeReached(), now=now))
             self._ended.wait(max(POLL_INTERVAL_S, wake_at - now))
         if not self.is_member:
             return recovered
-        first = Snapshot(index=1, term=1, members=self.members)
-        storage.save([Persist(snapshot=first, reset=True, last_index=1, last_term=1)])
-        return Recovered(hard_state=recovered.hard_state, snapshot=first)
+        snapshot = Snapshot(index=1, term=1, members=self.members)
+        storage.save([Persist(snapshot=snapshot, reset=True, last_index=1, last_term=1)])
+        return Recovered(hard_state=recovered.hard_state, snapshot=snapshot)
 
-    def _follow(self, effects: list[Effect]) -> float:
+    def _execute(self, effects: list[Effect]) -> float:
+        """Execute effects; return the time of the next wake-up in seconds."""
         wake_at = time.monotonic()
         for effect in effects:
             if isinstance(effect, SendMessage):
@@ -117,7 +119,7 @@
     timing: Timing,
     random_source: random.Random,
 ) -> Replica:
-    """Return a replica that goes on from what its folder holds."""
+    """Return a replica that continues from the recovered state of its folder."""
     consensus = Consensus(
         replica_id=replica_id, random=random_source, timing=timing, recovered=recovered
     )
--- a/chivetrack/daemon/gauges.py
+++ b/chivetrack/daemon/gauges.py
@@ -1,4 +1,4 @@
-"""Feeds the metrics that are read off the parts now and then."""
+"""Periodic update of metrics whose values are read from other parts."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,10 @@
 
 
 class Gauges:
-    """Reads traffic, revision and lead; driven by the timer service."""
+    """Updates the metrics of traffic, configuration revision and leadership.
+
+    The timer service calls ``update`` once per ``GAUGE_INTERVAL_S``.
+    """
 
     def __init__(
         self,
@@ -22,7 +25,7 @@
         configuration: Configuration,
         is_leader: Callable[[], bool],
     ) -> None:
-        """Take the parts that are read."""
+        """Store the parts whose values are read."""
         self._instruments = instruments
         self._transport = transport
         self._configuration = configuration
@@ -30,8 +33,8 @@
         self._sent = 0
         self._received = 0
 
-    def read(self, now: float) -> None:
-        """Feed the metrics with what has changed since the last time."""
+    def update(self, now: float) -> None:
+        """Update the metrics; traffic counters grow by the bytes since the last update."""
         traffic = self._transport.traffic
         self._record(Direction.SENT, traffic.sent_bytes - self._sent)
         self._record(Direction.RECEIVED, traffic.received_bytes - self._received)
--- a/chivetrack/daemon/headers.py
+++ b/chivetrack/daemon/headers.py
@@ -1,4 +1,4 @@
-"""The header lines of a request, read strictly."""
+"""Strict parser for the header lines of a request."""
 
 import re
 from typing import Any
@@ -11,27 +11,27 @@
 
 
 class RequestHeaders:
-    """The interface that gevent's handler reads headers by.
+    """Headers with the interface that the request handler of gevent expects.
 
     The e-mail parser of the standard library accepts folded lines, blanks before the
-    colon and lines without one; after such a line it takes the rest of the headers for
-    body. The length is lost then, and the body becomes the next request.
+    colon and lines without a colon, and treats all headers after such a line as body.
+    The Content-Length is then lost, and the body would be read as the next request.
     """
 
     status = ""
 
     def __init__(self, *, headers: list[str], values: dict[str, list[str]]) -> None:
-        """Take the raw lines and the values by name in lower case."""
+        """Store the raw lines, and the values by header name in lower case."""
         self.headers = headers
         self._values = values
 
     @property
     def typeheader(self) -> str | None:
-        """Return the content type as it was sent."""
+        """Return the value of the Content-Type header, or ``None``."""
         return self.get("content-type")
 
     def get(self, name: str, default: Any = None) -> Any:
-        """Return the first value of a header."""
+        """Return the first value of a header, or ``default``."""
         values = self._values.get(name.lower())
         return values[0] if values else default
 
@@ -42,7 +42,7 @@
         return self._values.get(name.lower(), [])
 
     def list_lines(self) -> list[tuple[str, str]]:
-        """Return name and value of each line as they were sent."""
+        """Return the name and the value of each line, with the case that was sent."""
         lines = (line.partition(":") for line in self.headers)
         return [(name, value.strip()) for name, _, value in lines]
 
@@ -51,7 +51,7 @@
 
 
 def read_headers(source: Any) -> RequestHeaders:
-    """Read lines up to the empty one; raise ``FaultError`` for what is not a header."""
+    """Read lines up to the empty line; raise ``FaultError`` for an invalid header line."""
     headers: list[str] = []
     values: dict[str, list[str]] = {}
     while (line := source.readline()) not in _END:
--- a/chivetrack/daemon/instance.py
+++ b/chivetrack/daemon/instance.py
@@ -1,4 +1,4 @@
-"""One running instance: the edges around the router's decisions."""
+"""One running instance: the I/O around the decision logic of its router."""
 
 import random
 import secrets
@@ -46,8 +46,9 @@
 from chivetrack.helpers.timer import TimerService
 from chivetrack.helpers.tls import RELOAD_INTERVAL_S
 
-# Time for the news that this instance leaves, and for the writer's last sync.
+# Time to send the notice that this instance leaves to other instances.
 LEAVE_NOTICE_S = 0.5
+# Time for the last sync of the replica's writer.
 STOP_WRITER_TIMEOUT_S = 2.0
 
 _LOGGER = get_logger("daemon")
@@ -63,10 +64,10 @@
 
 
 class Instance:
-    """Owns the edges of one daemon; ``run`` serves until a graceful stop has ended."""
+    """Owns the I/O of one daemon; ``run`` serves until a graceful stop is complete."""
 
     def __init__(self, *, settings: Settings, telemetry: Telemetry, encryption: Encryption) -> None:
-        """Build all parts; nothing listens before ``run``."""
+        """Create all parts; the listeners are opened by ``run``."""
         self._settings = settings
         self._telemetry = telemetry
         self._encryption = encryption
@@ -78,7 +79,7 @@
         self.runner = Runner(
             decisions=self.router.node, timers=self._timers, read_clock=time.monotonic
         )
-        self.desk = MessageDispatcher(post=self.runner.post)
+        self.dispatcher = MessageDispatcher(post=self.runner.post)
         self.submissions = Submissions(
             post=self.runner.post, read_clock=time.monotonic, make_id=_make_id
         )
@@ -93,7 +94,7 @@
         )
         self.transport = self._build_transport()
         self._replica = self._build_replica()
-        self.desk.replica = self._replica
+        self.dispatcher.replica = self._replica
         self._listeners = self._build_listeners()
         self._stop = GracefulStop(
             settle_s=settings.stop.settle_s,
@@ -106,7 +107,7 @@
 
     @property
     def instance_id(self) -> str:
-        """Return this instance's id."""
+        """Return the id of this instance."""
         return self._settings.instance.id
 
     @property
@@ -155,7 +156,7 @@
             listen=str(self._settings.listeners.peer),
             advertised=self._peer_address,
             resolve=self._resolve,
-            on_message=self.desk.take,
+            on_message=self.dispatcher.dispatch,
             on_error=lambda text: _LOGGER.warning("Dropped a message: {}.", text),
             server_credentials=None if tls is None else tls.create_grpc_server_credentials(),
             make_channel_credentials=(None if tls is None else tls.create_grpc_channel_credentials),
@@ -165,7 +166,7 @@
         return transport
 
     def _list_seeds(self) -> list[Seed]:
-        """Return the seeds; one that is known by its address only has that as its id."""
+        """Return the seeds; a seed without a known id gets its address as its id."""
         region = self._settings.instance.region
         named = {str(member.address): member.id for member in self._settings.replicas.initial}
         addresses = [str(seed) for seed in self._settings.peers.seeds]
@@ -184,7 +185,7 @@
         return ReplicaHost(
             instance_id=self.instance_id,
             folder=folder,
-            first_instances=[member.id for member in self._settings.replicas.initial],
+            initial_instances=[member.id for member in self._settings.replicas.initial],
             store=self._store,
             post=self.runner.post,
             send=self._send_to,
@@ -200,12 +201,12 @@
         )
         caller_api = CallerApi(
             gateway=self.gateway,
-            announce=announcements.take,
+            announce=announcements.handle,
             is_ready=self.is_ready,
             max_body=self._settings.limits.max_body_bytes,
         )
         resources = build_resources_app(
-            desk=ResourceHandler(submissions=self.submissions, registry=self.router.registry),
+            handler=ResourceHandler(submissions=self.submissions, registry=self.router.registry),
             view=self.router.configuration.view,
             operators=operators,
         )
@@ -223,7 +224,8 @@
             operators=operators,
             read_clock=time.monotonic,
         )
-        # The first route that fits is taken, and a resource's path fits all of these.
+        # The first matching route is used, and the generic path of a resource matches all
+        # management paths as well. The management routes are therefore added first.
         operators_app = build_management_app(management.make_ports())
         operators_app.merge(resources)
         operators_app.default_error_handler = resources.default_error_handler
@@ -241,44 +243,48 @@
         )
 
     def _connect_effects(self) -> None:
-        self.runner.handle_effects(SendMessage, self._send)
-        self.runner.handle_effects(RequestEffect, self.gateway.handle_effect)
-        self.runner.handle_effects(SubmissionEnded, self.submissions.take_end)
+        self.runner.register_handler(SendMessage, self._send)
+        self.runner.register_handler(RequestEffect, self.gateway.handle_effect)
+        self.runner.register_handler(SubmissionEnded, self.submissions.handle_end)
 
     def _send(self, effect: SendMessage) -> None:
         self._send_to(effect.target, effect.message)
 
     def _send_to(self, target: str, message: Message) -> None:
         if target == self.instance_id:
-            gevent.spawn(self.desk.take, self.instance_id, message)
+            gevent.spawn(self.dispatcher.dispatch, self.instance_id, message)
             return
         self.transport.send(target, message)
 
     def is_ready(self) -> bool:
-        """Return whether the balancer may send requests here."""
+        """Return whether the load balancer may send requests to this instance."""
         if self._stop.is_stopping:
             return False
         return self.router.configuration.view.check_serving(time.monotonic()) is None
 
     def is_stopping(self) -> bool:
-        """Return whether connections are closed after their current request."""
+        """Return whether a stop has begun; connections then close after their request."""
         return self._stop.is_stopping
 
     def run(self) -> StopReport:
-        """Serve until a graceful stop has ended, and tell what it cut."""
+        """Serve until a graceful stop is complete, and return its report."""
         with self._serve():
-            gevent.signal_handler(signal.SIGTERM, self._stop.ask)
-            gevent.signal_handler(signal.SIGINT, self._stop.ask)
-            _LOGGER.info("Instance {} is up.", self.instance_id)
+            gevent.signal_handler(signal.SIGTERM, self._stop.request)
+            gevent.signal_handler(signal.SIGINT, self._stop.request)
+            _LOGGER.info("Instance {} has started.", self.instance_id)
             report = self._stop.wait()
             self._leave()
             return report
 
     def _leave(self) -> None:
-        """Hand over what others would otherwise find missing, and say that we leave."""
-        self.runner.carry_out(self.router.node.release_leases(now=time.monotonic()))
+        """Release leases, transfer leadership and announce that this instance leaves.
+
+        Otherwise other instances would have to wait until the leases and the leadership
+        of this instance expire.
+        """
+        self.runner.execute(self.router.node.release_leases(now=time.monotonic()))
         if self._replica is not None:
-            self._replica.hand_over()
+            self._replica.transfer_leadership()
         self.router.membership.leave(now=time.monotonic())
         gevent.sleep(LEAVE_NOTICE_S)
 
@@ -294,7 +300,7 @@
             configuration=self.router.configuration,
             is_leader=lambda: self._replica is not None and self._replica.is_leader,
         )
-        self._timers.call_every(GAUGE_INTERVAL_S, gauges.read, now=now)
+        self._timers.call_every(GAUGE_INTERVAL_S, gauges.update, now=now)
         self.runner.start()
         loops = [gevent.spawn(self.runner.run)]
         if self._replica is not None:
--- a/chivetrack/daemon/leader_requests.py
+++ b/chivetrack/daemon/leader_requests.py
@@ -1,4 +1,4 @@
-"""Answers proposals and reads that other instances bring to the leader."""
+"""Handling of proposals and reads that instances forward to the leader."""
 
 import time
 from collections.abc import Callable
@@ -33,26 +33,34 @@
 
 PROPOSE_TIMEOUT_S = 5.0
 READ_TIMEOUT_S = 2.0
-# What a change of members finds done already counts as done: it may be a resend.
+# A change of members that was already made counts as successful, because the request may
+# be a resend.
 ALREADY_DONE_CODES = frozenset({"already_a_member", "not_a_member", "retired_id"})
 
 
-def _make_unknown_message(detail: str) -> Fault:
+def _make_malformed_command(detail: str) -> Fault:
     return Fault(code="malformed_command", message=detail, status=400, ran=Ran.NO)
 
 
 class LeaderRequestHandler:
-    """Proposes for others; every answer says whether the command can be in the log."""
+    """Executes forwarded commands and queries.
+
+    Every answer reports whether the command may be in the log.
+    """
 
     def __init__(self, *, store: Store, send: Callable[[str, Message], None]) -> None:
-        """Take the store that answers queries and the way back."""
+        """Create a handler that reads from ``store`` and answers through ``send``.
+
+        The host sets ``replica`` while the replica runs, and ``clock`` when the replica
+        becomes the leader.
+        """
         self._store = store
         self._send = send
         self.replica: Replica | None = None
         self.clock: ProposerClock | None = None
 
     def answer(self, source: str, message: ForwardProposal | ForwardRead) -> None:
-        """Carry out a forwarded command or query and send the answer back."""
+        """Execute a forwarded command or query and send the answer to ``source``."""
         replica = self.replica
         if replica is None:
             self._send(source, ProposalAnswer(message.number, Verdict.REFUSED))
@@ -76,11 +84,11 @@
         try:
             command = unpack(data)
         except DecodeError as error:
-            return Ok(_pack_fault(_make_unknown_message(str(error))))
+            return Ok(_pack_fault(_make_malformed_command(str(error))))
         if isinstance(command, ChangeReplica):
             return self._change_members(replica, command)
         if not isinstance(command, Command):
-            return Ok(_pack_fault(_make_unknown_message("not a command")))
+            return Ok(_pack_fault(_make_malformed_command("the message is not a command")))
         if self.clock is not None:
             command = stamp_time(command, self.clock.read(time.monotonic()))
         return replica.propose(pack(command), timeout_s=PROPOSE_TIMEOUT_S)
@@ -112,7 +120,7 @@
         return Ok(pack(answer_query(self._store, query)))  # type: ignore[arg-type]
 
     def promote_learners(self) -> None:
-        """Let every learner vote that has caught up; the log refuses the others."""
+        """Promote every learner to a voter; the log refuses those that have not caught up."""
         replica = self.replica
         if replica is None:
             return
--- a/chivetrack/daemon/listeners.py
+++ b/chivetrack/daemon/listeners.py
@@ -1,4 +1,4 @@
-"""The HTTP listeners of an instance and their applications."""
+"""HTTP listeners of an instance and their applications."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Applications:
-    """What each HTTP listener serves."""
+    """The application of each HTTP listener."""
 
     caller: Bottle
     resources: Bottle
@@ -32,7 +32,7 @@
         is_closing: Callable[[], bool],
         limits: ServerLimits | None = None,
     ) -> None:
-        """Create the servers; they listen from ``start`` on."""
+        """Create the servers; ``start`` opens them."""
         self._encryption = encryption
         self._is_closing = is_closing
         self._limits = limits
@@ -52,15 +52,15 @@
         )
 
     def start(self) -> None:
-        """Listen; raise ``OSError`` when an address is taken."""
+        """Open all listeners; raise ``OSError`` if an address is in use."""
         for server in self._servers.values():
             server.start()
 
     def close_caller(self) -> None:
-        """Accept no more connections of callers; those that are open go on."""
+        """Accept no new connections from callers; open connections continue."""
         self._servers["caller"].stop_accepting()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close all listeners and their connections."""
         for server in self._servers.values():
             server.stop(timeout=0)
--- a/chivetrack/daemon/log_status.py
+++ b/chivetrack/daemon/log_status.py
@@ -1,4 +1,4 @@
-"""The state of the replicated log as a document."""
+"""Status document of the replicated log."""
 
 from typing import Any
 
@@ -9,7 +9,10 @@
 
 
 def describe_log(status: ReplicaStatus) -> Document:
-    """Return what a replica knows of the log; ``replicas`` is filled by the leader only."""
+    """Return the state of the log as seen by a replica.
+
+    Only the leader fills ``replicas``.
+    """
     consensus = status.consensus
     return {
         "replica": consensus.replica_id,
--- a/chivetrack/daemon/management.py
+++ b/chivetrack/daemon/management.py
@@ -1,4 +1,4 @@
-"""Connects the operators' routes with the instance."""
+"""Management functions of an instance for operators."""
 
 import math
 from collections.abc import Callable
@@ -27,13 +27,16 @@
 STATUS_TIMEOUT_S = 1.5
 CHANGE_TIMEOUT_S = 10.0
 BACKUP_TIMEOUT_S = 30.0
-_LIVING = frozenset({InstanceStatus.ALIVE, InstanceStatus.SUSPECT})
+_LIVE_STATUSES = frozenset({InstanceStatus.ALIVE, InstanceStatus.SUSPECT})
 
 Document = dict[str, Any]
 
 
 class Management:
-    """Answers for this instance; what concerns the log is asked of the leader."""
+    """Answers management requests of operators on this instance.
+
+    Requests that concern the log are forwarded to the leader.
+    """
 
     def __init__(
         self,
@@ -45,7 +48,7 @@
         operators: KeyRing,
         read_clock: Callable[[], float],
     ) -> None:
-        """Take what the answers come from."""
+        """Store the parts that the answers are built from."""
         self._instance_id = instance_id
         self._router = router
         self._submissions = submissions
@@ -54,7 +57,7 @@
         self._read_clock = read_clock
 
     def make_ports(self) -> ManagementPorts:
-        """Return the ways from the routes into this instance."""
+        """Return the functions that the management routes call."""
         return ManagementPorts(
             check_operator=lambda key: self._operators.find_holder(key) is not None,
             read_status=self.read_status,
@@ -66,7 +69,7 @@
         )
 
     def read_status(self) -> Document:
-        """Return what this instance knows of itself, the fleet and the log."""
+        """Return the status of this instance, the fleet and the log."""
         now = self._read_clock()
         view = self._router.configuration.view
         instances = self._router.membership.list_instances()
@@ -89,25 +92,25 @@
         return document
 
     def _describe_in_force(self, now: float) -> Document:
-        """Return where the newest revision is in force; only the leader knows all."""
+        """Return where the newest revision is in force; only the leader has all reports."""
         instances = self._router.membership.list_instances()
-        expected = [each.instance_id for each in instances if each.status in _LIVING]
-        found = self._router.configuration.compute_in_force(expected, now=now)
+        expected = [each.instance_id for each in instances if each.status in _LIVE_STATUSES]
+        report = self._router.configuration.compute_in_force(expected, now=now)
         return {
             "as_seen_by": self._instance_id,
-            "revision": found.revision,
-            "expected": found.expected,
-            "applied": found.applied,
-            "missing": [asdict(each) for each in found.missing],
-            "elapsed_s": _round(found.elapsed_s),
+            "revision": report.revision,
+            "expected": report.expected,
+            "applied": report.applied,
+            "missing": [asdict(each) for each in report.missing],
+            "elapsed_s": _round(report.elapsed_s),
         }
 
     def add_replica(self, replica_id: str) -> Result[None, Fault]:
-        """Add a replica as a learner; it votes once it has caught up."""
+        """Add a replica as a learner; it becomes a voter once it has caught up."""
         return self._change(ChangeReplica(ChangeKind.ADD_LEARNER, replica_id))
 
     def remove_replica(self, replica_id: str) -> Result[None, Fault]:
-        """Remove a replica for good."""
+        """Remove a replica permanently."""
         return self._change(ChangeReplica(ChangeKind.REMOVE, replica_id))
 
     def _change(self, change: ChangeReplica) -> Result[None, Fault]:
--- a/chivetrack/daemon/metrics.py
+++ b/chivetrack/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""The telemetry listener: metrics in the Prometheus form."""
+"""Application of the telemetry listener: metrics in the Prometheus text format."""
 
 from bottle import Bottle, HTTPResponse
 
--- a/chivetrack/daemon/peering.py
+++ b/chivetrack/daemon/peering.py
@@ -1,4 +1,4 @@
-"""Hands each message to the part it is for."""
+"""Dispatch of messages from other instances."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -8,28 +8,31 @@
 
 
 class ReplicaMessageHandler(Protocol):
-    """The replica of this instance, if it has one."""
+    """Interface of the replica that receives messages."""
 
-    def takes(self, message: Message) -> bool:
-        """Return whether a message is for the replica."""
+    def accepts(self, message: Message) -> bool:
+        """Return whether a message is addressed to the replica."""
         ...
 
-    def take(self, source: str, message: Message) -> None:
-        """Take a message; must not block."""
+    def handle_message(self, source: str, message: Message) -> None:
+        """Handle a message without blocking."""
         ...
 
 
 class MessageDispatcher:
-    """Gives messages for the replicated log to the replica, the others to the router."""
+    """Forwards messages for the replicated log to the replica, all others to the router."""
 
     def __init__(self, *, post: Callable[[Event], None]) -> None:
-        """Take the decisions' entry; the replica is set when there is one."""
+        """Create a dispatcher; ``post`` sends an event to the decision logic of the router.
+
+        ``replica`` is set on instances that have one.
+        """
         self._post = post
         self.replica: ReplicaMessageHandler | None = None
 
-    def take(self, source: str, message: Message) -> None:
-        """Take a message from another instance, or from this one."""
-        if self.replica is not None and self.replica.takes(message):
-            self.replica.take(source, message)
+    def dispatch(self, source: str, message: Message) -> None:
+        """Dispatch a message from another instance or from this instance."""
+        if self.replica is not None and self.replica.accepts(message):
+            self.replica.handle_message(source, message)
             return
         self._post(MessageReceived(source=source, message=message))
--- a/chivetrack/daemon/recorder.py
+++ b/chivetrack/daemon/recorder.py
@@ -1,4 +1,4 @@
-"""Records the end of every request: metrics, and what ``explain`` shows."""
+"""Recorder of finished requests for the metrics and for ``explain``."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestRecord:
-    """What is remembered of a request that has ended; times in seconds."""
+    """A finished request; times are in seconds."""
 
     request_id: str
     workspace: str
@@ -29,19 +29,19 @@
 
 
 class RequestRecorder:
-    """Keeps the newest requests, a bounded number, and feeds the metrics."""
+    """Keeps the ``MAX_RECORDED_REQUESTS`` newest finished requests and updates the metrics."""
 
     def __init__(self, *, instruments: Instruments) -> None:
-        """Start empty."""
+        """Create a recorder without records."""
         self._instruments = instruments
         self._records: OrderedDict[str, RequestRecord] = OrderedDict()
 
     def find(self, request_id: str) -> RequestRecord | None:
-        """Return what is remembered of a request."""
+        """Return the record of a request, or ``None`` if there is none."""
         return self._records.get(request_id)
 
     def record_end(self, exchange: Exchange, fault: Fault | None, now: float) -> None:
-        """Take note of a request that has ended."""
+        """Record a finished request; ``fault`` is ``None`` if it succeeded."""
         duration_s = now - exchange.arrived_at
         self._records[exchange.request_id] = _make_record(exchange, fault, now, duration_s)
         if len(self._records) > MAX_RECORDED_REQUESTS:
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -1,4 +1,4 @@
-"""The replica of an instance: folder, log, store, and the answers to other instances."""
+"""Host of the replica of an instance: its folder, log and store, and its messages."""
 
 import random
 import time
@@ -49,11 +49,11 @@
 
 
 class ReplicaHost:
-    """Runs the replica; without one (before the log exists) it takes part in founding it.
+    """Runs the replica; before the log exists, takes part in its bootstrap.
 
-    A write that fails ends the replica for good: what it believes is then no longer on
-    its disk. The router of the instance goes on until its configuration can't be
-    confirmed any more, and the process has to be started again.
+    A failed write ends the replica permanently, because its state in memory is then no
+    longer on its disk. The router of the instance continues until its configuration can
+    no longer be confirmed; the process has to be restarted.
     """
 
     def __init__(
@@ -61,58 +61,63 @@
         *,
         instance_id: str,
         folder: Path,
-        first_instances: list[str],
+        initial_instances: list[str],
         store: Store,
         post: Callable[[Event], None],
         send: Callable[[str, Message], None],
         system_random: random.Random,
     ) -> None:
-        """Take the folder and the ways in and out; ``run`` opens the folder."""
+        """Create a host; ``run`` opens ``folder``.
+
+        ``initial_instances`` are the ids of the instances that bootstrap the log, ``post``
+        sends an event to the decision logic of the router, and ``send`` sends a message.
+        """
         self._instance_id = instance_id
         self._folder = folder
-        self._first_instances = first_instances
+        self._initial_instances = initial_instances
         self._store = store
         self._post = post
         self._send = send
         self._random = system_random
-        self._founding: LogBootstrapRunner | None = None
+        self._bootstrap_runner: LogBootstrapRunner | None = None
         self._instances: dict[str, str] = {}
-        # Syncs have a thread of their own, so that they never wait for one behind
-        # whatever else uses the common pool.
+        # Syncs use a dedicated thread, so that they never wait for a thread of the pool
+        # that is shared with other work.
         self._sync_pool = ThreadPool(1)
         self._is_changed = False
         self.is_leader = False
         self.replica: Replica | None = None
         self.replica_id = ""
         self.failure = ""
-        self.desk = LeaderRequestHandler(store=store, send=send)
-        store.table.subscribe(self._note_update)
+        self.leader_requests = LeaderRequestHandler(store=store, send=send)
+        store.table.subscribe(self._handle_update)
 
     # Messages
 
-    def takes(self, message: Message) -> bool:
-        """Return whether a message is for the replica."""
+    def accepts(self, message: Message) -> bool:
+        """Return whether a message is addressed to the replica."""
         return isinstance(message, PeerMessage | ForwardProposal | ForwardRead | Hello)
 
-    def take(self, source: str, message: Message) -> None:
-        """Take a message; never blocks."""
+    def handle_message(self, source: str, message: Message) -> None:
+        """Handle a message without blocking."""
         if isinstance(message, Hello):
-            self._take_hello(source, message)
+            self._handle_hello(source, message)
         elif isinstance(message, ForwardProposal | ForwardRead):
-            gevent.spawn(self.desk.answer, source, message)
+            gevent.spawn(self.leader_requests.answer, source, message)
         elif self.replica is not None and isinstance(message, PeerMessage):
             self._instances[message.sender] = source
             self.replica.receive(source, message)
 
     def _send_to_replica(self, effect: SendMessage) -> None:
-        # A replica that has not learnt the members yet knows the leader by its replica
-        # id only. Sent to that, its first answer would be lost and it never caught up.
+        # A replica that does not know the members yet knows only the replica id of the
+        # leader, not its instance id. Its first answer would be lost if it was sent to the
+        # replica id, and the replica would never catch up.
         target = self._instances.get(effect.target, effect.target)
         self._send(target, effect.message)
 
-    def _take_hello(self, source: str, hello: Hello) -> None:
-        if self._founding is not None:
-            self._founding.take(source, hello)
+    def _handle_hello(self, source: str, hello: Hello) -> None:
+        if self._bootstrap_runner is not None:
+            self._bootstrap_runner.take(source, hello)
             return
         if self.replica is not None and hello.members is None:
             members = self.replica.get_status().consensus.members
@@ -120,7 +125,7 @@
                 answer = Hello(self._instance_id, self.replica_id, (), members)
                 self._send(source, answer)
 
-    # Life
+    # Lifecycle
 
     def run(self) -> None:
         """Serve until killed, or until a write fails."""
@@ -128,12 +133,12 @@
             with self._open_folder() as storage:
                 recovered = storage.take_recovered()
                 if is_blank(recovered):
-                    recovered = self._form(storage, recovered)
+                    recovered = self._bootstrap_log(storage, recovered)
                 self._serve(storage, recovered)
         except (StorageError, StoreError) as error:
             self.failure = str(error)
             self.replica = None
-            self.desk.replica = None
+            self.leader_requests.replica = None
             _LOGGER.error("The replica has stopped: {}.", error)
 
     @contextmanager
@@ -142,23 +147,23 @@
             self._folder, instance_id=self._instance_id, random_source=self._random
         ) as storage:
             self.replica_id = storage.identity.replica_id
-            _LOGGER.info("Replica {} opened its folder.", self.replica_id)
+            _LOGGER.info("Replica {} has opened its folder.", self.replica_id)
             yield storage
 
-    def _form(self, storage: Storage, recovered: Recovered) -> Recovered:
-        """Wait until the log exists; return the state to start from."""
-        formation = Formation(
+    def _bootstrap_log(self, storage: Storage, recovered: Recovered) -> Recovered:
+        """Wait until the log exists; return the state that the replica starts from."""
+        log_bootstrap = Formation(
             instance_id=self._instance_id,
             replica_id=self.replica_id,
-            instances=self._first_instances,
+            instances=self._initial_instances,
         )
-        founding = self._founding = LogBootstrapRunner(
-            formation=formation, replica_id=self.replica_id, send=self._send
+        runner = self._bootstrap_runner = LogBootstrapRunner(
+            formation=log_bootstrap, replica_id=self.replica_id, send=self._send
         )
-        recovered = founding.run(storage, recovered)
-        self._founding = None
-        if founding.is_member:
-            _LOGGER.info("The log begins with {} members.", len(founding.members.members))
+        recovered = runner.run(storage, recovered)
+        self._bootstrap_runner = None
+        if runner.is_member:
+            _LOGGER.info("The log was created with {} members.", len(runner.members.members))
         else:
             _LOGGER.warning(
                 "Replica {} is not a member; add it with: chivetrack replica add {}",
@@ -178,44 +183,50 @@
             timing=Timing(),
             random_source=self._random,
         )
-        replica.listen(self._take_notice)
+        replica.listen(self._handle_notification)
         self.replica = replica
-        self.desk.replica = replica
+        self.leader_requests.replica = replica
         loops = [gevent.spawn(self._confirm), gevent.spawn(self._promote)]
         try:
             replica.run()
         finally:
             gevent.killall(loops)
 
-    def _take_notice(self, notice: LeadershipChanged | TransferRefused | ReplicaRegressed) -> None:
-        if isinstance(notice, ReplicaRegressed):
-            _LOGGER.error("Replica {} has lost entries; replace it.", notice.replica_id)
-        if not isinstance(notice, LeadershipChanged):
+    def _handle_notification(
+        self, notification: LeadershipChanged | TransferRefused | ReplicaRegressed
+    ) -> None:
+        if isinstance(notification, ReplicaRegressed):
+            _LOGGER.error(
+                "Replica {} has lost entries of the log; replace it.", notification.replica_id
+            )
+        if not isinstance(notification, LeadershipChanged):
             return
-        leads = notice.role is Role.LEADER
+        leads = notification.role is Role.LEADER
         if leads and not self.is_leader:
-            _LOGGER.info("Leading in term {}.", notice.term)
-            self.desk.clock = ProposerClock(
+            _LOGGER.info("This replica is the leader in term {}.", notification.term)
+            self.leader_requests.clock = ProposerClock(
                 store_time_ms=self._store.time_ms,
                 wall_time_ms=time.time_ns() // 1_000_000,
                 now=time.monotonic(),
             )
         self.is_leader = leads
-        seen = LeadershipSeen(term=notice.term, leader=notice.leader_instance, leads=leads)
-        gevent.spawn(self._post, seen)
+        event = LeadershipSeen(
+            term=notification.term, leader=notification.leader_instance, leads=leads
+        )
+        gevent.spawn(self._post, event)
 
-    def _note_update(self, update: TableUpdate) -> None:
-        # Many entries are applied at a time; one look at the table serves all of them.
+    def _handle_update(self, update: TableUpdate) -> None:
+        # Many entries are applied together; one event is enough for all of them.
         if not self._is_changed:
             self._is_changed = True
-            gevent.spawn(self._tell_change)
+            gevent.spawn(self._post_config_changed)
 
-    def _tell_change(self) -> None:
+    def _post_config_changed(self) -> None:
         self._is_changed = False
         self._post(ConfigChanged())
 
     def _confirm(self) -> None:
-        """On the leader, have a quorum confirm again and again what is in force."""
+        """On the leader, let a quorum confirm the current revision at regular intervals."""
         while True:
             if self.is_leader and self.replica is not None:
                 self._confirm_once(self.replica)
@@ -230,14 +241,17 @@
             self._post(event)
 
     def _promote(self) -> None:
-        """On the leader, let learners vote once they have caught up."""
+        """On the leader, promote learners that have caught up to voters."""
         while True:
             gevent.sleep(PROMOTE_INTERVAL_S)
             if self.is_leader and self.replica is not None:
-                self.desk.promote_learners()
+                self.leader_requests.promote_learners()
+
+    def transfer_leadership(self) -> None:
+        """Transfer leadership to another replica before a stop.
 
-    def hand_over(self) -> None:
-        """Before a stop, hand leadership to another replica."""
+        Waits for at most ``TRANSFER_TIMEOUT_S``.
+        """
         if self.replica is None or not self.is_leader:
             return
         self.replica.transfer_leadership()
@@ -246,6 +260,6 @@
             gevent.sleep(POLL_INTERVAL_S)
 
     def stop(self) -> None:
-        """End the replica's writer."""
+        """Stop the writer of the replica."""
         if self.replica is not None:
             self.replica.stop()
--- a/chivetrack/daemon/resources.py
+++ b/chivetrack/daemon/resources.py
@@ -1,4 +1,4 @@
-"""Connects the resource API with the log, the configuration and the endpoints."""
+"""Connection of the resource API to the log, the configuration and the endpoints."""
 
 import msgspec
 from bottle import Bottle
@@ -24,18 +24,18 @@
 
 
 class ResourceHandler:
-    """Carries the resource API's commands and queries to the leader."""
+    """Submits commands and queries of the resource API to the leader."""
 
     def __init__(self, *, submissions: Submissions, registry: EndpointRegistry) -> None:
-        """Take the way to the log and the observed endpoints."""
+        """Create a handler; ``registry`` provides the observed endpoints."""
         self._submissions = submissions
         self._registry = registry
 
     def submit(self, command: Command) -> Result[Outcome, Fault]:
-        """Have a command committed.
+        """Submit a command and return its outcome after it was committed.
 
-        A command without a request id gets one: it is sent again when an answer is
-        lost, and must not be applied twice then.
+        A command without a request id gets a generated one. A command is resent when an
+        answer is lost, and the request id prevents that it is applied twice.
         """
         if not command.stamp.request_id:
             request_id = GENERATED_REQUEST_ID_PREFIX + self._submissions.make_id()
@@ -49,7 +49,7 @@
         return Ok(outcome)
 
     def read(self, query: Query) -> Result[Answer, Fault]:
-        """Answer a query as of all that was committed by now."""
+        """Answer a query from a state that includes all commands committed before it."""
         result = self._submissions.read(pack(query), timeout_s=READ_TIMEOUT_S)
         if result.is_error():
             return Error(result.error)
@@ -88,18 +88,20 @@
     return ObservedResource(name=endpoint.endpoint_id, spec=spec, status=status)
 
 
-def build_resources_app(*, desk: ResourceHandler, view: ConfigView, operators: KeyRing) -> Bottle:
-    """Return the resource API of an instance."""
+def build_resources_app(
+    *, handler: ResourceHandler, view: ConfigView, operators: KeyRing
+) -> Bottle:
+    """Return the application of the resource API."""
     ports = Ports(
-        submit=desk.submit,
-        read=desk.read,
+        submit=handler.submit,
+        read=handler.read,
         view=view,
         check_operator=lambda token: operators.find_holder(token) is not None,
-        observed={"endpoint": desk.list_endpoints},
+        observed={"endpoint": handler.list_endpoints},
     )
     return build_app(ports)
 
 
 def make_key_ring(keys: tuple[HashedKey, ...]) -> KeyRing:
-    """Return the keys that a listener accepts."""
+    """Return a key ring with the keys that a listener accepts."""
     return KeyRing(holders=[KeyHolder(name=key.name, hash=key.hash) for key in keys])
--- a/chivetrack/daemon/runner.py
+++ b/chivetrack/daemon/runner.py
@@ -1,4 +1,4 @@
-"""Carries events into the decisions and their effects out."""
+"""Event loop that passes events to the decision logic and executes its effects."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol, TypeVar
@@ -13,68 +13,68 @@
 EffectT = TypeVar("EffectT", bound=Effect)
 
 
-class Decisions(Protocol):
-    """What the runner drives."""
+class DecisionLogic(Protocol):
+    """Interface of the decision logic that a runner drives."""
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take an event, return effects."""
+        """Handle an event at time ``now`` (seconds) and return its effects."""
         ...
 
 
 class Runner:
-    """Drives one decision object; only one greenlet is inside it at a time.
+    """Drives one decision logic object; only one greenlet runs inside it at a time.
 
-    The decisions never switch greenlets, so ``post`` needs no lock.
+    The decision logic never switches greenlets, so ``post`` needs no lock.
     """
 
     def __init__(
-        self, *, decisions: Decisions, timers: TimerService, read_clock: Callable[[], float]
+        self, *, decisions: DecisionLogic, timers: TimerService, read_clock: Callable[[], float]
     ) -> None:
-        """Take the decisions, the timer service and a monotonic clock (seconds)."""
+        """Create a runner; ``read_clock`` returns seconds of a monotonic clock."""
         self._decisions = decisions
         self._timers = timers
         self._read_clock = read_clock
         self._handlers: dict[type[Effect], Callable[[Any], None]] = {}
         self._wake_at = float("inf")
-        self._rearmed = Signal()
+        self._wake_changed = Signal()
 
-    def handle_effects(
+    def register_handler(
         self, effect_type: type[EffectT], handler: Callable[[EffectT], None]
     ) -> None:
-        """Have effects of a type, and of its subclasses, carried out by ``handler``."""
+        """Register ``handler`` for the effects of a type and of its subclasses."""
         self._handlers[effect_type] = handler
 
     def post(self, event: Event) -> None:
-        """Hand in an event and carry out what follows from it."""
-        self.carry_out(self._decisions.handle(event, now=self._read_clock()))
+        """Pass an event to the decision logic and execute the resulting effects."""
+        self.execute(self._decisions.handle(event, now=self._read_clock()))
 
-    def carry_out(self, effects: Sequence[Effect]) -> None:
-        """Carry out effects in their order."""
+    def execute(self, effects: Sequence[Effect]) -> None:
+        """Execute effects in order."""
         for effect in effects:
-            self._carry_out(effect)
+            self._execute_one(effect)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute_one(self, effect: Effect) -> None:
         if isinstance(effect, WakeAt):
-            self._arm(effect.at)
+            self._schedule_wake(effect.at)
             return
         for effect_type in type(effect).__mro__:
             handler = self._handlers.get(effect_type)
             if handler is not None:
                 handler(effect)
                 return
-        raise TypeError(f"nobody carries out {type(effect).__name__}")
+        raise TypeError(f"no handler is registered for {type(effect).__name__}")
 
-    def _arm(self, at: float) -> None:
+    def _schedule_wake(self, at: float) -> None:
         if at < self._wake_at:
             self._wake_at = at
-            self._rearmed.set()
+            self._wake_changed.set()
 
     def run(self) -> None:
-        """Hand in the time and call the timers whenever they are due; runs until killed."""
+        """Call due timers and post ``TimeReached`` at each wake-up time; runs until killed."""
         while True:
-            self._rearmed.clear()
-            wait_s = min(self._find_next() - self._read_clock(), MAX_SLEEP_S)
-            if wait_s > 0 and self._rearmed.wait(wait_s):
+            self._wake_changed.clear()
+            wait_s = min(self._find_next_wake() - self._read_clock(), MAX_SLEEP_S)
+            if wait_s > 0 and self._wake_changed.wait(wait_s):
                 continue
             now = self._read_clock()
             self._timers.run_due(now)
@@ -83,10 +83,10 @@
                 self.post(TimeReached())
             gevent.sleep(0)
 
-    def _find_next(self) -> float:
+    def _find_next_wake(self) -> float:
         due = self._timers.find_next()
         return self._wake_at if due is None else min(self._wake_at, due)
 
     def start(self) -> None:
-        """Hand in the time once, which arms the decisions' timers."""
+        """Post ``TimeReached`` once, so that the decision logic schedules its wake-ups."""
         self.post(TimeReached())
--- a/chivetrack/daemon/server.py
+++ b/chivetrack/daemon/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a listener: gevent's, with limits and time limits, typed errors and a stop."""
+"""HTTP server based on gevent, with size limits, timeouts, typed errors and a graceful stop."""
 
 import contextlib
 import socket
@@ -28,15 +28,15 @@
 from chivetrack.helpers.log import get_logger
 
 if TYPE_CHECKING:
-    # Loaded by the one program that has such settings.
+    # Imported at runtime only by the program that has these settings.
     from chivetrack.components.settings.models import LimitSettings
     from chivetrack.helpers.tls import Tls
 
-# The target and the header lines as they were sent; the standard keys of the environment
-# hold a decoded path and joined lines, which can't be passed on unchanged.
+# WSGI environment keys of the raw request target and header lines. The standard keys hold a
+# decoded path and joined lines, which cannot be forwarded unchanged.
 ENVIRON_TARGET = "chivetrack.target"
 ENVIRON_HEADERS = "chivetrack.headers"
-# When the connection was opened, in seconds of the steady clock.
+# Time when the connection was opened, in seconds of the monotonic clock.
 ENVIRON_CONNECTED_AT = "chivetrack.connected_at"
 
 _LOGGER = get_logger("http")
@@ -44,9 +44,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServerLimits:
-    """What one connection may take up; times in seconds.
+    """Limits for one connection; times are in seconds.
 
-    ``idle_timeout_s`` is also how long a caller may leave sent bytes unread.
+    ``idle_timeout_s`` also limits how long a caller may leave sent bytes unread.
     """
 
     max_header_bytes: int = MAX_HEADER_BYTES
@@ -56,18 +56,18 @@
 
 
 def make_server_limits(settings: "LimitSettings") -> ServerLimits:
-    """Return the limits that the settings give."""
+    """Return the limits from the settings."""
     return ServerLimits(
         max_header_bytes=settings.max_header_bytes, max_headers=settings.max_headers
     )
 
 
 class AbortConnectionError(ChivetrackError):
-    """Raised by an application to end a connection without another byte."""
+    """Raised by an application to close a connection without sending another byte."""
 
 
 class _LimitedLines:
-    """The header lines of a request; raises ``FaultError`` over the limits."""
+    """Source of header lines that raises ``FaultError`` when a limit is exceeded."""
 
     def __init__(self, *, source: Any, limits: ServerLimits) -> None:
         self._source = source
@@ -87,7 +87,7 @@
 
 
 class _RequestHandler(WSGIHandler):
-    """Adds the caller's socket, limits, typed errors and closing connections during a stop."""
+    """Request handler with limits, typed errors, the caller's socket and a graceful stop."""
 
     server: "HttpServer"
     is_reading_ended = False
@@ -96,19 +96,20 @@
     def handle(self) -> None:
         """Serve a connection until it is closed."""
         self.connected_at = time.monotonic()
-        # Head and body of an answer are separate packets at times; delayed, the second
-        # waits up to 40 ms for the caller's acknowledgement.
+        # The head and the body of an answer may be separate packets. Without TCP_NODELAY,
+        # the second one waits up to 40 ms for the caller's acknowledgement.
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # A caller that stops reading would hold its engine's stream for ever.
+        # Without a timeout, a caller that stops reading would hold its stream at the engine
+        # forever.
         self.socket.settimeout(self.server.limits.idle_timeout_s)
         super().handle()
 
     def MessageClass(self, *args: Any) -> Any:  # noqa: N802
-        """Read the header lines, within the limits."""
+        """Read the header lines within the limits."""
         return read_headers(_LimitedLines(source=args[0], limits=self.server.limits))
 
     def handle_one_request(self) -> Any:
-        """Serve one request; what the library refuses itself becomes a typed error."""
+        """Serve one request; an error that gevent itself returns becomes a typed error."""
         result = super().handle_one_request()
         if not isinstance(result, tuple):
             return result
@@ -119,25 +120,25 @@
         return None
 
     def read_requestline(self) -> Any:
-        """Wait for the next request; meanwhile the connection is idle."""
-        self.server.idle.add(self)
+        """Wait for the next request; the connection counts as idle during the wait."""
+        self.server.idle_handlers.add(self)
         try:
             return super().read_requestline()
         finally:
-            self.server.idle.discard(self)
+            self.server.idle_handlers.discard(self)
 
     def end_reading(self) -> None:
-        """Take no request after one that is already here.
+        """Stop reading after a request that was already received.
 
-        Done below gevent, whose own shutdown ends the waiting read with an error, although
-        a request may lie there unread.
+        This shuts down the underlying socket, because ``shutdown`` of gevent ends a waiting
+        read with an error even if a received request is still unread.
         """
         self.is_reading_ended = True
         with contextlib.suppress(OSError):
             self.socket._sock.shutdown(socket.SHUT_RD)
 
     def read_request(self, raw_requestline: str) -> Any:
-        """Read the headers; a caller that stalls in them is cut off."""
+        """Read the headers; raise ``FaultError`` if they take too long."""
         timeout = FaultError(faults.headers_timeout(self.server.limits.header_timeout_s))
         with gevent.Timeout(self.server.limits.header_timeout_s, timeout):
             is_read = super().read_request(raw_requestline)
@@ -145,23 +146,24 @@
         return is_read
 
     def _check_framing(self) -> None:
-        # Two lengths, or a coding that the library takes for none: what it would leave
-        # unread of the body would become the next request on this connection.
+        # With several lengths, or with a transfer coding that gevent ignores, part of the
+        # body could stay unread and would be parsed as the next request.
         lengths = self.headers.get_all("content-length")
         coding = self.headers.get("transfer-encoding")
         if len(lengths) > 1 or (coding is not None and coding.lower() != "chunked"):
-            raise FaultError(faults.malformed_body("the length of the body is not clear"))
+            raise FaultError(faults.malformed_body("the length of the body is ambiguous"))
 
     def _handle_client_error(self, ex: Exception) -> tuple[str, bytes]:
-        _LOGGER.debug("Refused what is not a request: {}.", type(ex).__name__)
+        _LOGGER.debug("Refused an invalid request: {}.", type(ex).__name__)
         fault = ex.fault if isinstance(ex, FaultError) else faults.bad_request()
         return str(fault.status), make_raw_error(fault)
 
     def get_environ(self) -> dict[str, Any]:
-        """Return the environment with the socket, which shows a caller that leaves."""
+        """Return the WSGI environment with the socket, for detecting callers that leave."""
         environ: dict[str, Any] = super().get_environ()
-        # Where this side has ended reading, the end says nothing about the caller. Taken for
-        # a caller that has left, the last request of the connection was given up unanswered.
+        # After the server itself has stopped reading, an end of the stream does not mean that
+        # the caller left. It would be mistaken for that, and the last request of the
+        # connection would be abandoned without an answer.
         environ[ENVIRON_SOCKET] = None if self.is_reading_ended else self.socket
         environ[ENVIRON_CONNECTED_AT] = self.connected_at
         environ[ENVIRON_TARGET] = self.path
@@ -169,7 +171,7 @@
         return environ
 
     def run_application(self) -> None:
-        """Run the application; during a stop the connection is closed after it."""
+        """Run the application; during a stop, close the connection afterwards."""
         if self.server.is_closing():
             self.close_connection = True
         try:
@@ -185,11 +187,11 @@
         return bool(body.position < (body.content_length or 0))
 
     def _linger(self) -> None:
-        """Close, but read on for a moment.
+        """Close the connection after reading a limited amount of the remaining request.
 
-        Closed with bytes unread, the connection is reset and the caller may never see
-        the answer. Reading to the end, as the library does, never ends with a caller
-        that sends without end.
+        Closing a connection with unread bytes resets it, and the caller may not receive the
+        answer. Reading to the end, as gevent does, would not terminate if the caller never
+        stops sending.
         """
         self.close_connection = True
         self.wsgi_input = Input(self.rfile, 0)
@@ -203,7 +205,7 @@
                 return
 
     def finalize_headers(self) -> None:
-        """Tell the caller when the connection will not be used again."""
+        """Add ``Connection: close`` if the connection will not be reused."""
         if self.server.is_closing() or self._has_unread_body():
             self.close_connection = True
             self.response_headers.append((b"Connection", b"close"))
@@ -232,21 +234,21 @@
         self._sendall(make_raw_error(fault))
 
     def log_request(self) -> None:
-        """Write no line for each request; the recorder keeps them."""
+        """Log nothing; the recorder keeps the requests."""
 
     def log_error(self, msg: str, *args: Any) -> None:
-        """Write what the library complains about, without the caller's content."""
+        """Log an error of gevent without its text, which may contain data of the caller."""
         _LOGGER.debug("Connection ended early.")
 
     def handle_error(self, t: Any, v: Any, tb: Any) -> None:
-        """End the connection without a traceback on the caller's side.
+        """End the connection without sending a traceback to the caller.
 
-        After the head has been sent the library sends no last chunk, so the caller
-        sees that the answer is not whole.
+        After the head was sent, gevent sends no last chunk, so the caller detects that the
+        answer is incomplete.
         """
         if isinstance(v, AbortConnectionError):
-            # A caller that is leaving may still read; an error that it is sent would look
-            # like the answer to its request.
+            # A caller that has closed its sending side may still read. It would take an
+            # error for the answer to its request.
             self.close_connection = True
             return
         if not isinstance(v, OSError):
@@ -254,13 +256,13 @@
         self._send_error_response_if_possible(500)
 
 
-def _adopt(listener: socket.socket) -> gevent.socket.socket:
-    """Return the same listener with waits that give way to other greenlets."""
+def _make_gevent_listener(listener: socket.socket) -> gevent.socket.socket:
+    """Return the listener as a gevent socket, whose calls do not block other greenlets."""
     return gevent.socket.socket(listener.family, listener.type, fileno=listener.detach())
 
 
 class HttpServer(TlsServerMixin, WSGIServer):
-    """A WSGI server whose connections close once ``is_closing`` says so."""
+    """WSGI server whose connections close after their request once ``is_closing`` is true."""
 
     def __init__(
         self,
@@ -272,13 +274,14 @@
         limits: ServerLimits | None = None,
         listener: socket.socket | None = None,
     ) -> None:
-        """Bind at ``start``; ``tls`` makes every connection encrypted.
+        """Create a server that binds ``address`` at ``start``.
 
-        A ``listener`` that listens at ``address`` already is taken over.
+        With ``tls`` all connections are encrypted. A ``listener`` that already listens at
+        ``address`` is used instead of a new one.
         """
         options: dict[str, Any] = {} if tls is None else {"ssl_context": tls}
         super().__init__(
-            address if listener is None else _adopt(listener),
+            address if listener is None else _make_gevent_listener(listener),
             application,
             backlog=BACKLOG if listener is None else None,
             handler_class=_RequestHandler,
@@ -288,12 +291,13 @@
         )
         self.is_closing = is_closing
         self.limits = limits or ServerLimits()
-        self.idle: set[Any] = set()
+        self.idle_handlers: set[Any] = set()
 
     def close_idle(self) -> None:
-        """End the connections on which no request is waited for or being read.
+        """Close the connections that wait for their next request.
 
-        Only reading ends: a request that is already here is still read and answered.
+        Only the reading side is shut down, so a request that was already received is still
+        read and answered.
         """
-        for handler in list(self.idle):
+        for handler in list(self.idle_handlers):
             handler.end_reading()
--- a/chivetrack/daemon/stop.py
+++ b/chivetrack/daemon/stop.py
@@ -1,4 +1,4 @@
-"""A graceful stop: unready, settle, finish what is in flight, then end."""
+"""Graceful stop: report not ready, settle, finish the requests in flight, then end."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,11 @@
 
 
 class Phase(StrEnum):
-    """How far the stop has got."""
+    """Phase of the stop.
+
+    During ``SETTLING`` the instance is reported as not ready but accepts connections, and
+    during ``FINISHING`` it finishes the requests in flight.
+    """
 
     RUNNING = "running"
     SETTLING = "settling"
@@ -24,16 +28,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StopReport:
-    """What a stop cut off; nothing when it was graceful."""
+    """Result of a stop; ``cut`` is the number of requests that were cut off."""
 
     cut: int
 
 
 class GracefulStop:
-    """Runs the stop; a second signal or the deadline ends it at once.
+    """Runs the stop; a second signal or the deadline ends it immediately.
 
-    The listener stays open while the balancer may still send: closing it first would
-    refuse requests that were sent in good faith to a ready instance.
+    The listener stays open while the load balancer may still send requests. Closing it
+    earlier would refuse requests that were sent before the load balancer saw that the
+    instance is not ready.
     """
 
     def __init__(
@@ -45,13 +50,17 @@
         close_listeners: Callable[[], None],
         read_clock: Callable[[], float],
     ) -> None:
-        """Take the times in seconds and what is to be waited for."""
+        """Create a stop; ``count_open`` returns the number of open requests.
+
+        ``settle_s`` is the time between not ready and the close of the listeners, and
+        ``deadline_s`` the longest duration of the stop, both in seconds.
+        """
         self._settle_s = settle_s
         self._deadline_s = deadline_s
         self._count_open = count_open
         self._close_listeners = close_listeners
         self._read_clock = read_clock
-        self._asked = Signal()
+        self._requested = Signal()
         self._forced = Signal()
         self.phase = Phase.RUNNING
 
@@ -60,18 +69,18 @@
         """Return whether a stop has begun."""
         return self.phase is not Phase.RUNNING
 
-    def ask(self) -> None:
-        """Take a signal: the first one begins the stop, the second one ends it."""
-        if self._asked.is_set():
+    def request(self) -> None:
+        """Request a stop; the first call begins the stop, the second call ends it."""
+        if self._requested.is_set():
             self._forced.set()
-        self._asked.set()
+        self._requested.set()
 
     def wait(self) -> StopReport:
-        """Wait until a stop is asked for, carry it out and tell what was cut."""
-        self._asked.wait()
+        """Wait until a stop is requested, run it and return its report."""
+        self._requested.wait()
         ends_at = self._read_clock() + self._deadline_s
         self.phase = Phase.SETTLING
-        _LOGGER.info("Stopping: not ready, settling for {} s.", self._settle_s)
+        _LOGGER.info("Stopping: reported as not ready, settling for {} s.", self._settle_s)
         self._forced.wait(min(self._settle_s, self._deadline_s))
         self.phase = Phase.FINISHING
         self._close_listeners()
--- a/chivetrack/daemon/submissions.py
+++ b/chivetrack/daemon/submissions.py
@@ -1,4 +1,4 @@
-"""Lets a greenlet wait for a command or a confirmed read."""
+"""Blocking submission of commands and confirmed reads from a greenlet."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class Submissions:
-    """Posts submissions and hands each its end."""
+    """Posts submissions and returns the result of each to its greenlet."""
 
     def __init__(
         self,
@@ -22,21 +22,21 @@
         read_clock: Callable[[], float],
         make_id: Callable[[], str],
     ) -> None:
-        """Take the decisions' entry, the clock and the source of ids."""
+        """Store how to post events, read the clock (seconds) and create ids."""
         self._post = post
         self._read_clock = read_clock
         self.make_id = make_id
         self._waiting: dict[str, AsyncResult] = {}
 
     def submit(self, data: bytes, *, timeout_s: float) -> Result[bytes, Fault]:
-        """Bring a command to the log and return its outcome's bytes."""
+        """Submit a command to the log and return the bytes of its outcome."""
         submission_id = SUBMISSION_PREFIX + self.make_id()
         deadline = self._read_clock() + timeout_s
         ended = self._wait(Submit(submission_id=submission_id, data=data, deadline=deadline))
         return Ok(ended.result) if ended.fault is None else Error(ended.fault)
 
     def read(self, data: bytes, *, timeout_s: float) -> Result[SubmissionEnded, Fault]:
-        """Return the newest revision, confirmed by a quorum, and a query's answer."""
+        """Run a query; return its answer and the newest revision confirmed by a quorum."""
         submission_id = SUBMISSION_PREFIX + self.make_id()
         deadline = self._read_clock() + timeout_s
         submission = SubmitRead(submission_id=submission_id, deadline=deadline, data=data)
@@ -52,8 +52,8 @@
         finally:
             del self._waiting[submission.submission_id]
 
-    def take_end(self, ended: SubmissionEnded) -> None:
-        """Wake the greenlet that waits for this submission, if one does."""
+    def handle_end(self, ended: SubmissionEnded) -> None:
+        """Wake the greenlet that waits for this submission; ignore an unknown one."""
         waiter = self._waiting.get(ended.submission_id)
         if waiter is not None:
             waiter.set(ended)
--- a/tests/daemon/test_server.py
+++ b/tests/daemon/test_server.py
@@ -1,4 +1,4 @@
-"""Slow and greedy callers at the HTTP server, over loopback with short limits."""
+"""Tests for the HTTP server with slow and excessive callers, over loopback."""
 
 import json
 import socket as stdlib_socket
@@ -24,17 +24,17 @@
 
 
 class EndlessBody:
-    """A stream without end that counts what is taken of it."""
+    """An endless stream that counts the chunks that were read from it."""
 
     def __init__(self) -> None:
-        self.taken = 0
+        self.chunks_read = 0
         self.closed = Event()
 
     def __iter__(self) -> Iterator[bytes]:
         return self
 
     def __next__(self) -> bytes:
-        self.taken += 1
+        self.chunks_read += 1
         return CHUNK
 
     def close(self) -> None:
@@ -85,10 +85,10 @@
 
 class EarlyListenerTest(unittest.TestCase):
     def test_request_that_came_before_the_server(self) -> None:
-        """A caller connects and sends its request before the server is built.
+        """A caller connects and sends its request before the server is created.
 
-        The connection waits in the listener's queue, and the server that takes the listener
-        over answers it. Were the address bound anew, the connection would be reset.
+        The connection waits in the queue of the listener, and the server that uses this
+        listener answers it. If the address was bound again, the connection would be reset.
         """
         listener = stdlib_socket.create_server(("127.0.0.1", 0))
         address = listener.getsockname()
@@ -114,10 +114,10 @@
 
 class AbortedAnswerTest(ServerCase):
     def test_aborted_request_gets_no_byte(self) -> None:
-        """A caller half closes its connection and reads on; its request is given up.
+        """A caller half closes its connection and keeps reading; its request is abandoned.
 
-        An error of the server's own was sent to it then, although nobody had failed. An
-        application that ends the connection sends nothing at all.
+        The server used to send an error of its own, although no part had failed. When an
+        application aborts the connection, no byte must be sent.
         """
 
         def abort(environ: Any, start_response: Any) -> Any:
@@ -143,11 +143,11 @@
 
 class ClosedIdleTest(ServerCase):
     def test_request_that_crosses_the_close_of_an_idle_connection(self) -> None:
-        """A router stops and ends its idle connections; one has just got a request.
+        """A router stops and closes its idle connections; one has just received a request.
 
-        The request is read and sent on. The end of the router's own reading looked like a
-        caller that had left: the request was given up and its connection closed without
-        an answer.
+        The request must be read and answered. The end of reading on the side of the router
+        used to look like a caller that had left, so the request was abandoned and its
+        connection closed without an answer.
         """
 
         def answer(environ: Any, start_response: Any) -> Any:
@@ -167,8 +167,8 @@
 
 
 class SlowCallerTest(ServerCase):
-    def test_headers_and_bodies_that_do_not_arrive(self) -> None:
-        """A caller begins a request and stops; it must not hold its place for ever."""
+    def test_incomplete_headers_and_bodies(self) -> None:
+        """A caller stops sending in a request; it must not occupy a connection forever."""
         head = b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
         table = [
             ("headers", head, "headers_timeout"),
@@ -183,10 +183,10 @@
                 self.assertEqual((error["code"], error["ran"]), (code, "no"))
 
     def test_caller_that_sends_without_end(self) -> None:
-        """A caller announces a body over the limit and sends on and on.
+        """A caller announces a body over the limit and never stops sending.
 
-        It is refused at once; read to its end, as the library does, the body would
-        take a greenlet and the network for as long as the caller likes.
+        The request must be refused immediately. Reading the body to its end, as gevent
+        does, would occupy a greenlet and the network for as long as the caller sends.
         """
         connection = self.serve_callers()
         connection.sendall(
@@ -199,10 +199,10 @@
                 gevent.sleep(0)
 
     def test_caller_that_does_not_read(self) -> None:
-        """A caller asks for a long stream and reads none of it.
+        """A caller requests a long stream and reads none of it.
 
-        What is taken from the engine stays bounded by the connection's buffers, and
-        after the idle time the stream is closed, which cancels it at the engine.
+        The amount read from the engine must stay bounded by the buffers of the connection.
+        After the idle timeout the stream is closed, which cancels it at the engine.
         """
         body = EndlessBody()
 
@@ -213,15 +213,15 @@
         connection = self.serve(application)
         connection.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertTrue(body.closed.wait(10))
-        self.assertLess(body.taken * len(CHUNK), 64 * 1024 * 1024)
+        self.assertLess(body.chunks_read * len(CHUNK), 64 * 1024 * 1024)
 
 
 class HeaderTest(ServerCase):
-    def test_headers_that_could_be_read_in_two_ways(self) -> None:
-        """A caller sends a line that other readers take for a header and some do not.
+    def test_ambiguous_headers(self) -> None:
+        """A caller sends a header line that parsers interpret in different ways.
 
-        If the length is lost with it, the body is taken for the caller's next request,
-        and through a balancer that shares connections its answer is another caller's.
+        If the Content-Length is lost with it, the body is read as the next request. Behind
+        a load balancer that shares connections, its answer would go to another caller.
         """
         hidden = b"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n"
         length = b"Content-Length: %d\r\n" % len(hidden)
@@ -243,8 +243,8 @@
 
 
 class FullInstanceTest(ServerCase):
-    def test_over_the_limit_nothing_is_run(self) -> None:
-        """A surge fills an instance; one more is refused at once, and may come back."""
+    def test_request_over_the_limit_is_refused(self) -> None:
+        """A request over the limit of open requests is refused immediately with Retry-After."""
         connection = self.serve_callers(max_open=0)
         connection.sendall(
             b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
