--- a/chivetrack/assembly.py
+++ b/chivetrack/assembly.py
@@ -1,6 +1,6 @@
-"""Puts the decision components of one router together, without any I/O.
+"""Assembly of the decision components of one router, without any I/O.
 
-A daemon, a test or a bench calls ``assemble_router`` and drives ``Router.node``.
+A daemon, a test or a benchmark calls ``assemble_router`` and drives ``Router.node``.
 """
 
 from collections.abc import Callable, Sequence
@@ -60,9 +60,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouterIdentity:
-    """Who a router is and where the others reach it.
+    """Identity of a router and its address for other instances.
 
-    ``incarnation`` must rise with every start of the process.
+    ``incarnation`` must increase with every start of the process.
     """
 
     instance_id: str
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouterOptions:
-    """What may differ between routers; ``replicas`` are instance ids."""
+    """Options of a router; ``replicas`` are the instance ids of the replicas."""
 
     replicas: Sequence[str]
     seeds: Sequence[Seed]
@@ -87,7 +87,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Router:
-    """The decision components of one router; everything enters through ``node``."""
+    """Decision components of one router; all events are passed to ``node``.
+
+    ``end_listeners`` are called with the exchange, the fault (``None`` on success) and the
+    time in seconds when a request has ended.
+    """
 
     node: RouterNode
     flow: RequestFlow
@@ -104,10 +108,10 @@
 
 
 class _DispatchRecorder:
-    """Counts requests in flight, and tells the circuit breakers of each attempt.
+    """Counts requests in flight and records each attempt for the circuit breakers.
 
-    A breaker that is half open lets one request through; without this word of it,
-    all that come before its answer would follow.
+    A half-open circuit breaker admits one request. If the start of that attempt was not
+    recorded, all requests that arrive before its answer would be admitted as well.
     """
 
     def __init__(self, *, load: LoadExchange, registry: EndpointRegistry) -> None:
@@ -135,14 +139,15 @@
     now: float,
     is_replica: bool,
 ) -> ControllerHost:
-    """Return the controllers of an instance; only replicas run any.
+    """Return the controllers of an instance; only replicas run controllers.
 
-    Each standby asks for its leases by entries of the log, so few instances should.
+    Each standby requests its leases with entries of the log, so only few instances should
+    be standbys.
     """
     if not is_replica:
         return ControllerHost(runners=(), proposals=proposals)
 
-    def list_states(at: float) -> list[InstanceState]:
+    def list_instance_states(at: float) -> list[InstanceState]:
         return [
             InstanceState(
                 instance_id=each.instance_id, is_ready=each.status is InstanceStatus.ALIVE
@@ -151,13 +156,13 @@
         ]
 
     observer = FleetObserver(
-        registry=registry, load=load, list_instances=list_states, to_wall_ms=to_wall_ms
+        registry=registry, load=load, list_instances=list_instance_states, to_wall_ms=to_wall_ms
     )
     table = configuration.view.table
-    run = f"{identity.instance_id}/{identity.incarnation}"
+    instance_run = f"{identity.instance_id}/{identity.incarnation}"
     loop = ControllerLoop(
         controller=DrainController(table=table, observer=observer),
-        lease=LeaseHolder(name=DRAIN_CONTROLLER, instance_run=run, random=random_source),
+        lease=LeaseHolder(name=DRAIN_CONTROLLER, instance_run=instance_run, random=random_source),
         get_revision=lambda: table.revision,
         random=random_source,
         started_at=now,
@@ -174,9 +179,10 @@
     now: float,
     store_table: ResourceTable | None = None,
 ) -> Router:
-    """Return a router at time ``now``; on a replica ``store_table`` is the store's.
+    """Return a router that starts at time ``now`` (seconds of a monotonic clock).
 
-    ``to_wall_ms`` maps the clock of ``now`` to milliseconds since 1970.
+    On a replica, ``store_table`` is the resource table of its store. ``to_wall_ms`` converts
+    a time of the clock of ``now`` to milliseconds since 1970.
     """
     gossip = Gossip(
         instance_id=identity.instance_id,
@@ -237,7 +243,7 @@
         is_good = outcome in (AttemptOutcome.RAN, AttemptOutcome.REFUSED)
         registry.record_outcome(attempt.endpoint_id, is_good, kind, at)
 
-    def tell_end(exchange: Exchange, fault: Fault | None, at: float) -> None:
+    def notify_end_listeners(exchange: Exchange, fault: Fault | None, at: float) -> None:
         for listener in end_listeners:
             listener(exchange, fault, at)
 
@@ -246,7 +252,7 @@
         retries=retries,
         route_position=list(options.filter_order).index("route"),
         on_outcome=record_outcome,
-        on_end=tell_end,
+        on_end=notify_end_listeners,
     )
     claims = ClaimKeeper(
         make_holder=lambda request_id: (
@@ -254,7 +260,7 @@
         ),
         to_wall_ms=to_wall_ms,
     )
-    leader_news = LeaderNews(
+    leader_gossip = LeaderNews(
         instance_id=identity.instance_id,
         gossip=gossip,
         configuration=configuration,
@@ -294,7 +300,7 @@
             gossip,
             registry,
             configuration,
-            leader_news,
+            leader_gossip,
             roster,
             enforcement,
         ),
--- a/chivetrack/node.py
+++ b/chivetrack/node.py
@@ -1,8 +1,8 @@
-"""One router instance as decisions: every event enters here, every effect leaves here.
+"""Decision logic of one router instance: events in, effects out, without any I/O.
 
-This is the door for a daemon, a test or a bench: hand in an event and the time, carry
-out the effects. Instances, time, messages and requests may be the driver's own. There
-are no globals; two nodes in one process share nothing.
+The driver (a daemon, a test or a benchmark) passes each event with the time and executes
+the returned effects. Instances, time, messages and requests may be simulated by the
+driver. There is no global state, so several nodes in one process are independent.
 """
 
 import math
@@ -18,21 +18,22 @@
 from chivetrack.components.proposals.models import SubmissionEnded, Submit, SubmitRead
 from chivetrack.core import Component, Effect, Event, TimeReached, WakeAt
 
-# Ten components that each wake at times of their own would run one another dozens of
-# times a second; on a common grid they wake together.
+# Wake-up times are rounded up to multiples of this interval. Each wake-up runs all of the
+# about ten components, so separate wake-up times would run them dozens of times per second.
 WAKE_GRID_S = 0.05
 
 
-def _round_up(at: float) -> float:
+def _round_up_to_grid(at: float) -> float:
     return math.ceil(at / WAKE_GRID_S) * WAKE_GRID_S
 
 
 class RouterNode:
     """Composes the decision components of one router.
 
-    ``handle`` takes any event of the components. Effects that concern only other
-    components (claims, submissions, turns in the queue) are followed inside; the rest are the
-    driver's: messages, attempts, final answers, ended submissions and one ``WakeAt``.
+    ``handle`` accepts the events of all components. Effects that concern only other
+    components (claims, submissions, exits from the queue) are executed inside. All others
+    are returned to the driver: messages, attempts, final answers, ended submissions and one
+    ``WakeAt``.
     """
 
     def __init__(
@@ -45,7 +46,10 @@
         controllers: ControllerHost,
         components: Sequence[Component],
     ) -> None:
-        """Take the parts; ``components`` get every message and every tick."""
+        """Compose the parts; ``components`` receive all events except those on requests.
+
+        Events on requests go to ``flow``, and submissions go to ``proposals``.
+        """
         self._flow = flow
         self._proposals = proposals
         self._claims = claims
@@ -59,16 +63,16 @@
         )
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take one event at time ``now`` (seconds, never going back)."""
+        """Handle one event at time ``now`` (seconds, non-decreasing) and return its effects."""
         waiting = deque(self._dispatch(event, now))
         effects: list[Effect] = []
         wake_at = float("inf")
-        while waiting or self._give_turns(waiting, now):
+        while waiting or self._continue_dequeued(waiting, now):
             effect = waiting.popleft()
             if isinstance(effect, WakeAt):
                 wake_at = min(wake_at, effect.at)
             elif isinstance(effect, AskClaim | EndClaim | SubmissionEnded):
-                waiting.extend(self._follow(effect, now))
+                waiting.extend(self._execute_internal(effect, now))
                 if isinstance(effect, SubmissionEnded):
                     effects.append(effect)
             else:
@@ -76,13 +80,13 @@
         due = self._admission.find_due(now)
         wake_at = wake_at if due is None else min(wake_at, due)
         if wake_at != float("inf"):
-            effects.append(WakeAt(at=_round_up(wake_at)))
+            effects.append(WakeAt(at=_round_up_to_grid(wake_at)))
         return effects
 
-    def _give_turns(self, waiting: deque[Effect], now: float) -> bool:
-        """Let requests on whose turn in the queue has come; tell whether anything follows."""
-        for turn in self._admission.take_turns():
-            waiting.extend(self._flow.handle(turn, now=now))
+    def _continue_dequeued(self, waiting: deque[Effect], now: float) -> bool:
+        """Continue requests that left the queue; return whether effects are waiting."""
+        for queue_exit in self._admission.take_turns():
+            waiting.extend(self._flow.handle(queue_exit, now=now))
         return bool(waiting)
 
     def _dispatch(self, event: Event, now: float) -> list[Effect]:
@@ -95,31 +99,31 @@
             effects.extend(component.handle(event, now=now))
         return effects
 
-    def _follow(self, effect: Effect, now: float) -> list[Effect]:
+    def _execute_internal(self, effect: Effect, now: float) -> list[Effect]:
         if isinstance(effect, AskClaim):
             return self._proposals.handle(self._claims.ask(effect, now=now), now=now)
         if isinstance(effect, EndClaim):
             report = self._claims.end(effect, now=now)
             return [] if report is None else self._proposals.handle(report, now=now)
         assert isinstance(effect, SubmissionEnded)
-        return self._follow_submission(effect, now)
+        return self._handle_submission_ended(effect, now)
 
-    def _follow_submission(self, ended: SubmissionEnded, now: float) -> list[Effect]:
+    def _handle_submission_ended(self, ended: SubmissionEnded, now: float) -> list[Effect]:
         effects = self._controllers.take_end(ended, now=now)
         if self._claims.needs_cleanup(ended):
             clean_up = self._claims.clean_up(ended, now=now)
             effects.extend(self._proposals.handle(clean_up, now=now))
-        following = self._claims.take_end(ended, now=now)
-        if isinstance(following, Submit):
-            effects.extend(self._proposals.handle(following, now=now))
-        elif following is not None:
-            effects.extend(self._flow.handle(following, now=now))
+        next_step = self._claims.take_end(ended, now=now)
+        if isinstance(next_step, Submit):
+            effects.extend(self._proposals.handle(next_step, now=now))
+        elif next_step is not None:
+            effects.extend(self._flow.handle(next_step, now=now))
         return effects
 
     def release_leases(self, *, now: float) -> list[Effect]:
-        """Give the controllers' leases back, before an orderly stop."""
+        """Release the leases of the controllers before a graceful stop."""
         return self._controllers.release(now=now)
 
     def start(self, *, now: float) -> list[Effect]:
-        """Begin: the first tick, which arms all timers."""
+        """Handle the first ``TimeReached``, so that all components schedule their wake-ups."""
         return self.handle(TimeReached(), now=now)
