--- a/chivetrack/components/upstream/connection.py
+++ b/chivetrack/components/upstream/connection.py
@@ -72,12 +72,12 @@
                 break
             self._buffer += data
         end = self._buffer.find(b"\n") + 1 or len(self._buffer)
-        return self._take(end if limit < 0 else min(end, limit))
+        return self._read_buffered(end if limit < 0 else min(end, limit))
 
     def read1(self, size: int) -> bytes:
-        return self._take(size) if self._buffer else self._socket.recv(size)
+        return self._read_buffered(size) if self._buffer else self._socket.recv(size)
 
-    def _take(self, size: int) -> bytes:
+    def _read_buffered(self, size: int) -> bytes:
         data, self._buffer = self._buffer[:size], self._buffer[size:]
         return data
 
--- a/chivetrack/daemon/__main__.py
+++ b/chivetrack/daemon/__main__.py
@@ -68,11 +68,11 @@
         ) as telemetry,
     ):
         try:
-            running = Instance(settings=settings, telemetry=telemetry, encryption=encryption.ok)
+            daemon = Instance(settings=settings, telemetry=telemetry, encryption=encryption.ok)
         except (OSError, RuntimeError) as error:
             _LOGGER.error("Cannot start: {}.", error)
             return EXIT_START
-        report = running.run()
+        report = daemon.run()
     return EXIT_CUT if report.cut else EXIT_OK
 
 
--- a/tests/components/upstream/test_chunks.py
+++ b/tests/components/upstream/test_chunks.py
@@ -18,7 +18,7 @@
 
 
 class ChunkDecoderTest(unittest.TestCase):
-    def test_any_cuts_give_the_same_body(self) -> None:
+    def test_any_split_gives_the_same_body(self) -> None:
         """A stream is split at random positions, also inside a size or a line end.
 
         The decoded body equals the original, and the end is reported exactly with the
--- a/tests/components/upstream/test_client.py
+++ b/tests/components/upstream/test_client.py
@@ -58,7 +58,7 @@
                 if outcome is AttemptOutcome.REFUSED:
                     self.assertEqual(result.error.retry_after_s, 7.0)
 
-    def test_nobody_listens(self) -> None:
+    def test_connection_is_refused(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as unused_socket:
             address = f"http://127.0.0.1:{unused_socket.getsockname()[1]}"
         result = UpstreamClient().send(make_request(address))
