--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -1,4 +1,4 @@
-"""Carries out what the request flow decides, for one caller after another."""
+"""Executes the effects of the request flow on behalf of callers."""
 
 from collections.abc import Callable, Iterator, Mapping
 from contextlib import ExitStack
@@ -8,13 +8,13 @@
 from opentelemetry.trace import SpanKind
 
 from chivetrack.components.caller_api.const import (
-    DEFAULT_MAX_OPEN,
-    FULL_RETRY_AFTER_S,
+    DEFAULT_MAX_OPEN_REQUESTS,
     HEADER_ENDPOINT,
     HEADER_REQUEST_ID,
-    STORED_ANSWER_LIMIT,
+    MAX_BUFFERED_ANSWER_BYTES,
+    MAX_STORED_ANSWER_BYTES,
+    OVERLOAD_RETRY_AFTER_S,
     STREAM_TYPE,
-    WHOLE_ANSWER_LIMIT,
 )
 from chivetrack.components.caller_api.relay import RelayBody
 from chivetrack.components.pipeline import faults
@@ -37,7 +37,7 @@
 from chivetrack.components.upstream.const import (
     ATTEMPT_HEADER,
     DEADLINE_HEADER,
-    HOP_BY_HOP,
+    NOT_FORWARDED_HEADERS,
     PRIORITY_HEADER,
 )
 from chivetrack.components.upstream.models import (
@@ -49,14 +49,14 @@
 from chivetrack.exceptions import Fault
 from chivetrack.helpers.telemetry import Hop, Telemetry, extract_context
 
-# A request waits longer than this only for what has a deadline of its own.
+# Longest wait for the first attempt; afterwards the deadline of the attempt applies.
 WAIT_LIMIT_S = 3600.0
 _ANSWER_HEADERS = ("content-type", "content-length", "retry-after", "cache-control", "etag")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GatewayAnswer:
-    """What goes to the caller: an answer, or the fault that stands for one."""
+    """The answer to a caller, or the fault that replaces it."""
 
     request_id: str
     status: int = 0
@@ -66,29 +66,33 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Conversation:
-    """One caller's wait for its answer."""
+class _PendingRequest:
+    """State of a request whose answer is not complete.
+
+    ``mailbox`` receives the effects of the request, ``hops`` holds the open trace spans,
+    and ``last_start`` is the newest attempt.
+    """
 
     request_id: str
     mailbox: SimpleQueue
-    begun_at: float
+    started_at: float
     deadline: float
     hops: ExitStack
     hop: Hop
     answer: UpstreamAnswer | None = None
-    started: StartAttempt | None = None
+    last_start: StartAttempt | None = None
 
     @property
     def attempt_number(self) -> int:
-        """Return the number of the newest attempt, 0 before the first."""
-        return 0 if self.started is None else self.started.attempt.number
+        """Return the number of the newest attempt, or 0 before the first one."""
+        return 0 if self.last_start is None else self.last_start.attempt.number
 
 
 class Gateway:
-    """Runs each request in the greenlet of its caller.
+    """Processes each request in the greenlet of its caller.
 
-    ``post`` hands an event to the decisions, whose effects on requests come back
-    by ``take_effect``.
+    ``post`` sends an event to the decision logic. The effects on requests that result
+    from it arrive through ``handle_effect``.
     """
 
     def __init__(
@@ -99,9 +103,13 @@
         telemetry: Telemetry,
         read_clock: Callable[[], float],
         make_id: Callable[[], str],
-        max_open: int = DEFAULT_MAX_OPEN,
+        max_open: int = DEFAULT_MAX_OPEN_REQUESTS,
     ) -> None:
-        """Take the decisions' entry, the client, telemetry, the clock and a source of ids."""
+        """Create a gateway that has at most ``max_open`` requests open at a time.
+
+        ``read_clock`` returns seconds of a monotonic clock; ``make_id`` returns a new
+        request id.
+        """
         self._max_open = max_open
         self._tracer = telemetry.tracer
         self._instruments = telemetry.instruments
@@ -113,89 +121,90 @@
 
     @property
     def open_count(self) -> int:
-        """Return how many callers wait for an answer or are receiving one."""
+        """Return the number of requests that wait for an answer or are receiving one."""
         return len(self._mailboxes)
 
-    def take_effect(self, effect: RequestEffect) -> None:
-        """Hand an effect to the greenlet of its request."""
+    def handle_effect(self, effect: RequestEffect) -> None:
+        """Forward an effect to the greenlet of its request; ignore a finished request."""
         mailbox = self._mailboxes.get(effect.request_id)
         if mailbox is not None:
             mailbox.put(effect)
 
     def serve(self, request: CallerRequest) -> GatewayAnswer:
-        """Bring a request to its end, or to the first chunk of a streamed answer."""
-        # Without a bound a surge would take the memory that open streams need.
+        """Process a request up to its answer, or the first chunk of a streamed answer."""
+        # Without this limit, a surge of requests would exhaust the memory that open
+        # streams need.
         if self.open_count >= self._max_open:
-            fault = faults.too_many_requests(self._max_open, FULL_RETRY_AFTER_S)
+            fault = faults.too_many_requests(self._max_open, OVERLOAD_RETRY_AFTER_S)
             return GatewayAnswer(request_id=self._make_id(), fault=fault)
-        conversation = self._open(request)
-        headers = {**request.headers, **conversation.hop.write_headers()}
+        pending = self._open(request)
+        headers = {**request.headers, **pending.hop.write_headers()}
         request = replace(request, headers=headers)
-        request_id = conversation.request_id
-        keep = False
+        request_id = pending.request_id
+        stays_open = False
         try:
             self._post(RequestArrived(request_id=request_id, request=request))
-            answer = self._follow(conversation)
-            keep = isinstance(answer.body, RelayBody)
+            answer = self._execute_effects(pending)
+            stays_open = isinstance(answer.body, RelayBody)
             if answer.fault is not None:
-                conversation.hop.fail(answer.fault.code)
+                pending.hop.fail(answer.fault.code)
             return answer
         except BaseException:
             self._post(CallerGone(request_id=request_id))
-            if conversation.answer is not None:
-                conversation.answer.cancel()
+            if pending.answer is not None:
+                pending.answer.cancel()
             raise
         finally:
-            if not keep:
-                self._close(conversation)
+            if not stays_open:
+                self._close(pending)
 
-    def _open(self, request: CallerRequest) -> _Conversation:
+    def _open(self, request: CallerRequest) -> _PendingRequest:
         hops = ExitStack()
         parent = extract_context(request.headers)
         hop = hops.enter_context(
             self._tracer.open_hop("request", parent=parent, kind=SpanKind.SERVER)
         )
         now = self._read_clock()
-        conversation = _Conversation(
+        pending = _PendingRequest(
             request_id=self._make_id(),
             mailbox=SimpleQueue(),
-            begun_at=now,
+            started_at=now,
             deadline=now + WAIT_LIMIT_S,
             hops=hops,
             hop=hop,
         )
-        hop.set_attribute("request.id", conversation.request_id)
-        self._mailboxes[conversation.request_id] = conversation.mailbox
+        hop.set_attribute("request.id", pending.request_id)
+        self._mailboxes[pending.request_id] = pending.mailbox
         self._instruments.change_in_flight(1)
-        return conversation
+        return pending
 
-    def _close(self, conversation: _Conversation) -> None:
-        if self._mailboxes.pop(conversation.request_id, None) is None:
+    def _close(self, pending: _PendingRequest) -> None:
+        if self._mailboxes.pop(pending.request_id, None) is None:
             return
         self._instruments.change_in_flight(-1)
-        conversation.hops.close()
+        pending.hops.close()
 
-    def _follow(self, conversation: _Conversation) -> GatewayAnswer:
+    def _execute_effects(self, pending: _PendingRequest) -> GatewayAnswer:
         while True:
-            effect = self._wait(conversation)
+            effect = self._wait_for_effect(pending)
             if isinstance(effect, Refuse):
-                return GatewayAnswer(request_id=conversation.request_id, fault=effect.fault)
+                return GatewayAnswer(request_id=pending.request_id, fault=effect.fault)
             if isinstance(effect, ReplayAnswer):
                 return self._replay(effect)
             if isinstance(effect, StartAttempt):
-                self._start(conversation, effect)
+                self._start_attempt(pending, effect)
             elif isinstance(effect, RelayAnswer):
-                answer = self._relay(conversation)
+                answer = self._relay_answer(pending)
                 if answer is not None:
                     return answer
 
-    def _wait(self, conversation: _Conversation) -> RequestEffect:
+    def _wait_for_effect(self, pending: _PendingRequest) -> RequestEffect:
         try:
-            remaining = max(0.0, conversation.deadline - self._read_clock())
-            return conversation.mailbox.get(timeout=remaining)
+            remaining = max(0.0, pending.deadline - self._read_clock())
+            return pending.mailbox.get(timeout=remaining)
         except Empty:
-            self._post(DeadlineReached(request_id=conversation.request_id))
-            return conversation.mailbox.get()
+            self._post(DeadlineReached(request_id=pending.request_id))
+            return pending.mailbox.get()
 
     def _replay(self, effect: ReplayAnswer) -> GatewayAnswer:
         headers = {
@@ -210,16 +219,16 @@
             body=effect.answer.body,
         )
 
-    def _start(self, conversation: _Conversation, effect: StartAttempt) -> None:
-        if conversation.answer is not None:
-            conversation.answer.cancel()
-            conversation.answer = None
-        conversation.started = effect
-        conversation.deadline = effect.exchange.deadline
-        hop = conversation.hops.enter_context(
+    def _start_attempt(self, pending: _PendingRequest, effect: StartAttempt) -> None:
+        if pending.answer is not None:
+            pending.answer.cancel()
+            pending.answer = None
+        pending.last_start = effect
+        pending.deadline = effect.exchange.deadline
+        hop = pending.hops.enter_context(
             self._tracer.open_hop(
                 "attempt",
-                parent=conversation.hop.context,
+                parent=pending.hop.context,
                 kind=SpanKind.CLIENT,
                 attributes={"endpoint.id": effect.attempt.endpoint_id},
             )
@@ -238,7 +247,7 @@
                 )
             )
             return
-        conversation.answer = result.ok
+        pending.answer = result.ok
         self._post(
             AttemptAnswered(
                 request_id=effect.request_id,
@@ -247,19 +256,19 @@
             )
         )
 
-    def _relay(self, conversation: _Conversation) -> GatewayAnswer | None:
-        answer = conversation.answer
+    def _relay_answer(self, pending: _PendingRequest) -> GatewayAnswer | None:
+        answer = pending.answer
         assert answer is not None
         try:
             if self._is_small(answer):
-                return self._relay_whole(conversation, answer)
-            return self._relay_stream(conversation, answer)
+                return self._relay_buffered(pending, answer)
+            return self._relay_stream(pending, answer)
         except BrokenAnswerError as error:
-            conversation.answer = None
+            pending.answer = None
             self._post(
                 AttemptFailed(
-                    request_id=conversation.request_id,
-                    attempt=conversation.attempt_number,
+                    request_id=pending.request_id,
+                    attempt=pending.attempt_number,
                     outcome=AttemptOutcome.MAYBE_RAN,
                     message=str(error),
                 )
@@ -271,55 +280,55 @@
         if answer.status in (204, 304):
             return True
         length = answer.headers.get("Content-Length", "")
-        return length.isdigit() and int(length) <= WHOLE_ANSWER_LIMIT
+        return length.isdigit() and int(length) <= MAX_BUFFERED_ANSWER_BYTES
 
-    def _relay_whole(self, conversation: _Conversation, answer: UpstreamAnswer) -> GatewayAnswer:
+    def _relay_buffered(self, pending: _PendingRequest, answer: UpstreamAnswer) -> GatewayAnswer:
         body = b"".join(answer.read_chunks())
-        stored = body if len(body) <= STORED_ANSWER_LIMIT else None
-        self._end(conversation, answer, whole=True, body=stored)
+        stored = body if len(body) <= MAX_STORED_ANSWER_BYTES else None
+        self._post_answer_ended(pending, answer, whole=True, body=stored)
         return GatewayAnswer(
-            request_id=conversation.request_id,
+            request_id=pending.request_id,
             status=answer.status,
-            headers=self._make_headers(conversation, answer),
+            headers=self._make_headers(pending, answer),
             body=body,
         )
 
-    def _relay_stream(self, conversation: _Conversation, answer: UpstreamAnswer) -> GatewayAnswer:
+    def _relay_stream(self, pending: _PendingRequest, answer: UpstreamAnswer) -> GatewayAnswer:
         chunks = answer.read_chunks()
         first = next(chunks, b"")
-        service = self._get_service(conversation)
-        waited_s = self._read_clock() - conversation.begun_at
+        service = self._get_service(pending)
+        waited_s = self._read_clock() - pending.started_at
         self._instruments.record_first_chunk(service=service, duration_s=waited_s)
 
-        def end(whole: bool, count: int) -> None:
+        def finish_stream(whole: bool, count: int) -> None:
             self._instruments.record_chunks(service=service, count=count)
-            self._end(conversation, answer, whole=whole, body=None)
-            self._close(conversation)
+            self._post_answer_ended(pending, answer, whole=whole, body=None)
+            self._close(pending)
 
         content_type = answer.headers.get("Content-Type", "")
         body = RelayBody(
             answer=answer,
             first=first,
-            rest=chunks,
-            request_id=conversation.request_id,
+            remaining_chunks=chunks,
+            request_id=pending.request_id,
             is_event_stream=content_type.startswith(STREAM_TYPE),
-            on_end=end,
+            on_end=finish_stream,
         )
         return GatewayAnswer(
-            request_id=conversation.request_id,
+            request_id=pending.request_id,
             status=answer.status,
-            headers=self._make_headers(conversation, answer),
+            headers=self._make_headers(pending, answer),
             body=body,
         )
 
     @staticmethod
-    def _get_service(conversation: _Conversation) -> str:
-        started = conversation.started
-        return "" if started is None else started.exchange.service
+    def _get_service(pending: _PendingRequest) -> str:
+        last_start = pending.last_start
+        return "" if last_start is None else last_start.exchange.service
 
-    def _end(
+    def _post_answer_ended(
         self,
-        conversation: _Conversation,
+        pending: _PendingRequest,
         answer: UpstreamAnswer,
         *,
         whole: bool,
@@ -327,8 +336,8 @@
     ) -> None:
         self._post(
             AnswerEnded(
-                request_id=conversation.request_id,
-                attempt=conversation.attempt_number,
+                request_id=pending.request_id,
+                attempt=pending.attempt_number,
                 whole=whole,
                 status=answer.status,
                 content_type=answer.headers.get("Content-Type", ""),
@@ -337,13 +346,13 @@
         )
 
     @staticmethod
-    def _make_headers(conversation: _Conversation, answer: UpstreamAnswer) -> dict[str, str]:
+    def _make_headers(pending: _PendingRequest, answer: UpstreamAnswer) -> dict[str, str]:
         headers = {
             name.title(): answer.headers[name] for name in _ANSWER_HEADERS if name in answer.headers
         }
-        headers[HEADER_REQUEST_ID] = conversation.request_id
-        if conversation.started is not None:
-            headers[HEADER_ENDPOINT] = conversation.started.attempt.endpoint_id
+        headers[HEADER_REQUEST_ID] = pending.request_id
+        if pending.last_start is not None:
+            headers[HEADER_ENDPOINT] = pending.last_start.attempt.endpoint_id
         return headers
 
 
@@ -375,5 +384,5 @@
 
 def _keep_end_to_end(headers: Mapping[str, str]) -> Iterator[tuple[str, str]]:
     for name, value in headers.items():
-        if name not in HOP_BY_HOP and not name.startswith("x-request-"):
+        if name not in NOT_FORWARDED_HEADERS and not name.startswith("x-request-"):
             yield name.title(), value
--- a/chivetrack/components/upstream/const.py
+++ b/chivetrack/components/upstream/const.py
@@ -1,4 +1,4 @@
-"""Constants of the client towards endpoints."""
+"""Constants of the client for endpoints."""
 
 from typing import Final
 
@@ -9,14 +9,17 @@
 
 CONNECT_TIMEOUT_S: Final = 1.0
 READ_SIZE: Final = 65536
-# How long a stream whose chunks come faster than this is let alone between two reads.
-# A seventh of the 75 ms that may pass between two tokens.
-PACE_S: Final = 0.01
+# Shortest time between two reads of a stream, so that one read returns several chunks.
+# A seventh of the 75 ms that are allowed between two tokens.
+MIN_READ_INTERVAL_S: Final = 0.01
 POOL_SIZE: Final = 256
+# Last event of a complete stream; it is searched for in the last bytes of the body.
 STREAM_END: Final = b"data: [DONE]"
-TAIL_SIZE: Final = 64
+STREAM_TAIL_BYTES: Final = 64
 
-HOP_BY_HOP: Final = frozenset(
+# Headers of a caller that are not forwarded to the endpoint: those of one connection, and
+# those that the router consumes or sets itself.
+NOT_FORWARDED_HEADERS: Final = frozenset(
     {
         "connection",
         "keep-alive",
--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -1,4 +1,4 @@
-"""What a replica does for operators and endpoints."""
+"""Handles the control API calls of operators and endpoints at a replica."""
 
 import itertools
 import time
@@ -24,36 +24,36 @@
 from chivetrack.components.evacuation.models import Evacuations
 from chivetrack.components.quarantine.models import Quarantine
 from chivetrack.components.traffic.models import Document
-from chivetrack.daemon.fleet.const import SPREAD_WAIT_S
-from chivetrack.daemon.fleet.documents import DocumentDesk, make_unavailable
+from chivetrack.daemon.fleet.const import BROADCAST_WAIT_S
+from chivetrack.daemon.fleet.documents import DocumentHandler, make_unavailable
 from chivetrack.exceptions import Fault
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.events import EventLog
 from chivetrack.platform.control_api import Elsewhere
 
 
-class _Spread:
-    """A statement on its way to the other replicas."""
+class _PendingBroadcast:
+    """A record that was sent to the other replicas and awaits ``needed`` acknowledgements."""
 
     def __init__(self, needed: int) -> None:
         self.done = Signal()
         self.needed = needed
-        self.takers: set[str] = set()
+        self.acknowledged_by: set[str] = set()
 
-    def take(self, source: str) -> None:
-        self.takers.add(source)
-        if len(self.takers) >= self.needed:
+    def handle_ack(self, source: str) -> None:
+        self.acknowledged_by.add(source)
+        if len(self.acknowledged_by) >= self.needed:
             self.done.set()
 
 
-class Desk:
-    """Answers operators from the log and endpoints from the table of announcements."""
+class ControlHandler:
+    """Answer operators from the log and endpoints from the table of announcements."""
 
     def __init__(
         self,
         *,
         instance_id: str,
-        documents: DocumentDesk,
+        documents: DocumentHandler,
         zones: Collection[str],
         list_replicas: Callable[[], tuple[str, ...]],
         table: EndpointTable,
@@ -61,9 +61,9 @@
         push: Callable[[], None],
         events: EventLog,
     ) -> None:
-        """Take the table; ``push`` tells the routers of a change.
+        """Store the components; ``push`` schedules an update to the routers.
 
-        ``zones`` are those of the deployment; without any, orders name zones freely.
+        ``zones`` are the zones of the deployment; if empty, orders may name any zone.
         """
         self._instance_id = instance_id
         self._documents = documents
@@ -73,9 +73,9 @@
         self._send = send
         self._push = push
         self._events = events
-        self._spreading = EndpointBroadcaster(table=table)
+        self._endpoint_broadcaster = EndpointBroadcaster(table=table)
         self._numbers = itertools.count(1)
-        self._spreads: dict[int, _Spread] = {}
+        self._pending_broadcasts: dict[int, _PendingBroadcast] = {}
 
     def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
         """Commit a document and return the version in force."""
@@ -86,7 +86,7 @@
         return self._documents.read()
 
     def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | Elsewhere]:
-        """Commit that a zone is to be evacuated, or taken back; return the order's revision."""
+        """Commit the evacuation of a zone or its revocation; return the order's revision."""
         if self._zones and zone not in self._zones:
             return Error(_make_unknown_zone(zone, self._zones))
         return self._documents.order(zone, is_evacuated=is_evacuated)
@@ -106,32 +106,35 @@
     # Endpoints
 
     def announce(self, record: EndpointRecord) -> Result[None, Fault]:
-        """Take an endpoint's statement; one that it drains is acknowledged once others know."""
+        """Handle an endpoint's announcement.
+
+        A change to a state other than ready is acknowledged once a majority knows it.
+        """
         is_change = self._table.merge(record, now=time.monotonic())
         known = self._table.find(record.endpoint_id)
         if is_change:
-            self._pass_on_lost(self._table.mark_superseded_lost(record, now=time.monotonic()))
+            self._broadcast_lost(self._table.mark_superseded_lost(record, now=time.monotonic()))
             self._log(record)
             self._push()
         if known is not None and known.state is not EndpointState.READY and is_change:
-            return self._spread_for_sure(known)
+            return self._broadcast_to_majority(known)
         if is_change:
-            self._spreading.record_change(record)
+            self._endpoint_broadcaster.record_change(record)
         elif known is record:
-            self._spreading.record_heartbeat(record.endpoint_id)
+            self._endpoint_broadcaster.record_heartbeat(record.endpoint_id)
         return Ok(None)
 
     def leave(self, endpoint_id: str, born: int | None) -> Result[None, Fault]:
-        """Take an endpoint's departure."""
+        """Handle an endpoint's departure; acknowledged once a majority knows it."""
         now = time.monotonic()
         known = self._table.close(endpoint_id, born=born, now=now)
         if known is None:
-            # Nobody has announced it here since the start; a router may still know it.
+            # The endpoint is unknown here since the start; a router may still know it.
             known = _make_departure(endpoint_id, born)
             self._table.merge(known, now=now)
         self._log(known)
         self._push()
-        return self._spread_for_sure(known)
+        return self._broadcast_to_majority(known)
 
     def mark_silent_lost(self) -> None:
         """Mark endpoints without recent heartbeats as lost and send this to other replicas.
@@ -139,14 +142,14 @@
         A replica that still receives the heartbeats refutes it to its followers.
         """
         lost = self._table.mark_silent_lost(time.monotonic())
-        self._pass_on_lost(lost)
+        self._broadcast_lost(lost)
         if lost:
             self._push()
 
-    def _pass_on_lost(self, lost: Iterable[EndpointRecord]) -> None:
+    def _broadcast_lost(self, lost: Iterable[EndpointRecord]) -> None:
         for record in lost:
             self._log(record)
-            self._spreading.record_change(record)
+            self._endpoint_broadcaster.record_change(record)
 
     def _log(self, record: EndpointRecord) -> None:
         self._events.write("endpoint_said", **record.describe())
@@ -154,58 +157,59 @@
     def _list_others(self) -> list[str]:
         return [one for one in self._list_replicas() if one != self._instance_id]
 
-    def spread(self) -> None:
-        """Tell the other replicas what endpoints have announced here since the last call."""
-        messages = self._spreading.make_messages(now=time.monotonic())
+    def broadcast(self) -> None:
+        """Send the other replicas the announcements received since the last call."""
+        messages = self._endpoint_broadcaster.make_messages(now=time.monotonic())
         for target in self._list_others():
             for message in messages:
                 self._send(target, message)
 
-    def _spread_for_sure(self, record: EndpointRecord) -> Result[None, Fault]:
-        """Return once a majority knows; a single replica might be lost with the news.
+    def _broadcast_to_majority(self, record: EndpointRecord) -> Result[None, Fault]:
+        """Send a record to the other replicas and wait until a majority has it.
 
-        Routers ask every replica, so one of a majority reaches each of them in time.
+        A record known to one replica only could be lost with it. Routers query every replica,
+        so a majority ensures that each router receives the record in time.
         """
         others = self._list_others()
         number = next(self._numbers)
-        spread = _Spread((len(others) + 1) // 2)
-        self._spreads[number] = spread
+        broadcast = _PendingBroadcast((len(others) + 1) // 2)
+        self._pending_broadcasts[number] = broadcast
         for target in others:
             self._send(target, BroadcastRecords(number=number, records=(record,)))
-        is_known = spread.needed == 0 or spread.done.wait(SPREAD_WAIT_S)
-        del self._spreads[number]
+        is_known = broadcast.needed == 0 or broadcast.done.wait(BROADCAST_WAIT_S)
+        del self._pending_broadcasts[number]
         if is_known:
             return Ok(None)
         self._events.write("departure_not_spread", endpoint=record.endpoint_id)
-        return Error(make_unavailable("no_majority", "too few replicas know of it yet"))
+        return Error(make_unavailable("no_majority", "no majority of replicas has the record yet"))
 
-    def take(self, source: str, message: Message) -> bool:
-        """Take a message of another replica; return whether it was for the desk."""
-        if self._documents.take(source, message):
+    def handle_message(self, source: str, message: Message) -> bool:
+        """Handle a message of another replica; return whether its kind is known here."""
+        if self._documents.handle_message(source, message):
             return True
         if isinstance(message, RecordsAck):
-            spread = self._spreads.get(message.number)
-            if spread is not None:
-                spread.take(source)
+            broadcast = self._pending_broadcasts.get(message.number)
+            if broadcast is not None:
+                broadcast.handle_ack(source)
             return True
         if isinstance(message, BroadcastHeartbeats):
             self._send_if_any(
-                source, self._spreading.handle_heartbeats(message, now=time.monotonic())
+                source, self._endpoint_broadcaster.handle_heartbeats(message, now=time.monotonic())
             )
             return True
         if isinstance(message, RecordsRequest):
-            self._send_if_any(source, self._spreading.make_records(message))
+            self._send_if_any(source, self._endpoint_broadcaster.make_records(message))
             return True
         if not isinstance(message, BroadcastRecords):
             return False
-        self._take_records(source, message)
+        self._handle_records(source, message)
         return True
 
     def _send_if_any(self, target: str, message: Message | None) -> None:
         if message is not None:
             self._send(target, message)
 
-    def _take_records(self, source: str, message: BroadcastRecords) -> None:
+    def _handle_records(self, source: str, message: BroadcastRecords) -> None:
         now = time.monotonic()
         changes = [self._table.merge(record, now=now) for record in message.records]
         changes += [self._table.refute_lost(record) for record in message.records]
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -1,4 +1,4 @@
-"""What a router believes of the fleet: configuration, endpoints, their load and health."""
+"""The router's view of the fleet: configuration, endpoints, their load and health."""
 
 import time
 from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
@@ -25,24 +25,27 @@
 from chivetrack.daemon.fleet.health import EndpointHealth
 from chivetrack.helpers.events import EventLog
 
-# A router that is cut off, or asks a replica that is, sees few others. Were its part of the
-# budget to grow at once, the parts together would exceed it. At a word each 0.3 s, the
-# count halves in 20 s, two windows of the budget.
-ROUTERS_KEPT = 0.99
-# An engine that appeared so lately is the home of prompts that others still have cached.
-NEW_FOR_S = 20.0
-# Before the first word.
-FIRST_ROUTERS = 20.0
-# A caller that comes back reaches any router that the balancer may still choose.
+# Factor by which the number of routers may fall with each view. A router that is partitioned,
+# or whose replica is, sees few others; if its share of the retry budget grew at once, all
+# shares together would exceed the budget. With a view every 0.3 s the number halves in 20 s,
+# two windows of the budget.
+ROUTER_COUNT_DECAY = 0.99
+# An endpoint counts as new for this time: prompts are already placed on a new engine while
+# other engines still have them cached.
+NEW_ENDPOINT_S = 20.0
+# Assumed number of routers until the first view arrives.
+INITIAL_ROUTER_COUNT = 20.0
+# Up to this share of stopping routers, refused callers are told to retry: the load balancer
+# may send a retry to any router that it still considers ready.
 MAX_STOPPING_SHARE = 0.5
-# Cached by an engine whose profile the configuration does not tell.
+# Cache size of an engine whose profile is not in the configuration.
 DEFAULT_MEMORY_TOKENS = 500_000
 
 MAX_LOGGED_ENDPOINTS = 16
 
 
 class FleetView:
-    """Joins what replicas tell with what this router sees itself."""
+    """Combine the state received from replicas with this router's own observations."""
 
     def __init__(
         self,
@@ -53,7 +56,11 @@
         decode: Callable[[bytes], Document | None],
         forget_endpoint: Callable[[str], None],
     ) -> None:
-        """Start knowing nothing; ``decode`` reads a document as the operator sent it."""
+        """Start without configuration and endpoints.
+
+        ``decode`` decodes a configuration as the operator sent it, ``forget_endpoint`` closes
+        the idle connections to an endpoint.
+        """
         self._events = events
         self._decode = decode
         self._forget_endpoint = forget_endpoint
@@ -69,26 +76,26 @@
         self._quarantine = Quarantine()
         self._quarantined: dict[bytes, QuarantinedRequest] = {}
         self._silent: frozenset[str] = frozenset()
-        self._told_loads: dict[str, EndpointLoad] = {}
+        self._reported_loads: dict[str, EndpointLoad] = {}
         self._born: dict[str, int] = {}
-        self._seen_at: dict[str, float] = {}
-        self._routers = FIRST_ROUTERS
+        self._first_seen_at: dict[str, float] = {}
+        self._router_count = INITIAL_ROUTER_COUNT
         self._stopping_share = 0.0
         self.is_stopping = False
         self.has_view = False
         self._ready = Signal()
-        self.listeners: list[Callable[[Document], None]] = []
-        self.lifetime_end_listeners: list[Callable[[str, int, bool], None]] = []
+        self.document_listeners: list[Callable[[Document], None]] = []
+        self.incarnation_end_listeners: list[Callable[[str, int, bool], None]] = []
 
-    # What replicas tell
+    # State received from replicas
 
     @property
     def version(self) -> int:
-        """Return the version of the configuration in force here."""
+        """Return the version of the configuration in force at this router, 0 without one."""
         return 0 if self.table is None else self.table.version
 
     def take_document(self, version: int, body: bytes) -> None:
-        """Put a configuration in force."""
+        """Put a configuration in force; an invalid one is logged and ignored."""
         document = self._decode(body)
         if document is None:
             self._events.write(
@@ -105,53 +112,59 @@
             before=before,
             routes=len(document.routes),
         )
-        for listener in self.listeners:
+        for listener in self.document_listeners:
             listener(document)
 
-    def take_view(self, view: View) -> None:
-        """Take what one replica knows of loads and silent endpoints."""
+    def handle_view(self, view: View) -> None:
+        """Apply the loads, silent endpoints, evacuations and quarantine that a replica sent."""
         now = time.monotonic()
         self.has_view = self.has_view or not view.is_pending
-        # Before the placements: what is known of an endpoint is dropped as it appears.
-        self._note_changes()
-        self._note_evacuations(view.evacuations)
+        # Endpoint changes come before placements: when an endpoint appears, the placements
+        # recorded for its id are dropped.
+        self._apply_changes()
+        self._apply_evacuations(view.evacuations)
         if view.quarantine is not None:
-            self._take_quarantine(view.quarantine)
+            self._apply_quarantine(view.quarantine)
         if view.has_loads:
-            self._routers = max(view.routers, self._routers * ROUTERS_KEPT)
+            self._router_count = max(view.routers, self._router_count * ROUTER_COUNT_DECAY)
             self._stopping_share = view.stopping / max(1, view.routers)
             if view.silent is not None:
-                self.take_silent_endpoints(view.silent)
+                self.update_silent_endpoints(view.silent)
             if view.loads is not None:
-                self._take_loads(view.loads, now)
+                self._apply_loads(view.loads, now)
             self.placement.handle_placements(view.placed, now=now, capacity=self._memory_tokens)
-        self._note_ready()
+        self._update_ready()
 
-    def _take_loads(self, loads: Sequence[EndpointLoad], now: float) -> None:
+    def _apply_loads(self, loads: Sequence[EndpointLoad], now: float) -> None:
         self.health.take_others(loads, now=now)
         self.placement.handle_other_loads(loads, now=now)
 
-    def take_loads(self, payload: bytes) -> None:
-        """Take the packed loads of all routers; what this one told of itself is taken off."""
-        read = unpack_loads(payload)
-        if read.is_error():
-            self._events.write("loads_unreadable", detail=read.error)
+    def handle_loads(self, payload: bytes) -> None:
+        """Apply the packed loads of all routers, minus the loads that this router reported."""
+        unpacked = unpack_loads(payload)
+        if unpacked.is_error():
+            self._events.write("loads_unreadable", detail=unpacked.error)
             return
-        loads = [subtract_load(one, self._told_loads.get(one.endpoint_id)) for one in read.ok]
-        self._take_loads(loads, time.monotonic())
+        loads = [
+            subtract_load(one, self._reported_loads.get(one.endpoint_id)) for one in unpacked.ok
+        ]
+        self._apply_loads(loads, time.monotonic())
 
-    def take_endpoints(self, *, is_partial: bool) -> None:
-        """Put in force the endpoints that a replica has packed, all or departures alone."""
+    def apply_endpoints(self, *, is_partial: bool) -> None:
+        """Apply the endpoint changes that were merged into the directory's table.
+
+        A partial update contains departures only and is no complete view of the endpoints.
+        """
         self.has_view = self.has_view or not is_partial
-        self._note_changes()
-        self._note_ready()
+        self._apply_changes()
+        self._update_ready()
 
-    def _note_ready(self) -> None:
+    def _update_ready(self) -> None:
         if self.table is not None and not self.directory.is_empty:
             self._ready.set()
 
-    def take_silent_endpoints(self, endpoint_ids: Iterable[str]) -> None:
-        """Take which endpoints the close replica has not heard of lately."""
+    def update_silent_endpoints(self, endpoint_ids: Iterable[str]) -> None:
+        """Replace the silent endpoints: those without a recent heartbeat at the replica."""
         silent = frozenset(endpoint_ids)
         if silent != self._silent:
             self._events.write(
@@ -163,14 +176,14 @@
         self._silent = silent
 
     def wait_until_ready(self, timeout_s: float) -> None:
-        """Wait until configuration and endpoints are known."""
+        """Wait until configuration and endpoints are known, at most ``timeout_s``."""
         self._ready.wait(timeout_s)
 
-    def _note_changes(self) -> None:
+    def _apply_changes(self) -> None:
         for record in self.directory.apply_changes(now=time.monotonic()):
-            self._note_change(record)
+            self._apply_change(record)
 
-    def _note_evacuations(self, evacuations: Evacuations) -> None:
+    def _apply_evacuations(self, evacuations: Evacuations) -> None:
         before = self.directory.evacuations.list_evacuated()
         if not self.directory.apply_evacuations(evacuations, now=time.monotonic()):
             return
@@ -185,8 +198,8 @@
             running=self.count_running_in(evacuated),
         )
 
-    def _take_quarantine(self, quarantine: Quarantine) -> None:
-        """Apply a newer quarantine."""
+    def _apply_quarantine(self, quarantine: Quarantine) -> None:
+        """Apply a quarantine if its revision is newer."""
         if quarantine.revision <= self._quarantine.revision:
             return
         self._quarantine = quarantine
@@ -197,7 +210,7 @@
 
     @property
     def do_others_accept(self) -> bool:
-        """Return whether a caller that comes back will probably reach a router that stays."""
+        """Return whether a caller's retry will probably reach a router that is not stopping."""
         return self._stopping_share <= MAX_STOPPING_SHARE
 
     @property
@@ -210,38 +223,38 @@
         return self._quarantined.get(call.fingerprint)
 
     def count_running_in(self, zones: Collection[str]) -> int:
-        """Return the requests of this router that still run at endpoints of these zones."""
+        """Return the number of this router's requests running at endpoints of ``zones``."""
         ids = set(self.directory.list_ids_in(zones))
         return sum(one.running for one in self.placement.list_own() if one.endpoint_id in ids)
 
-    def _note_change(self, record: EndpointRecord) -> None:
+    def _apply_change(self, record: EndpointRecord) -> None:
         self._events.write("endpoint_changed", **record.describe())
         if self._born.get(record.endpoint_id) != record.born:
-            # A new lifetime under the id starts with an empty memory and a clean record.
+            # A new incarnation under the id starts with an empty cache and no failures.
             now = time.monotonic()
             has_restarted = record.endpoint_id in self._born
             if has_restarted:
                 previous_born = self._born[record.endpoint_id]
-                self._notify_lifetime_end(record.endpoint_id, previous_born, is_departure=False)
+                self._notify_incarnation_end(record.endpoint_id, previous_born, is_departure=False)
             self._born[record.endpoint_id] = record.born
-            self._seen_at[record.endpoint_id] = now
+            self._first_seen_at[record.endpoint_id] = now
             self.placement.forget(record.endpoint_id, emptied_at=now if has_restarted else None)
             self.health.forget(record.endpoint_id)
             self._forget_endpoint(record.endpoint_id)
         if record.state is not EndpointState.READY:
             self._forget_endpoint(record.endpoint_id)
             is_departure = record.state is not EndpointState.LOST
-            self._notify_lifetime_end(record.endpoint_id, record.born, is_departure=is_departure)
+            self._notify_incarnation_end(record.endpoint_id, record.born, is_departure=is_departure)
         if record.state is EndpointState.LEFT:
             self.health.forget(record.endpoint_id)
             self.placement.forget(record.endpoint_id)
             self.directory.cold.remove(record.endpoint_id)
 
-    def _notify_lifetime_end(self, endpoint_id: str, born: int, *, is_departure: bool) -> None:
-        for listener in self.lifetime_end_listeners:
+    def _notify_incarnation_end(self, endpoint_id: str, born: int, *, is_departure: bool) -> None:
+        for listener in self.incarnation_end_listeners:
             listener(endpoint_id, born, is_departure)
 
-    def note_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
+    def record_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
         """Apply the endpoint state reported in the headers of an answer."""
         if facts.cold_s > 0:
             self.directory.cold.record_cold(record.endpoint_id, facts.cold_s, now=time.monotonic())
@@ -255,10 +268,10 @@
             self._forget_endpoint(record.endpoint_id)
 
     def get_news(self) -> RouterReport:
-        """Return what the other routers should know of this one."""
+        """Return the report of this router's loads, placements and crashes for other routers."""
         now = time.monotonic()
         loads = self.health.add_outcomes(self.placement.list_own(), now=now)
-        self._told_loads = {one.endpoint_id: one for one in loads}
+        self._reported_loads = {one.endpoint_id: one for one in loads}
         return RouterReport(
             loads=loads,
             placed=tuple(self.placement.pop_placements(now)),
@@ -267,10 +280,10 @@
             is_stopping=self.is_stopping,
         )
 
-    # Choosing
+    # Choice of endpoints
 
     def choose(self, call: Call) -> Choice | None:
-        """Return where a request goes next."""
+        """Return the endpoint for the next attempt of a request, ``None`` if there is none."""
         now = time.monotonic()
         is_limited = self.find_cold_rate(call.service) > 0
         division = self.directory.partition(
@@ -284,15 +297,15 @@
             facts=call.facts,
             now=now,
             sources=self._list_sources(call.service, now),
-            routers=round(self._routers),
+            routers=round(self._router_count),
             resting=[one.endpoint_id for one in division.resting],
         )
 
     def _list_candidates(
         self, call: Call, records: Sequence[EndpointRecord], is_limited: bool, now: float
     ) -> list[Candidate]:
-        tried = {one.endpoint_id for one in call.tries}
-        left = [
+        tried = {one.endpoint_id for one in call.attempts}
+        untried = [
             Candidate(
                 record=record,
                 is_silent=record.endpoint_id in self._silent,
@@ -301,38 +314,44 @@
             for record in records
             if record.endpoint_id not in tried
         ]
-        return self.health.choose_sound(left, now=now)
+        return self.health.filter_candidates(untried, now=now)
 
     def _list_sources(self, service: str, now: float) -> list[Source]:
         return [
             Source(
                 record=record,
-                is_new=now - self._seen_at.get(record.endpoint_id, now) < NEW_FOR_S,
+                is_new=now - self._first_seen_at.get(record.endpoint_id, now) < NEW_ENDPOINT_S,
             )
             for record in self.directory.list_sources(service)
         ]
 
     def find_shortest_pause(self, service: str) -> float:
-        """Return the shortest pause (s) of a service's ready endpoints, 0 if one is not paused."""
+        """Return the shortest remaining pause (s) of a service's ready endpoints.
+
+        The result is 0 if any of them is not paused.
+        """
         return self.directory.find_shortest_pause(service, time.monotonic())
 
     def count_candidates(self, service: str) -> int:
-        """Return how many endpoints of a service may get requests."""
+        """Return the number of a service's endpoints that may receive requests."""
         return len(self.directory.list_ready(service))
 
     def is_cold(self, service: str, endpoint_id: str, now: float) -> bool:
-        """Return whether an endpoint is cold and its service limits what it gets then."""
+        """Return whether an endpoint is cold and its service limits requests to cold endpoints."""
         return self.find_cold_rate(service) > 0 and self.directory.cold.is_cold(endpoint_id, now)
 
     def find_cold_rate(self, service: str) -> float:
-        """Return how many requests a second a cold endpoint bears, 0 without a limit."""
-        known = None if self.table is None else self.table.find_service(service)
-        return 0.0 if known is None else known.cold_per_s
+        """Return the limit of requests per second to a cold endpoint, 0 without a limit."""
+        configured = None if self.table is None else self.table.find_service(service)
+        return 0.0 if configured is None else configured.cold_per_s
 
     def find_permit_wait(self, call: Call) -> float | None:
-        """Return when to ask again (s) if all endpoints are cold, ``None`` if none are left."""
+        """Return the time (s) until a permit for any untried cold endpoint may be requested.
+
+        The result is ``None`` if no untried cold endpoint is left.
+        """
         now = time.monotonic()
-        tried = {one.endpoint_id for one in call.tries}
+        tried = {one.endpoint_id for one in call.attempts}
         waits = [
             self.directory.cold.find_wait(record.endpoint_id, now)
             for record in self.directory.list_ready(call.service)
@@ -343,19 +362,19 @@
         return min(waits, default=None)
 
     @contextmanager
-    def use(self, call: Call, choice: Choice) -> Iterator[Placed]:
-        """Count a request at an endpoint for as long as it is there.
+    def track_request(self, call: Call, choice: Choice) -> Iterator[Placed]:
+        """Count a request as running at an endpoint within the context.
 
-        The body sets ``is_complete`` of what is given once the answer is whole.
+        The body sets ``is_complete`` of the yielded placement once the answer is complete.
         """
         now = time.monotonic()
-        self.health.note_attempt(choice.record.endpoint_id, now=now)
+        self.health.record_attempt_start(choice.record.endpoint_id, now=now)
         placed = self.placement.start(
             choice,
             call.facts,
             now=now,
             capacity=self._memory_tokens,
-            routers=round(self._routers),
+            routers=round(self._router_count),
         )
         call.placed = placed
         try:
@@ -364,26 +383,30 @@
             call.placed = None
             self.placement.finish(placed, now=time.monotonic())
 
-    def hear(self, call: Call) -> None:
-        """Note that the endpoint which has a request sent bytes."""
+    def handle_bytes(self, call: Call) -> None:
+        """Record that the endpoint at which a request runs has sent bytes."""
         if call.placed is not None:
             self.placement.record_bytes(call.placed, now=time.monotonic())
 
-    def note_first_event(self, call: Call) -> None:
-        """Take a prompt as read."""
+    def handle_first_event(self, call: Call) -> None:
+        """Record that the engine has processed the prompt, as its first event shows."""
         if call.placed is not None:
             self.placement.record_first_event(call.placed, now=time.monotonic())
 
-    def note_overdue(self, call: Call) -> bool:
-        """Note that no byte has come in time; return whether the endpoint is silent for all."""
+    def record_overdue(self, call: Call) -> bool:
+        """Record that no byte came within the wait limit.
+
+        Return whether the endpoint is silent: answers of it are overdue and it has sent no bytes
+        to this router since.
+        """
         if call.placed is None:
             return False
         endpoint_id = call.placed.endpoint_id
         if not self.placement.is_silent(endpoint_id, time.monotonic()):
             return False
-        self.health.note_overdue(endpoint_id)
+        self.health.record_overdue(endpoint_id)
         return True
 
     def has_budget(self, service: str) -> bool:
-        """Return whether the fleet's budget leaves room for another repeat."""
-        return self.budgets[service].may_retry(time.monotonic(), routers=round(self._routers))
+        """Return whether the fleet's retry budget of a service allows another retry."""
+        return self.budgets[service].may_retry(time.monotonic(), routers=round(self._router_count))
--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -1,4 +1,4 @@
-"""Sends a request to endpoints and the answer back, one endpoint after the other."""
+"""Sends a request to one endpoint and relays the answer to the caller."""
 
 import time
 from collections.abc import Callable
@@ -17,15 +17,15 @@
     NotSentError,
 )
 from chivetrack.components.upstream.events import EventSplitter
-from chivetrack.components.upstream.kept import KeptConnections
+from chivetrack.components.upstream.idle_connections import IdleConnections
 from chivetrack.components.upstream.models import BrokenAnswerError
 from chivetrack.daemon.fleet.calls import Call
 from chivetrack.daemon.fleet.const import (
-    ANSWER_STALL_S,
     CONNECT_TIMEOUT_S,
-    LATE_ANSWER_S,
-    LEAST_TIME_ELSEWHERE_S,
-    WHOLE_ANSWER_BYTES,
+    LATE_ANSWER_GRACE_S,
+    MAX_BUFFERED_ANSWER_BYTES,
+    MIN_TIME_FOR_RETRY_S,
+    STREAM_STALL_TIMEOUT_S,
 )
 from chivetrack.daemon.server import AbortConnectionError
 from chivetrack.platform.headers import (
@@ -34,17 +34,17 @@
     read_answer_facts,
 )
 
-_PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 _MAX_STRAY_ANSWERS = 2
 
 
 class AnswerCutError(AbortConnectionError):
-    """The answer to the caller ended before it was whole; its connection has to be closed."""
+    """The answer to the caller is incomplete; the caller's connection must be closed."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SendResult:
-    """How one try ended; without ``end`` the caller has its answer."""
+    """Result of one attempt; ``end`` is ``None`` if the caller has its answer."""
 
     end: SendEnd | None = None
     detail: str = ""
@@ -59,69 +59,71 @@
 
 
 class Forwarder:
-    """Carries out one try at a time; what follows after it is decided elsewhere."""
+    """Perform one attempt per call of ``send``; the caller of ``send`` decides on retries."""
 
     def __init__(
         self,
         *,
-        kept: KeptConnections,
-        note_answer: Callable[[EndpointRecord, AnswerFacts], None],
-        note_first_event: Callable[[Call, Choice], None],
-        hear: Callable[[Call], None] | None = None,
-        note_overdue: Callable[[Call], bool] | None = None,
+        idle_connections: IdleConnections,
+        record_answer: Callable[[EndpointRecord, AnswerFacts], None],
+        handle_first_event: Callable[[Call, Choice], None],
+        handle_bytes: Callable[[Call], None] | None = None,
+        record_overdue: Callable[[Call], bool] | None = None,
     ) -> None:
-        """Take the idle connections and listeners for what endpoints say.
+        """Store the idle connections and the callbacks.
 
-        ``hear`` is told of bytes that came, ``note_overdue`` that none came in time; it
-        returns whether the endpoint is silent to all requests.
+        ``handle_bytes`` is called when bytes of an answer arrive. ``record_overdue`` is
+        called when none arrived within the wait limit; it returns whether the endpoint is
+        silent to all of this router's requests.
         """
-        self._kept = kept
-        self._note_answer = note_answer
-        self._note_first_event = note_first_event
-        self._hear = hear or (lambda call: None)
-        self._note_overdue = note_overdue or (lambda call: False)
+        self._idle_connections = idle_connections
+        self._record_answer = record_answer
+        self._handle_first_event = handle_first_event
+        self._handle_bytes = handle_bytes or (lambda call: None)
+        self._record_overdue = record_overdue or (lambda call: False)
 
-    def send(self, call: Call, choice: Choice, *, may_repeat: bool) -> SendResult:
-        """Send a request to one endpoint; ``may_repeat`` says that another may follow.
+    def send(self, call: Call, choice: Choice, *, may_retry: bool) -> SendResult:
+        """Send a request to one endpoint and relay the answer.
 
-        An endpoint's own failure goes to the caller unless another try may follow.
+        A failure answered by the endpoint is relayed to the caller unless ``may_retry``.
         """
         record = choice.record
         try:
-            connection = self._open(call, choice)
+            connection = self._connect(call, choice)
         except NotSentError as error:
             return SendResult(end=SendEnd.NOT_SENT, detail=str(error))
-        is_kept = False
+        is_reused = False
         try:
-            answer, facts = self._ask(connection, call, choice, may_repeat)
-            self._note_answer(record, facts)
-            result = self._take_answer(connection, call, choice, answer, facts, may_repeat)
+            answer, facts = self._exchange(connection, call, choice, may_retry)
+            self._record_answer(record, facts)
+            result = self._handle_answer(connection, call, choice, answer, facts, may_retry)
             ends = facts.closes or facts.is_leaving
-            is_kept = answer.keeps_connection and not ends and connection.end_request()
-            if is_kept:
-                self._kept.put(record.endpoint_id, connection, facts.keep_alive_s)
+            is_reused = answer.keeps_connection and not ends and connection.end_request()
+            if is_reused:
+                self._idle_connections.put(record.endpoint_id, connection, facts.keep_alive_s)
             return result
         except NotSentError as error:
             return SendResult(end=SendEnd.NOT_SENT, detail=str(error))
         except (MaybeRanError, BrokenAnswerError) as error:
             return SendResult(end=SendEnd.MAYBE_RAN, detail=str(error))
         finally:
-            # Also when the caller has left or the time is up: the endpoint must stop.
-            if not is_kept:
+            # Close also if the caller disconnected or the request timed out, so that the
+            # endpoint stops processing it.
+            if not is_reused:
                 connection.close()
 
-    def _open(self, call: Call, choice: Choice) -> EndpointConnection:
+    def _connect(self, call: Call, choice: Choice) -> EndpointConnection:
         record = choice.record
-        kept = self._kept.take(record.endpoint_id)
-        if kept is not None:
-            return kept
+        idle = self._idle_connections.pop_idle(record.endpoint_id)
+        if idle is not None:
+            return idle
         left_s = max(0.01, call.ends_at - time.monotonic())
         return EndpointConnection(
             address=record.address, connect_timeout_s=min(CONNECT_TIMEOUT_S, left_s)
         )
 
-    def _ask(
-        self, connection: EndpointConnection, call: Call, choice: Choice, may_repeat: bool
+    def _exchange(
+        self, connection: EndpointConnection, call: Call, choice: Choice, may_retry: bool
     ) -> tuple[EndpointAnswer, AnswerFacts]:
         left_s = max(0.01, call.ends_at - time.monotonic())
         headers = make_endpoint_headers(
@@ -137,50 +139,50 @@
             method=call.method, target=call.target, headers=headers, body=call.body
         )
         connection.send(request, timeout_s=left_s)
-        self._await_answer(connection, call, may_repeat)
+        self._await_answer(connection, call, may_retry)
         left_s = max(0.01, call.ends_at - time.monotonic())
         for _ in range(_MAX_STRAY_ANSWERS + 1):
             answer = connection.read_answer(call.method, timeout_s=left_s)
             facts = read_answer_facts(answer.status, answer.headers)
             if facts.request_id is None or facts.request_id == call.facts.request_id:
                 return answer, facts
-            # A late second answer to the request before; its bytes belong to nobody.
-            self._skip(answer)
-        raise MaybeRanError("the connection gives answers to other requests")
+            # A late duplicate answer to the previous request on this connection.
+            self._discard(answer)
+        raise MaybeRanError("the connection returned answers to other requests")
 
-    def _await_answer(self, connection: EndpointConnection, call: Call, may_repeat: bool) -> None:
-        """Wait for the first byte; give up an endpoint that is silent to all its requests.
+    def _await_answer(self, connection: EndpointConnection, call: Call, may_retry: bool) -> None:
+        """Wait for the first byte; abandon an endpoint that is silent to all requests.
 
-        Held to the deadline there, a request that may run again would be lost, although
-        another endpoint could answer it at once.
+        A retryable request that waited for such an endpoint until its deadline would be
+        lost, although another endpoint could answer it at once.
         """
         if call.placed is None:
             return
         wait_limit_s = call.placed.wait_limit_s
         while not connection.wait_readable(min(wait_limit_s, call.ends_at - time.monotonic())):
             left_s = call.ends_at - time.monotonic()
-            is_silent = self._note_overdue(call)
-            if may_repeat and is_silent and left_s > LEAST_TIME_ELSEWHERE_S:
+            is_silent = self._record_overdue(call)
+            if may_retry and is_silent and left_s > MIN_TIME_FOR_RETRY_S:
                 raise MaybeRanError(f"silent for {wait_limit_s:.2f} s")
-            if left_s <= 0 or not may_repeat:
+            if left_s <= 0 or not may_retry:
                 return
-        self._hear(call)
+        self._handle_bytes(call)
 
     @staticmethod
-    def _skip(answer: EndpointAnswer) -> None:
+    def _discard(answer: EndpointAnswer) -> None:
         if not answer.is_framed:
             raise MaybeRanError("the answer belongs to another request")
         for _ in answer.read_chunks():
             continue
 
-    def _take_answer(
+    def _handle_answer(
         self,
         connection: EndpointConnection,
         call: Call,
         choice: Choice,
         answer: EndpointAnswer,
         facts: AnswerFacts,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> SendResult:
         status = answer.status
         if facts.did_not_run:
@@ -195,23 +197,23 @@
         is_success = 200 <= status < 300
         if is_success and (not facts.is_sealed or facts.is_encoded):
             raise MaybeRanError("the answer does not come from the endpoint itself")
-        if status in _PROMISES_NOT_RUN:
-            raise MaybeRanError(f"status {status} without word that the request did not run")
+        if status in _NOT_RUN_STATUSES:
+            raise MaybeRanError(f"status {status} without a statement that the request did not run")
         if is_success and call.route.kind is RouteKind.STREAM:
             self._relay_stream(connection, call, choice, answer)
             return SendResult(status=status)
-        return self._pass_on(call, answer, facts, may_repeat and status >= 500)
+        return self._relay_buffered(call, answer, facts, may_retry and status >= 500)
 
-    def _pass_on(
-        self, call: Call, answer: EndpointAnswer, facts: AnswerFacts, holds_back: bool
+    def _relay_buffered(
+        self, call: Call, answer: EndpointAnswer, facts: AnswerFacts, is_retried: bool
     ) -> SendResult:
-        """Read an answer whole and send it, or give it up for another try."""
+        """Read the complete answer, then send it or, if ``is_retried``, discard it."""
         body = self._read_whole(answer)
         status = answer.status
-        if holds_back:
+        if is_retried:
             return SendResult(end=SendEnd.FAILED, detail=f"status {status}", status=status)
         if call.reply.is_started:
-            raise AnswerCutError(f"status {status} in the midst of a stream")
+            raise AnswerCutError(f"status {status} in the middle of a stream")
         headers = list_answer_headers(answer.headers.items())
         call.reply.send(status, headers, body)
         return SendResult(status=status)
@@ -221,7 +223,7 @@
         body = b""
         for chunk in answer.read_chunks():
             body += chunk
-            if len(body) > WHOLE_ANSWER_BYTES:
+            if len(body) > MAX_BUFFERED_ANSWER_BYTES:
                 raise BrokenAnswerError("the answer is too large")
         return body
 
@@ -231,36 +233,36 @@
         splitter = EventSplitter(last_id=call.last_event_id)
         is_first = True
         for chunk in answer.read_chunks():
-            self._hear(call)
+            self._handle_bytes(call)
             if is_first:
                 is_first = False
-                self._note_first_event(call, choice)
+                self._handle_first_event(call, choice)
                 if call.first_event_at is None:
                     call.first_event_at = time.monotonic()
                 if call.route.is_resumable:
-                    connection.set_timeout(self._get_stall(call))
+                    connection.set_timeout(self._get_stall_timeout(call))
             data = splitter.feed(chunk)
             if data:
-                self._begin(call, answer)
+                self._start_reply(call, answer)
                 call.reply.write(data)
                 call.last_event_id = splitter.last_id
-        if splitter.has_rest:
+        if splitter.has_partial_event:
             raise BrokenAnswerError("the stream ended in the middle of an event")
-        self._begin(call, answer)
+        self._start_reply(call, answer)
 
     @staticmethod
-    def _get_stall(call: Call) -> float:
+    def _get_stall_timeout(call: Call) -> float:
         left_s = call.ends_at - time.monotonic()
-        return max(0.05, min(left_s + LATE_ANSWER_S, ANSWER_STALL_S))
+        return max(0.05, min(left_s + LATE_ANSWER_GRACE_S, STREAM_STALL_TIMEOUT_S))
 
     @staticmethod
-    def _begin(call: Call, answer: EndpointAnswer) -> None:
+    def _start_reply(call: Call, answer: EndpointAnswer) -> None:
         if not call.reply.is_started:
             call.reply.start(answer.status, list_answer_headers(answer.headers.items()))
 
 
 def make_tried(choice: Choice, result: SendResult) -> SendAttempt:
-    """Return what the decision about another try has to know."""
+    """Return the attempt as the decision about a retry needs it."""
     assert result.end is not None
     return SendAttempt(
         endpoint_id=choice.record.endpoint_id,
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -1,4 +1,4 @@
-"""Runs a replica of the log: founds it, joins it, repairs it, and opens its folder again."""
+"""Runs a replica of the log: bootstrap, join, repair and reopening of its folder."""
 
 import random
 import shutil
@@ -29,15 +29,15 @@
 from chivetrack.components.storage.exceptions import StorageError
 from chivetrack.core import SendMessage
 from chivetrack.daemon.fleet.const import (
-    DOUBT_EVERY_S,
-    LEADER_SILENT_S,
-    REOPEN_AFTER_S,
-    REPAIR_EVERY_S,
-    SEEK_EVERY_S,
+    JOIN_REQUEST_INTERVAL_S,
+    LEADER_TIMEOUT_S,
+    POSSIBLE_LOSS_LOG_INTERVAL_S,
+    REOPEN_DELAY_S,
+    REPAIR_INTERVAL_S,
 )
 from chivetrack.daemon.founding import (
-    POLL_S,
-    Founding,
+    POLL_INTERVAL_S,
+    LogBootstrapRunner,
     build_replica,
     is_blank,
     open_replica_folder,
@@ -50,20 +50,21 @@
 _FOLDER_NAME = "log"
 
 
-# A start takes replicas of one size alike; the last of them finds the others listening and
-# needs a connection to each, 0.1 s, before its pre-vote can be answered.
+# Replicas of the same size start in about the same time. The last one finds the others
+# listening and needs 0.1 s to connect to each of them before its pre-vote can be answered.
 TIMING = Timing(first_election_min_s=0.1, first_election_max_s=0.4)
 
 
 class RetiredError(Exception):
-    """The log has removed this replica for good; it has to come back under a new id."""
+    """The log has permanently removed this replica; it must rejoin under a new replica id."""
 
 
 class LogHost:
-    """Owns the data folder and the replica that lives in it.
+    """Own the data folder and run the replica stored in it.
 
-    A folder that can't be written is opened again and again: the disk may be full for a
-    while. Until then this replica says nothing, so nobody counts on what is not on disk.
+    A folder that can't be written is reopened until writes succeed, since a full disk may be
+    temporary. Until then this replica sends nothing, so that no other replica relies on
+    entries that are not on disk.
     """
 
     def __init__(
@@ -78,9 +79,9 @@
         send: Callable[[str, Message], None],
         events: EventLog,
     ) -> None:
-        """Take the folder, ways out, and how many disks may be lost at once.
+        """Set up the replica in ``folder``; ``tolerated_losses`` disks may be lost at once.
 
-        At the first start of the deployment the ``seeds`` found the log.
+        At the first start of the deployment the ``seeds`` bootstrap the log.
         """
         self._instance_id = instance_id
         self._folder = folder / _FOLDER_NAME
@@ -92,13 +93,13 @@
         self._send = send
         self._events = events
         self._random = random.SystemRandom()
-        # A majority of these is left when as many as may be lost are.
-        self._wanted_voters = 2 * tolerated_losses + 1
-        self._repair = Repair(target_voters=self._wanted_voters)
-        self._founding: Founding | None = None
+        # A majority of the voters remains after the tolerated losses.
+        self._target_voters = 2 * tolerated_losses + 1
+        self._repair = Repair(target_voters=self._target_voters)
+        self._bootstrap: LogBootstrapRunner | None = None
         self._is_retired = False
-        self._sources: dict[str, str] = {}
-        # Syncs have a thread of their own, so that they never wait behind other work.
+        self._address_by_replica: dict[str, str] = {}
+        # A separate thread for disk syncs, so that they never queue behind other work.
         self._sync_pool = ThreadPool(1)
         self.replica: Replica | None = None
         self.replica_id = ""
@@ -108,32 +109,32 @@
 
     # Messages
 
-    def takes(self, message: Message) -> bool:
+    def accepts(self, message: Message) -> bool:
         """Return whether a message is for the log."""
         return isinstance(message, PeerMessage | Hello | JoinRequest | JoinAnswer)
 
-    def take(self, source: str, message: Message) -> None:
-        """Take a message; never blocks."""
+    def handle_message(self, source: str, message: Message) -> None:
+        """Handle a message for the log without blocking."""
         self._contacts[source] = None
         if isinstance(message, Hello):
-            self._take_hello(source, message)
+            self._handle_hello(source, message)
         elif isinstance(message, JoinRequest):
-            self._take_join(source, message)
+            self._handle_join_request(source, message)
         elif isinstance(message, JoinAnswer):
-            self._take_join_answer(message)
+            self._handle_join_answer(message)
         elif self.replica is not None and isinstance(message, PeerMessage):
-            self._sources[message.sender] = source
+            self._address_by_replica[message.sender] = source
             self.replica.receive(source, message)
 
-    def _take_hello(self, source: str, hello: Hello) -> None:
-        if self._founding is not None:
-            self._founding.take(source, hello)
+    def _handle_hello(self, source: str, hello: Hello) -> None:
+        if self._bootstrap is not None:
+            self._bootstrap.take(source, hello)
             return
         members = self.get_members()
         if members.members and hello.members is None:
             self._send(source, Hello(self._instance_id, self.replica_id, (), members))
 
-    def _take_join(self, source: str, request: JoinRequest) -> None:
+    def _handle_join_request(self, source: str, request: JoinRequest) -> None:
         if self.replica is None:
             return
         if self.is_leader:
@@ -142,7 +143,7 @@
         answer = JoinAnswer(leader_instance=status.leader_instance, members=status.members)
         self._send(source, answer)
 
-    def _take_join_answer(self, answer: JoinAnswer) -> None:
+    def _handle_join_answer(self, answer: JoinAnswer) -> None:
         for member in answer.members.members:
             self._contacts[member.instance_id] = None
         if self.replica_id in answer.members.retired and not self._is_retired:
@@ -152,27 +153,28 @@
                 self.replica.stop()
 
     def get_members(self) -> Members:
-        """Return the members of the log as they are known here."""
+        """Return the members of the log as known to this replica."""
         if self.replica is None:
             return Members()
         return self.replica.get_status().consensus.members
 
     def get_leader(self) -> str:
-        """Return the instance that leads as far as it is known here, or an empty text.
+        """Return the leader's instance as known to this replica, or an empty string.
 
-        Before a replica has learnt the members it knows the leader by its replica id.
+        A replica that has not received the members yet knows only the leader's replica id;
+        the address from which the leader's messages came is returned then.
         """
         if self.replica is None:
             return ""
         leader = self.replica.get_status().consensus.leader_instance
-        return self._sources.get(leader, leader)
+        return self._address_by_replica.get(leader, leader)
 
     def list_instances(self) -> tuple[str, ...]:
         """Return the instances of all members."""
         return tuple(member.instance_id for member in self.get_members().members)
 
     def write_contacts(self) -> None:
-        """On the leader, write when each replica last answered and how far its log reaches."""
+        """At the leader, log the time since each replica's last answer and its match index."""
         if self.replica is None or not self.is_leader:
             return
         status = self.replica.get_status().consensus
@@ -192,21 +194,21 @@
 
     @property
     def has_all_voters(self) -> bool:
-        """Return whether the log has as many voters as the losses to be borne ask for.
+        """Return whether the log has the number of voters that the tolerated losses require.
 
-        Only those count that have the log on their disks, as far as a leader knows: a founder
-        that has not heard of its founding yet would come back as one that knows of no log.
+        Only voters that have the log on disk, as known to the leader, count: a bootstrap
+        instance that has not learnt of the bootstrap yet would restart without any log.
         """
         if self.replica is None:
             return False
         replicas = self.replica.get_status().consensus.replicas
         voters = [one for one in replicas if one.voter and one.match_index > 0]
-        return len(voters) >= self._wanted_voters
+        return len(voters) >= self._target_voters
 
-    # Life
+    # Lifecycle
 
     def run(self) -> None:
-        """Serve until killed; whatever ends the replica is logged and tried again."""
+        """Run the replica until killed; restart it after storage errors and retirement."""
         while True:
             try:
                 self._run_once()
@@ -215,7 +217,7 @@
                 self._is_first_start = False
             except StorageError as error:
                 self._events.write("storage_failed", detail=str(error))
-                gevent.sleep(REOPEN_AFTER_S)
+                gevent.sleep(REOPEN_DELAY_S)
             finally:
                 self.replica = None
                 self.is_leader = False
@@ -224,8 +226,8 @@
         self._is_retired = False
         with self._open_folder() as storage:
             recovered = storage.pop_recovered()
-            if is_blank(recovered) and self._may_found(storage):
-                recovered = self._form(storage, recovered)
+            if is_blank(recovered) and self._may_bootstrap(storage):
+                recovered = self._bootstrap_log(storage, recovered)
             self._serve(storage, recovered)
         if self._is_retired:
             raise RetiredError
@@ -233,8 +235,8 @@
     @contextmanager
     def _open_folder(self) -> Iterator[Storage]:
         if not (self._folder / IDENTITY_NAME).exists():
-            # Half of a folder is left where an earlier start was cut off before its end;
-            # it has no identity yet, so nobody can have counted on it.
+            # An earlier start was interrupted while it created the folder. The folder has no
+            # identity yet, so no other replica can rely on it.
             shutil.rmtree(self._folder, ignore_errors=True)
         with open_replica_folder(
             self._folder,
@@ -246,19 +248,22 @@
             self._events.write("replica_opened", replica=self.replica_id)
             yield storage
 
-    def _may_found(self, storage: Storage) -> bool:
-        """Return whether this blank replica may be one of those that found the log.
+    def _may_bootstrap(self, storage: Storage) -> bool:
+        """Return whether this blank replica may take part in the bootstrap of the log.
 
-        After the first start that is not known: the founders may have been killed before
-        any of them had written who they are.
+        A folder created after the first start does not name the bootstrap instances: all of
+        them may have been killed before they wrote their identities.
         """
         bootstrap_instances = storage.identity.bootstrap_instances
         return not bootstrap_instances or self._instance_id in bootstrap_instances
 
-    def _form(self, storage: Storage, recovered: Recovered) -> Recovered:
-        """Found the log with the others, or learn that it exists; return the state to go on."""
+    def _bootstrap_log(self, storage: Storage, recovered: Recovered) -> Recovered:
+        """Bootstrap the log with the other instances, or learn that a log exists already.
+
+        Return the recovered state to serve from.
+        """
         bootstrap_instances = storage.identity.bootstrap_instances
-        formation = LogBootstrap(
+        log_bootstrap = LogBootstrap(
             instance_id=self._instance_id,
             replica_id=self.replica_id,
             instances=bootstrap_instances or self._seeds,
@@ -266,24 +271,24 @@
             has_first_disk=bool(bootstrap_instances),
             tolerated_losses=self._tolerated_losses,
         )
-        founding = self._founding = Founding(
-            formation=formation, replica_id=self.replica_id, send=self._send
+        bootstrap = self._bootstrap = LogBootstrapRunner(
+            formation=log_bootstrap, replica_id=self.replica_id, send=self._send
         )
-        watch = gevent.spawn(self._watch_doubt, founding)
+        loss_logger = gevent.spawn(self._log_possible_loss, bootstrap)
         try:
-            recovered = founding.run(storage, recovered)
+            recovered = bootstrap.run(storage, recovered)
         finally:
-            watch.kill(block=False)
-            self._founding = None
-        event = "log_founded" if founding.is_member else "log_found"
-        self._events.write(event, members=len(founding.members.members))
+            loss_logger.kill(block=False)
+            self._bootstrap = None
+        event = "log_founded" if bootstrap.is_member else "log_found"
+        self._events.write(event, members=len(bootstrap.members.members))
         return recovered
 
-    def _watch_doubt(self, founding: Founding) -> None:
-        """Tell, now and then, that only an operator can know whether a log was lost."""
+    def _log_possible_loss(self, bootstrap: LogBootstrapRunner) -> None:
+        """Log regularly that a log may have been lost, which only an operator can decide."""
         while True:
-            gevent.sleep(DOUBT_EVERY_S)
-            if founding.may_have_lost_log:
+            gevent.sleep(POSSIBLE_LOSS_LOG_INTERVAL_S)
+            if bootstrap.may_have_lost_log:
                 self._events.write("founding_doubtful", tolerated_losses=self._tolerated_losses)
 
     def _serve(self, storage: Storage, recovered: Recovered) -> None:
@@ -297,43 +302,48 @@
             timing=TIMING,
             random_source=self._random,
         )
-        replica.listen(self._take_notice)
+        replica.listen(self._handle_notification)
         self.replica = replica
-        loops = [gevent.spawn(self._run_repair, replica), gevent.spawn(self._seek, replica)]
+        loops = [
+            gevent.spawn(self._run_repair, replica),
+            gevent.spawn(self._run_join_requests, replica),
+        ]
         try:
             replica.run()
         finally:
             gevent.killall(loops)
 
     def _send_to_replica(self, effect: SendMessage) -> None:
-        # A replica that has not learnt the members yet knows the leader by its replica
-        # id only. Sent to that, its first answer would be lost and it never caught up.
-        self._send(self._sources.get(effect.target, effect.target), effect.message)
+        # A replica that has not received the members yet knows only the leader's replica id.
+        # An answer addressed to this id would be lost, and the replica would never catch up.
+        self._send(self._address_by_replica.get(effect.target, effect.target), effect.message)
 
-    def _take_notice(self, notice: LeadershipChanged | TransferRefused | ReplicaRegressed) -> None:
-        if isinstance(notice, ReplicaRegressed):
-            self._events.write("replica_regressed", replica=notice.replica_id)
+    def _handle_notification(
+        self, notification: LeadershipChanged | TransferRefused | ReplicaRegressed
+    ) -> None:
+        if isinstance(notification, ReplicaRegressed):
+            self._events.write("replica_regressed", replica=notification.replica_id)
             return
-        if not isinstance(notice, LeadershipChanged):
+        if not isinstance(notification, LeadershipChanged):
             return
-        leads = notice.role is Role.LEADER
-        self.knows_leader = bool(notice.leader_instance)
+        leads = notification.role is Role.LEADER
+        self.knows_leader = bool(notification.leader_instance)
         if leads and not self.is_leader:
             self.leads_since = time.monotonic()
         self.is_leader = leads
         self._events.write(
             "leader_changed",
-            term=notice.term,
-            leader=notice.leader_instance,
-            role=notice.role.value,
+            term=notification.term,
+            leader=notification.leader_instance,
+            role=notification.role.value,
         )
 
     # Repair
 
     def _run_repair(self, replica: Replica) -> None:
-        """On the leader, carry out the member changes that are due."""
+        """At the leader, execute the member changes that are due."""
         while True:
-            gevent.sleep(REPAIR_EVERY_S)
+            gevent.sleep(REPAIR_INTERVAL_S)
             if not self.is_leader:
                 continue
             status = replica.get_status().consensus
@@ -348,30 +358,30 @@
                 outcome="committed" if result.is_ok() else result.error.code,
             )
 
-    def _seek(self, replica: Replica) -> None:
-        """Ask all known instances to be let in for as long as no leader is heard."""
-        heard_at = time.monotonic() - LEADER_SILENT_S
+    def _run_join_requests(self, replica: Replica) -> None:
+        """Send join requests to all known instances while not a voter or without a leader."""
+        leader_seen_at = time.monotonic() - LEADER_TIMEOUT_S
         while True:
             status = replica.get_status().consensus
             now = time.monotonic()
             is_voter = status.members.is_voter(self.replica_id)
             if status.leader_instance and is_voter:
-                heard_at = now
-            if not is_voter or now - heard_at > LEADER_SILENT_S:
-                self._ask_to_join()
-            gevent.sleep(SEEK_EVERY_S)
+                leader_seen_at = now
+            if not is_voter or now - leader_seen_at > LEADER_TIMEOUT_S:
+                self._send_join_requests()
+            gevent.sleep(JOIN_REQUEST_INTERVAL_S)
 
-    def _ask_to_join(self) -> None:
+    def _send_join_requests(self) -> None:
         request = JoinRequest(instance_id=self._instance_id, replica_id=self.replica_id)
         for contact in list(self._contacts):
             if contact != self._instance_id:
                 self._send(contact, request)
 
-    def hand_over(self) -> None:
-        """Before a stop, hand leadership to another replica."""
+    def hand_over_leadership(self) -> None:
+        """Transfer leadership to another replica before a stop; wait until it has moved."""
         if self.replica is None or not self.is_leader:
             return
         self.replica.transfer_leadership()
         ends_at = time.monotonic() + _TRANSFER_WAIT_S
         while self.is_leader and time.monotonic() < ends_at:
-            gevent.sleep(POLL_S)
+            gevent.sleep(POLL_INTERVAL_S)
--- a/chivetrack/daemon/fleet/metrics.py
+++ b/chivetrack/daemon/fleet/metrics.py
@@ -1,4 +1,4 @@
-"""What the deployed processes count, and the address where it can be read."""
+"""The metrics of the deployed processes and the listener that exposes them."""
 
 import time
 from collections import deque
@@ -17,28 +17,28 @@
     from chivetrack.daemon.fleet.meters import Meters
 
 
-# Records that wait until somebody asks for metrics; more open the library by themselves.
-MAX_WAITING = 20_000
+# Records kept until metrics are first requested; at this number the library is loaded anyway.
+MAX_PENDING_RECORDS = 20_000
 
 
 class Metrics:
-    """Keeps records until metrics are read for the first time.
+    """Keep records until metrics are requested for the first time.
 
-    The library takes a tenth of a process's start, which is the time in which callers
-    are refused after all instances lost power. Nothing is lost by the delay: the records
-    are handed in when the library is there.
+    Loading the library takes a tenth of a process's start, and after a power loss of all
+    instances callers are refused until the start is complete. No record is lost by the
+    delay: the kept records are replayed once the library is loaded.
     """
 
     def __init__(self, *, instance: str, zone: str) -> None:
-        """Take the names that metrics are kept under."""
+        """Set the instance and zone that identify the metrics."""
         self._instance = instance
         self._zone = zone
         self._gauges: list[Gauge] = []
-        self._waiting: deque[Callable[[Meters], None]] = deque()
+        self._pending_records: deque[Callable[[Meters], None]] = deque()
         self._meters: Meters | None = None
 
     def add_gauges(self, *gauges: Gauge) -> None:
-        """Show values that are read off other parts; only before metrics are first asked for."""
+        """Add gauges; this has an effect only before metrics are first requested."""
         self._gauges += gauges
 
     def record_end(self, call: Call, outcome: str) -> None:
@@ -46,9 +46,9 @@
         now = time.monotonic()
         self._record(lambda meters: meters.record_end(call, outcome, now))
 
-    def note_answer(self, endpoint_id: str, facts: AnswerFacts) -> None:
-        """Count the head of an endpoint's answer."""
-        self._record(lambda meters: meters.note_answer(facts))
+    def record_answer(self, endpoint_id: str, facts: AnswerFacts) -> None:
+        """Count an endpoint's answer by whether the request ran."""
+        self._record(lambda meters: meters.record_answer(facts))
 
     def count_crash(self) -> None:
         """Count an endpoint crash that interrupted requests of this router."""
@@ -62,24 +62,24 @@
         if self._meters is not None:
             record(self._meters)
             return
-        self._waiting.append(record)
-        if len(self._waiting) >= MAX_WAITING:
+        self._pending_records.append(record)
+        if len(self._pending_records) >= MAX_PENDING_RECORDS:
             self.open()
 
     def open(self) -> "Meters":
-        """Load the library, hand in what waits and return the meters."""
+        """Load the library, replay the pending records and return the meters."""
         if self._meters is None:
             from chivetrack.daemon.fleet.meters import open_meters
 
             self._meters = open_meters(
                 instance=self._instance, zone=self._zone, gauges=self._gauges
             )
-        while self._waiting:
-            self._waiting.popleft()(self._meters)
+        while self._pending_records:
+            self._pending_records.popleft()(self._meters)
         return self._meters
 
     def build_app(self) -> Bottle:
-        """Return the application that answers with all metrics as text."""
+        """Return the application that serves all metrics as text."""
         app = Bottle()
 
         def show_metrics() -> HTTPResponse:
@@ -91,7 +91,7 @@
 
 
 def open_metrics_server(address: Address | None, metrics: Metrics) -> HttpServer | None:
-    """Return the server of the metrics address, if the settings name one."""
+    """Return the server of the metrics address, ``None`` if the settings have no address."""
     if address is None:
         return None
     return HttpServer(
--- a/chivetrack/daemon/fleet/permits.py
+++ b/chivetrack/daemon/fleet/permits.py
@@ -1,4 +1,4 @@
-"""Asks the replica that a router is close to whether a cold endpoint may get a request."""
+"""Requests permits to send requests to cold endpoints from the router's assigned replica."""
 
 import time
 from collections.abc import Callable
@@ -6,13 +6,13 @@
 from chivetrack.components.slow_start.const import NO_ANSWER_BACKOFF_S, PERMIT_TIMEOUT_S
 from chivetrack.components.slow_start.messages import PermitAnswer, PermitRequest
 from chivetrack.daemon.fleet.fleet_view import FleetView
-from chivetrack.daemon.fleet.questions import Questions
+from chivetrack.daemon.fleet.pending_requests import PendingRequests
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.events import EventLog
 
 
-class PermitDesk:
-    """Asks for one request at a time, and remembers refusals until their end."""
+class PermitClient:
+    """Request a permit for each request to a cold endpoint; record refusals until they expire."""
 
     def __init__(
         self,
@@ -22,18 +22,21 @@
         send: Callable[[str, Message], None],
         events: EventLog,
     ) -> None:
-        """Take what is known of endpoints, whom to ask, and the way out."""
+        """Store the view, the lookup of the assigned replica and the transport's ``send``."""
         self._view = view
         self._find_replica = find_replica
         self._send = send
         self._events = events
-        self._questions = Questions[PermitAnswer]()
+        self._pending = PendingRequests[PermitAnswer]()
 
     def allows(self, service: str, endpoint_id: str) -> bool:
-        """Return whether a request may go to an endpoint now; waits a moment where it is cold."""
+        """Return whether a request may be sent to an endpoint now.
+
+        For a cold endpoint, wait for the replica's answer.
+        """
         if not self._view.is_cold(service, endpoint_id, time.monotonic()):
             return True
-        wait_s = self._ask(endpoint_id, self._view.find_cold_rate(service))
+        wait_s = self._request_permit(endpoint_id, self._view.find_cold_rate(service))
         if wait_s == 0:
             return True
         self._view.directory.cold.record_refusal(endpoint_id, until=time.monotonic() + wait_s)
@@ -45,11 +48,11 @@
         )
         return False
 
-    def _ask(self, endpoint_id: str, per_s: float) -> float:
+    def _request_permit(self, endpoint_id: str, per_s: float) -> float:
         replica = self._find_replica()
         if not replica:
             return NO_ANSWER_BACKOFF_S
-        answer = self._questions.ask(
+        answer = self._pending.request(
             lambda number: self._send(
                 replica, PermitRequest(number=number, endpoint_id=endpoint_id, per_s=per_s)
             ),
@@ -57,6 +60,6 @@
         )
         return NO_ANSWER_BACKOFF_S if answer is None else answer.wait_s
 
-    def take(self, answer: PermitAnswer) -> None:
-        """Take a replica's answer; one that comes too late is dropped with its permit."""
-        self._questions.take(answer.number, answer)
+    def handle_answer(self, answer: PermitAnswer) -> None:
+        """Handle a replica's answer; a permit that arrives after the timeout is lost."""
+        self._pending.handle_answer(answer.number, answer)
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -1,4 +1,4 @@
-"""The replica process: operators and endpoints on one side, routers on the other."""
+"""The replica process: serves operators and endpoints and keeps routers up to date."""
 
 import itertools
 import secrets
@@ -25,9 +25,14 @@
 from chivetrack.components.slow_start.messages import PermitAnswer, PermitRequest
 from chivetrack.components.slow_start.permits import PermitLedger
 from chivetrack.daemon.fleet.call_gate import CallGate
-from chivetrack.daemon.fleet.const import FLUSH_S, STOP_CALLS_S, TIDY_EVERY_S, TRAFFIC_EVERY
-from chivetrack.daemon.fleet.desk import Desk
-from chivetrack.daemon.fleet.documents import DocumentDesk
+from chivetrack.daemon.fleet.const import (
+    PRUNE_INTERVAL_S,
+    PRUNE_ROUNDS_PER_TRAFFIC_LINE,
+    PUSH_DELAY_S,
+    STOP_CALLS_TIMEOUT_S,
+)
+from chivetrack.daemon.fleet.desk import ControlHandler
+from chivetrack.daemon.fleet.documents import DocumentHandler
 from chivetrack.daemon.fleet.gauges import Gauge
 from chivetrack.daemon.fleet.log_host import LogHost
 from chivetrack.daemon.fleet.metrics import Metrics, open_metrics_server
@@ -38,27 +43,29 @@
 from chivetrack.helpers.events import EventLog
 from chivetrack.platform.control_api import build_control_app
 
-_LAST_WORDS_S = 0.2
+_FINAL_SENDS_WAIT_S = 0.2
 _POLL_S = 0.02
 
 
 class ReplicaProcess:
-    """Owns the listeners and loops of a replica; ``run`` serves until a stop has ended."""
+    """Own the listeners and loops of a replica; ``run`` serves until the stop is complete."""
 
     def __init__(self, *, settings: DeploymentSettings, events: EventLog) -> None:
-        """Build all parts; nothing listens before ``run``."""
+        """Build all components; no listener is opened before ``run``."""
         listeners = settings.listeners
         assert listeners.control is not None and settings.process.data_folder is not None
         self._settings = settings
         self._events = events
-        self._asked = Signal()
+        self._stop_requested = Signal()
         self._metrics = Metrics(
             instance=settings.process.name, zone=settings.process.availability_zone
         )
-        self._is_pushing = False
+        self._is_push_scheduled = False
         self._store = DocumentStore()
         self._table = EndpointTable()
-        self.transport = make_transport(settings, events=events, take=self._take_message)
+        self.transport = make_transport(
+            settings, events=events, handle_message=self._handle_message
+        )
         seeds = list_seed_peers(settings)
         own = str(listeners.peer)
         self.host = LogHost(
@@ -79,7 +86,7 @@
             started_at=time.monotonic(),
         )
         self._permits = PermitLedger(started_at=time.monotonic())
-        documents = DocumentDesk(
+        documents = DocumentHandler(
             instance_id=own,
             control_port=listeners.control.port,
             host=self.host,
@@ -90,17 +97,17 @@
             ),
             events=events,
         )
-        self._desk = Desk(
+        self._control_handler = ControlHandler(
             instance_id=own,
             documents=documents,
             zones=settings.fleet.zones,
             list_replicas=self.host.list_instances,
             table=self._table,
             send=self.transport.send,
-            push=self._push_soon,
+            push=self._schedule_push,
             events=events,
         )
-        self._file = RestartFile(
+        self._restart_file = RestartFile(
             folder=settings.process.data_folder,
             table=self._table,
             placements=self._publisher.placements,
@@ -116,47 +123,47 @@
             Gauge(
                 name="chivetrack.replica.quarantined_requests",
                 unit="{request}",
-                description="Requests that are rejected since they crash endpoints.",
+                description="Requests that are rejected because they crash endpoints.",
                 read=lambda: len(self._store.quarantine.requests),
             ),
         )
-        self._store.listen(self._take_document)
-        self._store.listen_to_evacuations(self._take_evacuations)
-        self._store.listen_to_quarantine(self._take_quarantine)
+        self._store.listen(self._apply_document)
+        self._store.listen_to_evacuations(self._apply_evacuations)
+        self._store.listen_to_quarantine(self._apply_quarantine)
         self._documents = documents
         self._pending_orders: set[bytes] = set()
         self._gate = CallGate(
             application=build_control_app(
-                desk=self._desk, unpack=unpack_document, note_bad=self._note_bad
+                desk=self._control_handler, unpack=unpack_document, note_bad=self._log_rejected
             )
         )
         self._control = HttpServer(
             address=(listeners.control.host, listeners.control.port),
             application=self._gate,
-            is_closing=self._asked.is_set,
+            is_closing=self._stop_requested.is_set,
         )
         self._metrics_server = open_metrics_server(listeners.metrics, self._metrics)
 
-    def _note_bad(self, what: str, detail: str) -> None:
+    def _log_rejected(self, what: str, detail: str) -> None:
         self._metrics.count("message_rejected")
         self._events.write("message_rejected", what=what, detail=detail[:300])
 
-    def _take_document(self, document: StoredDocument) -> None:
+    def _apply_document(self, document: StoredDocument) -> None:
         self._publisher.history.set_current(document)
         self._metrics.count("configuration_applied")
         self._events.write("configuration_applied", version=document.version)
-        self._push_soon()
+        self._schedule_push()
 
-    def _take_evacuations(self, evacuations: Evacuations) -> None:
+    def _apply_evacuations(self, evacuations: Evacuations) -> None:
         self._publisher.evacuations = evacuations
         self._events.write(
             "evacuation_applied",
             revision=evacuations.revision,
             zones=evacuations.list_evacuated(),
         )
-        self._push_soon()
+        self._schedule_push()
 
-    def _take_quarantine(self, quarantine: Quarantine) -> None:
+    def _apply_quarantine(self, quarantine: Quarantine) -> None:
         before = self._publisher.quarantine
         self._publisher.quarantine = quarantine
         for one in before.requests:
@@ -166,7 +173,7 @@
         for one in quarantine.requests:
             if before.find(one.fingerprint) is None:
                 self._events.write("request_quarantined", **one.describe())
-        self._push_soon()
+        self._schedule_push()
 
     def _order_due_quarantines(self) -> None:
         """At the leader, order the quarantine of requests that reached the crash threshold.
@@ -187,18 +194,18 @@
         finally:
             self._pending_orders.discard(order.fingerprint)
 
-    def _push_soon(self) -> None:
-        """Tell the routers; changes that come together go out together."""
-        if not self._is_pushing:
-            self._is_pushing = True
-            gevent.spawn_later(FLUSH_S, self._push)
+    def _schedule_push(self) -> None:
+        """Schedule an update to the routers; changes within ``PUSH_DELAY_S`` are batched."""
+        if not self._is_push_scheduled:
+            self._is_push_scheduled = True
+            gevent.spawn_later(PUSH_DELAY_S, self._push)
 
     def _push(self) -> None:
-        self._is_pushing = False
-        self._file.write_soon()
+        self._is_push_scheduled = False
+        self._restart_file.schedule_write()
         send_all(self.transport.answer, self._publisher.publish(now=time.monotonic()))
 
-    def _take_message(self, source: str, message: Message) -> None:
+    def _handle_message(self, source: str, message: Message) -> None:
         if isinstance(message, Follow):
             effects = self._publisher.handle_follow(
                 message, now=time.monotonic(), knows_leader=self.host.knows_leader
@@ -214,25 +221,27 @@
             self._publisher.handle_exchange(source, message, now=time.monotonic())
             if message.crash_reports:
                 self._order_due_quarantines()
-        elif self.host.takes(message):
-            self.host.take(source, message)
+        elif self.host.accepts(message):
+            self.host.handle_message(source, message)
         else:
-            self._desk.take(source, message)
+            self._control_handler.handle_message(source, message)
 
-    def _answer_permit(self, source: str, asked: PermitRequest) -> None:
+    def _answer_permit(self, source: str, request: PermitRequest) -> None:
         now = time.monotonic()
         share = self._publisher.get_fleet_share(now=now)
-        wait_s = self._permits.request(asked.endpoint_id, per_s=asked.per_s, share=share, now=now)
-        self.transport.answer(source, PermitAnswer(number=asked.number, wait_s=wait_s))
+        wait_s = self._permits.request(
+            request.endpoint_id, per_s=request.per_s, share=share, now=now
+        )
+        self.transport.answer(source, PermitAnswer(number=request.number, wait_s=wait_s))
 
     def _send_documents(self, source: str, fetch: FetchDocument) -> None:
         for one in self._publisher.handle_fetch(source, fetch, now=time.monotonic()):
             gevent.spawn_later(one.delay_s, self.transport.answer, one.target, one.message)
 
     def run(self) -> int:
-        """Serve until SIGTERM; leadership is handed over first."""
-        gevent.signal_handler(signal.SIGTERM, self._asked.set)
-        gevent.signal_handler(signal.SIGHUP, self._note_reload)
+        """Serve until SIGTERM, then stop; return the number of calls cut by the exit."""
+        gevent.signal_handler(signal.SIGTERM, self._stop_requested.set)
+        gevent.signal_handler(signal.SIGHUP, self._log_reload)
         with self._serve():
             self._events.write(
                 "started",
@@ -241,30 +250,30 @@
                 is_first_start=self._settings.fleet.is_first_start,
                 seeds=[str(one) for one in self._settings.fleet.seeds],
             )
-            self._asked.wait()
+            self._stop_requested.wait()
             return self._stop()
 
     def _stop(self) -> int:
-        """Hand leadership over, finish the calls in progress, and return how many were cut."""
+        """Hand over leadership, finish the calls in progress and return the number cut."""
         began = time.monotonic()
         self._events.write("stopping", leads=self.host.is_leader, open=self._gate.open_count)
         self._gate.is_closed = True
-        self.host.hand_over()
-        while self._gate.open_count and time.monotonic() < began + STOP_CALLS_S:
+        self.host.hand_over_leadership()
+        while self._gate.open_count and time.monotonic() < began + STOP_CALLS_TIMEOUT_S:
             gevent.sleep(_POLL_S)
-        gevent.sleep(_LAST_WORDS_S)
+        gevent.sleep(_FINAL_SENDS_WAIT_S)
         cut = self._gate.open_count
         self._events.write("stopped", cut=cut, after_s=round(time.monotonic() - began, 2))
         return cut
 
-    def _note_reload(self) -> None:
+    def _log_reload(self) -> None:
         self._events.write("reload", detail="settings are read at the next start")
 
-    def _tidy(self) -> None:
+    def _run_pruning(self) -> None:
         traffic = TrafficLog(transport=self.transport, events=self._events)
         for number in itertools.count():
-            gevent.sleep(TIDY_EVERY_S)
-            if number % TRAFFIC_EVERY == 0:
+            gevent.sleep(PRUNE_INTERVAL_S)
+            if number % PRUNE_ROUNDS_PER_TRAFFIC_LINE == 0:
                 traffic.write()
                 self.host.write_contacts()
                 self._events.write("distribution_sent", **self._publisher.pop_counts())
@@ -272,15 +281,15 @@
             for record in self._table.remove_expired(now):
                 self._events.write("endpoint_forgotten", **record.describe())
             self._order_due_quarantines()
-            self._file.write_soon()
+            self._restart_file.schedule_write()
             # Without a leader, this replica may be partitioned and miss all heartbeats.
             if self.host.knows_leader:
-                self._desk.mark_silent_lost()
+                self._control_handler.mark_silent_lost()
             if self._table.mark_unconfirmed_lost(now):
-                self._push_soon()
+                self._schedule_push()
 
-    def _exchange(self) -> None:
-        """Tell the other replicas what the routers close to this one use."""
+    def _run_exchange(self) -> None:
+        """Send the other replicas the loads of the routers assigned to this one."""
         own = str(self._settings.listeners.peer)
         while True:
             gevent.sleep(LOAD_REPORT_INTERVAL_S)
@@ -289,26 +298,32 @@
                 if target != own:
                     self.transport.send(target, exchange)
 
-    def _send_endpoints(self) -> None:
-        """Send routers in rounds what has changed at many endpoints."""
+    def _run_endpoint_rounds(self) -> None:
+        """Send routers endpoint changes in rounds, which bundle many changes."""
         while True:
             gevent.sleep(ROUND_INTERVAL_S / 2)
             send_all(self.transport.answer, self._publisher.send_round(now=time.monotonic()))
 
-    def _spread(self) -> None:
-        """Tell the other replicas what endpoints say here."""
+    def _run_broadcasts(self) -> None:
+        """Broadcast the announcements received from endpoints to the other replicas."""
         while True:
             gevent.sleep(BROADCAST_INTERVAL_S)
-            self._desk.spread()
+            self._control_handler.broadcast()
 
     @contextmanager
     def _serve(self) -> Iterator[None]:
-        self._file.load(now=time.monotonic())
+        self._restart_file.load(now=time.monotonic())
         self.transport.start()
         self._control.start()
         if self._metrics_server is not None:
             self._metrics_server.start()
-        jobs = (self.host.run, self._tidy, self._exchange, self._send_endpoints, self._spread)
+        jobs = (
+            self.host.run,
+            self._run_pruning,
+            self._run_exchange,
+            self._run_endpoint_rounds,
+            self._run_broadcasts,
+        )
         loops = [gevent.spawn(one) for one in jobs]
         try:
             yield
--- a/chivetrack/daemon/fleet/requests.py
+++ b/chivetrack/daemon/fleet/requests.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests in and sees each of them through to its answer."""
+"""Admits callers' requests and processes each of them until it is answered or refused."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -27,7 +27,7 @@
 from chivetrack.components.traffic.table import RouteTable
 from chivetrack.daemon.fleet.calls import Call, Reply
 from chivetrack.daemon.fleet.const import (
-    DEFAULT_WAIT_S,
+    DEFAULT_CALLER_WAIT_S,
     MAX_REQUESTS,
     NO_DOCUMENT_RETRY_S,
     NO_ENDPOINT_RETRY_S,
@@ -36,7 +36,7 @@
 from chivetrack.daemon.fleet.crashes import CrashDetector
 from chivetrack.daemon.fleet.fleet_view import FleetView
 from chivetrack.daemon.fleet.forwarder import AnswerCutError, Forwarder, make_tried
-from chivetrack.daemon.fleet.permits import PermitDesk
+from chivetrack.daemon.fleet.permits import PermitClient
 from chivetrack.daemon.fleet.refusals import Refusals
 from chivetrack.daemon.fleet.request_log import RequestLog
 from chivetrack.daemon.server import ENVIRON_CONNECTED_AT, ENVIRON_HEADERS, ENVIRON_TARGET
@@ -46,30 +46,33 @@
 
 
 class RouteTimeoutError(BaseException):
-    """The route's timeout or the caller's own has passed."""
+    """The timeout of the route or the caller's own wait limit has passed."""
 
 
-class RequestDesk:
-    """The application of the callers' listener."""
+class RequestHandler:
+    """The WSGI application of the listener for callers."""
 
     def __init__(
         self,
         *,
         view: FleetView,
         forwarder: Forwarder,
-        permits: PermitDesk,
+        permits: PermitClient,
         crash_detector: CrashDetector,
         events: EventLog,
-        record: Callable[[Call, str], None],
+        record_end: Callable[[Call, str], None],
     ) -> None:
-        """Take what requests need; ``record`` counts how each one ended."""
+        """Store the components that requests need.
+
+        ``record_end`` receives each finished request and its outcome.
+        """
         self._view = view
         self._forwarder = forwarder
         self._permits = permits
         self._crash_detector = crash_detector
         self._log = RequestLog(view=view, events=events)
         self._refusals = Refusals(view=view, log=self._log)
-        self._record = record
+        self._record_end = record_end
         self.open_count = 0
         self._open_calls: dict[int, Call] = {}
         self._started_at = time.monotonic()
@@ -88,8 +91,8 @@
 
     def _serve(self, environ: dict[str, Any], reply: Reply) -> None:
         came_at = time.monotonic()
-        lines = environ[ENVIRON_HEADERS]
-        facts = read_request_facts({name.lower(): value for name, value in lines})
+        headers = environ[ENVIRON_HEADERS]
+        facts = read_request_facts({name.lower(): value for name, value in headers})
         try:
             call = self._admit(environ, facts, reply, came_at)
         except FaultError as error:
@@ -98,21 +101,21 @@
         self._open_calls[id(call)] = call
         try:
             with watch_caller(environ.get(ENVIRON_SOCKET)):
-                self._see_through(call)
+                self._process(call)
         except CallerLeftError:
             self._end(call, "caller_left")
-            raise AnswerCutError("the caller left") from None
+            raise AnswerCutError("the caller disconnected") from None
         finally:
             del self._open_calls[id(call)]
 
     def begin_stop(self, window: StopWindow, *, now: float) -> None:
-        """Take only what can end within ``window``; the stop began at ``now`` (seconds)."""
+        """Accept only requests that can end within ``window``; the stop began at ``now`` (s)."""
         self._refusals.window = window
         self._view.is_stopping = True
         self._log.stopping_since = now
 
     def end_stop(self) -> None:
-        """Record the requests that the end of the process cuts."""
+        """Record the requests in flight as cut by the exit of the process."""
         for call in list(self._open_calls.values()):
             self._end(call, "cut_by_stop")
 
@@ -122,15 +125,15 @@
         """Check a request against the configuration and read its body; raise ``FaultError``."""
         table = self._view.table or self._wait_for_table(facts, came_at)
         if table is None:
-            raise FaultError(_refuse("no_configuration", 503, NO_DOCUMENT_RETRY_S))
+            raise FaultError(_make_refusal("no_configuration", 503, NO_DOCUMENT_RETRY_S))
         if self.open_count > MAX_REQUESTS:
-            raise FaultError(_refuse("instance_full", 503, NO_ENDPOINT_RETRY_S))
+            raise FaultError(_make_refusal("instance_full", 503, NO_ENDPOINT_RETRY_S))
         target = environ[ENVIRON_TARGET]
         route = table.find_route(environ.get("HTTP_HOST", ""), target.partition("?")[0])
         if route is None:
-            raise FaultError(_refuse("unknown_route", 404, None))
+            raise FaultError(_make_refusal("unknown_route", 404, None))
         workspace = self._identify(table, route, facts)
-        wait_s = DEFAULT_WAIT_S if facts.wait_s is None else facts.wait_s
+        wait_s = DEFAULT_CALLER_WAIT_S if facts.wait_s is None else facts.wait_s
         limit = table.document.limits.max_body_bytes
         body = read_body(environ, limit=limit, timeout_s=BODY_TIMEOUT_S)
         return Call(
@@ -156,15 +159,15 @@
         )
 
     def _wait_for_table(self, facts: RequestFacts, now: float) -> RouteTable | None:
-        """Wait for the configuration for as long as a start usually takes.
+        """Wait for the configuration until ``START_WAIT_S`` after the start of the router.
 
-        After all instances lost power, a caller's only other try may come in the very
-        second in which routers are up and no replica leads yet. Refused then, it is lost;
-        the configuration is most likely there in some hundred ms. A router that has
-        been up for longer without it refuses at once.
+        After a power loss of all instances, a caller's only retry may arrive when routers
+        run but no replica leads yet. Refusing it would lose the request, although the
+        configuration most likely arrives within a few hundred milliseconds. A router that
+        has been running longer without a configuration refuses at once.
         """
         left_s = self._started_at + START_WAIT_S - now
-        wait_s = DEFAULT_WAIT_S if facts.wait_s is None else facts.wait_s
+        wait_s = DEFAULT_CALLER_WAIT_S if facts.wait_s is None else facts.wait_s
         if left_s > 0:
             self._view.wait_until_ready(min(left_s, wait_s / 2))
         return self._view.table
@@ -175,29 +178,29 @@
             return None
         workspace = table.find_workspace(facts.key)
         if workspace is None and not route.is_public:
-            raise FaultError(_refuse("unknown_key", 401, None))
+            raise FaultError(_make_refusal("unknown_key", 401, None))
         return workspace
 
-    def _see_through(self, call: Call) -> None:
+    def _process(self, call: Call) -> None:
         self._view.budgets[call.service].record_request(time.monotonic())
         try:
             with gevent.Timeout(max(0.001, call.ends_at - time.monotonic()), RouteTimeoutError):
                 self._try_endpoints(call)
             self._end(call, "answered")
         except RouteTimeoutError:
-            self._end_late(call)
+            self._handle_timeout(call)
         except AnswerCutError:
             self._end(call, "cut")
             raise
 
-    def _end_late(self, call: Call) -> None:
+    def _handle_timeout(self, call: Call) -> None:
         self._end(call, "timeout")
         if call.reply.is_started:
-            raise AnswerCutError("the time is up in the midst of an answer")
-        if not may_have_run(call.tries):
-            call.reply.refuse(_refuse("timeout", 503, NO_ENDPOINT_RETRY_S))
+            raise AnswerCutError("the request timed out during its answer")
+        if not may_have_run(call.attempts):
+            call.reply.refuse(_make_refusal("timeout", 503, NO_ENDPOINT_RETRY_S))
             return
-        message = "The time is up; the request may have run."
+        message = "The request timed out; it may have run."
         call.reply.refuse(Fault(code="timeout", message=message, status=504, ran=Ran.MAYBE))
 
     def _try_endpoints(self, call: Call) -> None:
@@ -206,22 +209,23 @@
                 return
             choice = self._choose(call)
             if choice is None:
-                self._give_up(call, "no_candidate")
+                self._abandon(call, "no_candidate")
                 return
             if self._refusals.refuse_during_stop(call, choice):
                 return
-            if not call.tries and self._refusals.refuse_hopeless(call, choice):
+            if not call.attempts and self._refusals.refuse_infeasible(call, choice):
                 return
             if self._send(call, choice):
                 return
             if not self._may_send_again(call):
-                self._give_up(call, "tries_used_up")
+                self._abandon(call, "tries_used_up")
                 return
 
     def _choose(self, call: Call) -> Choice | None:
-        """Return where a request goes next; to a cold endpoint only by permit.
+        """Return the endpoint for the next attempt; a cold endpoint needs a permit.
 
-        Where all endpoints are cold, a request waits for its turn, as long as it has time.
+        If all endpoints are cold and refuse, wait until a permit may be requested again,
+        unless the request would time out before that.
         """
         while True:
             choice = self._view.choose(call)
@@ -239,58 +243,61 @@
     def _may_send_again(self, call: Call) -> bool:
         left_s = call.ends_at - time.monotonic()
         has_budget = self._view.has_budget(call.service)
-        return may_send_again(call.route, call.tries, left_s=left_s, has_budget=has_budget)
+        return may_send_again(call.route, call.attempts, left_s=left_s, has_budget=has_budget)
 
     def _send(self, call: Call, choice: Choice) -> bool:
-        """Try one endpoint; return whether the caller has its answer."""
+        """Send the request to one endpoint; return whether the caller has its answer."""
         endpoint_id = choice.record.endpoint_id
-        reached = any(one.end is not SendEnd.NOT_SENT for one in call.tries)
+        reached = any(one.end is not SendEnd.NOT_SENT for one in call.attempts)
         if reached:
             self._view.budgets[call.service].record_retry(time.monotonic())
-        may_repeat = allows_retry(
-            call.route, count_possible_runs(call.tries) + 1
+        may_retry = allows_retry(
+            call.route, count_possible_runs(call.attempts) + 1
         ) and self._view.has_budget(call.service)
         self._log.write_placed(call, choice)
-        with self._view.use(call, choice) as placed:
-            # If the time is up or the caller leaves, this try may have run.
-            call.tries.append(SendAttempt(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
-            result = self._forwarder.send(call, choice, may_repeat=may_repeat)
-            call.tries.pop()
+        with self._view.track_request(call, choice) as placed:
+            # If the request times out or the caller disconnects, this attempt may have run.
+            call.attempts.append(SendAttempt(endpoint_id=endpoint_id, end=SendEnd.MAYBE_RAN))
+            result = self._forwarder.send(call, choice, may_retry=may_retry)
+            call.attempts.pop()
             placed.is_complete = result.is_answered and result.status < 500
         if placed.is_complete:
             self._view.crashes.record_answered(call.fingerprint, now=time.monotonic())
         if result.end is None:
-            self._view.health.note_outcome(
+            self._view.health.record_outcome(
                 endpoint_id, SendEnd.FAILED if result.status >= 500 else None
             )
-            self._log.write_try(call, choice, "answered", f"status {result.status}")
+            self._log.write_attempt(call, choice, "answered", f"status {result.status}")
             return True
-        call.tries.append(make_tried(choice, result))
+        call.attempts.append(make_tried(choice, result))
         if result.is_other_instance:
-            self._view.health.note_other_instance(endpoint_id)
-        self._view.health.note_outcome(endpoint_id, result.end)
-        self._log.write_try(call, choice, result.end.value, result.detail)
+            self._view.health.record_misdirected(endpoint_id)
+        self._view.health.record_outcome(endpoint_id, result.end)
+        self._log.write_attempt(call, choice, result.end.value, result.detail)
         if result.end is SendEnd.MAYBE_RAN:
-            self._crash_detector.note_broken_answer(call, choice.record)
+            self._crash_detector.record_broken_answer(call, choice.record)
         return False
 
-    def _give_up(self, call: Call, why: str) -> None:
+    def _abandon(self, call: Call, why: str) -> None:
         if call.reply.is_started:
-            raise AnswerCutError("the stream can't go on elsewhere")
+            raise AnswerCutError("the stream can't be resumed at another endpoint")
         pause_s = self._view.find_shortest_pause(call.service)
         retry_after_s = max(NO_ENDPOINT_RETRY_S, pause_s)
-        fault = make_final_fault(call.tries, retry_after_s=retry_after_s)
+        fault = make_final_fault(call.attempts, retry_after_s=retry_after_s)
         self._log.write_given_up(call, fault, why=why, pause_s=pause_s)
         call.reply.refuse(fault)
 
     def _end(self, call: Call, outcome: str) -> None:
         now = time.monotonic()
-        self._record(call, outcome)
+        self._record_end(call, outcome)
         self._log.write_ended(call, outcome, now=now)
 
 
 def choose_service(route: Route, request_id: str) -> str:
-    """Return the service of a split route; the same request always gets the same one."""
+    """Return the service for a request by the weights of the route's shares.
+
+    The choice depends on the request id only, so retries of a caller get the same service.
+    """
     total = sum(share.weight for share in route.shares)
     point = xxhash.xxh64_intdigest(request_id.encode()) / 2**64 * total
     for share in route.shares:
@@ -300,6 +307,6 @@
     return route.shares[-1].service
 
 
-def _refuse(code: str, status: int, retry_after_s: float | None) -> Fault:
+def _make_refusal(code: str, status: int, retry_after_s: float | None) -> Fault:
     message = f"The request has not run: {code.replace('_', ' ')}."
     return Fault(code=code, message=message, status=status, ran=Ran.NO, retry_after_s=retry_after_s)
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -1,4 +1,4 @@
-"""The router process: callers on one side, endpoints on the other."""
+"""The router process: forwards callers' requests to endpoints."""
 
 import signal
 import socket
@@ -28,13 +28,13 @@
 from chivetrack.components.slow_start.messages import PermitAnswer
 from chivetrack.components.traffic.models import Document
 from chivetrack.components.traffic.requests import AnswerFacts
-from chivetrack.components.upstream.kept import KeptConnections
+from chivetrack.components.upstream.idle_connections import IdleConnections
 from chivetrack.core import WakeAt
 from chivetrack.daemon.fleet.const import (
+    PRUNE_INTERVAL_S,
     STOP_ACCEPT_S,
     STOP_IDLE_AFTER_S,
     STOP_MARGIN_S,
-    TIDY_EVERY_S,
 )
 from chivetrack.daemon.fleet.crashes import CrashDetector
 from chivetrack.daemon.fleet.fleet_view import FleetView
@@ -42,8 +42,8 @@
 from chivetrack.daemon.fleet.gauges import Gauge
 from chivetrack.daemon.fleet.metrics import Metrics, open_metrics_server
 from chivetrack.daemon.fleet.peering import list_seed_peers, make_transport, send_all
-from chivetrack.daemon.fleet.permits import PermitDesk
-from chivetrack.daemon.fleet.requests import RequestDesk
+from chivetrack.daemon.fleet.permits import PermitClient
+from chivetrack.daemon.fleet.requests import RequestHandler
 from chivetrack.daemon.server import HttpServer, ServerLimits
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.events import EventLog
@@ -57,13 +57,13 @@
 
 
 def decode_document(body: bytes) -> Document | None:
-    """Decode a configuration as the operator sent it."""
-    read = read_document(body)
-    return read.ok if read.is_ok() else None
+    """Decode a configuration as the operator sent it; return ``None`` if it is invalid."""
+    decoded = read_document(body)
+    return decoded.ok if decoded.is_ok() else None
 
 
 class Router:
-    """Owns the listeners and loops of a router; ``run`` serves until a stop has ended."""
+    """Own the listeners and loops of a router; ``run`` serves until the stop is complete."""
 
     def __init__(
         self,
@@ -72,15 +72,15 @@
         events: EventLog,
         listener: socket.socket | None = None,
     ) -> None:
-        """Build all parts; nothing is accepted before ``run``.
+        """Build all components; no connection is accepted before ``run``.
 
-        ``listener`` is the callers' one if it is open already.
+        ``listener`` is the socket for callers if the process has already opened it.
         """
         self._settings = settings
         self._events = events
         self._timers = TimerService()
-        self._asked = Signal()
-        self._kept = KeptConnections(read_clock=time.monotonic)
+        self._stop_requested = Signal()
+        self._idle_connections = IdleConnections(read_clock=time.monotonic)
         self._metrics = Metrics(
             instance=settings.process.name, zone=settings.process.availability_zone
         )
@@ -89,9 +89,9 @@
             bounds=settings.bounds,
             events=events,
             decode=decode_document,
-            forget_endpoint=self._kept.forget,
+            forget_endpoint=self._idle_connections.close_endpoint,
         )
-        self.view.listeners.append(self._take_limits)
+        self.view.document_listeners.append(self._apply_limits)
         self._metrics.add_gauges(*self._list_gauges())
         self.subscriber = Subscriber(
             router=str(settings.listeners.peer),
@@ -103,9 +103,11 @@
             on_bad_update=self._note_bad_update,
             get_news=self.view.get_news,
         )
-        self._takers = dict(self._list_takers())
-        self.transport = make_transport(settings, events=events, take=self._take_message)
-        self._permits = PermitDesk(
+        self._message_handlers = dict(self._list_message_handlers())
+        self.transport = make_transport(
+            settings, events=events, handle_message=self._handle_message
+        )
+        self._permits = PermitClient(
             view=self.view,
             find_replica=lambda: self.subscriber.assigned_replica,
             send=self.transport.send,
@@ -113,26 +115,28 @@
         )
         crash_detector = CrashDetector(
             events=events,
-            note_crash=self._note_crash,
+            on_crash=self._handle_crash,
             is_lost_or_replaced=self.view.directory.is_lost_or_replaced,
         )
-        self.view.lifetime_end_listeners.append(crash_detector.note_lifetime_end)
-        self.desk = RequestDesk(
+        self.view.incarnation_end_listeners.append(crash_detector.handle_incarnation_end)
+        self.request_handler = RequestHandler(
             view=self.view,
             permits=self._permits,
             crash_detector=crash_detector,
             forwarder=Forwarder(
-                kept=self._kept,
-                note_answer=self._note_answer,
-                note_first_event=lambda call, choice: self.view.note_first_event(call),
-                hear=self.view.hear,
-                note_overdue=self.view.note_overdue,
+                idle_connections=self._idle_connections,
+                record_answer=self._record_answer,
+                handle_first_event=lambda call, choice: self.view.handle_first_event(call),
+                handle_bytes=self.view.handle_bytes,
+                record_overdue=self.view.record_overdue,
             ),
             events=events,
-            record=self._metrics.record_end,
+            record_end=self._metrics.record_end,
         )
         assert settings.listeners.callers is not None and settings.listeners.ready is not None
-        self._callers = self._make_server(settings.listeners.callers, self.desk, listener)
+        self._callers = self._make_server(
+            settings.listeners.callers, self.request_handler, listener
+        )
         self._ready = self._make_server(settings.listeners.ready, self._build_ready_app())
         self._metrics_server = open_metrics_server(settings.listeners.metrics, self._metrics)
 
@@ -141,13 +145,13 @@
         yield Gauge(
             name="chivetrack.router.evacuated_zones",
             unit="{zone}",
-            description="Zones whose endpoints get nothing new.",
+            description="Zones whose endpoints get no new requests.",
             read=lambda: len(view.directory.evacuations.list_evacuated()),
         )
         yield Gauge(
             name="chivetrack.router.requests_in_evacuated_zones",
             unit="{request}",
-            description="Requests of this router that still run there.",
+            description="Requests of this router that still run in evacuated zones.",
             read=lambda: view.count_running_in(view.directory.evacuations.list_evacuated()),
         )
 
@@ -157,12 +161,12 @@
         application: Callable[..., Any],
         listener: socket.socket | None = None,
     ) -> HttpServer:
-        where = (address.host, address.port)
-        is_open = listener is not None and listener.getsockname() == where
+        host_and_port = (address.host, address.port)
+        is_open = listener is not None and listener.getsockname() == host_and_port
         return HttpServer(
-            address=where,
+            address=host_and_port,
             application=application,
-            is_closing=self._asked.is_set,
+            is_closing=self._stop_requested.is_set,
             listener=listener if is_open else None,
         )
 
@@ -177,21 +181,23 @@
         return app
 
     def is_ready(self) -> bool:
-        """Return whether the balancer may send connections here."""
-        return not self._asked.is_set() and self.view.table is not None and self.view.has_view
+        """Return whether the load balancer may send connections to this router."""
+        return (
+            not self._stop_requested.is_set() and self.view.table is not None and self.view.has_view
+        )
 
-    def _note_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
-        self._metrics.note_answer(record.endpoint_id, facts)
-        self.view.note_answer(record, facts)
+    def _record_answer(self, record: EndpointRecord, facts: AnswerFacts) -> None:
+        self._metrics.record_answer(record.endpoint_id, facts)
+        self.view.record_answer(record, facts)
 
-    def _note_crash(self, reports: Sequence[CrashReport]) -> None:
-        """Immediately report the requests that were running at an endpoint when it crashed."""
+    def _handle_crash(self, reports: Sequence[CrashReport]) -> None:
+        """Report the requests that were running at a crashed endpoint without delay."""
         self._metrics.count_crash()
         now = time.monotonic()
         self.view.crashes.record_crash(reports, now=now)
         send_all(self.transport.send, self.subscriber.report_load(now=now))
 
-    def _take_limits(self, document: Document) -> None:
+    def _apply_limits(self, document: Document) -> None:
         limits = document.limits
         self._callers.limits = ServerLimits(
             max_header_bytes=limits.max_header_bytes,
@@ -205,29 +211,29 @@
     def _note_bad_update(self, replica: str, detail: str) -> None:
         self._events.write("endpoints_unreadable", replica=replica, detail=detail)
 
-    def _take_message(self, source: str, message: Message) -> None:
-        take = self._takers.get(type(message))
-        if take is not None:
-            take(source, message)
-
-    def _list_takers(self) -> Iterator[tuple[type[Message], Callable[[str, Any], None]]]:
-        yield View, self._take_view
-        yield EndpointUpdate, self._take_endpoints
-        yield SilentUpdate, self._take_silent
-        yield LoadUpdate, self._take_loads
-        yield PermitAnswer, lambda source, answer: self._permits.take(answer)
+    def _handle_message(self, source: str, message: Message) -> None:
+        handler = self._message_handlers.get(type(message))
+        if handler is not None:
+            handler(source, message)
+
+    def _list_message_handlers(self) -> Iterator[tuple[type[Message], Callable[[str, Any], None]]]:
+        yield View, self._handle_view
+        yield EndpointUpdate, self._handle_endpoints
+        yield SilentUpdate, self._handle_silent
+        yield LoadUpdate, self._handle_loads
+        yield PermitAnswer, lambda source, answer: self._permits.handle_answer(answer)
         yield DocumentSent, lambda source, sent: self.subscriber.handle_document(sent)
-        yield FetchElsewhere, self._take_referral
+        yield FetchElsewhere, self._handle_referral
         yield FetchDocument, self._answer_fetch
 
-    def _take_view(self, source: str, view: View) -> None:
+    def _handle_view(self, source: str, view: View) -> None:
         effects = self.subscriber.handle_view(source, view, now=time.monotonic())
-        self.view.take_view(view)
+        self.view.handle_view(view)
         send_all(self.transport.send, effects)
 
-    def _take_endpoints(self, _source: str, update: EndpointUpdate) -> None:
+    def _handle_endpoints(self, _source: str, update: EndpointUpdate) -> None:
         effects = self.subscriber.handle_endpoints(update, now=time.monotonic())
-        self.view.take_endpoints(is_partial=update.is_partial)
+        self.view.apply_endpoints(is_partial=update.is_partial)
         self._events.write(
             "endpoints_taken",
             replica=update.replica,
@@ -239,17 +245,17 @@
         )
         send_all(self.transport.send, effects)
 
-    def _take_silent(self, _source: str, update: SilentUpdate) -> None:
+    def _handle_silent(self, _source: str, update: SilentUpdate) -> None:
         if update.replica == self.subscriber.assigned_replica:
-            self.view.take_silent_endpoints(update.endpoint_ids)
+            self.view.update_silent_endpoints(update.endpoint_ids)
         send_all(self.transport.send, self.subscriber.handle_silent(update))
 
-    def _take_loads(self, _source: str, update: LoadUpdate) -> None:
+    def _handle_loads(self, _source: str, update: LoadUpdate) -> None:
         if update.replica == self.subscriber.assigned_replica:
-            self.view.take_loads(update.payload)
+            self.view.handle_loads(update.payload)
         send_all(self.transport.send, self.subscriber.forward_update(update))
 
-    def _take_referral(self, _source: str, referral: FetchElsewhere) -> None:
+    def _handle_referral(self, _source: str, referral: FetchElsewhere) -> None:
         self._events.write(
             "configuration_asked_elsewhere", version=referral.version, holder=referral.holder
         )
@@ -258,7 +264,7 @@
     def _answer_fetch(self, source: str, fetch: FetchDocument) -> None:
         send_all(self.transport.answer, self.subscriber.handle_fetch_from_router(source, fetch))
 
-    def _follow(self, now: float) -> None:
+    def _wake_subscriber(self, now: float) -> None:
         before = self.subscriber.assigned_replica
         effects = self.subscriber.wake(now=now)
         if self.subscriber.assigned_replica != before:
@@ -268,10 +274,10 @@
         send_all(self.transport.send, effects)
         for effect in effects:
             if isinstance(effect, WakeAt):
-                self._timers.call_at(effect.at, self._follow)
+                self._timers.call_at(effect.at, self._wake_subscriber)
 
-    def _tidy(self, now: float) -> None:
-        self._kept.close_old()
+    def _prune(self, now: float) -> None:
+        self._idle_connections.close_expired()
         for record in self.view.directory.table.remove_expired(now):
             self._events.write("endpoint_forgotten", **record.describe())
 
@@ -283,33 +289,33 @@
             gevent.sleep(0.1 if due is None else max(0.005, due - time.monotonic()))
 
     def run(self) -> int:
-        """Serve until SIGTERM, finish what is in flight, and return how much was cut."""
-        gevent.signal_handler(signal.SIGTERM, self._asked.set)
-        gevent.signal_handler(signal.SIGHUP, self._note_reload)
+        """Serve until SIGTERM, then stop; return the number of requests cut by the exit."""
+        gevent.signal_handler(signal.SIGTERM, self._stop_requested.set)
+        gevent.signal_handler(signal.SIGHUP, self._log_reload)
         with self._serve():
             self._events.write("started", role="router", peer=str(self._settings.listeners.peer))
-            self._asked.wait()
+            self._stop_requested.wait()
             return self._stop()
 
-    def _note_reload(self) -> None:
+    def _log_reload(self) -> None:
         self._events.write("reload", detail="settings are read at the next start")
 
     def _stop(self) -> int:
         began = time.monotonic()
         ends_at = began + self._settings.bounds.stop_within_s - STOP_MARGIN_S
         window = StopWindow(accepts_until=min(began + STOP_ACCEPT_S, ends_at), exits_at=ends_at)
-        self.desk.begin_stop(window, now=began)
+        self.request_handler.begin_stop(window, now=began)
         send_all(self.transport.send, self.subscriber.report_load(now=began))
-        self._events.write("stopping", open=self.desk.open_count)
+        self._events.write("stopping", open=self.request_handler.open_count)
         for at in (began + STOP_IDLE_AFTER_S, window.accepts_until):
             gevent.sleep(max(0.0, min(at, ends_at) - time.monotonic()))
             self._callers.close_idle()
-        # New connections are still accepted: left in the kernel's queue, their callers
-        # would wait for the exit.
-        while self.desk.open_count and time.monotonic() < ends_at:
+        # Keep accepting new connections: callers whose connections stayed in the kernel's
+        # accept queue would get no answer until the process exits.
+        while self.request_handler.open_count and time.monotonic() < ends_at:
             gevent.sleep(_POLL_S)
-        cut = self.desk.open_count
-        self.desk.end_stop()
+        cut = self.request_handler.open_count
+        self.request_handler.end_stop()
         self._events.write("stopped", cut=cut, after_s=round(time.monotonic() - began, 2))
         return cut
 
@@ -320,8 +326,8 @@
             if server is not None:
                 server.start()
         now = time.monotonic()
-        self._timers.call_at(now, self._follow)
-        self._timers.call_every(TIDY_EVERY_S, self._tidy, now=now)
+        self._timers.call_at(now, self._wake_subscriber)
+        self._timers.call_every(PRUNE_INTERVAL_S, self._prune, now=now)
         loop = gevent.spawn(self._run_timers)
         try:
             yield
