--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -15,7 +15,7 @@
 from chivetrack.components.configuration.models import (
     ConfigurationSettings,
     PeersChanged,
-    RevisionHeard,
+    RevisionReported,
 )
 from chivetrack.components.configuration.staging import Staging
 from chivetrack.components.configuration.upstream import UpstreamChooser
@@ -81,7 +81,7 @@
                 self._upstream.set_peers(event)
                 if not self._view.is_confirmed(now):
                     self._ask_at = now
-            case RevisionHeard():
+            case RevisionReported():
                 self._hear(event, now)
             case MessageReceived(source=source, message=ConfigDelta() as delta):
                 self._take_delta(source, delta, now)
@@ -93,7 +93,7 @@
     def _target(self) -> ResourceTable:
         return self._view.table if self._staging is None else self._staging.table
 
-    def _hear(self, news: RevisionHeard, now: float) -> None:
+    def _hear(self, news: RevisionReported, now: float) -> None:
         is_new = self._takes_changes and news.revision > self._target.revision
         # News of one change comes from many peers; one question answers it.
         if is_new and now >= self._news_at + self._settings.push_interval_s:
--- a/chivetrack/components/configuration/models.py
+++ b/chivetrack/components/configuration/models.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RevisionHeard(Event):
+class RevisionReported(Event):
     """A peer is said to hold this revision, for example by gossip."""
 
     peer: str
--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -1,7 +1,7 @@
 """Spreads who leads the log, and up to which revision."""
 
 from chivetrack.components.configuration.configuration import Configuration
-from chivetrack.components.configuration.models import RevisionHeard
+from chivetrack.components.configuration.models import RevisionReported
 from chivetrack.components.fleet.models import TOPIC_LEADER, LeaderRecord, LeadershipSeen
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.gossip.models import News, Urgency
@@ -29,7 +29,7 @@
         self._own: LeaderRecord | None = None
         self._published: LeaderRecord | None = None
         self._term = 0
-        self._heard: list[RevisionHeard] = []
+        self._heard: list[RevisionReported] = []
         gossip.subscribe(TOPIC_LEADER, self._take_news)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
@@ -74,4 +74,4 @@
             return
         self._term = record.term
         self._proposals.note_leader(news.origin)
-        self._heard.append(RevisionHeard(peer=news.origin, revision=record.revision))
+        self._heard.append(RevisionReported(peer=news.origin, revision=record.revision))
--- a/tests/components/configuration/fleet.py
+++ b/tests/components/configuration/fleet.py
@@ -12,7 +12,7 @@
     ConfigurationSettings,
     PeersChanged,
     QuorumConfirmed,
-    RevisionHeard,
+    RevisionReported,
 )
 from chivetrack.components.store.commands import Create, Delete, Replace, Stamp
 from chivetrack.components.store.store import Store
@@ -149,7 +149,7 @@
         """Tell a router what another one holds."""
         name, peer = self.rng.sample(self.names, 2)
         revision = self.nodes[peer].configuration.view.revision
-        self.hand(name, RevisionHeard(peer=peer, revision=revision))
+        self.hand(name, RevisionReported(peer=peer, revision=revision))
 
     def list_revisions(self) -> list[int]:
         return [self.nodes[name].configuration.view.revision for name in self.names]
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -28,7 +28,7 @@
     HeldConfirmation,
     PeersChanged,
     QuorumConfirmed,
-    RevisionHeard,
+    RevisionReported,
     WhenUnconfirmed,
 )
 from chivetrack.components.configuration.publisher import PAGE_RECORDS
@@ -260,11 +260,11 @@
         self.assertEqual(self.router.view.confirmed_until, until)
 
     def test_news_makes_it_ask_that_peer_once(self) -> None:
-        news = RevisionHeard(peer="r9", revision=8)
+        news = RevisionReported(peer="r9", revision=8)
         sent = list_sent(self.router.handle(news, now=1.15))
         self.assertEqual([message.target for message in sent], ["r9"])
         self.assertEqual(list_sent(self.router.handle(news, now=1.16)), [])
-        old = RevisionHeard(peer="r9", revision=2)
+        old = RevisionReported(peer="r9", revision=2)
         self.assertEqual(list_sent(self.router.handle(old, now=1.17)), [])
 
     def test_silent_upstream_is_left(self) -> None:
@@ -278,7 +278,7 @@
         holder = make_holder(revision=PAGE_RECORDS + 10)
         holder.view.table.replace(holder.view.table.export(), revision=PAGE_RECORDS + 10)
         holder.view.table.apply([make_change(PAGE_RECORDS + 11, "drain", "d", {})])
-        effects = self.router.handle(RevisionHeard(peer="leader", revision=99), now=1.2)
+        effects = self.router.handle(RevisionReported(peer="leader", revision=99), now=1.2)
         kinds = []
         while sent := list_sent(effects):
             kinds.append(type(sent[0].message))
