--- a/chivetrack/components/configuration/messages.py
+++ b/chivetrack/components/configuration/messages.py
@@ -3,7 +3,7 @@
 from chivetrack.components.store.records import Change, KindRecords
 from chivetrack.helpers.codec import Message, message
 
-UNASKED = 0
+UNSOLICITED = 0
 
 
 class ConfirmationReport(Message, frozen=True, array_like=True):
--- a/chivetrack/components/configuration/publisher.py
+++ b/chivetrack/components/configuration/publisher.py
@@ -5,7 +5,7 @@
 from chivetrack.components.configuration import const
 from chivetrack.components.configuration.acknowledgements import Acknowledgements
 from chivetrack.components.configuration.messages import (
-    UNASKED,
+    UNSOLICITED,
     ConfigDelta,
     ConfigPage,
     PullConfig,
@@ -78,7 +78,7 @@
 
     def _make_delta(self, correlation: int, revision: int, now: float) -> ConfigDelta:
         held = self._view.revision
-        asked = correlation != UNASKED
+        asked = correlation != UNSOLICITED
         confirmation = self._view.freshness.report(now) if asked else None
         if revision >= held:
             return ConfigDelta(correlation, revision, revision, held, confirmation=confirmation)
@@ -121,7 +121,7 @@
         self._pushed_revision = revision
         self._forget_downstream(now)
         return [
-            SendMessage(target=target, message=self._make_delta(UNASKED, sent, now))
+            SendMessage(target=target, message=self._make_delta(UNSOLICITED, sent, now))
             for target, (_, sent) in self._downstream.items()
             if sent < revision
         ]
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -14,7 +14,7 @@
 from chivetrack.components.configuration.configuration import Configuration
 from chivetrack.components.configuration.freshness import Freshness, date_confirmation
 from chivetrack.components.configuration.messages import (
-    UNASKED,
+    UNSOLICITED,
     ConfigDelta,
     ConfigPage,
     ConfirmationReport,
@@ -248,7 +248,7 @@
         for name, start, end, revision, asks in table:
             with self.subTest(name):
                 self.setUp()
-                delta = ConfigDelta(UNASKED, start, end, end, make_changes(start + 1, end))
+                delta = ConfigDelta(UNSOLICITED, start, end, end, make_changes(start + 1, end))
                 sent = self.push(delta, now=1.1)
                 self.assertEqual(self.router.view.revision, revision)
                 self.assertEqual(bool(sent), asks)
@@ -256,7 +256,7 @@
     def test_unasked_delta_confirms_nothing(self) -> None:
         until = self.router.view.confirmed_until
         report = ConfirmationReport(1, 2, 3, 0)
-        self.push(ConfigDelta(UNASKED, 3, 3, 3, (), 0, report), now=3.0)
+        self.push(ConfigDelta(UNSOLICITED, 3, 3, 3, (), 0, report), now=3.0)
         self.assertEqual(self.router.view.confirmed_until, until)
 
     def test_news_makes_it_ask_that_peer_once(self) -> None:
