--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -150,7 +150,7 @@
             self._upstream.report_stale(question.peer, now)
             return
         held = date_confirmation(report, asked_at=question.asked_at)
-        self._view.freshness.offer(held, revision=self._view.table.revision)
+        self._view.freshness.add_confirmation(held, revision=self._view.table.revision)
         if now - held.obtained_at > self._settings.stale_upstream_s:
             self._upstream.report_stale(question.peer, now)
 
--- a/chivetrack/components/configuration/freshness.py
+++ b/chivetrack/components/configuration/freshness.py
@@ -36,7 +36,7 @@
         """Return when the confirmation runs out; minus infinity if there was none."""
         return self._satisfied_at + self._window_s
 
-    def offer(self, held: HeldConfirmation, *, revision: int) -> None:
+    def add_confirmation(self, held: HeldConfirmation, *, revision: int) -> None:
         """Take a confirmation; ``revision`` is what this instance has applied.
 
         One from before this process started says nothing: the process that ran
--- a/chivetrack/components/configuration/publisher.py
+++ b/chivetrack/components/configuration/publisher.py
@@ -68,7 +68,7 @@
             revision=event.revision,
             obtained_at=event.started_at,
         )
-        self._view.freshness.offer(held, revision=self._view.table.revision)
+        self._view.freshness.add_confirmation(held, revision=self._view.table.revision)
 
     def _answer(self, source: str, pull: PullConfig, now: float) -> ConfigDelta:
         self.acknowledgements.take(pull.acks, now=now)
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -134,21 +134,21 @@
                 held = HeldConfirmation(
                     term=1, counter=1, revision=revision, obtained_at=obtained_at
                 )
-                freshness.offer(held, revision=5)
+                freshness.add_confirmation(held, revision=5)
                 self.assertEqual(freshness.confirmed_until, until)
 
     def test_late_confirmation_does_not_shorten(self) -> None:
         freshness = Freshness(started_at=0.0, window_s=WINDOW)
         for counter, obtained_at in [(2, 8.0), (1, 3.0)]:
             held = HeldConfirmation(term=1, counter=counter, revision=1, obtained_at=obtained_at)
-            freshness.offer(held, revision=1)
+            freshness.add_confirmation(held, revision=1)
         self.assertGreater(freshness.confirmed_until, 8.0 + WINDOW - 0.1)
 
     def test_age_grows_by_drift_and_over_relays(self) -> None:
         freshness = Freshness(started_at=0.0, window_s=WINDOW)
         held = date_confirmation(ConfirmationReport(1, 1, 1, 1000), asked_at=20.0)
         self.assertAlmostEqual(held.obtained_at, 20.0 - 1.0 * (1 + const.CLOCK_DRIFT))
-        freshness.offer(held, revision=1)
+        freshness.add_confirmation(held, revision=1)
         report = freshness.report(20.5)
         assert report is not None
         self.assertGreaterEqual(report.age_ms, 1510)
@@ -208,7 +208,7 @@
         replica.handle(answer(question, revision=9, confirmed=4, age_s=0.1), now=1.1)
         self.assertEqual((replica.view.revision, table.revision), (0, 3))
         held = HeldConfirmation(term=1, counter=1, revision=3, obtained_at=1.2)
-        replica.view.freshness.offer(held, revision=3)
+        replica.view.freshness.add_confirmation(held, revision=3)
         self.assertEqual(len(replica.view.list_drains()), 1)
         table.apply(make_changes(4, 4))
         self.assertEqual(replica.view.revision, 4)
@@ -221,7 +221,7 @@
                 view = ConfigView(table=ResourceTable(), settings=settings, started_at=0.0)
                 self.assertIsNotNone(view.check_serving(1.0))
                 held = HeldConfirmation(term=1, counter=1, revision=0, obtained_at=1.0)
-                view.freshness.offer(held, revision=0)
+                view.freshness.add_confirmation(held, revision=0)
                 self.assertIsNone(view.check_serving(2.0))
                 self.assertEqual(view.check_serving(1.0 + WINDOW) is None, serves)
 
@@ -359,7 +359,7 @@
         self.table = ResourceTable()
         self.view = ConfigView(table=self.table, settings=SETTINGS, started_at=0.0)
         held = HeldConfirmation(term=1, counter=1, revision=0, obtained_at=0.0)
-        self.view.freshness.offer(held, revision=0)
+        self.view.freshness.add_confirmation(held, revision=0)
 
     def put(self, kind: str, name: str, spec: Any, **fields: Any) -> None:
         change = make_change(self.table.revision + 1, kind, name, spec, **fields)
--- a/tests/components/resource_api/test_resource_api.py
+++ b/tests/components/resource_api/test_resource_api.py
@@ -45,7 +45,7 @@
         settings = ConfigurationSettings()
         self.view = ConfigView(table=self.store.table, settings=settings, started_at=0.0)
         held = HeldConfirmation(term=1, counter=1, revision=0, obtained_at=0.0)
-        self.view.freshness.offer(held, revision=0)
+        self.view.freshness.add_confirmation(held, revision=0)
         spec = {"address": "127.0.0.1:1", "service": "s", "region": "r", "zone": "z"}
         engine = ObservedResource(name="e1", spec=spec, status={"load": 3})
         other = ObservedResource(name="e2", spec=spec)
