--- a/chivetrack/components/configuration/freshness.py
+++ b/chivetrack/components/configuration/freshness.py
@@ -48,13 +48,13 @@
         if self.latest is None or held.obtained_at > self.latest.obtained_at:
             self.latest = held
             self._pending.append(held)
-        self.settle(revision)
+        self.mark_applied(revision)
 
     def is_satisfied_by(self, revision: int) -> bool:
         """Tell whether to apply this revision would satisfy some confirmation."""
         return any(held.revision <= revision for held in self._pending)
 
-    def settle(self, revision: int) -> None:
+    def mark_applied(self, revision: int) -> None:
         """Count the confirmations that the applied revision satisfies."""
         waiting = [held for held in self._pending if held.revision > revision]
         for held in self._pending:
--- a/chivetrack/components/configuration/view.py
+++ b/chivetrack/components/configuration/view.py
@@ -174,7 +174,7 @@
         return None if record is None else _read(kind, record)
 
     def _follow(self, update: TableUpdate) -> None:
-        self.freshness.settle(update.revision)
+        self.freshness.mark_applied(update.revision)
         self._drains = None
         if update.is_reset:
             self._lists.clear()
