--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -30,7 +30,7 @@
 
     correlation: int
     peer: str
-    asked_at: float
+    requested_at: float
     acks: tuple[RouterAck, ...] = ()
 
 
@@ -149,7 +149,7 @@
         if report is None:
             self._upstream.report_stale(question.peer, now)
             return
-        held = date_confirmation(report, asked_at=question.asked_at)
+        held = date_confirmation(report, requested_at=question.requested_at)
         self._view.freshness.add_confirmation(held, revision=self._view.table.revision)
         if now - held.obtained_at > self._settings.stale_upstream_s:
             self._upstream.report_stale(question.peer, now)
@@ -195,7 +195,7 @@
     def _proceed(self, now: float) -> list[Effect]:
         due = now + const.WAKE_TOLERANCE_S
         question = self._question
-        if question is not None and due >= question.asked_at + self._settings.answer_timeout_s:
+        if question is not None and due >= question.requested_at + self._settings.answer_timeout_s:
             self._upstream.report_silent(question.peer, now)
             self._question = None
             self._ask_at = now
@@ -218,7 +218,7 @@
     def _find_wake(self) -> float:
         if self._question is None:
             return self._ask_at
-        return self._question.asked_at + self._settings.answer_timeout_s
+        return self._question.requested_at + self._settings.answer_timeout_s
 
     def _ask(self, now: float) -> list[Effect]:
         is_paging = self._staging is not None and self._staging.is_paging
@@ -228,11 +228,11 @@
             return []
         self._correlation += 1
         if is_paging and self._staging is not None:
-            self._question = _Question(correlation=self._correlation, peer=peer, asked_at=now)
+            self._question = _Question(correlation=self._correlation, peer=peer, requested_at=now)
             return [SendMessage(target=peer, message=self._staging.ask(self._correlation))]
         acks = self._list_acks(now)
         self._question = _Question(
-            correlation=self._correlation, peer=peer, asked_at=now, acks=acks
+            correlation=self._correlation, peer=peer, requested_at=now, acks=acks
         )
         pull = PullConfig(self._correlation, self._target.revision, acks)
         return [SendMessage(target=peer, message=pull)]
--- a/chivetrack/components/configuration/freshness.py
+++ b/chivetrack/components/configuration/freshness.py
@@ -73,8 +73,8 @@
         return ConfirmationReport(latest.term, latest.counter, latest.revision, age_ms)
 
 
-def date_confirmation(report: ConfirmationReport, *, asked_at: float) -> HeldConfirmation:
-    """Date a report that answers a question sent at ``asked_at``.
+def date_confirmation(report: ConfirmationReport, *, requested_at: float) -> HeldConfirmation:
+    """Date a report that answers a question sent at ``requested_at``.
 
     Dated from the question and not from the answer's arrival: an answer that lay in
     a network queue for seconds would look fresh. The age is made longer by what the
@@ -85,5 +85,5 @@
         term=report.term,
         counter=report.counter,
         revision=report.revision,
-        obtained_at=asked_at - age_s,
+        obtained_at=requested_at - age_s,
     )
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -146,7 +146,7 @@
 
     def test_age_grows_by_drift_and_over_relays(self) -> None:
         freshness = Freshness(started_at=0.0, window_s=WINDOW)
-        held = date_confirmation(ConfirmationReport(1, 1, 1, 1000), asked_at=20.0)
+        held = date_confirmation(ConfirmationReport(1, 1, 1, 1000), requested_at=20.0)
         self.assertAlmostEqual(held.obtained_at, 20.0 - 1.0 * (1 + const.CLOCK_DRIFT))
         freshness.add_confirmation(held, revision=1)
         report = freshness.report(20.5)
