--- a/chivetrack/components/configuration/publisher.py
+++ b/chivetrack/components/configuration/publisher.py
@@ -22,7 +22,7 @@
 from chivetrack.components.store.records import Change, KindRecords, Record
 from chivetrack.core import Effect, Event, MessageReceived, SendMessage, TimeReached, WakeAt
 
-PAGE_RECORDS = 2_000
+MAX_PAGE_RECORDS = 2_000
 DELTA_CHANGES = 10_000
 
 
@@ -101,7 +101,7 @@
             return ConfigPage(pull.correlation, revision, KindRecords("", ()))
         kind = kinds[0]
         after = pull.after if kind == pull.kind else ""
-        page = table.list_page(kind, after=after, limit=PAGE_RECORDS)
+        page = table.list_page(kind, after=after, limit=MAX_PAGE_RECORDS)
         records = _take_records(page.records, self._settings.batch_bytes)
         entry = KindRecords(kind, tuple(records))
         if len(records) < len(page.records) or page.next_after is not None:
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -31,7 +31,7 @@
     RevisionReported,
     WhenUnconfirmed,
 )
-from chivetrack.components.configuration.publisher import PAGE_RECORDS
+from chivetrack.components.configuration.publisher import MAX_PAGE_RECORDS
 from chivetrack.components.configuration.upstream import UpstreamChooser, rank_relays
 from chivetrack.components.configuration.view import ConfigView
 from chivetrack.components.resources.keys import hash_key
@@ -275,9 +275,9 @@
 
     def test_whole_state_in_pages(self) -> None:
         """The history no longer reaches back, so pages are pulled, then deltas."""
-        holder = make_holder(revision=PAGE_RECORDS + 10)
-        holder.view.table.replace(holder.view.table.export(), revision=PAGE_RECORDS + 10)
-        holder.view.table.apply([make_change(PAGE_RECORDS + 11, "drain", "d", {})])
+        holder = make_holder(revision=MAX_PAGE_RECORDS + 10)
+        holder.view.table.replace(holder.view.table.export(), revision=MAX_PAGE_RECORDS + 10)
+        holder.view.table.apply([make_change(MAX_PAGE_RECORDS + 11, "drain", "d", {})])
         effects = self.router.handle(RevisionReported(peer="leader", revision=99), now=1.2)
         kinds = []
         while sent := list_sent(effects):
@@ -287,7 +287,7 @@
             event = MessageReceived(source="leader", message=reply.message)
             effects = self.router.handle(event, now=1.2)
         self.assertEqual(kinds, [PullConfig, PullPage, PullPage, PullPage, PullConfig])
-        self.assertEqual(self.router.view.revision, PAGE_RECORDS + 11)
+        self.assertEqual(self.router.view.revision, MAX_PAGE_RECORDS + 11)
         self.assertEqual(self.router.view.table.export()[0].records[0].name, "d")
 
     def test_pages_of_no_use(self) -> None:
