--- a/chivetrack/components/configuration/publisher.py
+++ b/chivetrack/components/configuration/publisher.py
@@ -23,7 +23,7 @@
 from chivetrack.core import Effect, Event, MessageReceived, SendMessage, TimeReached, WakeAt
 
 MAX_PAGE_RECORDS = 2_000
-DELTA_CHANGES = 10_000
+MAX_DELTA_CHANGES = 10_000
 
 
 class ConfigPublisher:
@@ -83,13 +83,13 @@
         if revision >= held:
             return ConfigDelta(correlation, revision, revision, held, confirmation=confirmation)
         table = self._view.table
-        changes = table.list_changes(revision, limit=DELTA_CHANGES)
+        changes = table.list_changes(revision, limit=MAX_DELTA_CHANGES)
         if changes is None:
             return ConfigDelta(
                 correlation, revision, revision, held, (), table.compaction_revision, confirmation
             )
         batch = _take_batch(changes, self._settings.batch_bytes)
-        is_all = len(batch) == len(changes) < DELTA_CHANGES
+        is_all = len(batch) == len(changes) < MAX_DELTA_CHANGES
         reached = held if is_all else batch[-1].revision
         return ConfigDelta(correlation, revision, reached, held, tuple(batch), 0, confirmation)
 
