--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -114,7 +114,7 @@
             self._take_answer(question, delta, now)
         self._promote()
         if self._view.revision > before:
-            soon = now + self._rng.uniform(0.0, const.ACKNOWLEDGE_WITHIN_S)
+            soon = now + self._rng.uniform(0.0, const.MAX_ACKNOWLEDGE_DELAY_S)
             self._ask_at = min(self._ask_at, soon)
 
     def _apply(self, delta: ConfigDelta) -> None:
