--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -200,7 +200,7 @@
             self._question = None
             self._ask_at = now
         if self._acknowledgements.take_news():
-            self._ask_at = min(self._ask_at, now + const.RELAY_WITHIN_S)
+            self._ask_at = min(self._ask_at, now + const.MAX_RELAY_DELAY_S)
         effects: list[Effect] = []
         if self._question is None and due >= self._ask_at:
             effects.extend(self._ask(now))
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -330,7 +330,7 @@
         event = MessageReceived(source="r2", message=PullConfig(7, 5, acks))
         relay.handle(event, now=3.0)
         relay.handle(answer(question, revision=5, confirmed=5, age_s=0.1), now=3.1)
-        later = relay.handle(TimeReached(), now=3.0 + const.RELAY_WITHIN_S)
+        later = relay.handle(TimeReached(), now=3.0 + const.MAX_RELAY_DELAY_S)
         pull: Any = list_sent(later)[0].message
         self.assertEqual([ack.router for ack in pull.acks], ["router", "r2"])
 
