--- a/chivetrack/components/configuration/freshness.py
+++ b/chivetrack/components/configuration/freshness.py
@@ -22,7 +22,7 @@
         self._started_at = started_at
         # This clock may be the slower one: the window must not come out too long.
         self._window_s = window_s / (1.0 + const.CLOCK_DRIFT)
-        self._pending: deque[HeldConfirmation] = deque(maxlen=const.CONFIRMATIONS_PENDING)
+        self._pending: deque[HeldConfirmation] = deque(maxlen=const.MAX_PENDING_CONFIRMATIONS)
         self._satisfied_at = -math.inf
         self.latest: HeldConfirmation | None = None
 
