--- a/chivetrack/components/configuration/publisher.py
+++ b/chivetrack/components/configuration/publisher.py
@@ -128,7 +128,7 @@
 
     def _forget_downstream(self, now: float) -> None:
         self.acknowledgements.forget_silent(now)
-        oldest = now - const.DOWNSTREAM_KEPT_S
+        oldest = now - const.DOWNSTREAM_TTL_S
         self._downstream = {
             target: (seen, sent)
             for target, (seen, sent) in self._downstream.items()
