--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -65,7 +65,7 @@
         silent = [
             router
             for router, known in self._routers.items()
-            if now - known.heard_at > const.ACKNOWLEDGEMENT_KEPT_S
+            if now - known.heard_at > const.ACKNOWLEDGEMENT_TTL_S
         ]
         for router in silent:
             del self._routers[router]
