--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -254,7 +254,7 @@
         Now and then all are sent again, so that a new leader has them too.
         """
         if now >= self._refresh_acks_at:
-            self._refresh_acks_at = now + const.ACKNOWLEDGEMENT_REFRESH_S
+            self._refresh_acks_at = now + const.ACKNOWLEDGEMENT_REFRESH_INTERVAL_S
             self._acknowledged.clear()
         own = RouterAck(self._instance, self._incarnation, self._view.revision)
         relayed = [
