--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -87,8 +87,8 @@
         if self._commits and revision <= self._commits[-1].revision:
             return
         self._commits.append(_Commit(revision=revision, committed_at=now))
-        if len(self._commits) > const.COMMITS_KEPT:
-            del self._commits[: const.COMMITS_KEPT // 10]
+        if len(self._commits) > const.MAX_KEPT_COMMITS:
+            del self._commits[: const.MAX_KEPT_COMMITS // 10]
 
     def compute_in_force(self, revision: int, expected: Iterable[str], *, now: float) -> InForce:
         """Compare what the expected routers have applied with a revision."""
