--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Acknowledged:
+class RouterState:
     """The last that was heard of a router."""
 
     incarnation: int
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         """Start with none."""
-        self._routers: dict[str, Acknowledged] = {}
+        self._routers: dict[str, RouterState] = {}
         self._commits: list[_Commit] = []
         self._has_news = False
 
@@ -50,7 +50,7 @@
                 heard_at = max(heard_at, known.heard_at)
             if known is None or known.revision != ack.revision:
                 self._has_news = True
-            self._routers[ack.router] = Acknowledged(
+            self._routers[ack.router] = RouterState(
                 incarnation=ack.incarnation, revision=ack.revision, heard_at=heard_at
             )
 
