--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -16,7 +16,7 @@
 
     incarnation: int
     revision: int
-    heard_at: float
+    last_seen_at: float
 
 
 @dataclass(slots=True, kw_only=True)
@@ -39,7 +39,7 @@
         """Take acknowledgements; late and doubled ones do no harm."""
         for ack in acks:
             known = self._routers.get(ack.router)
-            heard_at = now - ack.age_ms / MILLISECONDS_PER_SECOND
+            last_seen_at = now - ack.age_ms / MILLISECONDS_PER_SECOND
             if known is not None:
                 # A router that restarted starts from nothing: what its former run
                 # had applied is no longer in force there.
@@ -47,11 +47,11 @@
                     continue
                 if ack.incarnation == known.incarnation and ack.revision < known.revision:
                     continue
-                heard_at = max(heard_at, known.heard_at)
+                last_seen_at = max(last_seen_at, known.last_seen_at)
             if known is None or known.revision != ack.revision:
                 self._has_news = True
             self._routers[ack.router] = RouterState(
-                incarnation=ack.incarnation, revision=ack.revision, heard_at=heard_at
+                incarnation=ack.incarnation, revision=ack.revision, last_seen_at=last_seen_at
             )
 
     def take_news(self) -> bool:
@@ -65,7 +65,7 @@
         silent = [
             router
             for router, known in self._routers.items()
-            if now - known.heard_at > const.ACKNOWLEDGEMENT_TTL_S
+            if now - known.last_seen_at > const.ACKNOWLEDGEMENT_TTL_S
         ]
         for router in silent:
             del self._routers[router]
@@ -77,7 +77,7 @@
                 router,
                 known.incarnation,
                 known.revision,
-                int((now - known.heard_at) * MILLISECONDS_PER_SECOND),
+                int((now - known.last_seen_at) * MILLISECONDS_PER_SECOND),
             )
             for router, known in self._routers.items()
         ]
@@ -110,7 +110,9 @@
         known = self._routers.get(router)
         if known is None:
             return MissingRouter(router=router, revision=0, silent_s=None)
-        return MissingRouter(router=router, revision=known.revision, silent_s=now - known.heard_at)
+        return MissingRouter(
+            router=router, revision=known.revision, silent_s=now - known.last_seen_at
+        )
 
     def _measure_elapsed(self, revision: int, *, is_complete: bool, now: float) -> float | None:
         # The commit that contains the revision is the first one not below it.
