--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -54,7 +54,7 @@
                 incarnation=ack.incarnation, revision=ack.revision, last_seen_at=last_seen_at
             )
 
-    def take_news(self) -> bool:
+    def pop_changed(self) -> bool:
         """Tell once whether some router has acknowledged another revision."""
         has_news = self._has_news
         self._has_news = False
--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -199,7 +199,7 @@
             self._upstream.report_silent(question.peer, now)
             self._question = None
             self._ask_at = now
-        if self._acknowledgements.take_news():
+        if self._acknowledgements.pop_changed():
             self._ask_at = min(self._ask_at, now + const.MAX_RELAY_DELAY_S)
         effects: list[Effect] = []
         if self._question is None and due >= self._ask_at:
