--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -60,7 +60,7 @@
         self._has_news = False
         return has_news
 
-    def forget_silent(self, now: float) -> None:
+    def expire_silent(self, now: float) -> None:
         """Drop routers that have not been heard of for long."""
         silent = [
             router
--- a/chivetrack/components/configuration/publisher.py
+++ b/chivetrack/components/configuration/publisher.py
@@ -127,7 +127,7 @@
         ]
 
     def _forget_downstream(self, now: float) -> None:
-        self.acknowledgements.forget_silent(now)
+        self.acknowledgements.expire_silent(now)
         oldest = now - const.DOWNSTREAM_TTL_S
         self._downstream = {
             target: (seen, sent)
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -475,7 +475,7 @@
         acknowledgements.compute_in_force(5, ["a", "b", "c"], now=13.0)
         whole = acknowledgements.compute_in_force(5, ["a", "b", "c"], now=20.0)
         self.assertEqual((whole.is_complete, whole.elapsed_s), (True, 3.0))
-        acknowledgements.forget_silent(13.1 + const.ACKNOWLEDGEMENT_TTL_S)
+        acknowledgements.expire_silent(13.1 + const.ACKNOWLEDGEMENT_TTL_S)
         self.assertEqual(len(acknowledgements.list_acks(now=99.0)), 0)
 
 
