--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -82,7 +82,7 @@
             for router, known in self._routers.items()
         ]
 
-    def note_commit(self, revision: int, *, now: float) -> None:
+    def record_commit(self, revision: int, *, now: float) -> None:
         """Remember when a revision was committed, for the time to in force."""
         if self._commits and revision <= self._commits[-1].revision:
             return
--- a/chivetrack/components/configuration/publisher.py
+++ b/chivetrack/components/configuration/publisher.py
@@ -54,7 +54,7 @@
                 self._confirm(event)
                 return []
             case ConfigChanged():
-                self.acknowledgements.note_commit(self._view.revision, now=now)
+                self.acknowledgements.record_commit(self._view.revision, now=now)
                 return self._push(now)
             case TimeReached():
                 return self._push(now)
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -465,7 +465,7 @@
 
     def test_in_force(self) -> None:
         acknowledgements = Acknowledgements()
-        acknowledgements.note_commit(5, now=10.0)
+        acknowledgements.record_commit(5, now=10.0)
         acknowledgements.take([RouterAck("a", 1, 5), RouterAck("b", 1, 4, 500)], now=11.0)
         partly = acknowledgements.compute_in_force(5, ["a", "b", "c"], now=12.0)
         self.assertEqual((partly.applied, partly.expected, partly.elapsed_s), (1, 3, 2.0))
