--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -176,7 +176,7 @@
         it satisfies: a peer's copy may be older than what the former run had.
         """
         staging = self._staging
-        if staging is None or not staging.is_whole:
+        if staging is None or not staging.is_consistent:
             return
         freshness = self._view.freshness
         is_satisfied = freshness.is_satisfied_by(staging.table.revision)
--- a/chivetrack/components/configuration/staging.py
+++ b/chivetrack/components/configuration/staging.py
@@ -25,7 +25,7 @@
         self.is_paging = False
 
     @property
-    def is_whole(self) -> bool:
+    def is_consistent(self) -> bool:
         """Tell whether the gathered state is that of one revision."""
         return not self.is_paging and 0 < self.table.revision >= self._newest
 
