--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -158,7 +158,7 @@
         question = self._close_question(source, page.correlation)
         if question is None or self._staging is None or not self._staging.is_paging:
             return
-        if self._staging.take_page(page):
+        if self._staging.handle_page(page):
             self._upstream.report_success(source)
         else:
             self._upstream.report_stale(source, now)
--- a/chivetrack/components/configuration/staging.py
+++ b/chivetrack/components/configuration/staging.py
@@ -45,7 +45,7 @@
         """Return the question for the next page."""
         return PullPage(correlation, self._get_minimum(), self._next_kind, self._next_after)
 
-    def take_page(self, page: ConfigPage) -> bool:
+    def handle_page(self, page: ConfigPage) -> bool:
         """Take the answer to ``ask``; false if that peer's state is too old.
 
         A page from a peer behind the first page could lack changes that the deltas,
