--- a/chivetrack/components/configuration/configuration.py
+++ b/chivetrack/components/configuration/configuration.py
@@ -46,7 +46,7 @@
             acknowledgements=self.publisher.acknowledgements,
             settings=settings,
             rng=rng,
-            takes_changes=store_table is None,
+            applies_changes=store_table is None,
         )
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -37,7 +37,7 @@
 class ConfigFollower:
     """Asks an upstream once in an interval for changes and a confirmation.
 
-    On a replica ``takes_changes`` is false: its table belongs to the store, and only
+    On a replica ``applies_changes`` is false: its table belongs to the store, and only
     confirmations are taken. Until the first confirmation, and whenever the history
     no longer reaches back, a whole state is gathered beside the one in force.
     """
@@ -51,7 +51,7 @@
         acknowledgements: Acknowledgements,
         settings: ConfigurationSettings,
         rng: random.Random,
-        takes_changes: bool = True,
+        applies_changes: bool = True,
     ) -> None:
         """Follow for ``instance``; ``incarnation`` rises with each of its starts."""
         self._instance = instance
@@ -60,8 +60,8 @@
         self._acknowledgements = acknowledgements
         self._settings = settings
         self._rng = rng
-        self._takes_changes = takes_changes
-        self._staging = Staging() if takes_changes else None
+        self._takes_changes = applies_changes
+        self._staging = Staging() if applies_changes else None
         self._upstream = UpstreamChooser(instance=instance, rng=rng)
         self._question: _Question | None = None
         # An answer to a question of the former run must not pass for one to a question
