--- a/chivetrack/components/configuration/view.py
+++ b/chivetrack/components/configuration/view.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Named(Generic[FormT]):
+class NamedResource(Generic[FormT]):
     """The compact form of a resource, with its name and revision."""
 
     name: str
@@ -55,7 +55,7 @@
         self.freshness = Freshness(started_at=started_at, window_s=settings.confirmation_window_s)
         self._refuses = settings.when_unconfirmed is WhenUnconfirmed.REFUSE
         self._keys = KeyIndex()
-        self._lists: dict[str, tuple[Named[Any], ...]] = {}
+        self._lists: dict[str, tuple[NamedResource[Any], ...]] = {}
         self._drains: tuple[Drain, ...] | None = None
         self._keys.rebuild(table)
         table.subscribe(self._follow)
@@ -105,7 +105,7 @@
             changes=gathered.list_changes(known_from) or (),
         )
 
-    def find_workspace(self, key: str) -> Named[Workspace] | None:
+    def find_workspace(self, key: str) -> NamedResource[Workspace] | None:
         """Return the workspace to which a caller's key belongs."""
         for name in self._keys.find_names(derive_key_id(key)):
             workspace = self.get_workspace(name)
@@ -115,7 +115,7 @@
                 return workspace
         return None
 
-    def get_workspace(self, name: str) -> Named[Workspace] | None:
+    def get_workspace(self, name: str) -> NamedResource[Workspace] | None:
         """Return a workspace by its name."""
         return self._get("workspace", name)
 
@@ -128,7 +128,7 @@
                 return policy
         return RoutingPolicy()
 
-    def list_named(self, kind: str) -> Sequence[Named[Any]]:
+    def list_named(self, kind: str) -> Sequence[NamedResource[Any]]:
         """Return all resources of a kind; kept until one of them changes."""
         if not self.freshness.is_initialised:
             return ()
@@ -167,7 +167,7 @@
             return False
         return _DRAIN_STATUS.decode(record.status).phase in (DrainPhase.ACTIVE, DrainPhase.DONE)
 
-    def _get(self, kind: str, name: str) -> Named[Any] | None:
+    def _get(self, kind: str, name: str) -> NamedResource[Any] | None:
         if not self.freshness.is_initialised:
             return None
         record = self.table.get(kind, name)
@@ -187,8 +187,8 @@
         self._keys.clean(self.table)
 
 
-def _read(kind: str, record: Record) -> Named[Any] | None:
+def _read(kind: str, record: Record) -> NamedResource[Any] | None:
     form = KINDS[kind].compact.decode(record.spec)
     if form is None:
         return None
-    return Named(name=record.name, revision=record.revision, form=form)
+    return NamedResource(name=record.name, revision=record.revision, form=form)
