--- a/chivetrack/components/configuration/key_index.py
+++ b/chivetrack/components/configuration/key_index.py
@@ -46,7 +46,7 @@
             self.add(record)
         self._changes = 0
 
-    def clean(self, table: ResourceTable) -> None:
+    def rebuild_if_due(self, table: ResourceTable) -> None:
         """Make the index anew if many changes have come since the last time."""
         if self._changes > max(const.REINDEX_AFTER_CHANGES, table.count("workspace")):
             self.rebuild(table)
--- a/chivetrack/components/configuration/view.py
+++ b/chivetrack/components/configuration/view.py
@@ -184,7 +184,7 @@
             self._lists.pop(change.kind, None)
             if change.kind == "workspace" and change.record is not None:
                 self._keys.add(change.record)
-        self._keys.clean(self.table)
+        self._keys.rebuild_if_due(self.table)
 
 
 def _read(kind: str, record: Record) -> NamedResource[Any] | None:
