--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -35,7 +35,7 @@
         self._commits: list[_Commit] = []
         self._has_news = False
 
-    def take(self, acks: Iterable[RouterAck], *, now: float) -> None:
+    def record_acks(self, acks: Iterable[RouterAck], *, now: float) -> None:
         """Take acknowledgements; late and doubled ones do no harm."""
         for ack in acks:
             known = self._routers.get(ack.router)
--- a/chivetrack/components/configuration/configuration.py
+++ b/chivetrack/components/configuration/configuration.py
@@ -64,6 +64,6 @@
         """Say on the leader where a revision, by default the newest, is in force."""
         acknowledgements = self.publisher.acknowledgements
         own = RouterAck(self._instance, self._incarnation, self.view.revision)
-        acknowledgements.take([own], now=now)
+        acknowledgements.record_acks([own], now=now)
         asked = self.view.table.revision if revision is None else revision
         return acknowledgements.compute_in_force(asked, expected, now=now)
--- a/chivetrack/components/configuration/publisher.py
+++ b/chivetrack/components/configuration/publisher.py
@@ -71,7 +71,7 @@
         self._view.freshness.add_confirmation(held, revision=self._view.table.revision)
 
     def _answer(self, source: str, pull: PullConfig, now: float) -> ConfigDelta:
-        self.acknowledgements.take(pull.acks, now=now)
+        self.acknowledgements.record_acks(pull.acks, now=now)
         delta = self._make_delta(pull.correlation, pull.revision, now)
         self._downstream[source] = (now, delta.to_revision)
         return delta
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -460,18 +460,18 @@
             with self.subTest(name):
                 acknowledgements = Acknowledgements()
                 for ack in acks:
-                    acknowledgements.take([ack], now=1.0)
+                    acknowledgements.record_acks([ack], now=1.0)
                 self.assertEqual(acknowledgements.list_acks(now=1.0)[0].revision, revision)
 
     def test_in_force(self) -> None:
         acknowledgements = Acknowledgements()
         acknowledgements.record_commit(5, now=10.0)
-        acknowledgements.take([RouterAck("a", 1, 5), RouterAck("b", 1, 4, 500)], now=11.0)
+        acknowledgements.record_acks([RouterAck("a", 1, 5), RouterAck("b", 1, 4, 500)], now=11.0)
         partly = acknowledgements.compute_in_force(5, ["a", "b", "c"], now=12.0)
         self.assertEqual((partly.applied, partly.expected, partly.elapsed_s), (1, 3, 2.0))
         missing = [(router.router, router.silent_s) for router in partly.missing]
         self.assertEqual(missing, [("b", 1.5), ("c", None)])
-        acknowledgements.take([RouterAck("b", 1, 5), RouterAck("c", 1, 7)], now=13.0)
+        acknowledgements.record_acks([RouterAck("b", 1, 5), RouterAck("c", 1, 7)], now=13.0)
         acknowledgements.compute_in_force(5, ["a", "b", "c"], now=13.0)
         whole = acknowledgements.compute_in_force(5, ["a", "b", "c"], now=20.0)
         self.assertEqual((whole.is_complete, whole.elapsed_s), (True, 3.0))
