--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -229,7 +229,7 @@
         self._correlation += 1
         if is_paging and self._staging is not None:
             self._question = _Question(correlation=self._correlation, peer=peer, requested_at=now)
-            return [SendMessage(target=peer, message=self._staging.ask(self._correlation))]
+            return [SendMessage(target=peer, message=self._staging.make_request(self._correlation))]
         acks = self._list_acks(now)
         self._question = _Question(
             correlation=self._correlation, peer=peer, requested_at=now, acks=acks
--- a/chivetrack/components/configuration/staging.py
+++ b/chivetrack/components/configuration/staging.py
@@ -41,7 +41,7 @@
         self._next_kind = self._next_after = ""
         self.is_paging = True
 
-    def ask(self, correlation: int) -> PullPage:
+    def make_request(self, correlation: int) -> PullPage:
         """Return the question for the next page."""
         return PullPage(correlation, self._get_minimum(), self._next_kind, self._next_after)
 
