--- a/chivetrack/components/configuration/__init__.py
+++ b/chivetrack/components/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Brings the committed configuration to every router and says how fresh it is."""
+"""Distributes the committed configuration to every router and reports its freshness."""
--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -1,4 +1,4 @@
-"""What each router has applied, and on how many a revision is in force."""
+"""Tracks which revision each router has applied."""
 
 from bisect import bisect_left
 from collections.abc import Iterable, Sequence
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouterState:
-    """The last that was heard of a router."""
+    """The latest acknowledgement of a router."""
 
     incarnation: int
     revision: int
@@ -27,41 +27,41 @@
 
 
 class Acknowledgements:
-    """Collects acknowledgements, on a relay for its routers, on the leader for all."""
+    """Collects acknowledgements: on a relay of its routers, on the leader of all routers."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without acknowledgements."""
         self._routers: dict[str, RouterState] = {}
         self._commits: list[_Commit] = []
-        self._has_news = False
+        self._has_changes = False
 
     def record_acks(self, acks: Iterable[RouterAck], *, now: float) -> None:
-        """Take acknowledgements; late and doubled ones do no harm."""
+        """Record acknowledgements; late and duplicate ones have no effect."""
         for ack in acks:
             known = self._routers.get(ack.router)
             last_seen_at = now - ack.age_ms / MILLISECONDS_PER_SECOND
             if known is not None:
-                # A router that restarted starts from nothing: what its former run
-                # had applied is no longer in force there.
+                # A restarted router begins with an empty state: the revision that its
+                # previous incarnation applied is no longer active there.
                 if ack.incarnation < known.incarnation:
                     continue
                 if ack.incarnation == known.incarnation and ack.revision < known.revision:
                     continue
                 last_seen_at = max(last_seen_at, known.last_seen_at)
             if known is None or known.revision != ack.revision:
-                self._has_news = True
+                self._has_changes = True
             self._routers[ack.router] = RouterState(
                 incarnation=ack.incarnation, revision=ack.revision, last_seen_at=last_seen_at
             )
 
     def pop_changed(self) -> bool:
-        """Tell once whether some router has acknowledged another revision."""
-        has_news = self._has_news
-        self._has_news = False
-        return has_news
+        """Return whether a router acknowledged another revision since the last call."""
+        has_changes = self._has_changes
+        self._has_changes = False
+        return has_changes
 
     def expire_silent(self, now: float) -> None:
-        """Drop routers that have not been heard of for long."""
+        """Remove routers that have not acknowledged within ``ACKNOWLEDGEMENT_TTL_S``."""
         silent = [
             router
             for router, known in self._routers.items()
@@ -71,7 +71,7 @@
             del self._routers[router]
 
     def list_acks(self, *, now: float) -> Sequence[RouterAck]:
-        """Return all, to pass them on."""
+        """Return the latest acknowledgement of each router, with its age, to relay them."""
         return [
             RouterAck(
                 router,
@@ -83,7 +83,7 @@
         ]
 
     def record_commit(self, revision: int, *, now: float) -> None:
-        """Remember when a revision was committed, for the time to in force."""
+        """Record when a revision was committed, to measure how long its rollout takes."""
         if self._commits and revision <= self._commits[-1].revision:
             return
         self._commits.append(_Commit(revision=revision, committed_at=now))
@@ -91,10 +91,10 @@
             del self._commits[: const.MAX_KEPT_COMMITS // 10]
 
     def compute_in_force(self, revision: int, expected: Iterable[str], *, now: float) -> InForce:
-        """Compare what the expected routers have applied with a revision."""
+        """Return which of the expected routers have applied a revision."""
         routers = list(expected)
         missing = [
-            self._describe(router, now)
+            self._make_missing(router, now)
             for router in routers
             if router not in self._routers or self._routers[router].revision < revision
         ]
@@ -106,7 +106,7 @@
             elapsed_s=self._measure_elapsed(revision, is_complete=not missing, now=now),
         )
 
-    def _describe(self, router: str, now: float) -> MissingRouter:
+    def _make_missing(self, router: str, now: float) -> MissingRouter:
         known = self._routers.get(router)
         if known is None:
             return MissingRouter(router=router, revision=0, silent_s=None)
@@ -115,7 +115,7 @@
         )
 
     def _measure_elapsed(self, revision: int, *, is_complete: bool, now: float) -> float | None:
-        # The commit that contains the revision is the first one not below it.
+        # The first commit at or above the revision contains it.
         index = bisect_left(self._commits, revision, key=lambda commit: commit.revision)
         if index == len(self._commits):
             return None
--- a/chivetrack/components/configuration/config.py
+++ b/chivetrack/components/configuration/config.py
@@ -27,5 +27,5 @@
     when_unconfirmed: WhenUnconfirmed = WhenUnconfirmed.REFUSE
 
     def build(self) -> ConfigurationSettings:
-        """Return the settings as the parts inside use them."""
+        """Return the settings in the form that the component uses."""
         return ConfigurationSettings(**self.model_dump())
--- a/chivetrack/components/configuration/configuration.py
+++ b/chivetrack/components/configuration/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of one instance: view, follower and publisher together."""
+"""The configuration of one instance: combines view, follower and publisher."""
 
 import random
 from collections.abc import Iterable
@@ -17,9 +17,10 @@
 
 
 class Configuration:
-    """A decision component; hand it every event, it takes what concerns it.
+    """Keeps the configuration of one instance current and serves it to other instances.
 
-    On a replica ``table`` is the store's, which then alone writes it; hand in
+    Pass every event to ``handle``; events of other components are ignored. On a replica
+    ``store_table`` is the table of the store, and only the store writes to it: pass
     ``ConfigChanged`` after the store has applied entries.
     """
 
@@ -33,7 +34,7 @@
         rng: random.Random,
         store_table: ResourceTable | None = None,
     ) -> None:
-        """Start unconfirmed; ``started_at`` is on the clock of ``now``."""
+        """Start unconfirmed; ``started_at`` is on the same clock as ``now``."""
         self._instance = instance
         self._incarnation = incarnation
         table = store_table if store_table is not None else ResourceTable()
@@ -50,7 +51,7 @@
         )
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take one event; what the follower applied is passed on at once."""
+        """Handle one event; changes that the follower applies are published immediately."""
         before = self.view.revision
         effects = self.publisher.handle(event, now=now)
         effects.extend(self.follower.handle(event, now=now))
@@ -61,9 +62,9 @@
     def compute_in_force(
         self, expected: Iterable[str], *, now: float, revision: int | None = None
     ) -> InForce:
-        """Say on the leader where a revision, by default the newest, is in force."""
+        """Return, on the leader, which routers applied a revision (default: the newest)."""
         acknowledgements = self.publisher.acknowledgements
         own = RouterAck(self._instance, self._incarnation, self.view.revision)
         acknowledgements.record_acks([own], now=now)
-        asked = self.view.table.revision if revision is None else revision
-        return acknowledgements.compute_in_force(asked, expected, now=now)
+        target = self.view.table.revision if revision is None else revision
+        return acknowledgements.compute_in_force(target, expected, now=now)
--- a/chivetrack/components/configuration/const.py
+++ b/chivetrack/components/configuration/const.py
@@ -1,4 +1,4 @@
-"""Defaults of the distribution of configuration."""
+"""Defaults and limits of the distribution of configuration; sizes in bytes."""
 
 from typing import Final
 
@@ -11,10 +11,11 @@
 DEFAULT_BATCH_BYTES: Final = 256 * KIBIBYTE
 DEFAULT_PUSH_INTERVAL_S: Final = 0.2
 
-# Clocks of two machines may run this much apart; ages are made longer by it.
+# Largest relative difference between the rates of two machines' clocks. Ages and
+# windows are corrected by it towards the safe side.
 CLOCK_DRIFT: Final = 0.01
 
-# A wake-up may come this much early, by rounding.
+# A timer may fire this much early because of rounding.
 WAKE_TOLERANCE_S: Final = 0.001
 
 POLL_JITTER: Final = 0.1
--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration of a router up to date and confirmed."""
+"""Keeps the configuration of an instance up to date and confirmed."""
 
 import random
 from dataclasses import dataclass
@@ -25,8 +25,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Question:
-    """The one question that is open."""
+class _PendingRequest:
+    """The one request that is waiting for its answer."""
 
     correlation: int
     peer: str
@@ -35,11 +35,12 @@
 
 
 class ConfigFollower:
-    """Asks an upstream once in an interval for changes and a confirmation.
+    """Polls an upstream peer for changes and a confirmation.
 
-    On a replica ``applies_changes`` is false: its table belongs to the store, and only
-    confirmations are taken. Until the first confirmation, and whenever the history
-    no longer reaches back, a whole state is gathered beside the one in force.
+    On a replica ``applies_changes`` is false: only the store writes to its table, so the
+    follower uses confirmations only. Until the first confirmation, and whenever the
+    upstream no longer has the changes since the applied revision, a full state is
+    assembled beside the active one.
     """
 
     def __init__(
@@ -53,116 +54,118 @@
         rng: random.Random,
         applies_changes: bool = True,
     ) -> None:
-        """Follow for ``instance``; ``incarnation`` rises with each of its starts."""
+        """Follow for ``instance``; ``incarnation`` increases with each of its starts."""
         self._instance = instance
         self._incarnation = incarnation
         self._view = view
         self._acknowledgements = acknowledgements
         self._settings = settings
         self._rng = rng
-        self._takes_changes = applies_changes
+        self._applies_changes = applies_changes
         self._staging = Staging() if applies_changes else None
         self._upstream = UpstreamChooser(instance=instance, rng=rng)
-        self._question: _Question | None = None
-        # An answer to a question of the former run must not pass for one to a question
-        # of this run: its confirmation may be from before the start.
+        self._pending_request: _PendingRequest | None = None
+        # Correlations of two incarnations must differ: an answer to a request of the
+        # previous incarnation may hold a confirmation from before this start.
         self._correlation = incarnation << const.CORRELATION_BITS
         self._wake_at = float("inf")
-        self._news_at = float("-inf")
-        self._ask_at = float("-inf")
-        self._preferred: str | None = None
-        self._acknowledged: dict[str, tuple[int, int]] = {}
+        self._report_followed_at = float("-inf")
+        self._request_at = float("-inf")
+        self._preferred_peer: str | None = None
+        self._acknowledged_upstream: dict[str, tuple[int, int]] = {}
         self._refresh_acks_at = float("-inf")
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take answers, news of peers and revisions, and time."""
+        """Handle answers, changes of peers, reported revisions and timers."""
         match event:
             case PeersChanged():
                 self._upstream.set_peers(event)
                 if not self._view.is_confirmed(now):
-                    self._ask_at = now
+                    self._request_at = now
             case RevisionReported():
-                self._hear(event, now)
+                self._handle_reported_revision(event, now)
             case MessageReceived(source=source, message=ConfigDelta() as delta):
-                self._take_delta(source, delta, now)
+                self._handle_delta(source, delta, now)
             case MessageReceived(source=source, message=ConfigPage() as page):
-                self._take_page(source, page, now)
+                self._handle_page(source, page, now)
         return self._proceed(now)
 
     @property
     def _target(self) -> ResourceTable:
         return self._view.table if self._staging is None else self._staging.table
 
-    def _hear(self, news: RevisionReported, now: float) -> None:
-        is_new = self._takes_changes and news.revision > self._target.revision
-        # News of one change comes from many peers; one question answers it.
-        if is_new and now >= self._news_at + self._settings.push_interval_s:
-            self._news_at = now
-            self._preferred = news.peer
-            self._ask_at = now
+    def _handle_reported_revision(self, report: RevisionReported, now: float) -> None:
+        is_new = self._applies_changes and report.revision > self._target.revision
+        # Many peers report the same change; one request is enough for all of them.
+        if is_new and now >= self._report_followed_at + self._settings.push_interval_s:
+            self._report_followed_at = now
+            self._preferred_peer = report.peer
+            self._request_at = now
 
-    def _take_delta(self, source: str, delta: ConfigDelta, now: float) -> None:
-        question = self._close_question(source, delta.correlation)
+    def _handle_delta(self, source: str, delta: ConfigDelta, now: float) -> None:
+        request = self._pop_pending_request(source, delta.correlation)
         before = self._view.revision
         self._apply(delta)
-        if question is None:
-            # Nobody knows how long it was on the way: the changes are good, a
-            # confirmation is not.
+        if request is None:
+            # The delay of an unsolicited delta is unknown: its changes are valid, but a
+            # confirmation in it could not be dated.
             if delta.held_revision > self._target.revision:
-                self._ask_at = now
+                self._request_at = now
         else:
-            self._take_answer(question, delta, now)
+            self._handle_answer(request, delta, now)
         self._promote()
         if self._view.revision > before:
-            soon = now + self._rng.uniform(0.0, const.MAX_ACKNOWLEDGE_DELAY_S)
-            self._ask_at = min(self._ask_at, soon)
+            acknowledge_at = now + self._rng.uniform(0.0, const.MAX_ACKNOWLEDGE_DELAY_S)
+            self._request_at = min(self._request_at, acknowledge_at)
 
     def _apply(self, delta: ConfigDelta) -> None:
-        if not self._takes_changes or delta.is_compacted:
+        if not self._applies_changes or delta.is_compacted:
             return
         if self._staging is not None and self._staging.is_paging:
             return
-        # A delta that starts after the applied revision leaves a gap: changes in
-        # between would be missing for good.
+        # A delta that starts after the applied revision leaves a gap, and the changes in
+        # the gap would never be applied.
         if delta.from_revision > self._target.revision:
             return
         self._target.apply(delta.changes, revision=delta.to_revision)
 
-    def _take_answer(self, question: _Question, delta: ConfigDelta, now: float) -> None:
-        self._upstream.report_success(question.peer)
-        self._note_acknowledged(question)
-        self._take_confirmation(question, delta, now)
-        if not self._takes_changes:
+    def _handle_answer(self, request: _PendingRequest, delta: ConfigDelta, now: float) -> None:
+        self._upstream.report_success(request.peer)
+        self._record_acknowledged(request)
+        self._handle_confirmation(request, delta, now)
+        if not self._applies_changes:
             return
         if delta.is_compacted:
             self._start_paging(delta.compacted_to)
         if delta.is_compacted or delta.held_revision > self._target.revision:
-            self._ask_at = now
+            self._request_at = now
 
-    def _take_confirmation(self, question: _Question, delta: ConfigDelta, now: float) -> None:
-        """Take the confirmation; leave a peer out whose confirmations are stale.
+    def _handle_confirmation(
+        self, request: _PendingRequest, delta: ConfigDelta, now: float
+    ) -> None:
+        """Add the confirmation; avoid the peer if its confirmation is stale.
 
-        Two routers that take each other for the relay would hand an old one to and
-        fro; the next candidates lead to the leader.
+        Two routers that each consider the other one a relay would exchange an old
+        confirmation forever; the next candidates lead to the leader.
         """
         report = delta.confirmation
         if report is None:
-            self._upstream.report_stale(question.peer, now)
+            self._upstream.report_stale(request.peer, now)
             return
-        held = date_confirmation(report, requested_at=question.requested_at)
+        held = date_confirmation(report, requested_at=request.requested_at)
         self._view.freshness.add_confirmation(held, revision=self._view.table.revision)
         if now - held.obtained_at > self._settings.stale_upstream_s:
-            self._upstream.report_stale(question.peer, now)
+            self._upstream.report_stale(request.peer, now)
 
-    def _take_page(self, source: str, page: ConfigPage, now: float) -> None:
-        question = self._close_question(source, page.correlation)
-        if question is None or self._staging is None or not self._staging.is_paging:
+    def _handle_page(self, source: str, page: ConfigPage, now: float) -> None:
+        request = self._pop_pending_request(source, page.correlation)
+        if request is None or self._staging is None or not self._staging.is_paging:
             return
         if self._staging.handle_page(page):
             self._upstream.report_success(source)
         else:
             self._upstream.report_stale(source, now)
-        self._ask_at = now
+        self._request_at = now
 
     def _start_paging(self, minimum: int) -> None:
         if self._staging is None:
@@ -170,10 +173,10 @@
         self._staging.start_paging(minimum)
 
     def _promote(self) -> None:
-        """Put the gathered state in force once that can't take anything back.
+        """Activate the assembled state once this can't revert the configuration.
 
-        The first state after a start needs a confirmation from after the start that
-        it satisfies: a peer's copy may be older than what the former run had.
+        The first state after a start must satisfy a confirmation from after the start: a
+        peer's state may be older than the one that the previous incarnation had applied.
         """
         staging = self._staging
         if staging is None or not staging.is_consistent:
@@ -185,86 +188,89 @@
         if self._view.adopt(staging.table):
             self._staging = None
 
-    def _close_question(self, source: str, correlation: int) -> _Question | None:
-        question = self._question
-        if question is None or (question.peer, question.correlation) != (source, correlation):
+    def _pop_pending_request(self, source: str, correlation: int) -> _PendingRequest | None:
+        request = self._pending_request
+        if request is None or (request.peer, request.correlation) != (source, correlation):
             return None
-        self._question = None
-        return question
+        self._pending_request = None
+        return request
 
     def _proceed(self, now: float) -> list[Effect]:
         due = now + const.WAKE_TOLERANCE_S
-        question = self._question
-        if question is not None and due >= question.requested_at + self._settings.answer_timeout_s:
-            self._upstream.report_silent(question.peer, now)
-            self._question = None
-            self._ask_at = now
+        request = self._pending_request
+        if request is not None and due >= request.requested_at + self._settings.answer_timeout_s:
+            self._upstream.report_silent(request.peer, now)
+            self._pending_request = None
+            self._request_at = now
         if self._acknowledgements.pop_changed():
-            self._ask_at = min(self._ask_at, now + const.MAX_RELAY_DELAY_S)
+            self._request_at = min(self._request_at, now + const.MAX_RELAY_DELAY_S)
         effects: list[Effect] = []
-        if self._question is None and due >= self._ask_at:
-            effects.extend(self._ask(now))
-        effects.extend(self._arm(now))
+        if self._pending_request is None and due >= self._request_at:
+            effects.extend(self._send_request(now))
+        effects.extend(self._schedule_wake(now))
         return effects
 
-    def _arm(self, now: float) -> list[Effect]:
-        # One wake-up at a time: to answer each with a new one would add them up.
-        wake_at = self._find_wake()
+    def _schedule_wake(self, now: float) -> list[Effect]:
+        # Keep one timer at a time: a new timer for every event would accumulate timers.
+        wake_at = self._find_wake_time()
         if now + const.WAKE_TOLERANCE_S < self._wake_at <= wake_at:
             return []
         self._wake_at = wake_at
         return [WakeAt(at=wake_at)]
 
-    def _find_wake(self) -> float:
-        if self._question is None:
-            return self._ask_at
-        return self._question.requested_at + self._settings.answer_timeout_s
+    def _find_wake_time(self) -> float:
+        if self._pending_request is None:
+            return self._request_at
+        return self._pending_request.requested_at + self._settings.answer_timeout_s
 
-    def _ask(self, now: float) -> list[Effect]:
+    def _send_request(self, now: float) -> list[Effect]:
         is_paging = self._staging is not None and self._staging.is_paging
-        peer = self._choose(now, is_paging=is_paging)
-        self._schedule(now)
+        peer = self._choose_peer(now, is_paging=is_paging)
+        self._schedule_poll(now)
         if peer is None:
             return []
         self._correlation += 1
         if is_paging and self._staging is not None:
-            self._question = _Question(correlation=self._correlation, peer=peer, requested_at=now)
+            self._pending_request = _PendingRequest(
+                correlation=self._correlation, peer=peer, requested_at=now
+            )
             return [SendMessage(target=peer, message=self._staging.make_request(self._correlation))]
         acks = self._list_acks(now)
-        self._question = _Question(
+        self._pending_request = _PendingRequest(
             correlation=self._correlation, peer=peer, requested_at=now, acks=acks
         )
         pull = PullConfig(self._correlation, self._target.revision, acks)
         return [SendMessage(target=peer, message=pull)]
 
-    def _choose(self, now: float, *, is_paging: bool) -> str | None:
-        preferred = self._preferred
-        self._preferred = None
+    def _choose_peer(self, now: float, *, is_paging: bool) -> str | None:
+        preferred = self._preferred_peer
+        self._preferred_peer = None
         if is_paging:
             return self._upstream.choose_holder(now)
         return preferred or self._upstream.choose(now)
 
-    def _schedule(self, now: float) -> None:
+    def _schedule_poll(self, now: float) -> None:
         jitter = 1.0 + self._rng.uniform(-const.POLL_JITTER, const.POLL_JITTER)
-        self._ask_at = now + self._settings.poll_interval_s * jitter
+        self._request_at = now + self._settings.poll_interval_s * jitter
 
     def _list_acks(self, now: float) -> tuple[RouterAck, ...]:
-        """Return the own acknowledgement and what is new from those relayed to.
+        """Return the own acknowledgement and the new ones of the downstream routers.
 
-        Now and then all are sent again, so that a new leader has them too.
+        Every ``ACKNOWLEDGEMENT_REFRESH_INTERVAL_S`` all are sent again, so that a new
+        leader receives them too.
         """
         if now >= self._refresh_acks_at:
             self._refresh_acks_at = now + const.ACKNOWLEDGEMENT_REFRESH_INTERVAL_S
-            self._acknowledged.clear()
+            self._acknowledged_upstream.clear()
         own = RouterAck(self._instance, self._incarnation, self._view.revision)
         relayed = [
             ack
             for ack in self._acknowledgements.list_acks(now=now)
             if ack.router != self._instance
-            and self._acknowledged.get(ack.router) != (ack.incarnation, ack.revision)
+            and self._acknowledged_upstream.get(ack.router) != (ack.incarnation, ack.revision)
         ]
         return (own, *relayed)
 
-    def _note_acknowledged(self, question: _Question) -> None:
-        for ack in question.acks[1:]:
-            self._acknowledged[ack.router] = (ack.incarnation, ack.revision)
+    def _record_acknowledged(self, request: _PendingRequest) -> None:
+        for ack in request.acks[1:]:
+            self._acknowledged_upstream[ack.router] = (ack.incarnation, ack.revision)
--- a/chivetrack/components/configuration/freshness.py
+++ b/chivetrack/components/configuration/freshness.py
@@ -1,4 +1,4 @@
-"""Until when the configuration of this instance is confirmed."""
+"""Tracks until when the configuration of this instance is confirmed."""
 
 import math
 from collections import deque
@@ -10,17 +10,17 @@
 
 
 class Freshness:
-    """Keeps confirmations and tells which of them the applied revision satisfies.
+    """Keeps confirmations and determines which of them the applied revision satisfies.
 
-    A confirmation counts only once its revision is applied: from then until the
-    window ends no newer revision than those the router knows of can have been in
-    force for longer than the window.
+    A confirmation counts only once its revision is applied here. Until its window ends,
+    any newer revision was then committed less than one window ago, so this instance is
+    never behind by more than the window.
     """
 
     def __init__(self, *, started_at: float, window_s: float) -> None:
-        """Start unconfirmed; ``started_at`` is when this process started."""
+        """Start unconfirmed; ``started_at`` is the start time of this process."""
         self._started_at = started_at
-        # This clock may be the slower one: the window must not come out too long.
+        # This clock may run slower than the leader's: shorten the window by the drift.
         self._window_s = window_s / (1.0 + const.CLOCK_DRIFT)
         self._pending: deque[HeldConfirmation] = deque(maxlen=const.MAX_PENDING_CONFIRMATIONS)
         self._satisfied_at = -math.inf
@@ -28,20 +28,20 @@
 
     @property
     def is_initialised(self) -> bool:
-        """Tell whether some confirmation was ever satisfied in this run."""
+        """Return whether any confirmation has been satisfied since this process started."""
         return self._satisfied_at > -math.inf
 
     @property
     def confirmed_until(self) -> float:
-        """Return when the confirmation runs out; minus infinity if there was none."""
+        """Return when the confirmation expires; minus infinity without any."""
         return self._satisfied_at + self._window_s
 
     def add_confirmation(self, held: HeldConfirmation, *, revision: int) -> None:
-        """Take a confirmation; ``revision`` is what this instance has applied.
+        """Add a confirmation; ``revision`` is the revision that this instance has applied.
 
-        One from before this process started says nothing: the process that ran
-        here before may have applied a newer revision, and an old copy together
-        with an old confirmation would put the older one back in force.
+        A confirmation from before the start of this process is ignored: the previous
+        process may have applied a newer revision, and an old state with an old
+        confirmation would make the older revision active again.
         """
         if held.obtained_at < self._started_at:
             return
@@ -51,34 +51,34 @@
         self.mark_applied(revision)
 
     def is_satisfied_by(self, revision: int) -> bool:
-        """Tell whether to apply this revision would satisfy some confirmation."""
+        """Return whether applying this revision would satisfy a pending confirmation."""
         return any(held.revision <= revision for held in self._pending)
 
     def mark_applied(self, revision: int) -> None:
-        """Count the confirmations that the applied revision satisfies."""
-        waiting = [held for held in self._pending if held.revision > revision]
+        """Satisfy the pending confirmations up to the applied revision."""
+        unsatisfied = [held for held in self._pending if held.revision > revision]
         for held in self._pending:
             if held.revision <= revision:
                 self._satisfied_at = max(self._satisfied_at, held.obtained_at)
         self._pending.clear()
-        self._pending.extend(waiting)
+        self._pending.extend(unsatisfied)
 
     def report(self, now: float) -> ConfirmationReport | None:
-        """Return the freshest confirmation for a message that is sent now."""
+        """Return the newest confirmation, with its age, for a message that is sent now."""
         if self.latest is None:
             return None
         latest = self.latest
-        # Rounded up: an age must never come out too low.
+        # Rounded up, so that the age is never understated.
         age_ms = math.ceil((now - latest.obtained_at) * MILLISECONDS_PER_SECOND)
         return ConfirmationReport(latest.term, latest.counter, latest.revision, age_ms)
 
 
 def date_confirmation(report: ConfirmationReport, *, requested_at: float) -> HeldConfirmation:
-    """Date a report that answers a question sent at ``requested_at``.
+    """Convert a report that answers a request sent at ``requested_at`` to the local clock.
 
-    Dated from the question and not from the answer's arrival: an answer that lay in
-    a network queue for seconds would look fresh. The age is made longer by what the
-    clocks may drift apart.
+    The age is subtracted from the time of the request, not of the answer: an answer
+    delayed for seconds in a network queue would look fresh otherwise. The age is
+    increased by the possible clock drift.
     """
     age_s = report.age_ms / MILLISECONDS_PER_SECOND * (1.0 + const.CLOCK_DRIFT)
     return HeldConfirmation(
--- a/chivetrack/components/configuration/key_index.py
+++ b/chivetrack/components/configuration/key_index.py
@@ -12,22 +12,22 @@
 class KeyIndex:
     """Maps ids of keys to names of workspaces.
 
-    An entry may be out of date, since whoever asks compares the whole hash with the
-    workspace as it is now; the index is made anew once many changes have come.
+    Entries may be stale: callers must compare the full hash with the current workspace.
+    The index is rebuilt after many changes, which removes the stale entries.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty index."""
         self._names: dict[int, str | tuple[str, ...]] = {}
         self._changes = 0
 
     def find_names(self, key_id: str) -> Sequence[str]:
-        """Return the workspaces that have, or had, a key with this id, by name."""
+        """Return the workspaces that have, or had, a key with this id."""
         names = self._names.get(int(key_id, 16), ())
         return (names,) if isinstance(names, str) else names
 
     def add(self, record: Record) -> None:
-        """Enter the keys of a workspace."""
+        """Add the keys of a workspace."""
         self._changes += 1
         workspace = KINDS["workspace"].compact.decode(record.spec)
         for key_hash in () if workspace is None else workspace.keys:
@@ -40,13 +40,13 @@
             self._names[key_id] = tuple(sorted(names | {record.name}))
 
     def rebuild(self, table: ResourceTable) -> None:
-        """Make the index anew."""
+        """Rebuild the index from the table."""
         self._names.clear()
         for record in table.iterate("workspace"):
             self.add(record)
         self._changes = 0
 
     def rebuild_if_due(self, table: ResourceTable) -> None:
-        """Make the index anew if many changes have come since the last time."""
+        """Rebuild the index if many workspaces were added since the last rebuild."""
         if self._changes > max(const.REINDEX_AFTER_CHANGES, table.count("workspace")):
             self.rebuild(table)
--- a/chivetrack/components/configuration/messages.py
+++ b/chivetrack/components/configuration/messages.py
@@ -7,11 +7,11 @@
 
 
 class ConfirmationReport(Message, frozen=True, array_like=True):
-    """A confirmation and its age when the message was sent.
+    """A quorum confirmation and its age when the message was sent.
 
-    The age counts from before the leader asked its quorum, through all relays. The
-    receiver adds the time since it sent its question, so that the time on the way
-    is in it too.
+    The age starts just before the leader queried its quorum and includes the time spent
+    on all relays. The receiver counts the age from when it sent its own request, so that
+    the network delay is included too.
     """
 
     term: int
@@ -21,9 +21,10 @@
 
 
 class RouterAck(Message, frozen=True, array_like=True):
-    """What a router has applied; ``age_ms`` is how long ago it said so.
+    """The revision that a router has applied.
 
-    ``incarnation`` rises with every start of the router.
+    ``age_ms`` is the time since the router last reported this revision. ``incarnation``
+    increases with every start of the router.
     """
 
     router: str
@@ -34,9 +35,10 @@
 
 @message("config/pull")
 class PullConfig(Message, frozen=True, array_like=True):
-    """Ask for the changes after ``revision`` and for the freshest confirmation.
+    """Request the changes after ``revision`` and the newest confirmation.
 
-    ``acks`` are the sender's own and those of the routers it relays to.
+    ``acks`` holds the acknowledgement of the sender and those of the routers that pull
+    from it.
     """
 
     correlation: int
@@ -48,10 +50,11 @@
 class ConfigDelta(Message, frozen=True, array_like=True):
     """All changes after ``from_revision`` up to ``to_revision``, in order.
 
-    ``held_revision`` is what the sender has, so more may be pulled.
-    If the sender no longer knows the changes after the revision that was asked for,
-    ``compacted_to`` is the first revision after which it does, else 0. An unasked
-    delta has correlation 0 and no confirmation.
+    ``held_revision`` is the sender's own revision; if it is higher than ``to_revision``,
+    the receiver can pull again. ``compacted_to`` is 0 unless the sender no longer keeps
+    the changes after the requested revision; it is then the oldest revision after which
+    the sender still has all changes. An unsolicited delta has correlation 0 and no
+    confirmation.
     """
 
     correlation: int
@@ -64,15 +67,15 @@
 
     @property
     def is_compacted(self) -> bool:
-        """Tell whether the whole state must be pulled instead."""
+        """Return whether the full state must be pulled instead."""
         return self.compacted_to > 0
 
 
 @message("config/pull-page")
 class PullPage(Message, frozen=True, array_like=True):
-    """Ask for records of the whole state that come after a kind and name.
+    """Request the page of the full state that follows a kind and name.
 
-    Only a holder of at least ``minimum`` is of use; another answers with no records.
+    A peer whose revision is below ``minimum`` answers with a page without records.
     """
 
     correlation: int
@@ -83,7 +86,7 @@
 
 @message("config/page")
 class ConfigPage(Message, frozen=True, array_like=True):
-    """Records of one kind as of ``revision``; the state may change between pages.
+    """Records of one kind at ``revision``; the state may change between pages.
 
     ``next_kind`` is empty on the last page.
     """
--- a/chivetrack/components/configuration/models.py
+++ b/chivetrack/components/configuration/models.py
@@ -8,7 +8,7 @@
 
 
 class WhenUnconfirmed(StrEnum):
-    """What a router does with new work while it can't confirm its configuration."""
+    """Whether a router accepts new requests while it can't confirm its configuration."""
 
     REFUSE = "refuse"
     SERVE = "serve"
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigurationSettings:
-    """Settings; times are seconds.
+    """Settings of the distribution; times are in seconds.
 
-    ``confirmation_window_s`` is how long one confirmation lasts, counted from when
-    the leader began to ask its quorum.
+    ``confirmation_window_s`` is how long one confirmation stays valid, counted from when
+    the leader started to query its quorum.
     """
 
     poll_interval_s: float = const.DEFAULT_POLL_INTERVAL_S
@@ -33,7 +33,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeersChanged(Event):
-    """Who is alive: the leader (empty if unknown), the replicas, the own zone's routers."""
+    """The set of live instances has changed.
+
+    ``leader`` is empty if unknown; ``zone_peers`` are the routers of this instance's
+    availability zone.
+    """
 
     leader: str
     replicas: tuple[str, ...]
@@ -42,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RevisionReported(Event):
-    """A peer is said to hold this revision, for example by gossip."""
+    """A peer is reported to have applied this revision, for example through gossip."""
 
     peer: str
     revision: int
@@ -50,9 +54,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QuorumConfirmed(Event):
-    """This instance leads: a quorum agreed to that after ``started_at``.
+    """This instance is the leader: a quorum confirmed this after ``started_at``.
 
-    ``revision`` is the store's after it applied all that was committed by then.
+    ``revision`` is the revision of the store after it applied every entry that was
+    committed at that time.
     """
 
     term: int
@@ -62,15 +67,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigChanged(Event):
-    """The table of this instance has changed."""
+    """The resource table of this instance has changed."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HeldConfirmation:
-    """A confirmation, dated by this instance's clock.
+    """A confirmation whose time is on this instance's clock.
 
-    At some time not before ``obtained_at`` the leader of ``term`` led, and
-    ``revision`` was the newest that was committed.
+    At some time not before ``obtained_at`` the leader of ``term`` was the leader, and
+    ``revision`` was the newest committed revision.
     """
 
     term: int
@@ -81,7 +86,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MissingRouter:
-    """A router that has not acknowledged; ``revision`` is its last known one."""
+    """A router that has not acknowledged a revision.
+
+    ``revision`` is the last revision that it acknowledged, 0 if none is known.
+    ``silent_s`` is the time since its last acknowledgement, in seconds.
+    """
 
     router: str
     revision: int
@@ -90,10 +99,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InForce:
-    """On how many of the expected routers a revision is in force.
+    """How many of the expected routers have applied a revision.
 
-    ``elapsed_s`` runs from the commit to now, or to when the last router
-    acknowledged; ``None`` when the commit is not remembered.
+    ``elapsed_s`` is the time from the commit until now, or until the last router
+    acknowledged; ``None`` if the time of the commit is no longer kept.
     """
 
     revision: int
@@ -104,5 +113,5 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether no router is missing."""
+        """Return whether every expected router has applied the revision."""
         return not self.missing
--- a/chivetrack/components/configuration/publisher.py
+++ b/chivetrack/components/configuration/publisher.py
@@ -1,4 +1,4 @@
-"""Serves configuration: every instance that holds a revision can pass it on."""
+"""Serves configuration to other instances; any instance can relay what it has applied."""
 
 from collections.abc import Sequence
 
@@ -27,31 +27,32 @@
 
 
 class ConfigPublisher:
-    """Answers pulls, and sends new changes to those who pulled lately.
+    """Answers pulls and pushes new changes to the instances that pulled recently.
 
-    With the two relays of each zone pulling from the leader and the rest from the
-    relays, a change leaves the leader twice per zone and not once per router.
+    The two relays of each availability zone pull from the leader and the other routers
+    from the relays. The leader therefore sends each change twice per zone instead of once
+    per router.
     """
 
     def __init__(self, *, view: ConfigView, settings: ConfigurationSettings) -> None:
-        """Serve what ``view`` holds."""
+        """Serve the configuration of ``view``."""
         self.acknowledgements = Acknowledgements()
         self._view = view
         self._settings = settings
         self._downstream: dict[str, tuple[float, int]] = {}
-        self._counter = 0
+        self._confirmations = 0
         self._pushed_at = float("-inf")
         self._pushed_revision = 0
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take pulls, confirmations of the own leadership, news and time."""
+        """Handle pulls, confirmations of this instance's leadership, changes and timers."""
         match event:
             case MessageReceived(source=source, message=PullConfig() as pull):
-                return [SendMessage(target=source, message=self._answer(source, pull, now))]
+                return [SendMessage(target=source, message=self._handle_pull(source, pull, now))]
             case MessageReceived(source=source, message=PullPage() as pull):
                 return [SendMessage(target=source, message=self._make_page(pull))]
             case QuorumConfirmed():
-                self._confirm(event)
+                self._record_confirmation(event)
                 return []
             case ConfigChanged():
                 self.acknowledgements.record_commit(self._view.revision, now=now)
@@ -60,17 +61,17 @@
                 return self._push(now)
         return []
 
-    def _confirm(self, event: QuorumConfirmed) -> None:
-        self._counter += 1
+    def _record_confirmation(self, event: QuorumConfirmed) -> None:
+        self._confirmations += 1
         held = HeldConfirmation(
             term=event.term,
-            counter=self._counter,
+            counter=self._confirmations,
             revision=event.revision,
             obtained_at=event.started_at,
         )
         self._view.freshness.add_confirmation(held, revision=self._view.table.revision)
 
-    def _answer(self, source: str, pull: PullConfig, now: float) -> ConfigDelta:
+    def _handle_pull(self, source: str, pull: PullConfig, now: float) -> ConfigDelta:
         self.acknowledgements.record_acks(pull.acks, now=now)
         delta = self._make_delta(pull.correlation, pull.revision, now)
         self._downstream[source] = (now, delta.to_revision)
@@ -78,8 +79,8 @@
 
     def _make_delta(self, correlation: int, revision: int, now: float) -> ConfigDelta:
         held = self._view.revision
-        asked = correlation != UNSOLICITED
-        confirmation = self._view.freshness.report(now) if asked else None
+        is_requested = correlation != UNSOLICITED
+        confirmation = self._view.freshness.report(now) if is_requested else None
         if revision >= held:
             return ConfigDelta(correlation, revision, revision, held, confirmation=confirmation)
         table = self._view.table
@@ -88,10 +89,10 @@
             return ConfigDelta(
                 correlation, revision, revision, held, (), table.compaction_revision, confirmation
             )
-        batch = _take_batch(changes, self._settings.batch_bytes)
-        is_all = len(batch) == len(changes) < MAX_DELTA_CHANGES
-        reached = held if is_all else batch[-1].revision
-        return ConfigDelta(correlation, revision, reached, held, tuple(batch), 0, confirmation)
+        batch = _limit_changes(changes, self._settings.batch_bytes)
+        is_complete = len(batch) == len(changes) < MAX_DELTA_CHANGES
+        to_revision = held if is_complete else batch[-1].revision
+        return ConfigDelta(correlation, revision, to_revision, held, tuple(batch), 0, confirmation)
 
     def _make_page(self, pull: PullPage) -> ConfigPage:
         table = self._view.table
@@ -102,7 +103,7 @@
         kind = kinds[0]
         after = pull.after if kind == pull.kind else ""
         page = table.list_page(kind, after=after, limit=MAX_PAGE_RECORDS)
-        records = _take_records(page.records, self._settings.batch_bytes)
+        records = _limit_records(page.records, self._settings.batch_bytes)
         entry = KindRecords(kind, tuple(records))
         if len(records) < len(page.records) or page.next_after is not None:
             return ConfigPage(pull.correlation, revision, entry, kind, records[-1].name)
@@ -110,7 +111,7 @@
         return ConfigPage(pull.correlation, revision, entry, next_kind, "")
 
     def _push(self, now: float) -> list[Effect]:
-        """Send new changes to those who pulled lately, not too often."""
+        """Push new changes downstream, at most once per push interval."""
         revision = self._view.revision
         if revision <= self._pushed_revision:
             return []
@@ -119,14 +120,14 @@
             return [WakeAt(at=due)]
         self._pushed_at = now
         self._pushed_revision = revision
-        self._forget_downstream(now)
+        self._expire_downstream(now)
         return [
             SendMessage(target=target, message=self._make_delta(UNSOLICITED, sent, now))
             for target, (_, sent) in self._downstream.items()
             if sent < revision
         ]
 
-    def _forget_downstream(self, now: float) -> None:
+    def _expire_downstream(self, now: float) -> None:
         self.acknowledgements.expire_silent(now)
         oldest = now - const.DOWNSTREAM_TTL_S
         self._downstream = {
@@ -136,8 +137,8 @@
         }
 
 
-def _take_batch(changes: Sequence[Change], limit: int) -> Sequence[Change]:
-    """Return as many of the first changes as fit, at least one."""
+def _limit_changes(changes: Sequence[Change], limit: int) -> Sequence[Change]:
+    """Return as many leading changes as fit into ``limit`` bytes, at least one."""
     total = 0
     for count, change in enumerate(changes):
         total += estimate_size(change)
@@ -146,7 +147,7 @@
     return changes
 
 
-def _take_records(records: Sequence[Record], limit: int) -> Sequence[Record]:
+def _limit_records(records: Sequence[Record], limit: int) -> Sequence[Record]:
     total = 0
     for count, record in enumerate(records):
         total += estimate_size(Change(record.revision, "", record.name, record))
--- a/chivetrack/components/configuration/staging.py
+++ b/chivetrack/components/configuration/staging.py
@@ -1,4 +1,4 @@
-"""Gathers a whole state beside the one in force, until it may take its place."""
+"""Assembles a full state beside the active one until it can replace it."""
 
 from chivetrack.components.configuration.messages import ConfigPage, PullPage
 from chivetrack.components.store.records import KindRecords, Record
@@ -6,55 +6,56 @@
 
 
 class Staging:
-    """A state being gathered: first pages, if deltas don't reach back, then deltas.
+    """A full state that is assembled from pages and deltas.
 
-    The pages are read while the state changes, so some records are newer than the
-    first page. Once the deltas after the first page's revision have been applied up
-    to the newest revision seen, the state is that of one revision again.
+    Pages are pulled only if the history of the peers is too short for deltas. The state
+    changes while the pages are read, so some records are newer than the first page. Once
+    the deltas from the first page's revision up to the newest revision of any page have
+    been applied, the state matches a single revision.
     """
 
     def __init__(self) -> None:
-        """Start with the empty state, which deltas from revision 0 may fill."""
+        """Start with an empty state, to which deltas from revision 0 can be applied."""
         self.table = ResourceTable()
         self._records: dict[str, dict[str, Record]] = {}
-        self._minimum = 1
-        self._base = 0
-        self._newest = 0
+        self._min_revision = 1
+        self._base_revision = 0
+        self._newest_revision = 0
         self._next_kind = ""
         self._next_after = ""
         self.is_paging = False
 
     @property
     def is_consistent(self) -> bool:
-        """Tell whether the gathered state is that of one revision."""
-        return not self.is_paging and 0 < self.table.revision >= self._newest
+        """Return whether the assembled state matches a single revision."""
+        return not self.is_paging and 0 < self.table.revision >= self._newest_revision
 
     def start_paging(self, minimum: int) -> None:
-        """Begin again from the first page, from holders of at least ``minimum``.
+        """Restart from the first page, from peers whose revision is at least ``minimum``.
 
-        Peers that are as far behind as this router would otherwise give each other
-        a state after which nobody knows the changes any more, again and again.
+        Without ``minimum``, routers that are equally far behind would keep loading from
+        each other a state so old that no peer has the changes after it any more.
         """
-        self._minimum = minimum
+        self._min_revision = minimum
         self._records.clear()
-        self._base = self._newest = 0
+        self._base_revision = self._newest_revision = 0
         self._next_kind = self._next_after = ""
         self.is_paging = True
 
     def make_request(self, correlation: int) -> PullPage:
-        """Return the question for the next page."""
-        return PullPage(correlation, self._get_minimum(), self._next_kind, self._next_after)
+        """Return the request for the next page."""
+        return PullPage(correlation, self._get_min_revision(), self._next_kind, self._next_after)
 
     def handle_page(self, page: ConfigPage) -> bool:
-        """Take the answer to ``ask``; false if that peer's state is too old.
+        """Add a page; return false if the state of the peer that sent it is too old.
 
-        A page from a peer behind the first page could lack changes that the deltas,
-        which start there, do not bring either.
+        A page older than the first page could lack changes that the deltas, which start
+        at the first page's revision, do not contain either.
         """
-        if page.revision < self._get_minimum():
+        if page.revision < self._get_min_revision():
             return False
-        self._base = self._base or page.revision
-        self._newest = max(self._newest, page.revision)
+        self._base_revision = self._base_revision or page.revision
+        self._newest_revision = max(self._newest_revision, page.revision)
         records = self._records.setdefault(page.records.kind, {})
         for record in page.records.records:
             records[record.name] = record
@@ -64,14 +65,14 @@
             self._finish_paging()
         return True
 
-    def _get_minimum(self) -> int:
-        return max(self._base, self._minimum)
+    def _get_min_revision(self) -> int:
+        return max(self._base_revision, self._min_revision)
 
     def _finish_paging(self) -> None:
         kinds = [
             KindRecords(kind, tuple(records.values())) for kind, records in self._records.items()
         ]
         self.table = ResourceTable()
-        self.table.replace(kinds, revision=self._base)
+        self.table.replace(kinds, revision=self._base_revision)
         self._records.clear()
         self.is_paging = False
--- a/chivetrack/components/configuration/upstream.py
+++ b/chivetrack/components/configuration/upstream.py
@@ -1,4 +1,4 @@
-"""Chooses from whom to pull."""
+"""Chooses the peer to pull from."""
 
 import random
 
@@ -9,19 +9,20 @@
 
 
 def rank_relays(routers: list[str]) -> list[str]:
-    """Return routers in the order in which they are relays of their zone.
+    """Return the routers of a zone in order of preference as relays.
 
-    Every router of the zone computes the same order from the same list; where lists
-    differ for a while, answers without a fresh confirmation make a router move on.
+    Every router of the zone computes the same order from the same list. While the lists
+    differ, a router may pull from one that is no relay; answers without a fresh
+    confirmation then make it choose another peer.
     """
     return sorted(routers, key=lambda router: (xxhash.xxh3_64_intdigest(router.encode()), router))
 
 
 class UpstreamChooser:
-    """Keeps the candidates in order of preference, and which of them failed lately."""
+    """Keeps the candidates in order of preference and which of them failed recently."""
 
     def __init__(self, *, instance: str, rng: random.Random) -> None:
-        """Choose for ``instance``; ``rng`` spreads the load over equal candidates."""
+        """Choose for ``instance``; ``rng`` balances the load over equal candidates."""
         self._instance = instance
         self._rng = rng
         self._candidates: list[str] = []
@@ -29,17 +30,17 @@
         self._failed_until: dict[str, float] = {}
 
     def set_peers(self, peers: PeersChanged) -> None:
-        """Take the list of who is alive."""
+        """Update the candidates from the live instances."""
         replicas = [name for name in peers.replicas if name != peers.leader]
         self._rng.shuffle(replicas)
-        control = [peers.leader, *replicas] if peers.leader else replicas
+        replicas_by_preference = [peers.leader, *replicas] if peers.leader else replicas
         ranked = rank_relays([self._instance, *peers.zone_peers])
         relays = list(dict.fromkeys(ranked))[: const.RELAYS_PER_ZONE]
-        is_controller = self._instance in (peers.leader, *peers.replicas)
-        if is_controller or self._instance in relays:
+        is_replica = self._instance in (peers.leader, *peers.replicas)
+        if is_replica or self._instance in relays:
             relays = []
         self._rng.shuffle(relays)
-        names = [] if peers.leader == self._instance else [*relays, *control]
+        names = [] if peers.leader == self._instance else [*relays, *replicas_by_preference]
         names = list(dict.fromkeys(names))
         self._candidates = [name for name in names if name != self._instance]
         self._zone_peers = [name for name in peers.zone_peers if name != self._instance]
@@ -49,31 +50,32 @@
         }
 
     def choose(self, now: float) -> str | None:
-        """Return the first candidate that has not failed lately, else the least recent."""
+        """Return the first usable candidate, else the one that is usable again soonest."""
         return self._pick(self._candidates, now)
 
     def choose_holder(self, now: float) -> str | None:
-        """Return a random peer for bulk data, of the own zone if any will do.
+        """Return a random peer for pulling pages, from the own zone if one is usable.
 
-        Many routers that restart at once would otherwise all load from one relay.
+        Many routers that restart at the same time would otherwise all load from one relay.
         """
         usable = [name for name in self._zone_peers if not self._has_failed(name, now)]
         return self._rng.choice(usable) if usable else self.choose(now)
 
     def report_silent(self, peer: str, now: float) -> None:
-        """Leave out a peer that did not answer."""
+        """Avoid a peer that did not answer for ``SILENT_PENALTY_S``."""
         self._failed_until[peer] = now + const.SILENT_PENALTY_S
 
     def report_stale(self, peer: str, now: float) -> None:
-        """Leave out, for one round, a peer that had nothing fresh enough.
+        """Avoid a peer without fresh enough data for ``STALE_PENALTY_S``, about one poll.
 
-        Not for longer: a new leader has no confirmation yet, and if all left it out
-        for seconds, nobody could be confirmed although it leads.
+        A longer penalty would hurt after an election: a new leader has no confirmation
+        yet, and if all routers avoided it for seconds, none could be confirmed although
+        a leader exists.
         """
         self._failed_until[peer] = now + const.STALE_PENALTY_S
 
     def report_success(self, peer: str) -> None:
-        """Take a peer back in."""
+        """Stop avoiding a peer."""
         self._failed_until.pop(peer, None)
 
     def _pick(self, names: list[str], now: float) -> str | None:
--- a/chivetrack/components/configuration/view.py
+++ b/chivetrack/components/configuration/view.py
@@ -1,4 +1,4 @@
-"""The configuration as a router applies it, with the lookups of the hot path."""
+"""Read access to the applied configuration, with the lookups of the request path."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NamedResource(Generic[FormT]):
-    """The compact form of a resource, with its name and revision."""
+    """The compact form of a resource with its name and revision."""
 
     name: str
     revision: int
@@ -43,46 +43,46 @@
 class ConfigView:
     """Reads a table that a follower, or on a replica the store, keeps up to date.
 
-    The hot path asks ``check_serving`` first; until the first confirmation the
-    other answers are empty, whatever the table holds.
+    The request path calls ``check_serving`` first. Until the first confirmation all
+    lookups return nothing, whatever the table contains.
     """
 
     def __init__(
         self, *, table: ResourceTable, settings: ConfigurationSettings, started_at: float
     ) -> None:
-        """Read ``table``; ``started_at`` is when this process started."""
+        """Read ``table``; ``started_at`` is the start time of this process."""
         self.table = table
         self.freshness = Freshness(started_at=started_at, window_s=settings.confirmation_window_s)
-        self._refuses = settings.when_unconfirmed is WhenUnconfirmed.REFUSE
+        self._refuses_unconfirmed = settings.when_unconfirmed is WhenUnconfirmed.REFUSE
         self._keys = KeyIndex()
         self._lists: dict[str, tuple[NamedResource[Any], ...]] = {}
         self._drains: tuple[Drain, ...] | None = None
         self._keys.rebuild(table)
-        table.subscribe(self._follow)
+        table.subscribe(self._handle_update)
 
     @property
     def revision(self) -> int:
-        """Return the revision in force here; 0 until the first confirmation."""
+        """Return the active revision; 0 until the first confirmation."""
         return self.table.revision if self.freshness.is_initialised else 0
 
     @property
     def confirmed_until(self) -> float:
-        """Return until when the configuration is confirmed, on the clock of ``now``."""
+        """Return when the confirmation expires, on the same clock as ``now``."""
         return self.freshness.confirmed_until
 
     def is_confirmed(self, now: float) -> bool:
-        """Tell whether a fresh enough confirmation is satisfied."""
+        """Return whether a confirmation that has not expired is satisfied."""
         return now < self.freshness.confirmed_until
 
     def check_serving(self, now: float) -> Fault | None:
-        """Return why no new work may be taken, or ``None``.
+        """Return the fault with which new requests must be refused, or ``None``.
 
-        Without the first confirmation nothing is served under either setting: the
-        table may be older than what was in force here before the restart.
+        Before the first confirmation all requests are refused, whatever the setting: the
+        table may be older than the configuration that was active here before a restart.
         """
         if self.is_confirmed(now):
             return None
-        if self.freshness.is_initialised and not self._refuses:
+        if self.freshness.is_initialised and not self._refuses_unconfirmed:
             return None
         return Fault(
             code="configuration_unconfirmed",
@@ -92,21 +92,22 @@
             retry_after_s=UNCONFIRMED_RETRY_S,
         )
 
-    def adopt(self, gathered: ResourceTable) -> bool:
-        """Put a whole state in force unless it is older; tell whether it was taken.
+    def adopt(self, assembled: ResourceTable) -> bool:
+        """Replace the table unless the given state is older; return whether it was replaced.
 
-        Its history comes along: without it others could not pull deltas from here.
+        The history is copied too: without it other instances could not pull deltas from
+        this one.
         """
-        known_from = gathered.compaction_revision
+        compaction_revision = assembled.compaction_revision
         return self.table.replace(
-            gathered.export(),
-            revision=gathered.revision,
-            compaction_revision=known_from,
-            changes=gathered.list_changes(known_from) or (),
+            assembled.export(),
+            revision=assembled.revision,
+            compaction_revision=compaction_revision,
+            changes=assembled.list_changes(compaction_revision) or (),
         )
 
     def find_workspace(self, key: str) -> NamedResource[Workspace] | None:
-        """Return the workspace to which a caller's key belongs."""
+        """Return the workspace that a caller's key belongs to."""
         for name in self._keys.find_names(derive_key_id(key)):
             workspace = self.get_workspace(name)
             if workspace is None:
@@ -120,7 +121,7 @@
         return self._get("workspace", name)
 
     def get_policy(self, workspace: Workspace) -> RoutingPolicy:
-        """Return the policy of a workspace, else the default one, else the defaults."""
+        """Return the workspace's policy, else the policy ``default``, else built-in defaults."""
         for name in (workspace.policy, resource_const.DEFAULT_POLICY):
             named = self._get("routing_policy", name)
             if named is not None:
@@ -129,18 +130,18 @@
         return RoutingPolicy()
 
     def list_named(self, kind: str) -> Sequence[NamedResource[Any]]:
-        """Return all resources of a kind; kept until one of them changes."""
+        """Return all resources of a kind; the list is cached until one of them changes."""
         if not self.freshness.is_initialised:
             return ()
         listed = self._lists.get(kind)
         if listed is None:
-            read = (_read(kind, record) for record in self.table.iterate(kind))
-            listed = tuple(named for named in read if named is not None)
+            decoded = (_decode(kind, record) for record in self.table.iterate(kind))
+            listed = tuple(named for named in decoded if named is not None)
             self._lists[kind] = listed
         return listed
 
     def list_drains(self) -> Sequence[Drain]:
-        """Return the drains in force: started by their controller and not cancelled."""
+        """Return the active drains: started by the drain controller and not cancelled."""
         if not self.freshness.is_initialised:
             return ()
         if self._drains is None:
@@ -149,7 +150,7 @@
         return self._drains
 
     def find_key_owners(self, key_hash: str) -> Sequence[str]:
-        """Return the names of the workspaces that have this hash of a key."""
+        """Return the names of the workspaces whose keys include this hash."""
         owners = []
         for name in self._keys.find_names(get_key_id(key_hash)):
             workspace = self.get_workspace(name)
@@ -158,7 +159,7 @@
         return owners
 
     def subscribe(self, subscriber: Subscriber) -> Unsubscribe:
-        """Call after every change of the table."""
+        """Call ``subscriber`` after every change of the table."""
         return self.table.subscribe(subscriber)
 
     def _is_active(self, name: str) -> bool:
@@ -171,9 +172,9 @@
         if not self.freshness.is_initialised:
             return None
         record = self.table.get(kind, name)
-        return None if record is None else _read(kind, record)
+        return None if record is None else _decode(kind, record)
 
-    def _follow(self, update: TableUpdate) -> None:
+    def _handle_update(self, update: TableUpdate) -> None:
         self.freshness.mark_applied(update.revision)
         self._drains = None
         if update.is_reset:
@@ -187,7 +188,7 @@
         self._keys.rebuild_if_due(self.table)
 
 
-def _read(kind: str, record: Record) -> NamedResource[Any] | None:
+def _decode(kind: str, record: Record) -> NamedResource[Any] | None:
     form = KINDS[kind].compact.decode(record.spec)
     if form is None:
         return None
--- a/tests/components/configuration/__init__.py
+++ b/tests/components/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of configuration."""
+"""Tests of the configuration component."""
--- a/tests/components/configuration/fleet.py
+++ b/tests/components/configuration/fleet.py
@@ -1,4 +1,4 @@
-"""A few configurations on a queue of messages that loses, delays, doubles and reorders."""
+"""Simulated instances on a network that loses, delays, duplicates and reorders messages."""
 
 import heapq
 import itertools
@@ -27,7 +27,7 @@
 
 
 class Node:
-    """One run of one instance, with a clock of its own."""
+    """One incarnation of an instance, with its own clock."""
 
     def __init__(self, name: str, run: int, table: ResourceTable | None, *, time: float) -> None:
         rng = random.Random(f"{name}{run}")
@@ -51,14 +51,14 @@
 
 
 class Fleet:
-    """One leader with a store, and routers in zones of three."""
+    """One leader with a store, and routers in zones of three routers."""
 
     def __init__(self, *, seed: int, routers: int = 6, chaos: bool = True) -> None:
         self.rng = random.Random(seed)
         self.time = 0.0
         self.chaos = chaos
-        self.is_leader_cut = False
-        self.cut: set[str] = set()
+        self.is_leader_partitioned = False
+        self.partitioned: set[str] = set()
         self.store = Store(table=ResourceTable(history_changes=HISTORY))
         self.states: dict[int, dict[str, bytes]] = {0: {}}
         self.commits: list[tuple[float, int]] = [(0.0, 0)]
@@ -68,26 +68,26 @@
         self._orders = itertools.count()
         self.names = [f"r{number}" for number in range(routers)]
         self.nodes = {LEADER: Node(LEADER, 1, self.store.table, time=0.0)}
-        self.introduce(LEADER)
+        self.send_peers(LEADER)
         for name in self.names:
             self.restart(name)
 
     def restart(self, name: str) -> None:
-        """Start a router without anything of its former run."""
+        """Start a router without any state of its previous incarnation."""
         run = self.nodes[name].run + 1 if name in self.nodes else 1
         self.nodes[name] = Node(name, run, None, time=self.time)
-        self.introduce(name)
+        self.send_peers(name)
 
-    def introduce(self, name: str) -> None:
+    def send_peers(self, name: str) -> None:
         zone = int(name[1:]) // 3 if name != LEADER else -1
         peers = tuple(f"r{number}" for number in range(zone * 3, zone * 3 + 3))
         event = PeersChanged(
             leader=LEADER, replicas=(LEADER,), zone_peers=peers if zone >= 0 else ()
         )
-        self.hand(name, event)
+        self.deliver(name, event)
 
     def change(self) -> None:
-        """Commit one change of a few resources."""
+        """Commit a create, replace or delete of one of twelve limits."""
         name = f"l{self.rng.randrange(12)}"
         spec = msgspec.msgpack.encode({"rate": self.store.revision + 1})
         index = self.store.index + 1
@@ -102,20 +102,20 @@
         revision = self.store.revision
         self.states[revision] = read_state(self.store.table)
         self.commits.append((self.time, revision))
-        self.hand(LEADER, ConfigChanged())
+        self.deliver(LEADER, ConfigChanged())
 
     def confirm(self) -> None:
-        """Let the leader ask its quorum, unless it is cut off."""
-        if self.is_leader_cut:
+        """Let the leader confirm with its quorum, unless it is partitioned."""
+        if self.is_leader_partitioned:
             return
         node = self.nodes[LEADER]
         event = QuorumConfirmed(
             term=1, revision=self.store.revision, started_at=node.read_clock(self.time)
         )
-        self.hand(LEADER, event)
+        self.deliver(LEADER, event)
 
     def run(self, duration: float) -> None:
-        """Deliver everything that is due within a time."""
+        """Deliver all events due within ``duration`` seconds, with quorum rounds in between."""
         end = self.time + duration
         next_quorum = self.time
         while next_quorum <= end:
@@ -124,32 +124,32 @@
             next_quorum += QUORUM_INTERVAL_S
         self._deliver_until(end)
 
-    def hand(self, name: str, event: Event) -> None:
+    def deliver(self, name: str, event: Event) -> None:
         node = self.nodes[name]
         effects = node.configuration.handle(event, now=node.read_clock(self.time))
         for effect in effects:
-            self._carry_out(name, node, effect)
+            self._execute(name, node, effect)
         self.check(name)
 
     def check(self, name: str) -> None:
-        """Check what must hold on a router after every event."""
+        """Check the invariants of an instance after an event."""
         node = self.nodes[name]
         view = node.configuration.view
         revision = view.revision
-        assert revision == 0 or revision >= self.highest.get(name, 0), "revision went back"
+        assert revision == 0 or revision >= self.highest.get(name, 0), "revision went backwards"
         if revision:
             self.highest[name] = revision
-            assert read_state(view.table) == self.states[revision], "state of no revision"
+            assert read_state(view.table) == self.states[revision], "state matches no single revision"
         if view.is_confirmed(node.read_clock(self.time)):
             oldest = self.time - SETTINGS.confirmation_window_s
             due = max(revision for time, revision in self.commits if time <= max(oldest, 0.0))
             assert revision >= due, "confirmed with a state older than the window"
 
     def gossip(self) -> None:
-        """Tell a router what another one holds."""
+        """Report the revision of one router to another one."""
         name, peer = self.rng.sample(self.names, 2)
         revision = self.nodes[peer].configuration.view.revision
-        self.hand(name, RevisionReported(peer=peer, revision=revision))
+        self.deliver(name, RevisionReported(peer=peer, revision=revision))
 
     def list_revisions(self) -> list[int]:
         return [self.nodes[name].configuration.view.revision for name in self.names]
@@ -158,34 +158,34 @@
         while self._heap and self._heap[0][0] <= end:
             self.time, _, name, run, event = heapq.heappop(self._heap)
             if run in (0, self.nodes[name].run):
-                self.hand(name, event)
+                self.deliver(name, event)
         self.time = end
 
-    def _carry_out(self, name: str, node: Node, effect: Effect) -> None:
+    def _execute(self, name: str, node: Node, effect: Effect) -> None:
         if isinstance(effect, WakeAt):
             at = max(node.find_time(effect.at), self.time + 0.001)
-            self._push(at, name, node.run, TimeReached())
+            self._schedule(at, name, node.run, TimeReached())
         if isinstance(effect, SendMessage):
             self.messages += 1
             event = MessageReceived(source=name, message=unpack(pack(effect.message)))
             for delay in self._draw_delays(name, effect.target):
-                self._push(self.time + delay, effect.target, 0, event)
+                self._schedule(self.time + delay, effect.target, 0, event)
 
     def _draw_delays(self, source: str, target: str) -> list[float]:
-        if (source in self.cut) != (target in self.cut):
+        if (source in self.partitioned) != (target in self.partitioned):
             return []
         if not self.chaos:
             return [0.002]
-        lot = self.rng.random()
-        if lot < 0.1:
+        draw = self.rng.random()
+        if draw < 0.1:
             return []
-        if lot < 0.2:
+        if draw < 0.2:
             return [self.rng.uniform(0.0, 8.0)]
-        if lot < 0.3:
+        if draw < 0.3:
             return [self.rng.uniform(0.0, 0.1), self.rng.uniform(0.0, 8.0)]
         return [self.rng.uniform(0.001, 0.1)]
 
-    def _push(self, at: float, name: str, run: int, event: Event) -> None:
+    def _schedule(self, at: float, name: str, run: int, event: Event) -> None:
         heapq.heappush(self._heap, (at, next(self._orders), name, run, event))
 
 
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -1,4 +1,4 @@
-"""View, freshness, follower, publisher and acknowledgements, one by one."""
+"""Unit tests of view, freshness, follower, publisher and acknowledgements."""
 
 import math
 import random
@@ -73,10 +73,10 @@
     )
 
 
-def make_holder(*, revision: int) -> Configuration:
-    """Return a replica that leads and has these many changes."""
+def make_leader(*, revision: int) -> Configuration:
+    """Return a leader with ``revision`` committed changes."""
     table = ResourceTable()
-    holder = Configuration(
+    leader = Configuration(
         instance="leader",
         incarnation=1,
         settings=SETTINGS,
@@ -85,25 +85,25 @@
         store_table=table,
     )
     table.apply(make_changes(1, revision))
-    holder.handle(QuorumConfirmed(term=1, revision=revision, started_at=0.0), now=0.0)
-    return holder
+    leader.handle(QuorumConfirmed(term=1, revision=revision, started_at=0.0), now=0.0)
+    return leader
 
 
 def list_sent(effects: list[Effect]) -> list[SendMessage]:
     return [effect for effect in effects if isinstance(effect, SendMessage)]
 
 
-def ask(router: Configuration, *, now: float) -> SendMessage:
-    """Let the router ask its next question."""
+def next_request(router: Configuration, *, now: float) -> SendMessage:
+    """Return the next request that the router sends."""
     sent = list_sent(router.handle(PEERS, now=now))
     sent += list_sent(router.handle(TimeReached(), now=now))
     assert len(sent) == 1, sent
     return sent[0]
 
 
-def answer(question: SendMessage, *, revision: int, confirmed: int, age_s: float) -> Any:
-    """Make the answer of a peer that holds a revision and a confirmation."""
-    pull = question.message
+def make_answer(request: SendMessage, *, revision: int, confirmed: int, age_s: float) -> Any:
+    """Return the answer of a peer with a revision and a confirmation."""
+    pull = request.message
     assert isinstance(pull, PullConfig)
     delta = ConfigDelta(
         pull.correlation,
@@ -114,12 +114,15 @@
         0,
         ConfirmationReport(1, 1, confirmed, int(age_s * 1000)),
     )
-    return MessageReceived(source=question.target, message=delta)
+    return MessageReceived(source=request.target, message=delta)
 
 
 class FreshnessTest(unittest.TestCase):
     def test_when_confirmed(self) -> None:
-        """Started at 10 s, with revision 5 applied: (obtained at, revision, until)."""
+        """The process starts at 10 s and has applied revision 5.
+
+        Each row: obtained at, confirmed revision, expected end of the confirmation.
+        """
         window = WINDOW / (1 + const.CLOCK_DRIFT)
         table = [
             ("after the start", 11.0, 5, 11.0 + window),
@@ -155,40 +158,40 @@
 
 
 class RestartTest(unittest.TestCase):
-    def test_old_copy_of_a_peer_is_not_taken(self) -> None:
-        """The router had revision 7 and restarts without a disk at 11 s.
+    def test_old_state_of_a_peer_is_not_activated(self) -> None:
+        """A router that had applied revision 7 restarts without a disk at 11 s.
 
-        Its peer is cut off with revision 5 and a confirmation from before the start.
-        If the router took that copy, revision 7 would be undone on it, and callers
-        whose key was withdrawn in 6 would be served again.
+        Its peer is partitioned with revision 5 and a confirmation from before the start.
+        If the router activated that state, it would revert to revision 5 and accept a key
+        that revision 6 revoked.
         """
         router = make_router(started_at=11.0)
-        question = ask(router, now=11.0)
-        router.handle(answer(question, revision=5, confirmed=5, age_s=1.5), now=11.1)
+        request = next_request(router, now=11.0)
+        router.handle(make_answer(request, revision=5, confirmed=5, age_s=1.5), now=11.1)
         self.assertEqual((router.view.revision, router.view.table.revision), (0, 0))
         fault = router.view.check_serving(11.1)
         assert fault is not None
         self.assertEqual((fault.code, fault.ran), ("configuration_unconfirmed", "no"))
-        later = ask(router, now=13.0)
+        later = next_request(router, now=13.0)
         self.assertEqual(later.message.revision, 5)
-        router.handle(answer(later, revision=7, confirmed=7, age_s=0.3), now=13.1)
+        router.handle(make_answer(later, revision=7, confirmed=7, age_s=0.3), now=13.1)
         self.assertEqual(router.view.revision, 7)
         self.assertIsNone(router.view.check_serving(13.1))
 
-    def test_answer_to_the_former_run_is_not_taken(self) -> None:
-        """The former run asked, and was killed. The answer was sent at 9 s.
+    def test_answer_to_the_previous_incarnation_is_ignored(self) -> None:
+        """The answer to a request of a killed incarnation, sent at 9 s, arrives late.
 
-        It arrives in the new run, after that asked its first question. Dated from
-        that question its confirmation would seem to be from after the start.
+        It arrives after the new incarnation has sent its first request. Dated from that
+        request, its confirmation would seem to be from after the start.
         """
-        old_question = ask(make_router(run=1), now=8.9)
+        old_request = next_request(make_router(run=1), now=8.9)
         router = make_router(started_at=11.0, run=2)
-        ask(router, now=11.0)
-        router.handle(answer(old_question, revision=5, confirmed=5, age_s=0.0), now=11.1)
+        next_request(router, now=11.0)
+        router.handle(make_answer(old_request, revision=5, confirmed=5, age_s=0.0), now=11.1)
         self.assertEqual(router.view.revision, 0)
 
     def test_replica_shows_nothing_before_it_is_confirmed(self) -> None:
-        """A replica's log may end before what was committed when it stopped."""
+        """A replica's log may lack entries that were committed when it stopped."""
         table = ResourceTable()
         replica = Configuration(
             instance="second",
@@ -204,8 +207,8 @@
         self.assertEqual(replica.view.revision, 0)
         self.assertEqual(replica.view.list_named("limit"), ())
         self.assertEqual(replica.view.list_drains(), ())
-        question = ask(replica, now=1.0)
-        replica.handle(answer(question, revision=9, confirmed=4, age_s=0.1), now=1.1)
+        request = next_request(replica, now=1.0)
+        replica.handle(make_answer(request, revision=9, confirmed=4, age_s=0.1), now=1.1)
         self.assertEqual((replica.view.revision, table.revision), (0, 3))
         held = HeldConfirmation(term=1, counter=1, revision=3, obtained_at=1.2)
         replica.view.freshness.add_confirmation(held, revision=3)
@@ -229,129 +232,133 @@
 class FollowerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.router = make_router()
-        question = ask(self.router, now=1.0)
-        self.router.handle(answer(question, revision=3, confirmed=3, age_s=0.1), now=1.1)
+        request = next_request(self.router, now=1.0)
+        self.router.handle(make_answer(request, revision=3, confirmed=3, age_s=0.1), now=1.1)
         self.assertEqual(self.router.view.revision, 3)
 
     def push(self, delta: ConfigDelta, *, now: float) -> list[SendMessage]:
         event = MessageReceived(source="leader", message=delta)
         return list_sent(self.router.handle(event, now=now))
 
-    def test_unasked_deltas(self) -> None:
-        """(from, to, revision afterwards, whether the router asks at once)."""
+    def test_unsolicited_deltas(self) -> None:
+        """Each row: from, to, revision afterwards, whether the router pulls immediately."""
         table = [
             ("the next", 3, 4, 4, False),
             ("an overlap", 2, 5, 5, False),
             ("a late one", 1, 3, 3, False),
             ("a gap", 5, 6, 3, True),
         ]
-        for name, start, end, revision, asks in table:
+        for name, start, end, revision, pulls in table:
             with self.subTest(name):
                 self.setUp()
                 delta = ConfigDelta(UNSOLICITED, start, end, end, make_changes(start + 1, end))
                 sent = self.push(delta, now=1.1)
                 self.assertEqual(self.router.view.revision, revision)
-                self.assertEqual(bool(sent), asks)
+                self.assertEqual(bool(sent), pulls)
 
-    def test_unasked_delta_confirms_nothing(self) -> None:
+    def test_unsolicited_delta_confirms_nothing(self) -> None:
         until = self.router.view.confirmed_until
         report = ConfirmationReport(1, 2, 3, 0)
         self.push(ConfigDelta(UNSOLICITED, 3, 3, 3, (), 0, report), now=3.0)
         self.assertEqual(self.router.view.confirmed_until, until)
 
-    def test_news_makes_it_ask_that_peer_once(self) -> None:
-        news = RevisionReported(peer="r9", revision=8)
-        sent = list_sent(self.router.handle(news, now=1.15))
+    def test_reported_revision_triggers_one_pull_from_that_peer(self) -> None:
+        report = RevisionReported(peer="r9", revision=8)
+        sent = list_sent(self.router.handle(report, now=1.15))
         self.assertEqual([message.target for message in sent], ["r9"])
-        self.assertEqual(list_sent(self.router.handle(news, now=1.16)), [])
+        self.assertEqual(list_sent(self.router.handle(report, now=1.16)), [])
         old = RevisionReported(peer="r9", revision=2)
         self.assertEqual(list_sent(self.router.handle(old, now=1.17)), [])
 
-    def test_silent_upstream_is_left(self) -> None:
-        question = ask(self.router, now=2.5)
+    def test_unanswered_request_switches_upstream(self) -> None:
+        request = next_request(self.router, now=2.5)
         later = 2.5 + SETTINGS.answer_timeout_s
         sent = list_sent(self.router.handle(TimeReached(), now=later))
-        self.assertEqual((question.target, sent[0].target), ("leader", "second"))
+        self.assertEqual((request.target, sent[0].target), ("leader", "second"))
 
-    def test_whole_state_in_pages(self) -> None:
-        """The history no longer reaches back, so pages are pulled, then deltas."""
-        holder = make_holder(revision=MAX_PAGE_RECORDS + 10)
-        holder.view.table.replace(holder.view.table.export(), revision=MAX_PAGE_RECORDS + 10)
-        holder.view.table.apply([make_change(MAX_PAGE_RECORDS + 11, "drain", "d", {})])
+    def test_full_state_in_pages(self) -> None:
+        """The leader no longer has the needed changes, so pages are pulled, then deltas."""
+        leader = make_leader(revision=MAX_PAGE_RECORDS + 10)
+        leader.view.table.replace(leader.view.table.export(), revision=MAX_PAGE_RECORDS + 10)
+        leader.view.table.apply([make_change(MAX_PAGE_RECORDS + 11, "drain", "d", {})])
         effects = self.router.handle(RevisionReported(peer="leader", revision=99), now=1.2)
         kinds = []
         while sent := list_sent(effects):
             kinds.append(type(sent[0].message))
             event = MessageReceived(source="router", message=sent[0].message)
-            reply = list_sent(holder.handle(event, now=1.2))[0]
+            reply = list_sent(leader.handle(event, now=1.2))[0]
             event = MessageReceived(source="leader", message=reply.message)
             effects = self.router.handle(event, now=1.2)
         self.assertEqual(kinds, [PullConfig, PullPage, PullPage, PullPage, PullConfig])
         self.assertEqual(self.router.view.revision, MAX_PAGE_RECORDS + 11)
         self.assertEqual(self.router.view.table.export()[0].records[0].name, "d")
 
-    def test_pages_of_no_use(self) -> None:
-        question = ask(self.router, now=2.5)
-        pull: Any = question.message
+    def test_pages_below_minimum_are_rejected(self) -> None:
+        request = next_request(self.router, now=2.5)
+        pull: Any = request.message
         compacted = ConfigDelta(pull.correlation, 3, 3, 9, (), 8)
         event = MessageReceived(source="leader", message=compacted)
-        asked: Any = list_sent(self.router.handle(event, now=2.5))[0]
-        self.assertEqual(asked.message.minimum, 8)
-        page = ConfigPage(asked.message.correlation, 7, KindRecords("limit", ()))
-        event = MessageReceived(source=asked.target, message=page)
-        again = list_sent(self.router.handle(event, now=2.5))[0].message
-        self.assertEqual(again.minimum, 8)
+        requested: Any = list_sent(self.router.handle(event, now=2.5))[0]
+        self.assertEqual(requested.message.minimum, 8)
+        page = ConfigPage(requested.message.correlation, 7, KindRecords("limit", ()))
+        event = MessageReceived(source=requested.target, message=page)
+        repeated = list_sent(self.router.handle(event, now=2.5))[0].message
+        self.assertEqual(repeated.minimum, 8)
         self.assertEqual(self.router.view.revision, 3)
 
 
 class RelayTest(unittest.TestCase):
-    def test_serves_deltas_from_what_it_took_first(self) -> None:
-        """A relay takes its first state; a router behind it lacks the last change.
+    def test_serves_deltas_from_its_first_state(self) -> None:
+        """A relay has activated its first state; a router lacks the last change of it.
 
-        Without the history the relay would send it through the whole state.
+        If the relay had dropped the history, the router would have to pull the full state.
         """
         relay = make_router()
-        relay.handle(answer(ask(relay, now=1.0), revision=5, confirmed=5, age_s=0.1), now=1.1)
+        relay.handle(
+            make_answer(next_request(relay, now=1.0), revision=5, confirmed=5, age_s=0.1), now=1.1
+        )
         event = MessageReceived(source="r2", message=PullConfig(7, 4))
         delta: Any = list_sent(relay.handle(event, now=1.2))[0].message
         self.assertFalse(delta.is_compacted)
         self.assertEqual([change.revision for change in delta.changes], [5])
 
-    def test_passes_acknowledgements_on_soon(self) -> None:
-        """The relay's own question is open when a router acknowledges.
+    def test_relays_acknowledgements_promptly(self) -> None:
+        """A router acknowledges while a request of the relay is pending.
 
-        The answer must not put the next question off to the end of the interval:
-        the operator would wait a second longer to see the change in force.
+        The answer must not postpone the next request to the end of the poll interval: the
+        operator would see the change as applied a second later.
         """
         relay = make_router()
-        relay.handle(answer(ask(relay, now=1.0), revision=5, confirmed=5, age_s=0.1), now=1.1)
-        question = ask(relay, now=3.0)
+        relay.handle(
+            make_answer(next_request(relay, now=1.0), revision=5, confirmed=5, age_s=0.1), now=1.1
+        )
+        request = next_request(relay, now=3.0)
         acks = (RouterAck("r2", 1, 5),)
         event = MessageReceived(source="r2", message=PullConfig(7, 5, acks))
         relay.handle(event, now=3.0)
-        relay.handle(answer(question, revision=5, confirmed=5, age_s=0.1), now=3.1)
+        relay.handle(make_answer(request, revision=5, confirmed=5, age_s=0.1), now=3.1)
         later = relay.handle(TimeReached(), now=3.0 + const.MAX_RELAY_DELAY_S)
         pull: Any = list_sent(later)[0].message
         self.assertEqual([ack.router for ack in pull.acks], ["router", "r2"])
 
 
 class TableTest(unittest.TestCase):
-    def test_older_state_is_not_put_in_place(self) -> None:
+    def test_older_state_does_not_replace(self) -> None:
         table = ResourceTable()
         table.apply(make_changes(1, 5))
         self.assertFalse(table.replace((), revision=4))
         self.assertEqual((table.revision, table.count("limit")), (5, 5))
 
-    def test_subscribers_hear_of_changes_until_they_leave(self) -> None:
+    def test_subscribers_are_called_until_they_unsubscribe(self) -> None:
         table = ResourceTable()
-        heard: list[int] = []
-        unsubscribe = table.subscribe(lambda update: heard.append(len(update.changes)))
+        counts: list[int] = []
+        unsubscribe = table.subscribe(lambda update: counts.append(len(update.changes)))
         table.apply(make_changes(1, 3))
         table.apply(make_changes(2, 3))
         unsubscribe()
         unsubscribe()
         table.apply(make_changes(4, 4))
-        self.assertEqual(heard, [3])
+        self.assertEqual(counts, [3])
 
 
 class ViewTest(unittest.TestCase):
@@ -374,7 +381,7 @@
         self.assertEqual((self.find(KEY), self.find(OTHER_KEY)), ("a", None))
 
     def test_key_that_moves(self) -> None:
-        """A key is in two workspaces for a while, then only in the first."""
+        """A key is in two workspaces, then only in the older one, then in none."""
         self.put("workspace", "b", {"keys": [hash_key(KEY)]})
         self.put("workspace", "a", {"keys": [hash_key(KEY), hash_key(OTHER_KEY)]})
         self.assertEqual(self.find(KEY), "a")
@@ -409,7 +416,7 @@
                 self.put("drain", "d", spec, status=data, deleting_ms=deleting_ms)
                 self.assertEqual(len(self.view.list_drains()), int(active))
 
-    def test_value_of_a_newer_version_is_passed_over(self) -> None:
+    def test_value_of_a_newer_version_is_skipped(self) -> None:
         self.put("workspace", "a", {"keys": "unknown"})
         self.put("workspace", "b", {"keys": [hash_key(KEY)], "later": 1})
         self.assertEqual([named.name for named in self.view.list_named("workspace")], ["b"])
@@ -425,36 +432,36 @@
 
 class PublisherTest(unittest.TestCase):
     def test_batches_are_bounded(self) -> None:
-        holder = make_holder(revision=2000)
+        leader = make_leader(revision=2000)
         revision, count = 0, 0
         while revision < 2000:
             event = MessageReceived(source="r1", message=PullConfig(1, revision))
-            delta: Any = list_sent(holder.handle(event, now=1.0))[0].message
+            delta: Any = list_sent(leader.handle(event, now=1.0))[0].message
             self.assertLessEqual(len(msgspec.msgpack.encode(delta)), SETTINGS.batch_bytes)
             self.assertEqual(delta.from_revision, revision)
             revision, count = delta.to_revision, count + 1
         self.assertGreater(count, 1)
 
-    def test_pushes_to_those_who_pulled_lately(self) -> None:
-        holder = make_holder(revision=1)
+    def test_pushes_to_peers_that_pulled_recently(self) -> None:
+        leader = make_leader(revision=1)
         for source, now in [("old", 1.0), ("new", 4.0)]:
             event = MessageReceived(source=source, message=PullConfig(1, 1))
-            holder.handle(event, now=now)
-        holder.view.table.apply(make_changes(2, 2))
-        pushed = list_sent(holder.handle(ConfigChanged(), now=4.5))
+            leader.handle(event, now=now)
+        leader.view.table.apply(make_changes(2, 2))
+        pushed = list_sent(leader.handle(ConfigChanged(), now=4.5))
         self.assertEqual([message.target for message in pushed], ["new"])
-        holder.view.table.apply(make_changes(3, 3))
-        self.assertEqual(list_sent(holder.handle(ConfigChanged(), now=4.6)), [])
-        self.assertEqual(len(list_sent(holder.handle(TimeReached(), now=4.8))), 1)
+        leader.view.table.apply(make_changes(3, 3))
+        self.assertEqual(list_sent(leader.handle(ConfigChanged(), now=4.6)), [])
+        self.assertEqual(len(list_sent(leader.handle(TimeReached(), now=4.8))), 1)
 
 
 class AcknowledgementsTest(unittest.TestCase):
-    def test_what_counts(self) -> None:
+    def test_latest_acknowledgement_counts(self) -> None:
         table: list[tuple[str, list[RouterAck], int]] = [
             ("newer", [RouterAck("r", 1, 5), RouterAck("r", 1, 6)], 6),
             ("late", [RouterAck("r", 1, 6), RouterAck("r", 1, 5)], 6),
             ("restarted", [RouterAck("r", 1, 6), RouterAck("r", 2, 0)], 0),
-            ("late from the former run", [RouterAck("r", 2, 0), RouterAck("r", 1, 6)], 0),
+            ("late from the previous incarnation", [RouterAck("r", 2, 0), RouterAck("r", 1, 6)], 0),
         ]
         for name, acks, revision in table:
             with self.subTest(name):
@@ -473,8 +480,8 @@
         self.assertEqual(missing, [("b", 1.5), ("c", None)])
         acknowledgements.record_acks([RouterAck("b", 1, 5), RouterAck("c", 1, 7)], now=13.0)
         acknowledgements.compute_in_force(5, ["a", "b", "c"], now=13.0)
-        whole = acknowledgements.compute_in_force(5, ["a", "b", "c"], now=20.0)
-        self.assertEqual((whole.is_complete, whole.elapsed_s), (True, 3.0))
+        complete = acknowledgements.compute_in_force(5, ["a", "b", "c"], now=20.0)
+        self.assertEqual((complete.is_complete, complete.elapsed_s), (True, 3.0))
         acknowledgements.expire_silent(13.1 + const.ACKNOWLEDGEMENT_TTL_S)
         self.assertEqual(len(acknowledgements.list_acks(now=99.0)), 0)
 
@@ -485,7 +492,7 @@
         chooser.set_peers(peers)
         return chooser.choose(now)
 
-    def test_who_asks_whom(self) -> None:
+    def test_upstream_by_role(self) -> None:
         zone = tuple(f"r{number}" for number in range(6))
         peers = PeersChanged(leader="a", replicas=("a", "b"), zone_peers=zone)
         relays = rank_relays(list(zone))[: const.RELAYS_PER_ZONE]
@@ -496,7 +503,7 @@
         self.assertIsNone(self.choose("a", peers))
         self.assertIsNone(self.choose("r0", PeersChanged(leader="", replicas=())))
 
-    def test_those_that_fail_come_last(self) -> None:
+    def test_failed_candidates_are_avoided(self) -> None:
         chooser = UpstreamChooser(instance="r", rng=random.Random(1))
         chooser.set_peers(PeersChanged(leader="a", replicas=("b",)))
         chooser.report_stale("a", 0.0)
@@ -509,10 +516,10 @@
 
 
 class ConfigTest(unittest.TestCase):
-    def test_defaults_are_those_inside(self) -> None:
+    def test_defaults_match_the_settings(self) -> None:
         self.assertEqual(ConfigurationConfig().build(), SETTINGS)
 
-    def test_faults(self) -> None:
+    def test_invalid_settings_are_refused(self) -> None:
         for fault in ({"poll_interval_s": 0}, {"batch_bytes": 1}, {"pol_interval_s": 1}):
             with self.subTest(fault), self.assertRaises(ValidationError):
                 ConfigurationConfig.model_validate(fault)
--- a/tests/components/configuration/test_configuration_fuzz.py
+++ b/tests/components/configuration/test_configuration_fuzz.py
@@ -1,4 +1,4 @@
-"""Seeded fuzzing: lost, late, doubled and reordered messages, cuts and restarts."""
+"""Seeded fuzzing: lost, late, duplicate and reordered messages, partitions and restarts."""
 
 import os
 import unittest
@@ -11,24 +11,24 @@
 
 class ConfigurationFuzzTest(unittest.TestCase):
     def test_any_order_of_faults(self) -> None:
-        """Routers lose messages, are cut off and restart while changes are made.
+        """Routers lose messages, are partitioned and restart while changes are committed.
 
-        After every event: no router applies a lower revision, also after a restart;
-        what it applies is the state of one revision; none that calls itself
-        confirmed is behind by more than the window. At the end all are up to date.
+        Invariants after every event: no router applies a lower revision than before, also
+        after a restart; its state matches a single revision; a confirmed router is behind
+        by at most the window. At the end all routers are up to date.
         """
         for seed in range(RUNS):
             with self.subTest(seed=seed):
-                self.run_one(seed)
+                self.run_seed(seed)
 
-    def run_one(self, seed: int) -> None:
+    def run_seed(self, seed: int) -> None:
         fleet = Fleet(seed=seed)
         for _ in range(STEPS):
             self.disturb(fleet)
             fleet.run(fleet.rng.choice([0.05, 0.3, 1.0, 3.0]))
         fleet.chaos = False
-        fleet.cut.clear()
-        fleet.is_leader_cut = False
+        fleet.partitioned.clear()
+        fleet.is_leader_partitioned = False
         fleet.run(20.0)
         self.assertEqual(fleet.list_revisions(), [fleet.store.revision] * len(fleet.names))
         for name in fleet.names:
@@ -43,17 +43,17 @@
     def disturb(self, fleet: Fleet) -> None:
         for _ in range(fleet.rng.choice([0, 1, 1, 2, 5, 60])):
             fleet.change()
-        lot = fleet.rng.random()
-        if lot < 0.2:
+        draw = fleet.rng.random()
+        if draw < 0.2:
             fleet.restart(fleet.rng.choice(fleet.names))
-        elif lot < 0.3:
-            fleet.cut = set(fleet.rng.sample(fleet.names, 3))
-        elif lot < 0.4:
-            fleet.cut.clear()
-        elif lot < 0.6:
+        elif draw < 0.3:
+            fleet.partitioned = set(fleet.rng.sample(fleet.names, 3))
+        elif draw < 0.4:
+            fleet.partitioned.clear()
+        elif draw < 0.6:
             fleet.gossip()
-        elif lot < 0.65:
-            fleet.is_leader_cut = not fleet.is_leader_cut
+        elif draw < 0.65:
+            fleet.is_leader_partitioned = not fleet.is_leader_partitioned
 
 
 class FleetTest(unittest.TestCase):
