--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -16,7 +16,7 @@
 from chivetrack.components.configuration.messages import ConfigDelta
 from chivetrack.components.configuration.models import (
     ConfigurationSettings,
-    HeldConfirmation,
+    DatedConfirmation,
     PeersChanged,
     QuorumConfirmed,
 )
@@ -165,7 +165,7 @@
     assert isinstance(view, ConfigView)
     print(f"view over shared records, tables and key index: {held / MEBIBYTE:.1f} MiB")
     print(f"view, adopt the whole state: {measure(make_view):.2f} s")
-    confirmation = HeldConfirmation(term=1, counter=1, revision=store.revision, obtained_at=0.0)
+    confirmation = DatedConfirmation(term=1, counter=1, revision=store.revision, obtained_at=0.0)
     view.freshness.add_confirmation(confirmation, revision=store.revision)
     rng = random.Random(3)
     keys = [make_key(rng.randrange(WORKSPACES)) for _ in range(LOOKUPS)]
--- a/chivetrack/components/configuration/freshness.py
+++ b/chivetrack/components/configuration/freshness.py
@@ -5,7 +5,7 @@
 
 from chivetrack.components.configuration import const
 from chivetrack.components.configuration.messages import ConfirmationReport
-from chivetrack.components.configuration.models import HeldConfirmation
+from chivetrack.components.configuration.models import DatedConfirmation
 from chivetrack.const import MILLISECONDS_PER_SECOND
 
 
@@ -22,9 +22,9 @@
         self._started_at = started_at
         # This clock may run slower than the leader's: shorten the window by the drift.
         self._window_s = window_s / (1.0 + const.CLOCK_DRIFT)
-        self._pending: deque[HeldConfirmation] = deque(maxlen=const.MAX_PENDING_CONFIRMATIONS)
+        self._pending: deque[DatedConfirmation] = deque(maxlen=const.MAX_PENDING_CONFIRMATIONS)
         self._satisfied_at = -math.inf
-        self.latest: HeldConfirmation | None = None
+        self.latest: DatedConfirmation | None = None
 
     @property
     def is_initialised(self) -> bool:
@@ -36,7 +36,7 @@
         """Return when the confirmation expires; minus infinity without any."""
         return self._satisfied_at + self._window_s
 
-    def add_confirmation(self, held: HeldConfirmation, *, revision: int) -> None:
+    def add_confirmation(self, held: DatedConfirmation, *, revision: int) -> None:
         """Add a confirmation; ``revision`` is the revision that this instance has applied.
 
         A confirmation from before the start of this process is ignored: the previous
@@ -73,7 +73,7 @@
         return ConfirmationReport(latest.term, latest.counter, latest.revision, age_ms)
 
 
-def date_confirmation(report: ConfirmationReport, *, requested_at: float) -> HeldConfirmation:
+def date_confirmation(report: ConfirmationReport, *, requested_at: float) -> DatedConfirmation:
     """Convert a report that answers a request sent at ``requested_at`` to the local clock.
 
     The age is subtracted from the time of the request, not of the answer: an answer
@@ -81,7 +81,7 @@
     increased by the possible clock drift.
     """
     age_s = report.age_ms / MILLISECONDS_PER_SECOND * (1.0 + const.CLOCK_DRIFT)
-    return HeldConfirmation(
+    return DatedConfirmation(
         term=report.term,
         counter=report.counter,
         revision=report.revision,
--- a/chivetrack/components/configuration/models.py
+++ b/chivetrack/components/configuration/models.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HeldConfirmation:
+class DatedConfirmation:
     """A confirmation whose time is on this instance's clock.
 
     At some time not before ``obtained_at`` the leader of ``term`` was the leader, and
--- a/chivetrack/components/configuration/publisher.py
+++ b/chivetrack/components/configuration/publisher.py
@@ -14,7 +14,7 @@
 from chivetrack.components.configuration.models import (
     ConfigChanged,
     ConfigurationSettings,
-    HeldConfirmation,
+    DatedConfirmation,
     QuorumConfirmed,
 )
 from chivetrack.components.configuration.view import ConfigView
@@ -63,7 +63,7 @@
 
     def _record_confirmation(self, event: QuorumConfirmed) -> None:
         self._confirmations += 1
-        held = HeldConfirmation(
+        held = DatedConfirmation(
             term=event.term,
             counter=self._confirmations,
             revision=event.revision,
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -25,7 +25,7 @@
 from chivetrack.components.configuration.models import (
     ConfigChanged,
     ConfigurationSettings,
-    HeldConfirmation,
+    DatedConfirmation,
     PeersChanged,
     QuorumConfirmed,
     RevisionReported,
@@ -134,7 +134,7 @@
         for name, obtained_at, revision, until in table:
             with self.subTest(name):
                 freshness = Freshness(started_at=10.0, window_s=WINDOW)
-                held = HeldConfirmation(
+                held = DatedConfirmation(
                     term=1, counter=1, revision=revision, obtained_at=obtained_at
                 )
                 freshness.add_confirmation(held, revision=5)
@@ -143,7 +143,7 @@
     def test_late_confirmation_does_not_shorten(self) -> None:
         freshness = Freshness(started_at=0.0, window_s=WINDOW)
         for counter, obtained_at in [(2, 8.0), (1, 3.0)]:
-            held = HeldConfirmation(term=1, counter=counter, revision=1, obtained_at=obtained_at)
+            held = DatedConfirmation(term=1, counter=counter, revision=1, obtained_at=obtained_at)
             freshness.add_confirmation(held, revision=1)
         self.assertGreater(freshness.confirmed_until, 8.0 + WINDOW - 0.1)
 
@@ -210,7 +210,7 @@
         request = next_request(replica, now=1.0)
         replica.handle(make_answer(request, revision=9, confirmed=4, age_s=0.1), now=1.1)
         self.assertEqual((replica.view.revision, table.revision), (0, 3))
-        held = HeldConfirmation(term=1, counter=1, revision=3, obtained_at=1.2)
+        held = DatedConfirmation(term=1, counter=1, revision=3, obtained_at=1.2)
         replica.view.freshness.add_confirmation(held, revision=3)
         self.assertEqual(len(replica.view.list_drains()), 1)
         table.apply(make_changes(4, 4))
@@ -223,7 +223,7 @@
                 settings = ConfigurationSettings(when_unconfirmed=policy)
                 view = ConfigView(table=ResourceTable(), settings=settings, started_at=0.0)
                 self.assertIsNotNone(view.check_serving(1.0))
-                held = HeldConfirmation(term=1, counter=1, revision=0, obtained_at=1.0)
+                held = DatedConfirmation(term=1, counter=1, revision=0, obtained_at=1.0)
                 view.freshness.add_confirmation(held, revision=0)
                 self.assertIsNone(view.check_serving(2.0))
                 self.assertEqual(view.check_serving(1.0 + WINDOW) is None, serves)
@@ -365,7 +365,7 @@
     def setUp(self) -> None:
         self.table = ResourceTable()
         self.view = ConfigView(table=self.table, settings=SETTINGS, started_at=0.0)
-        held = HeldConfirmation(term=1, counter=1, revision=0, obtained_at=0.0)
+        held = DatedConfirmation(term=1, counter=1, revision=0, obtained_at=0.0)
         self.view.freshness.add_confirmation(held, revision=0)
 
     def put(self, kind: str, name: str, spec: Any, **fields: Any) -> None:
--- a/tests/components/resource_api/test_resource_api.py
+++ b/tests/components/resource_api/test_resource_api.py
@@ -9,7 +9,7 @@
 import gevent
 from expression import Error, Ok, Result
 
-from chivetrack.components.configuration.models import ConfigurationSettings, HeldConfirmation
+from chivetrack.components.configuration.models import ConfigurationSettings, DatedConfirmation
 from chivetrack.components.configuration.view import ConfigView
 from chivetrack.components.resource_api import const
 from chivetrack.components.resource_api.app import build_app
@@ -44,7 +44,7 @@
         self.before_submit: list[Command] = []
         settings = ConfigurationSettings()
         self.view = ConfigView(table=self.store.table, settings=settings, started_at=0.0)
-        held = HeldConfirmation(term=1, counter=1, revision=0, obtained_at=0.0)
+        held = DatedConfirmation(term=1, counter=1, revision=0, obtained_at=0.0)
         self.view.freshness.add_confirmation(held, revision=0)
         spec = {"address": "127.0.0.1:1", "service": "s", "region": "r", "zone": "z"}
         engine = ObservedResource(name="e1", spec=spec, status={"load": 3})
