--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -6,7 +6,7 @@
 
 from chivetrack.components.configuration import const
 from chivetrack.components.configuration.messages import RouterAck
-from chivetrack.components.configuration.models import InForce, MissingRouter
+from chivetrack.components.configuration.models import MissingRouter, RolloutStatus
 from chivetrack.const import MILLISECONDS_PER_SECOND
 
 
@@ -90,7 +90,9 @@
         if len(self._commits) > const.MAX_KEPT_COMMITS:
             del self._commits[: const.MAX_KEPT_COMMITS // 10]
 
-    def compute_in_force(self, revision: int, expected: Iterable[str], *, now: float) -> InForce:
+    def compute_in_force(
+        self, revision: int, expected: Iterable[str], *, now: float
+    ) -> RolloutStatus:
         """Return which of the expected routers have applied a revision."""
         routers = list(expected)
         missing = [
@@ -98,7 +100,7 @@
             for router in routers
             if router not in self._routers or self._routers[router].revision < revision
         ]
-        return InForce(
+        return RolloutStatus(
             revision=revision,
             expected=len(routers),
             applied=len(routers) - len(missing),
--- a/chivetrack/components/configuration/configuration.py
+++ b/chivetrack/components/configuration/configuration.py
@@ -8,7 +8,7 @@
 from chivetrack.components.configuration.models import (
     ConfigChanged,
     ConfigurationSettings,
-    InForce,
+    RolloutStatus,
 )
 from chivetrack.components.configuration.publisher import ConfigPublisher
 from chivetrack.components.configuration.view import ConfigView
@@ -61,7 +61,7 @@
 
     def compute_in_force(
         self, expected: Iterable[str], *, now: float, revision: int | None = None
-    ) -> InForce:
+    ) -> RolloutStatus:
         """Return, on the leader, which routers applied a revision (default: the newest)."""
         acknowledgements = self.publisher.acknowledgements
         own = RouterAck(self._instance, self._incarnation, self.view.revision)
--- a/chivetrack/components/configuration/models.py
+++ b/chivetrack/components/configuration/models.py
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class InForce:
+class RolloutStatus:
     """How many of the expected routers have applied a revision.
 
     ``elapsed_s`` is the time from the commit until now, or until the last router
