--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -90,7 +90,7 @@
         if len(self._commits) > const.MAX_KEPT_COMMITS:
             del self._commits[: const.MAX_KEPT_COMMITS // 10]
 
-    def compute_in_force(
+    def compute_rollout_status(
         self, revision: int, expected: Iterable[str], *, now: float
     ) -> RolloutStatus:
         """Return which of the expected routers have applied a revision."""
--- a/chivetrack/components/configuration/configuration.py
+++ b/chivetrack/components/configuration/configuration.py
@@ -59,7 +59,7 @@
             effects.extend(self.publisher.handle(ConfigChanged(), now=now))
         return effects
 
-    def compute_in_force(
+    def compute_rollout_status(
         self, expected: Iterable[str], *, now: float, revision: int | None = None
     ) -> RolloutStatus:
         """Return, on the leader, which routers applied a revision (default: the newest)."""
@@ -67,4 +67,4 @@
         own = RouterAck(self._instance, self._incarnation, self.view.revision)
         acknowledgements.record_acks([own], now=now)
         target = self.view.table.revision if revision is None else revision
-        return acknowledgements.compute_in_force(target, expected, now=now)
+        return acknowledgements.compute_rollout_status(target, expected, now=now)
--- a/chivetrack/daemon/management.py
+++ b/chivetrack/daemon/management.py
@@ -92,7 +92,7 @@
         """Return where the newest revision is in force; only the leader knows all."""
         instances = self._router.membership.list_instances()
         expected = [each.instance_id for each in instances if each.status in _LIVING]
-        found = self._router.configuration.compute_in_force(expected, now=now)
+        found = self._router.configuration.compute_rollout_status(expected, now=now)
         return {
             "as_seen_by": self._instance_id,
             "revision": found.revision,
--- a/tests/components/configuration/test_configuration_fuzz.py
+++ b/tests/components/configuration/test_configuration_fuzz.py
@@ -35,7 +35,7 @@
             node = fleet.nodes[name]
             self.assertTrue(node.configuration.view.is_confirmed(node.read_clock(fleet.time)))
         leader = fleet.nodes["leader"]
-        in_force = leader.configuration.compute_in_force(
+        in_force = leader.configuration.compute_rollout_status(
             fleet.names, now=leader.read_clock(fleet.time)
         )
         self.assertEqual(in_force.missing, ())
@@ -65,7 +65,7 @@
         self.assertEqual(fleet.list_revisions(), [1] * 9)
         leader = fleet.nodes["leader"]
         clock = leader.read_clock(fleet.time)
-        in_force = leader.configuration.compute_in_force(fleet.names, now=clock)
+        in_force = leader.configuration.compute_rollout_status(fleet.names, now=clock)
         self.assertEqual((in_force.applied, in_force.missing), (9, ()))
 
     def test_leader_serves_relays_only(self) -> None:
