--- a/chivetrack/components/controllers/const.py
+++ b/chivetrack/components/controllers/const.py
@@ -13,7 +13,7 @@
 STEP_DOWN_MARGIN_S: Final = 0.5
 """A holder gives up this much before its own count of the lease ends."""
 
-STANDBY_DELAY_S: Final = 4.0
+STANDBY_RETRY_DELAY_S: Final = 4.0
 """Between two tries of an instance that finds the lease held; each try is a log entry."""
 
 RETRY_DELAY_S: Final = 0.5
--- a/chivetrack/components/controllers/lease.py
+++ b/chivetrack/components/controllers/lease.py
@@ -150,7 +150,7 @@
             self._step_down()
         is_free = answer.state is LeaseState.FREE
         self._next_at = now + self._spread(
-            const.RETRY_DELAY_S if is_free else const.STANDBY_DELAY_S
+            const.RETRY_DELAY_S if is_free else const.STANDBY_RETRY_DELAY_S
         )
 
     def _take_grant(self, answer: LeaseAnswer, now: float) -> None:
--- a/tests/components/controllers/test_lease.py
+++ b/tests/components/controllers/test_lease.py
@@ -120,7 +120,7 @@
         self.apply(self.ask(0.0, other).data, 0.0)
         self.answer(self.ask(0.0), applied=0.0, now=0.0)
         self.assertFalse(self.holder.is_held(0.0))
-        soon = const.STANDBY_DELAY_S * (1.0 - const.JITTER) - 0.01
+        soon = const.STANDBY_RETRY_DELAY_S * (1.0 - const.JITTER) - 0.01
         effects = self.holder.handle(TimeReached(), now=soon)
         self.assertFalse([effect for effect in effects if isinstance(effect, Propose)])
 
