--- a/chivetrack/components/controllers/lease.py
+++ b/chivetrack/components/controllers/lease.py
@@ -134,7 +134,7 @@
         return Propose(
             submission_id=command.stamp.request_id,
             data=pack(command),
-            deadline=now + const.PROPOSAL_DEADLINE_S,
+            deadline=now + const.PROPOSAL_TIMEOUT_S,
         )
 
     def _take_answer(self, event: ProposalEnded, now: float) -> None:
--- a/chivetrack/components/controllers/loop.py
+++ b/chivetrack/components/controllers/loop.py
@@ -158,7 +158,7 @@
         self._barrier_at = now + const.ANSWER_WAIT_S
         self._barriers += 1
         self._barrier = f"{self._lease.name}/{self._term}/revision/{self._barriers}"
-        deadline = now + const.PROPOSAL_DEADLINE_S
+        deadline = now + const.PROPOSAL_TIMEOUT_S
         return [ConfirmRevision(submission_id=self._barrier, deadline=deadline)]
 
     def _is_due(self, now: float) -> bool:
@@ -207,7 +207,7 @@
 
 
 def _propose(submission_id: str, data: bytes, now: float) -> Propose:
-    deadline = now + const.PROPOSAL_DEADLINE_S
+    deadline = now + const.PROPOSAL_TIMEOUT_S
     return Propose(submission_id=submission_id, data=data, deadline=deadline)
 
 
