--- a/chivetrack/components/controllers/const.py
+++ b/chivetrack/components/controllers/const.py
@@ -22,7 +22,7 @@
 PROPOSAL_TIMEOUT_S: Final = 3.0
 """After this long a proposal without an answer is sent again under the same request id."""
 
-ANSWER_WAIT_S: Final = PROPOSAL_TIMEOUT_S + RETRY_DELAY_S
+ANSWER_TIMEOUT_S: Final = PROPOSAL_TIMEOUT_S + RETRY_DELAY_S
 """An answer that is still missing then was lost on the way within this process."""
 
 BACKOFF_FIRST_S: Final = 0.5
--- a/chivetrack/components/controllers/lease.py
+++ b/chivetrack/components/controllers/lease.py
@@ -125,7 +125,7 @@
         else:
             command = AcquireLease(stamp, self._name, self._holder, duration_ms)
         self._asked_at = now
-        self._next_at = now + const.ANSWER_WAIT_S
+        self._next_at = now + const.ANSWER_TIMEOUT_S
         effect = self._propose(command, now)
         self._open = effect.submission_id
         return effect
--- a/chivetrack/components/controllers/loop.py
+++ b/chivetrack/components/controllers/loop.py
@@ -143,7 +143,7 @@
         for submission_id, write in self._writes.items():
             if now < write.retry_at:
                 continue
-            write.retry_at = now + const.ANSWER_WAIT_S
+            write.retry_at = now + const.ANSWER_TIMEOUT_S
             effects.append(_propose(submission_id, write.data, now))
         return effects
 
@@ -155,7 +155,7 @@
         """
         if now < self._barrier_at:
             return []
-        self._barrier_at = now + const.ANSWER_WAIT_S
+        self._barrier_at = now + const.ANSWER_TIMEOUT_S
         self._barriers += 1
         self._barrier = f"{self._lease.name}/{self._term}/revision/{self._barriers}"
         deadline = now + const.PROPOSAL_TIMEOUT_S
@@ -187,7 +187,7 @@
     def _write(self, action: Action, now: float) -> Effect:
         stamp = self._lease.make_stamp()
         data = pack(action.make_command(stamp))
-        retry_at = now + const.ANSWER_WAIT_S
+        retry_at = now + const.ANSWER_TIMEOUT_S
         write = _Write(key=_make_key(action), data=data, retry_at=retry_at)
         self._writes[stamp.request_id] = write
         return _propose(stamp.request_id, data, now)
--- a/tests/components/controllers/test_lease.py
+++ b/tests/components/controllers/test_lease.py
@@ -113,7 +113,7 @@
 
     def test_asks_again_if_nothing_ever_answers(self) -> None:
         self.ask(0.0)
-        self.assertIsNotNone(self.ask(const.ANSWER_WAIT_S))
+        self.assertIsNotNone(self.ask(const.ANSWER_TIMEOUT_S))
 
     def test_stands_by_while_another_holds_it(self) -> None:
         other = self.make_holder("two/1")
