--- a/chivetrack/components/controllers/backoff.py
+++ b/chivetrack/components/controllers/backoff.py
@@ -5,8 +5,8 @@
 
 from chivetrack.components.controllers.const import (
     BACKOFF_FACTOR,
-    BACKOFF_FIRST_S,
     BACKOFF_MAX_S,
+    INITIAL_BACKOFF_S,
     JITTER,
 )
 
@@ -38,7 +38,7 @@
     def fail(self, key: str, now: float) -> None:
         """Count a failure; the delay doubles up to a bound, spread by chance."""
         delay = self._delays.setdefault(key, _Delay())
-        wait = min(BACKOFF_FIRST_S * BACKOFF_FACTOR**delay.failures, BACKOFF_MAX_S)
+        wait = min(INITIAL_BACKOFF_S * BACKOFF_FACTOR**delay.failures, BACKOFF_MAX_S)
         delay.until = now + wait * self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
         if wait < BACKOFF_MAX_S:
             delay.failures += 1
--- a/chivetrack/components/controllers/const.py
+++ b/chivetrack/components/controllers/const.py
@@ -25,7 +25,7 @@
 ANSWER_TIMEOUT_S: Final = PROPOSAL_TIMEOUT_S + RETRY_DELAY_S
 """An answer that is still missing then was lost on the way within this process."""
 
-BACKOFF_FIRST_S: Final = 0.5
+INITIAL_BACKOFF_S: Final = 0.5
 BACKOFF_MAX_S: Final = 60.0
 BACKOFF_FACTOR: Final = 2.0
 
