--- a/chivetrack/components/controllers/backoff.py
+++ b/chivetrack/components/controllers/backoff.py
@@ -5,9 +5,9 @@
 
 from chivetrack.components.controllers.const import (
     BACKOFF_FACTOR,
-    BACKOFF_MAX_S,
     INITIAL_BACKOFF_S,
     JITTER,
+    MAX_BACKOFF_S,
 )
 
 
@@ -38,9 +38,9 @@
     def fail(self, key: str, now: float) -> None:
         """Count a failure; the delay doubles up to a bound, spread by chance."""
         delay = self._delays.setdefault(key, _Delay())
-        wait = min(INITIAL_BACKOFF_S * BACKOFF_FACTOR**delay.failures, BACKOFF_MAX_S)
+        wait = min(INITIAL_BACKOFF_S * BACKOFF_FACTOR**delay.failures, MAX_BACKOFF_S)
         delay.until = now + wait * self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
-        if wait < BACKOFF_MAX_S:
+        if wait < MAX_BACKOFF_S:
             delay.failures += 1
 
     def succeed(self, key: str) -> None:
--- a/chivetrack/components/controllers/const.py
+++ b/chivetrack/components/controllers/const.py
@@ -26,7 +26,7 @@
 """An answer that is still missing then was lost on the way within this process."""
 
 INITIAL_BACKOFF_S: Final = 0.5
-BACKOFF_MAX_S: Final = 60.0
+MAX_BACKOFF_S: Final = 60.0
 BACKOFF_FACTOR: Final = 2.0
 
 MAX_LOOK_INTERVAL_S: Final = 10.0
