--- a/chivetrack/components/controllers/const.py
+++ b/chivetrack/components/controllers/const.py
@@ -29,7 +29,7 @@
 MAX_BACKOFF_S: Final = 60.0
 BACKOFF_FACTOR: Final = 2.0
 
-MAX_LOOK_INTERVAL_S: Final = 10.0
+MAX_RECONCILE_INTERVAL_S: Final = 10.0
 """How rarely a holder compares desired with observed, whatever its controller asks for."""
 LOOK_DELAY_S: Final = 0.05
 
