--- a/chivetrack/components/controllers/const.py
+++ b/chivetrack/components/controllers/const.py
@@ -31,7 +31,7 @@
 
 MAX_RECONCILE_INTERVAL_S: Final = 10.0
 """How rarely a holder compares desired with observed, whatever its controller asks for."""
-LOOK_DELAY_S: Final = 0.05
+TABLE_POLL_INTERVAL_S: Final = 0.05
 
 MAX_ACTIONS: Final = 64
 """How many writes of one comparison go out at once; the rest follows in the next."""
--- a/chivetrack/components/controllers/loop.py
+++ b/chivetrack/components/controllers/loop.py
@@ -198,7 +198,7 @@
             waits.append(self._barrier_at)
         elif not self._writes:
             # A table that lags behind makes no event here, so look soon again.
-            waits.append(max(self._look_at, self._warm_at, now + const.LOOK_DELAY_S))
+            waits.append(max(self._look_at, self._warm_at, now + const.TABLE_POLL_INTERVAL_S))
         return min(waits)
 
 
