--- a/chivetrack/components/controllers/const.py
+++ b/chivetrack/components/controllers/const.py
@@ -33,7 +33,7 @@
 """How rarely a holder compares desired with observed, whatever its controller asks for."""
 TABLE_POLL_INTERVAL_S: Final = 0.05
 
-MAX_ACTIONS: Final = 64
+MAX_ACTIONS_PER_RECONCILE: Final = 64
 """How many writes of one comparison go out at once; the rest follows in the next."""
 
 WARM_UP_S: Final = 15.0
--- a/chivetrack/components/controllers/loop.py
+++ b/chivetrack/components/controllers/loop.py
@@ -178,7 +178,7 @@
     def _carry_out(self, plan: Plan, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for action in plan.actions:
-            if len(effects) >= const.MAX_ACTIONS:
+            if len(effects) >= const.MAX_ACTIONS_PER_RECONCILE:
                 break
             if self._backoffs.allows(_make_key(action), now):
                 effects.append(self._write(action, now))
