--- a/chivetrack/components/controllers/loop.py
+++ b/chivetrack/components/controllers/loop.py
@@ -172,7 +172,7 @@
         desired = self._controller.read_desired()
         observed = self._controller.read_observed(now=now)
         plan = self._controller.reconcile(desired, observed, now=now)
-        self._look_at = min(plan.look_again_at, now + const.MAX_RECONCILE_INTERVAL_S)
+        self._look_at = min(plan.reconcile_again_at, now + const.MAX_RECONCILE_INTERVAL_S)
         return self._carry_out(plan, now)
 
     def _carry_out(self, plan: Plan, now: float) -> list[Effect]:
--- a/chivetrack/components/controllers/models.py
+++ b/chivetrack/components/controllers/models.py
@@ -92,4 +92,4 @@
     """What a comparison gave: writes, and when to look again at the latest."""
 
     actions: tuple[Action, ...] = ()
-    look_again_at: float = float("inf")
+    reconcile_again_at: float = float("inf")
--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -81,7 +81,7 @@
         changed = [write for write in writes if write is not None]
         for write in changed:
             self._written[write.name] = now
-        return Plan(actions=tuple(changed), look_again_at=now + LOOK_AGAIN_S)
+        return Plan(actions=tuple(changed), reconcile_again_at=now + LOOK_AGAIN_S)
 
     def _move_on(
         self,
--- a/chivetrack/components/model_placement/controller.py
+++ b/chivetrack/components/model_placement/controller.py
@@ -102,9 +102,9 @@
             self._memory = None
             self._goals = {}
         scan_s = len(observed.engines) / const.ENGINES_PER_S
-        look_again_at = now + max(const.RECONCILE_INTERVAL_S, scan_s)
+        reconcile_again_at = now + max(const.RECONCILE_INTERVAL_S, scan_s)
         if not self._has_fresh_states(observed.engines, now):
-            return Plan(look_again_at=look_again_at)
+            return Plan(reconcile_again_at=reconcile_again_at)
         if self._memory is None:
             self._memory = TermMemory(started_at=now)
         actions: list[Action] = []
@@ -120,7 +120,7 @@
                 write = write_report(item, plan, wall_ms=observed.wall_ms)
                 actions.extend([] if write is None else [write])
         self._goals = assignments.make_goals()
-        return Plan(actions=tuple(actions), look_again_at=look_again_at)
+        return Plan(actions=tuple(actions), reconcile_again_at=reconcile_again_at)
 
     def _has_fresh_states(self, engines: Sequence[EngineView], now: float) -> bool:
         # Engines that were not queried yet appear empty. A new lease holder would load all
--- a/tests/components/drains/test_drains.py
+++ b/tests/components/drains/test_drains.py
@@ -394,4 +394,4 @@
 
 def _make_refused_plan(*args: Any, **kwargs: Any) -> Plan:
     write = WriteStatus(kind=KIND, name="none", status=b"\x80", precondition=0)
-    return Plan(actions=(write,), look_again_at=0.0)
+    return Plan(actions=(write,), reconcile_again_at=0.0)
