--- a/chivetrack/components/controllers/backoff.py
+++ b/chivetrack/components/controllers/backoff.py
@@ -30,7 +30,7 @@
         delay = self._delays.get(key)
         return delay is None or now >= delay.until
 
-    def get_until(self, key: str) -> float:
+    def get_retry_at(self, key: str) -> float:
         """Return until when the key is left alone."""
         delay = self._delays.get(key)
         return float("-inf") if delay is None else delay.until
