--- a/tests/components/controllers/simulation.py
+++ b/tests/components/controllers/simulation.py
@@ -58,7 +58,7 @@
         """Return its monotonic clock at the simulation's time."""
         return self.offset + time * self.rate
 
-    def believes(self, time: float) -> bool:
+    def is_active_holder(self, time: float) -> bool:
         """Tell whether it would act as the holder now."""
         return self.loop.lease.is_held(self.read_clock(time))
 
@@ -141,7 +141,7 @@
         return [
             instance.name
             for instance in self.instances
-            if not instance.is_dead and instance.believes(self.time)
+            if not instance.is_dead and instance.is_active_holder(self.time)
         ]
 
     def _tick(self, instance: Instance) -> None:
