--- a/tests/components/controllers/simulation.py
+++ b/tests/components/controllers/simulation.py
@@ -34,7 +34,7 @@
 
     delay: tuple[float, float] = (0.0, 0.02)
     loss: float = 0.0
-    doubling: float = 0.0
+    duplication: float = 0.0
     table_lag: float = 0.0
 
 
@@ -193,7 +193,7 @@
 
         if self.random.random() >= network.loss:
             self._later(network, arrive)
-            if self.random.random() < network.doubling:
+            if self.random.random() < network.duplication:
                 self._later(network, arrive)
         self._at(deadline, lambda: end(b"", 0, LOST))
 
--- a/tests/components/drains/test_drains_fuzz.py
+++ b/tests/components/drains/test_drains_fuzz.py
@@ -84,11 +84,11 @@
         pick=st.integers(0, 2),
         delay=st.sampled_from([0.02, 1.0, 6.0, 20.0]),
         loss=st.sampled_from([0.0, 0.0, 0.4]),
-        doubling=st.sampled_from([0.0, 0.5]),
+        duplication=st.sampled_from([0.0, 0.5]),
         lag=st.sampled_from([0.0, 3.0, 20.0]),
     )
-    def disturb(self, pick: int, delay: float, loss: float, doubling: float, lag: float) -> None:
-        network = Network(delay=(0.0, delay), loss=loss, doubling=doubling, table_lag=lag)
+    def disturb(self, pick: int, delay: float, loss: float, duplication: float, lag: float) -> None:
+        network = Network(delay=(0.0, delay), loss=loss, duplication=duplication, table_lag=lag)
         self.get_live()[pick].network = network
 
     @rule(pick=st.integers(0, 2))
--- a/tests/components/model_placement/test_placement_fuzz.py
+++ b/tests/components/model_placement/test_placement_fuzz.py
@@ -83,7 +83,7 @@
         lag=st.sampled_from([0.0, 10.0]),
     )
     def disturb_log(self, pick: int, delay: float, lag: float) -> None:
-        network = Network(delay=(0.0, delay), loss=0.1, doubling=0.3, table_lag=lag)
+        network = Network(delay=(0.0, delay), loss=0.1, duplication=0.3, table_lag=lag)
         self.get_live()[pick].network = network
 
     @rule(pick=st.integers(0, 2))
