--- a/chivetrack/components/controllers/host.py
+++ b/chivetrack/components/controllers/host.py
@@ -41,7 +41,7 @@
             effects.extend(self._submit(runner.handle(event, now=now), now))
         return effects
 
-    def handle_submission_ended(self, ended: SubmissionEnded, *, now: float) -> list[Effect]:
+    def take_end(self, ended: SubmissionEnded, *, now: float) -> list[Effect]:
         """Take a submission that ended; those of others do no harm."""
         return self.handle(make_event(ended), now=now)
 
