--- a/chivetrack/components/controllers/backoff.py
+++ b/chivetrack/components/controllers/backoff.py
@@ -35,7 +35,7 @@
         delay = self._delays.get(key)
         return float("-inf") if delay is None else delay.until
 
-    def record_failure(self, key: str, now: float) -> None:
+    def fail(self, key: str, now: float) -> None:
         """Count a failure; the delay doubles up to a bound, spread by chance."""
         delay = self._delays.setdefault(key, _Delay())
         wait = min(INITIAL_BACKOFF_S * BACKOFF_FACTOR**delay.failures, MAX_BACKOFF_S)
--- a/chivetrack/components/controllers/loop.py
+++ b/chivetrack/components/controllers/loop.py
@@ -123,7 +123,7 @@
             self._floor_revision = max(outcome.revision, self._floor_revision or 0)
             self._backoffs.record_success(write.key)
         else:
-            self._backoffs.record_failure(write.key, now)
+            self._backoffs.fail(write.key, now)
         self._look_at = now
         if isinstance(outcome, Refused) and outcome.code is RefusalCode.CONFLICT:
             # Somebody else wrote: the view must show that before the next comparison.
