--- a/chivetrack/components/controllers/backoff.py
+++ b/chivetrack/components/controllers/backoff.py
@@ -43,7 +43,7 @@
         if wait < MAX_BACKOFF_S:
             delay.failures += 1
 
-    def record_success(self, key: str) -> None:
+    def succeed(self, key: str) -> None:
         """Forget the failures of a key."""
         self._delays.pop(key, None)
 
--- a/chivetrack/components/controllers/loop.py
+++ b/chivetrack/components/controllers/loop.py
@@ -121,7 +121,7 @@
         outcome = _read_outcome(event.result)
         if isinstance(outcome, Written):
             self._floor_revision = max(outcome.revision, self._floor_revision or 0)
-            self._backoffs.record_success(write.key)
+            self._backoffs.succeed(write.key)
         else:
             self._backoffs.fail(write.key, now)
         self._look_at = now
