--- a/chivetrack/components/controllers/__init__.py
+++ b/chivetrack/components/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Runs controllers: one lease holder each, level-triggered, safe to take over."""
+"""Runs level-triggered controllers, each on the one instance that holds its lease."""
--- a/chivetrack/components/controllers/backoff.py
+++ b/chivetrack/components/controllers/backoff.py
@@ -1,4 +1,4 @@
-"""Delays between failed tries, per resource."""
+"""Exponential backoff between failed attempts, per resource."""
 
 from dataclasses import dataclass
 from random import Random
@@ -14,39 +14,39 @@
 @dataclass(slots=True, kw_only=True)
 class _Delay:
     failures: int = 0
-    until: float = float("-inf")
+    retry_at: float = float("-inf")
 
 
 class Backoffs:
-    """Remembers per key how often it failed in a row and until when to leave it alone."""
+    """Tracks per key the consecutive failures and the time of the next attempt."""
 
     def __init__(self, *, random: Random) -> None:
-        """Start with no failures."""
+        """Start without failures."""
         self._random = random
         self._delays: dict[str, _Delay] = {}
 
     def allows(self, key: str, now: float) -> bool:
-        """Tell whether the key may be tried."""
+        """Return whether an attempt for the key is allowed now."""
         delay = self._delays.get(key)
-        return delay is None or now >= delay.until
+        return delay is None or now >= delay.retry_at
 
     def get_retry_at(self, key: str) -> float:
-        """Return until when the key is left alone."""
+        """Return when the next attempt for the key is allowed."""
         delay = self._delays.get(key)
-        return float("-inf") if delay is None else delay.until
+        return float("-inf") if delay is None else delay.retry_at
 
     def fail(self, key: str, now: float) -> None:
-        """Count a failure; the delay doubles up to a bound, spread by chance."""
+        """Record a failure; the delay doubles up to ``MAX_BACKOFF_S``, with jitter."""
         delay = self._delays.setdefault(key, _Delay())
         wait = min(INITIAL_BACKOFF_S * BACKOFF_FACTOR**delay.failures, MAX_BACKOFF_S)
-        delay.until = now + wait * self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
+        delay.retry_at = now + wait * self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
         if wait < MAX_BACKOFF_S:
             delay.failures += 1
 
     def succeed(self, key: str) -> None:
-        """Forget the failures of a key."""
+        """Reset the backoff of a key."""
         self._delays.pop(key, None)
 
     def clear(self) -> None:
-        """Forget all failures."""
+        """Reset the backoff of all keys."""
         self._delays.clear()
--- a/chivetrack/components/controllers/bridge.py
+++ b/chivetrack/components/controllers/bridge.py
@@ -1,4 +1,4 @@
-"""Connects the controllers' effects and events with the proposals component."""
+"""Converts between the effects and events of controllers and those of proposals."""
 
 from chivetrack.components.controllers.models import ConfirmRevision, ProposalEnded, Propose
 from chivetrack.components.proposals.models import SubmissionEnded, Submit, SubmitRead
@@ -14,7 +14,7 @@
 
 
 def make_event(ended: SubmissionEnded) -> ProposalEnded:
-    """Return the event for the controllers; they ignore submissions of others."""
+    """Return the event for the controllers, which ignore submissions of other components."""
     return ProposalEnded(
         submission_id=ended.submission_id,
         result=ended.result,
--- a/chivetrack/components/controllers/const.py
+++ b/chivetrack/components/controllers/const.py
@@ -3,38 +3,38 @@
 from typing import Final
 
 LEASE_DURATION_S: Final = 9.0
-"""How long a lease lasts; a successor starts at most this much and a try later."""
+"""After a holder dies, a successor starts at most this long plus one retry delay later."""
 
 RENEWALS_PER_LEASE: Final = 3
 
 CLOCK_DRIFT: Final = 0.01
-"""By how much the rates of two machines' clocks may differ."""
+"""Largest relative difference between the rates of two machines' clocks."""
 
 STEP_DOWN_MARGIN_S: Final = 0.5
-"""A holder gives up this much before its own count of the lease ends."""
+"""A holder stops acting this long before the lease expires on its own clock."""
 
 STANDBY_RETRY_DELAY_S: Final = 4.0
-"""Between two tries of an instance that finds the lease held; each try is a log entry."""
+"""Delay between acquire attempts while another holds the lease; each is a log entry."""
 
 RETRY_DELAY_S: Final = 0.5
 JITTER: Final = 0.25
 
 PROPOSAL_TIMEOUT_S: Final = 3.0
-"""After this long a proposal without an answer is sent again under the same request id."""
+"""An unanswered proposal is sent again after this time, under the same request id."""
 
 ANSWER_TIMEOUT_S: Final = PROPOSAL_TIMEOUT_S + RETRY_DELAY_S
-"""An answer that is still missing then was lost on the way within this process."""
+"""An answer that is missing after this time was lost within this process."""
 
 INITIAL_BACKOFF_S: Final = 0.5
 MAX_BACKOFF_S: Final = 60.0
 BACKOFF_FACTOR: Final = 2.0
 
 MAX_RECONCILE_INTERVAL_S: Final = 10.0
-"""How rarely a holder compares desired with observed, whatever its controller asks for."""
+"""A holder reconciles at least this often, even if its controller asks for a later time."""
 TABLE_POLL_INTERVAL_S: Final = 0.05
 
 MAX_ACTIONS_PER_RECONCILE: Final = 64
-"""How many writes of one comparison go out at once; the rest follows in the next."""
+"""Most writes that one reconciliation sends; the others follow in the next one."""
 
 WARM_UP_S: Final = 15.0
-"""A process that started less than this ago does not know all endpoints yet."""
+"""A process may not know all endpoints before it has run for this long."""
--- a/chivetrack/components/controllers/controller.py
+++ b/chivetrack/components/controllers/controller.py
@@ -1,4 +1,4 @@
-"""What a controller is, and the registry of all of them."""
+"""The controller protocol and the registry of controllers."""
 
 from typing import Any, Protocol, TypeVar
 
@@ -10,23 +10,23 @@
 
 
 class Controller(Protocol[DesiredT, ObservedT]):
-    """Compares desired with observed state; keeps nothing that it can't do without.
+    """Compares desired with observed state; must not depend on state kept in memory.
 
-    ``reconcile`` may run at any time, twice, or for the first time after another holder
-    did half of the work. Any part of the actions it returns may be carried out: none may
-    rely on another one of the same plan.
+    ``reconcile`` may run at any time, repeatedly, or for the first time after another
+    holder has done half of the work. Any subset of the returned actions may be executed,
+    so no action may depend on another one of the same plan.
     """
 
     def read_desired(self) -> DesiredT:
-        """Return what operators want, from the resources at one revision."""
+        """Return the state that operators desire, read from the resources at one revision."""
         ...
 
     def read_observed(self, *, now: float) -> ObservedT:
-        """Return what is."""
+        """Return the current state."""
         ...
 
     def reconcile(self, desired: DesiredT, observed: ObservedT, *, now: float) -> Plan:
-        """Return the writes that bring observed nearer to desired."""
+        """Return the writes that move the observed towards the desired state."""
         ...
 
 
--- a/chivetrack/components/controllers/host.py
+++ b/chivetrack/components/controllers/host.py
@@ -1,4 +1,4 @@
-"""Runs all controllers of one instance and connects them with the log."""
+"""Runs all controllers of one instance and submits their proposals to the log."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -11,42 +11,43 @@
 
 
 class Runner(Protocol):
-    """What runs under one lease: a loop, or a loop with what belongs to it."""
+    """A unit that runs under one lease: a ``ControllerLoop`` or a component that wraps one."""
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Take one event at time ``now``."""
+        """Handle one event at time ``now``."""
         ...
 
     def release(self, *, now: float) -> list[Effect]:
-        """Give the lease back."""
+        """Release the lease."""
         ...
 
 
 class ControllerHost:
-    """One component for all runners.
+    """Runs several runners as one component.
 
-    Whoever drives it hands in every event and, through ``take_end``, every submission
-    that ended. Proposals are brought to the log from here; other effects are returned.
+    The caller must pass every event to ``handle`` and every ended submission to
+    ``take_end``. Proposals are submitted through ``proposals``; other effects are
+    returned.
     """
 
     def __init__(self, *, runners: Sequence[Runner], proposals: ProposalClient) -> None:
-        """Run ``runners``; without any, this instance never asks for a lease."""
+        """Run ``runners``; without any, this instance never requests a lease."""
         self._runners = tuple(runners)
         self._proposals = proposals
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Hand an event to every runner."""
+        """Pass an event to every runner."""
         effects: list[Effect] = []
         for runner in self._runners:
             effects.extend(self._submit(runner.handle(event, now=now), now))
         return effects
 
     def take_end(self, ended: SubmissionEnded, *, now: float) -> list[Effect]:
-        """Take a submission that ended; those of others do no harm."""
+        """Handle an ended submission; submissions of other components are ignored."""
         return self.handle(make_event(ended), now=now)
 
     def release(self, *, now: float) -> list[Effect]:
-        """Give all leases back, for an orderly stop."""
+        """Release all leases, for an orderly stop."""
         effects: list[Effect] = []
         for runner in self._runners:
             effects.extend(self._submit(runner.release(now=now), now))
--- a/chivetrack/components/controllers/models.py
+++ b/chivetrack/components/controllers/models.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Propose(Effect):
-    """Bring a packed command to the log; answered by ``ProposalEnded``."""
+    """Propose a packed command to the log; answered by ``ProposalEnded``."""
 
     submission_id: str
     data: bytes
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfirmRevision(Effect):
-    """Ask a quorum for the newest revision; answered by ``ProposalEnded``."""
+    """Query a quorum for the newest revision; answered by ``ProposalEnded``."""
 
     submission_id: str
     deadline: float
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProposalEnded(Event):
-    """A ``Propose`` or ``ConfirmRevision`` ended: with a result, a revision or a fault."""
+    """A ``Propose`` or ``ConfirmRevision`` ended with a result, a revision or a fault."""
 
     submission_id: str
     result: bytes = b""
@@ -43,19 +43,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Action(ABC):
-    """A write that a controller wants; ``kind`` and ``name`` say of which resource."""
+    """A write that a controller requests to the resource ``kind``/``name``."""
 
     kind: str
     name: str
 
     @abstractmethod
     def make_command(self, stamp: Stamp) -> Command:
-        """Return the command under a stamp that carries the fencing number."""
+        """Return the command with a stamp that carries the fencing number."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WriteStatus(Action):
-    """Replace a status, unless it was changed after ``precondition``."""
+    """Replace a status; refused if the resource changed after revision ``precondition``."""
 
     status: bytes
     precondition: int
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AttachFinalizer(Action):
-    """Make the deletion of a resource wait for this controller."""
+    """Block the deletion of a resource until this controller has cleaned up."""
 
     finalizer: str
 
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DetachFinalizer(Action):
-    """Say that this controller has cleaned up."""
+    """Unblock the deletion of a resource after this controller has cleaned up."""
 
     finalizer: str
 
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """What a comparison gave: writes, and when to look again at the latest."""
+    """The result of a reconciliation: writes, and the latest time of the next one."""
 
     actions: tuple[Action, ...] = ()
     reconcile_again_at: float = float("inf")
--- a/tests/components/controllers/simulation.py
+++ b/tests/components/controllers/simulation.py
@@ -1,7 +1,7 @@
-"""Instances with controllers around a real store, on a network that the test rules.
+"""Simulates instances with controllers around a real store, on a faulty network.
 
 Each instance has its own clock and its own, lagging copy of the table. Proposals may be
-applied late, twice or never; answers may be lost, which the sender learns as a fault.
+applied late, twice or never. A lost answer reaches the sender as a fault at its deadline.
 """
 
 import heapq
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Network:
-    """How messages fare; delays in seconds are drawn evenly."""
+    """Faults of the network of one instance; delays in seconds are uniformly distributed."""
 
     delay: tuple[float, float] = (0.0, 0.02)
     loss: float = 0.0
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Instance:
-    """One process; ``rate`` is how fast its clock runs."""
+    """One process; ``rate`` is the rate of its clock relative to the simulation's time."""
 
     name: str
     loop: Any
@@ -55,11 +55,11 @@
     table_at: float = 0.0
 
     def read_clock(self, time: float) -> float:
-        """Return its monotonic clock at the simulation's time."""
+        """Return the instance's monotonic clock at a time of the simulation."""
         return self.offset + time * self.rate
 
     def is_active_holder(self, time: float) -> bool:
-        """Tell whether it would act as the holder now."""
+        """Return whether the instance would act as the lease holder at ``time``."""
         return self.loop.lease.is_held(self.read_clock(time))
 
 
@@ -67,7 +67,7 @@
 
 
 class Simulation:
-    """The store, the instances and what is under way between them."""
+    """The store, the instances and the messages in flight between them."""
 
     def __init__(self, *, make_controller: MakeController, lease: str, seed: int = 1) -> None:
         """Start with a store and no instances."""
@@ -87,7 +87,7 @@
         self._index = 0
 
     def add(self, name: str, *, rate: float = 1.0, warm: bool = True) -> Instance:
-        """Start an instance."""
+        """Start an instance; a ``warm`` one has been running long enough to act at once."""
         table = ResourceTable()
         offset = self.random.uniform(0.0, 1000.0)
 
@@ -111,7 +111,7 @@
         return instance
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time in steps of ``STEP_S``."""
         until = self.time + seconds
         while self.time < until - STEP_S / 2:
             self.time += STEP_S
@@ -120,7 +120,7 @@
                 self._tick(instance)
 
     def apply(self, command: Command) -> Any:
-        """Apply a command at once, as an operator whose answer is never lost."""
+        """Apply a command immediately, like an operator on a reliable network."""
         return self._apply(pack(command))
 
     def create(self, kind: str, name: str, spec: dict[str, Any]) -> Any:
@@ -132,12 +132,12 @@
         return self.apply(Delete(Stamp(0), kind, name))
 
     def call_later(self, network: Network, act: Callable[[], None]) -> None:
-        """Call after a delay of the network, or never if it loses the message."""
+        """Call ``act`` after a network delay, or never if the network loses the message."""
         if self.random.random() >= network.loss:
-            self._later(network, act)
+            self._schedule_delayed(network, act)
 
     def find_holders(self) -> list[str]:
-        """Return who would act now if it were given an event."""
+        """Return the instances that would act as the holder if they got an event now."""
         return [
             instance.name
             for instance in self.instances
@@ -156,9 +156,9 @@
         for event in events:
             now = instance.read_clock(self.time)
             for effect in instance.loop.handle(event, now=now):
-                self._carry_out(instance, effect)
+                self._execute(instance, effect)
 
-    def _carry_out(self, instance: Instance, effect: Effect) -> None:
+    def _execute(self, instance: Instance, effect: Effect) -> None:
         if isinstance(effect, Propose):
             self.proposed_at.setdefault(effect.submission_id, self.time)
             self._send(instance, effect, lambda: self._apply_packed(effect.data))
@@ -171,8 +171,8 @@
         self, instance: Instance, effect: Propose | ConfirmRevision, act: Callable[[], bytes]
     ) -> None:
         network = instance.network
-        left_s = (effect.deadline - instance.read_clock(self.time)) / instance.rate
-        deadline = self.time + left_s
+        remaining_s = (effect.deadline - instance.read_clock(self.time)) / instance.rate
+        deadline = self.time + remaining_s
         is_ended = [False]
 
         def end(result: bytes, revision: int, fault: Fault | None) -> None:
@@ -189,18 +189,18 @@
         def arrive() -> None:
             result, revision = act(), self.store.revision
             if self.random.random() >= network.loss:
-                self._later(network, lambda: end(result, revision, None))
+                self._schedule_delayed(network, lambda: end(result, revision, None))
 
         if self.random.random() >= network.loss:
-            self._later(network, arrive)
+            self._schedule_delayed(network, arrive)
             if self.random.random() < network.duplication:
-                self._later(network, arrive)
-        self._at(deadline, lambda: end(b"", 0, LOST))
+                self._schedule_delayed(network, arrive)
+        self._schedule_at(deadline, lambda: end(b"", 0, LOST))
 
-    def _later(self, network: Network, act: Callable[[], None]) -> None:
-        self._at(self.time + self.random.uniform(*network.delay), act)
+    def _schedule_delayed(self, network: Network, act: Callable[[], None]) -> None:
+        self._schedule_at(self.time + self.random.uniform(*network.delay), act)
 
-    def _at(self, time: float, act: Callable[[], None]) -> None:
+    def _schedule_at(self, time: float, act: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (time, next(self._order), act))
 
     def _deliver_due(self) -> None:
--- a/tests/components/controllers/test_host.py
+++ b/tests/components/controllers/test_host.py
@@ -1,4 +1,4 @@
-"""The host: from a drain resource to its status through the real proposals."""
+"""Tests of the host: a drain resource gets its status through the real proposals."""
 
 import unittest
 from collections import deque
@@ -48,7 +48,7 @@
         command = stamp_time(unpack(data), round(now * 1000))
         return self.store.apply(self.index, pack(command))
 
-    def carry_out(self, effects: list[Effect], now: float) -> None:
+    def execute(self, effects: list[Effect], now: float) -> None:
         waiting = deque(effects)
         while waiting:
             effect = waiting.popleft()
@@ -63,13 +63,13 @@
         answer = ProposalAnswer(message.number, Verdict.ACCEPTED, result, self.store.revision)
         return self.proposals.handle(MessageReceived(source="r1", message=answer), now=now)
 
-    def test_drain_begins_and_the_lease_is_given_back(self) -> None:
+    def test_drain_starts_and_lease_is_released(self) -> None:
         spec = msgspec.msgpack.encode(make_spec("e1"))
         self.apply(pack(Create(Stamp(0), KIND, "d", spec)), 1.0)
         for step in range(10):
             now = 1.0 + step / 10
-            self.carry_out(self.host.handle(TimeReached(), now=now), now)
+            self.execute(self.host.handle(TimeReached(), now=now), now)
         self.assertEqual("active", get_phase(self.store.table, "d"))
         self.assertIsNotNone(self.store.get_lease("drains"))
-        self.carry_out(self.host.release(now=2.0), 2.0)
+        self.execute(self.host.release(now=2.0), 2.0)
         self.assertIsNone(self.store.get_lease("drains"))
