--- a/chivetrack/components/resources/documents.py
+++ b/chivetrack/components/resources/documents.py
@@ -35,7 +35,7 @@
         resource = validate_document(document, findings, place=place)
         if resource is not None:
             resources.append(resource)
-    _find_doubles(resources, findings)
+    _find_duplicates(resources, findings)
     return resources
 
 
@@ -51,7 +51,7 @@
     return list(zip(places, listed, strict=True))
 
 
-def _find_doubles(resources: list[Resource], findings: Findings) -> None:
+def _find_duplicates(resources: list[Resource], findings: Findings) -> None:
     seen: dict[tuple[str, str], str] = {}
     for resource in resources:
         identity = (resource.kind, resource.metadata.name)
