--- a/chivetrack/components/resource_api/models.py
+++ b/chivetrack/components/resource_api/models.py
@@ -87,4 +87,4 @@
     current: Json | None = None
 
 
-Outcomes: TypeAlias = Result[Reply | Stream, Problem]
+OperationResult: TypeAlias = Result[Reply | Stream, Problem]
--- a/chivetrack/components/resource_api/operations.py
+++ b/chivetrack/components/resource_api/operations.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from chivetrack.components.resource_api.models import ApiRequest, Outcomes, Ports
+from chivetrack.components.resource_api.models import ApiRequest, OperationResult, Ports
 from chivetrack.helpers.registry import Registry
 
-Handler = Callable[[Ports, ApiRequest], Outcomes]
+Handler = Callable[[Ports, ApiRequest], OperationResult]
 HandlerT = TypeVar("HandlerT", bound=Handler)
 
 
--- a/chivetrack/components/resource_api/reads.py
+++ b/chivetrack/components/resource_api/reads.py
@@ -9,7 +9,7 @@
     ApiRequest,
     Json,
     ObservedResource,
-    Outcomes,
+    OperationResult,
     Ports,
     Problem,
     Reply,
@@ -31,7 +31,7 @@
 
 
 @operation("get", "GET", has_name=True, statuses=(200, 404, 503))
-def get_resource(ports: Ports, request: ApiRequest) -> Outcomes:
+def get_resource(ports: Ports, request: ApiRequest) -> OperationResult:
     """Return one resource."""
     if not request.kind.stored:
         return _get_observed(ports, request)
@@ -45,7 +45,7 @@
 
 
 @operation("list", "GET", has_name=False, statuses=(200, 400, 410, 503), parameters=PAGE_PARAMETERS)
-def list_resources(ports: Ports, request: ApiRequest) -> Outcomes:
+def list_resources(ports: Ports, request: ApiRequest) -> OperationResult:
     """Return the resources of a kind in pages, or stream their changes.
 
     The revision in the answer is that of the first page: a watch from there on
@@ -68,7 +68,7 @@
     return Ok(_make_list(request, items, revision, answer.next_after))
 
 
-def _get_observed(ports: Ports, request: ApiRequest) -> Outcomes:
+def _get_observed(ports: Ports, request: ApiRequest) -> OperationResult:
     for observed in _observe(ports, request):
         if observed.name == request.name:
             return Ok(Reply(status=200, body=render_observed(request.kind.name, observed)))
@@ -102,7 +102,7 @@
     return Reply(status=200, body=body)
 
 
-def _watch(ports: Ports, request: ApiRequest) -> Outcomes:
+def _watch(ports: Ports, request: ApiRequest) -> OperationResult:
     if not request.kind.stored:
         message = f"{request.kind.name} resources are observed and can't be watched"
         return Error(make_problem("not_watchable", message, status=400))
--- a/chivetrack/components/resource_api/writes.py
+++ b/chivetrack/components/resource_api/writes.py
@@ -9,7 +9,7 @@
 from chivetrack.components.resource_api.checks import check_against_view
 from chivetrack.components.resource_api.models import (
     ApiRequest,
-    Outcomes,
+    OperationResult,
     Ports,
     Problem,
     Reply,
@@ -41,7 +41,7 @@
 
 
 @operation("create", "POST", has_name=False, statuses=(201, 400, *WRITE_STATUSES))
-def create_resource(ports: Ports, request: ApiRequest) -> Outcomes:
+def create_resource(ports: Ports, request: ApiRequest) -> OperationResult:
     """Create a resource."""
     parsed = _parse_document(ports, request)
     if parsed.is_error():
@@ -59,7 +59,7 @@
 
 
 @operation("replace", "PUT", has_name=True, statuses=(200, 400, 404, *WRITE_STATUSES))
-def replace_resource(ports: Ports, request: ApiRequest) -> Outcomes:
+def replace_resource(ports: Ports, request: ApiRequest) -> OperationResult:
     """Replace specification and labels of a resource."""
     parsed = _parse_document(ports, request)
     if parsed.is_error():
@@ -80,14 +80,14 @@
 
 
 @operation("delete", "DELETE", has_name=True, statuses=(200, 202, 404, *WRITE_STATUSES))
-def delete_resource(ports: Ports, request: ApiRequest) -> Outcomes:
+def delete_resource(ports: Ports, request: ApiRequest) -> OperationResult:
     """Delete a resource; 202 while finalizers must run first."""
     command = Delete(_make_stamp(request), request.kind.name, request.name, request.precondition)
     return _submit(ports, command, status=200)
 
 
 @operation("patch", "PATCH", has_name=True, statuses=(200, 400, 404, *WRITE_STATUSES))
-def patch_resource(ports: Ports, request: ApiRequest) -> Outcomes:
+def patch_resource(ports: Ports, request: ApiRequest) -> OperationResult:
     """Merge a JSON merge patch into a resource.
 
     Without a precondition of the caller the patch is tried again when another write
@@ -97,7 +97,9 @@
     decoded = _decode_patch(request)
     if decoded.is_error():
         return Error(decoded.error)
-    outcome: Outcomes = Error(make_problem("conflict", "too many writes at once", status=409))
+    outcome: OperationResult = Error(
+        make_problem("conflict", "too many writes at once", status=409)
+    )
     for attempt in range(const.PATCH_ATTEMPTS):
         outcome = _try_patch(ports, request, decoded.ok, attempt)
         if request.precondition is not None or not _is_conflict(outcome):
@@ -105,7 +107,7 @@
     return outcome
 
 
-def _try_patch(ports: Ports, request: ApiRequest, patch: Any, attempt: int) -> Outcomes:
+def _try_patch(ports: Ports, request: ApiRequest, patch: Any, attempt: int) -> OperationResult:
     stamp = _make_stamp(request, attempt)
     first = _find_first(ports, stamp, status=200)
     if first is not None:
@@ -128,7 +130,7 @@
     return _submit(ports, command, status=200)
 
 
-def _find_first(ports: Ports, stamp: Stamp, *, status: int) -> Outcomes | None:
+def _find_first(ports: Ports, stamp: Stamp, *, status: int) -> OperationResult | None:
     """Return the first outcome of a request that was sent before, if it was."""
     if not stamp.request_id:
         return None
@@ -142,7 +144,7 @@
 
 def _refuse_unless_sent_before(
     ports: Ports, request: ApiRequest, problem: Problem, *, status: int
-) -> Outcomes:
+) -> OperationResult:
     """Refuse a document, unless this is a resend of one that was accepted.
 
     What is checked against other resources may have been right the first time; to
@@ -219,14 +221,14 @@
         return Error(make_problem("invalid_json", str(error), status=400))
 
 
-def _submit(ports: Ports, command: Command, *, status: int) -> Outcomes:
+def _submit(ports: Ports, command: Command, *, status: int) -> OperationResult:
     result = ports.submit(command)
     if result.is_error():
         return Error(make_write_failure(result.error))
     return _render_outcome(result.ok, status=status)
 
 
-def _render_outcome(outcome: Any, *, status: int) -> Outcomes:
+def _render_outcome(outcome: Any, *, status: int) -> OperationResult:
     if isinstance(outcome, Refused):
         return Error(make_refusal(outcome))
     assert isinstance(outcome, Written)
@@ -239,7 +241,7 @@
     return Ok(Reply(status=status, body=render_record(outcome.kind, outcome.record)))
 
 
-def _is_conflict(outcome: Outcomes) -> bool:
+def _is_conflict(outcome: OperationResult) -> bool:
     return outcome.is_error() and outcome.error.fault.code == RefusalCode.CONFLICT.value
 
 
