--- a/chivetrack/components/resource_api/const.py
+++ b/chivetrack/components/resource_api/const.py
@@ -9,7 +9,7 @@
 REQUEST_ID_PATTERN: Final = r"[A-Za-z0-9._:-]{1,128}"
 
 MAX_BODY_BYTES: Final = 128 * KIBIBYTE
-DEFAULT_PAGE: Final = 100
+DEFAULT_PAGE_SIZE: Final = 100
 MAX_PAGE: Final = 1_000
 
 PATCH_ATTEMPTS: Final = 3
--- a/chivetrack/components/resource_api/reads.py
+++ b/chivetrack/components/resource_api/reads.py
@@ -122,7 +122,7 @@
 
 
 def _parse_page(request: ApiRequest) -> Result[tuple[int, Continuation], Problem]:
-    asked = request.query.get("limit", str(const.DEFAULT_PAGE))
+    asked = request.query.get("limit", str(const.DEFAULT_PAGE_SIZE))
     if not asked.isdecimal() or not 1 <= int(asked) <= const.MAX_PAGE:
         message = f"limit must be a number from 1 to {const.MAX_PAGE}"
         return Error(make_problem("invalid_parameter", message, status=400))
