--- a/chivetrack/components/resource_api/reads.py
+++ b/chivetrack/components/resource_api/reads.py
@@ -123,8 +123,8 @@
 
 def _parse_page(request: ApiRequest) -> Result[tuple[int, Continuation], Problem]:
     asked = request.query.get("limit", str(const.DEFAULT_PAGE_SIZE))
-    if not asked.isdecimal() or not 1 <= int(asked) <= const.MAX_PAGE:
-        message = f"limit must be a number from 1 to {const.MAX_PAGE}"
+    if not asked.isdecimal() or not 1 <= int(asked) <= const.MAX_PAGE_SIZE:
+        message = f"limit must be a number from 1 to {const.MAX_PAGE_SIZE}"
         return Error(make_problem("invalid_parameter", message, status=400))
     token = request.query.get("continue", "")
     if not token:
