--- a/chivetrack/components/resource_api/writes.py
+++ b/chivetrack/components/resource_api/writes.py
@@ -100,7 +100,7 @@
     outcome: OperationResult = Error(
         make_problem("conflict", "too many writes at once", status=409)
     )
-    for attempt in range(const.PATCH_ATTEMPTS):
+    for attempt in range(const.MAX_PATCH_ATTEMPTS):
         outcome = _try_patch(ports, request, decoded.ok, attempt)
         if request.precondition is not None or not _is_conflict(outcome):
             return outcome
