--- a/chivetrack/components/resource_api/watch.py
+++ b/chivetrack/components/resource_api/watch.py
@@ -34,7 +34,7 @@
         yield _encode(_make_bookmark(revision))
         while True:
             changed.clear()
-            changes = view.table.list_changes(revision, limit=const.WATCH_BATCH)
+            changes = view.table.list_changes(revision, limit=const.MAX_WATCH_BATCH_CHANGES)
             if changes is None:
                 yield _encode(_make_cut(view))
                 return
