--- a/chivetrack/components/resource_api/problems.py
+++ b/chivetrack/components/resource_api/problems.py
@@ -19,7 +19,7 @@
     RefusalCode.CLAIMS_EXHAUSTED: 429,
 }
 
-UNKNOWN_RETRY_S = 1.0
+UNKNOWN_OUTCOME_RETRY_S = 1.0
 
 
 def make_problem(code: str, message: str, *, status: int) -> Problem:
@@ -50,7 +50,7 @@
         message=f"it is not known whether the change was made: {fault.message}",
         status=504,
         ran=Ran.MAYBE,
-        retry_after_s=fault.retry_after_s or UNKNOWN_RETRY_S,
+        retry_after_s=fault.retry_after_s or UNKNOWN_OUTCOME_RETRY_S,
     )
     return Problem(fault=unknown)
 
