--- a/chivetrack/components/management/app.py
+++ b/chivetrack/components/management/app.py
@@ -8,7 +8,7 @@
 from expression import Result
 
 from chivetrack.components.caller_api.errors import make_error_response
-from chivetrack.components.management.models import Document, Find, ManagementPorts
+from chivetrack.components.management.models import Document, Lookup, ManagementPorts
 from chivetrack.exceptions import Fault, Ran
 
 PREFIX = "/api/v1"
@@ -96,7 +96,7 @@
     return _answer({"accepted": True}, 202)
 
 
-def _explain(find: Find, name: str) -> HTTPResponse:
+def _explain(find: Lookup, name: str) -> HTTPResponse:
     found = find(name)
     if found is None:
         message = f"Nothing is known of {name!r} here; ask the instance that served it."
--- a/chivetrack/components/management/models.py
+++ b/chivetrack/components/management/models.py
@@ -9,7 +9,7 @@
 from chivetrack.exceptions import Fault
 
 Document: TypeAlias = dict[str, Any]
-Find: TypeAlias = Callable[[str], Document | None]
+Lookup: TypeAlias = Callable[[str], Document | None]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -22,8 +22,8 @@
 
     check_operator: Callable[[str], bool]
     read_status: Callable[[], Document]
-    explain_request: Find
-    explain_endpoint: Find
+    explain_request: Lookup
+    explain_endpoint: Lookup
     add_replica: Callable[[str], Result[None, Fault]]
     remove_replica: Callable[[str], Result[None, Fault]]
     read_backup: Callable[[], Result[bytes, Fault]]
