--- a/chivetrack/components/management/app.py
+++ b/chivetrack/components/management/app.py
@@ -15,7 +15,7 @@
 JSON_TYPE = "application/json"
 BINARY_TYPE = "application/octet-stream"
 BEARER_PREFIX = "Bearer "
-MAX_DOCUMENT = 4096
+MAX_BODY_BYTES = 4096
 
 UNAUTHORIZED = Fault(code="unauthorized", message="no operator's key", status=401, ran=Ran.NO)
 
@@ -66,7 +66,7 @@
         return _explain(self._ports.explain_endpoint, name)
 
     def add_replica(self) -> HTTPResponse:
-        body = request.environ["wsgi.input"].read(MAX_DOCUMENT)
+        body = request.environ["wsgi.input"].read(MAX_BODY_BYTES)
         try:
             document = msgspec.json.decode(body, type=ReplicaDocument)
         except msgspec.MsgspecError as error:
