--- a/chivetrack/cli/commands/story.py
+++ b/chivetrack/cli/commands/story.py
@@ -10,7 +10,7 @@
 from chivetrack.cli.const import ExitCode
 from chivetrack.cli.output import Output, print_error, print_json, print_line
 from chivetrack.cli.session import OutputOption
-from chivetrack.components.stories.story import Story, format_event, read_events, tell_story
+from chivetrack.components.stories.story import RequestStory, format_event, read_events, tell_story
 
 
 @app.command("story")
@@ -40,7 +40,7 @@
     _print(story)
 
 
-def _print(story: Story) -> None:
+def _print(story: RequestStory) -> None:
     events = sorted([*story.context, *story.events], key=lambda one: float(one.get("at", 0.0)))
     for event in events:
         mark = " " if event in story.context else "*"
--- a/chivetrack/components/stories/story.py
+++ b/chivetrack/components/stories/story.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Story:
+class RequestStory:
     """What is known of a request: its events in order, what stood around them, the cause."""
 
     request: str
@@ -58,7 +58,7 @@
     return events
 
 
-def tell_story(request: str, events: Iterable[Event]) -> Story | None:
+def tell_story(request: str, events: Iterable[Event]) -> RequestStory | None:
     """Return the story of a request, ``None`` if no line names it."""
     ordered = sorted(events, key=_get_position)
     own = [event for event in ordered if event.get("request") == request]
@@ -73,7 +73,9 @@
         and event.get("instance") in instances
         and first - CONTEXT_S <= float(event.get("at", 0.0)) <= last
     ]
-    return Story(request=request, events=tuple(own), context=tuple(context), cause=_find_cause(own))
+    return RequestStory(
+        request=request, events=tuple(own), context=tuple(context), cause=_find_cause(own)
+    )
 
 
 def _get_position(event: Event) -> tuple[float, float]:
