--- a/chivetrack/cli/commands/story.py
+++ b/chivetrack/cli/commands/story.py
@@ -10,7 +10,7 @@
 from chivetrack.cli.const import ExitCode
 from chivetrack.cli.output import Output, print_error, print_json, print_line
 from chivetrack.cli.session import OutputOption
-from chivetrack.components.stories.story import RequestStory, format_event, read_events, tell_story
+from chivetrack.components.stories.story import RequestStory, build_story, format_event, read_events
 
 
 @app.command("story")
@@ -30,7 +30,7 @@
         lines += file.read_text(errors="replace").splitlines()
     if not files:
         lines = sys.stdin.read().splitlines()
-    story = tell_story(request, read_events(lines))
+    story = build_story(request, read_events(lines))
     if story is None:
         print_error(f"no line names the request {request!r}")
         raise typer.Exit(ExitCode.FINDINGS)
--- a/chivetrack/components/stories/story.py
+++ b/chivetrack/components/stories/story.py
@@ -58,7 +58,7 @@
     return events
 
 
-def tell_story(request: str, events: Iterable[Event]) -> RequestStory | None:
+def build_story(request: str, events: Iterable[Event]) -> RequestStory | None:
     """Return the story of a request, ``None`` if no line names it."""
     ordered = sorted(events, key=_get_position)
     own = [event for event in ordered if event.get("request") == request]
--- a/tests/components/stories/test_story.py
+++ b/tests/components/stories/test_story.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from chivetrack.components.stories.story import read_events, tell_story
+from chivetrack.components.stories.story import build_story, read_events
 
 
 def make_line(at: float, event: str, **fields: object) -> str:
@@ -30,7 +30,7 @@
             "not a line of ours {",
             '{"event": 5}',
         ]
-        story = tell_story("q", read_events(lines))
+        story = build_story("q", read_events(lines))
         assert story is not None
         names = [event["event"] for event in story.events]
         self.assertEqual(
@@ -49,12 +49,12 @@
             (("request_placed", {}), "no line tells"),
         ]
         for (event, fields), expected in cases:
-            story = tell_story("q", read_events([make_line(1.0, event, request="q", **fields)]))
+            story = build_story("q", read_events([make_line(1.0, event, request="q", **fields)]))
             assert story is not None
             self.assertIn(expected, story.cause)
 
     def test_unknown_request(self) -> None:
-        self.assertIsNone(tell_story("q", read_events([make_line(1.0, "started")])))
+        self.assertIsNone(build_story("q", read_events([make_line(1.0, "started")])))
 
 
 if __name__ == "__main__":
