--- a/chivetrack/components/stories/story.py
+++ b/chivetrack/components/stories/story.py
@@ -12,7 +12,7 @@
 Cause = Callable[[Event], str]
 
 # What an instance came to believe this long before a request's end may explain it.
-CONTEXT_S = 10.0
+CONTEXT_WINDOW_S = 10.0
 _CONTEXT_EVENTS = frozenset(
     (
         "configuration_in_force",
@@ -71,7 +71,7 @@
         for event in ordered
         if event["event"] in _CONTEXT_EVENTS
         and event.get("instance") in instances
-        and first - CONTEXT_S <= float(event.get("at", 0.0)) <= last
+        and first - CONTEXT_WINDOW_S <= float(event.get("at", 0.0)) <= last
     ]
     return RequestStory(
         request=request, events=tuple(own), context=tuple(context), cause=_find_cause(own)
