--- a/chivetrack/components/controllers/const.py
+++ b/chivetrack/components/controllers/const.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 LEASE_DURATION_S: Final = 9.0
-"""After a holder dies, a successor starts at most this long plus one retry delay later."""
+"""Duration of a lease; a successor starts at most this plus one acquire attempt later."""
 
 RENEWALS_PER_LEASE: Final = 3
 
