--- a/chivetrack/components/resources/__init__.py
+++ b/chivetrack/components/resources/__init__.py
@@ -1,6 +1,6 @@
-"""The kinds of resources: validated at the border, compact inside."""
+"""The kinds of resources: validated on input, compact inside the process."""
 
-# Importing the specifications fills the registry of kinds, for whoever reads it.
+# Importing the specifications registers all kinds.
 from chivetrack.components.resources import specs
 
 __all__ = ["specs"]
--- a/chivetrack/components/resources/const.py
+++ b/chivetrack/components/resources/const.py
@@ -1,4 +1,4 @@
-"""Names, bounds and defaults of the resources."""
+"""Names, limits and defaults of the resources."""
 
 from typing import Final
 
--- a/chivetrack/components/resources/keys.py
+++ b/chivetrack/components/resources/keys.py
@@ -1,8 +1,9 @@
-"""Hashes of callers' keys: what is stored never gives a key away.
+"""Hashes of callers' keys, so that the keys themselves are never stored.
 
-A hash reads ``sha256$ID$DIGEST``. The id is derived from the key, serves as the salt
-of the digest and lets a router find the entry without trying every workspace. Keys
-must be random with at least 128 bits, so that plain SHA-256 can't be searched.
+A hash has the form ``sha256$ID$DIGEST``. The id is derived from the key, serves as the
+salt of the digest and lets a router look up the workspace without comparing with the keys
+of all workspaces. Keys must have at least 128 random bits: plain SHA-256 is safe against a
+brute-force search only then.
 """
 
 import hashlib
@@ -16,13 +17,13 @@
 
 
 def derive_key_id(key: str) -> str:
-    """Return the id under which the hash of a key is found, 16 hexadecimal digits."""
+    """Return the id of a key, 16 hexadecimal digits, by which its hash is looked up."""
     digest = hashlib.sha256(_ID_CONTEXT + key.encode()).digest()
     return digest[:_ID_BYTES].hex()
 
 
 def hash_key(key: str) -> str:
-    """Hash a caller's key for a workspace's ``keys``; raise ``ValueError`` if too short."""
+    """Hash a caller's key for ``keys`` of a workspace; raise ``ValueError`` if too short."""
     if len(key) < MIN_KEY_LENGTH:
         raise ValueError(f"a key needs at least {MIN_KEY_LENGTH} random characters")
     return _hash(key)
@@ -34,7 +35,7 @@
 
 
 def check_key(key: str, key_hash: str) -> bool:
-    """Tell whether the hash is that of the key, in constant time."""
+    """Return whether the hash belongs to the key; compares in constant time."""
     return hmac.compare_digest(_hash(key).encode(), key_hash.encode())
 
 
--- a/chivetrack/components/resources/kinds.py
+++ b/chivetrack/components/resources/kinds.py
@@ -11,7 +11,7 @@
 
 
 class Spec(BaseModel):
-    """Base of every validated specification; unknown keys are faults."""
+    """Base class of validated specifications; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -21,17 +21,17 @@
 
 
 class CompactForm(Generic[FormT]):
-    """Reads the stored bytes of a specification into a slotted data class."""
+    """Decodes the stored bytes of a specification into a slotted data class."""
 
     def __init__(self, *, form: type[FormT]) -> None:
-        """Prepare a decoder for ``form``."""
+        """Create a decoder for the data class ``form``."""
         self._decoder = msgspec.msgpack.Decoder(form, strict=False)
 
     def decode(self, spec: bytes) -> FormT | None:
-        """Decode stored bytes; keys that this version does not know are ignored.
+        """Decode stored bytes; keys that are unknown to this version are ignored.
 
-        ``None`` when a value is unknown: a newer version may have written it, and a
-        router must go on with the rest of its configuration.
+        Returns ``None`` if a value is invalid in this version: a newer version may have
+        written it, and a router must continue with the rest of its configuration.
         """
         try:
             return self._decoder.decode(spec)
@@ -43,8 +43,8 @@
 class Kind:
     """One kind of resource.
 
-    ``stored`` kinds are changed through the log; the others are observed and only
-    shown. ``compact`` gives the inside form of a stored specification.
+    Resources of ``stored`` kinds are changed through the log; those of other kinds are
+    observed and read-only. ``compact`` decodes a stored specification to its compact form.
     """
 
     name: str
@@ -62,7 +62,7 @@
 ) -> Callable[[type[SpecT]], type[SpecT]]:
     """Register a specification, with its compact form, under the name of its kind."""
 
-    def enter(spec: type[SpecT]) -> type[SpecT]:
+    def register(spec: type[SpecT]) -> type[SpecT]:
         summary = (spec.__doc__ or "").strip().splitlines()[0]
         kind = Kind(
             name=name,
@@ -74,4 +74,4 @@
         KINDS.register(name)(kind)
         return spec
 
-    return enter
+    return register
--- a/chivetrack/components/resources/models.py
+++ b/chivetrack/components/resources/models.py
@@ -1,8 +1,8 @@
-"""The compact forms of the specifications, as the parts inside use them.
+"""The compact forms of the specifications, as the components use them.
 
-They are decoded from the stored bytes when needed: 49,000 workspaces held as
-validated models would take most of a router's memory. Their defaults equal those of
-the validated models in ``specs``; a test compares them.
+They are decoded from the stored bytes when needed: 49,000 workspaces kept as validated
+models would take most of a router's memory. Their defaults equal those of the validated
+models in ``specs``; a test compares them.
 """
 
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 
 class Locality(StrEnum):
-    """Where a request prefers its endpoint."""
+    """Where a request prefers to find its endpoint, relative to its router."""
 
     ZONE = "zone"
     REGION = "region"
@@ -21,7 +21,7 @@
 
 
 class Affinity(StrEnum):
-    """What makes two requests want the same endpoint."""
+    """The property by which requests are assigned to the same endpoint."""
 
     CHAT = "chat"
     DOSSIER = "dossier"
@@ -30,7 +30,7 @@
 
 
 class DrainTargetKind(StrEnum):
-    """What a drain empties."""
+    """The kind of the target of a drain."""
 
     ENDPOINT = "endpoint"
     AVAILABILITY_ZONE = "availability_zone"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Workspace:
-    """What a workspace may use and how much; ``rate`` is requests a second."""
+    """The permissions and limits of a workspace; ``rate`` is in requests per second."""
 
     display_name: str = ""
     keys: tuple[str, ...] = ()
@@ -66,8 +66,8 @@
     """How requests of a workspace are placed, retried and timed out.
 
     ``locality`` is the region by default: two routers in different zones that each
-    preferred their own would send one chat to two engines. ``idempotent`` left out
-    means: chats are, plain calls go by their method.
+    preferred their own zone would send one chat to two engines. If ``idempotent`` is
+    ``None``, chats count as idempotent, and plain calls depend on their HTTP method.
     """
 
     load_bound: float = const.DEFAULT_LOAD_BOUND
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainTarget:
-    """What is drained."""
+    """The target of a drain."""
 
     kind: DrainTargetKind
     name: str
@@ -89,9 +89,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Drain:
-    """A planned drain; no ``start`` means at once.
+    """A planned drain; without ``start`` it starts immediately.
 
-    ``floor`` is the fraction of the capacity that must remain while the drain lasts.
+    ``floor`` is the fraction of the capacity that must remain during the drain.
     """
 
     target: DrainTarget
@@ -103,7 +103,7 @@
 
 
 class DrainPhase(StrEnum):
-    """How far a drain is; only its controller moves it on."""
+    """The phase of a drain; only the drain controller changes it."""
 
     WAITING = "waiting"
     ACTIVE = "active"
@@ -112,10 +112,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainStatus:
-    """The part of a drain's status that routers read; others ignore what they don't know.
+    """The part of a drain's status that routers read; other fields are ignored.
 
-    A drain is in force from ``ACTIVE`` until it is deleted, also once it is done:
-    its target must not get new work before the operator lifts the drain.
+    A drain is enforced from ``ACTIVE`` until it is deleted, also in ``DONE``: its target
+    must not get new requests before the operator deletes the drain.
     """
 
     phase: DrainPhase = DrainPhase.WAITING
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Model:
-    """A model that is wanted on the engines of a service, in so many copies."""
+    """A model with the desired number of copies on the engines of a service."""
 
     service: str
     version: str
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Adapter:
-    """An adapter that is wanted beside a model, in so many copies."""
+    """An adapter of a model with the desired number of copies."""
 
     model: str
     version: str
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limit:
-    """A limit for all requests that match; ``rate`` is requests a second."""
+    """A limit for all matching requests; ``rate`` is in requests per second."""
 
     workspace: str = const.ANY_NAME
     service: str = const.ANY_NAME
--- a/chivetrack/components/resources/specs.py
+++ b/chivetrack/components/resources/specs.py
@@ -1,4 +1,4 @@
-"""The validated specifications of all kinds, as operators write them."""
+"""The validated specifications of all kinds of resources, as operators write them."""
 
 from typing import Annotated, Self
 
@@ -21,7 +21,7 @@
 
 @resource_kind("workspace", form=models.Workspace)
 class WorkspaceSpec(Spec):
-    """A workspace: its callers' keys, what it may use and how much."""
+    """A workspace: its callers' keys, the services and models it may use, and its limits."""
 
     display_name: Text = ""
     keys: Annotated[tuple[KeyHash, ...], Field(max_length=const.MAX_KEYS)] = ()
@@ -56,7 +56,7 @@
 
 
 class DrainTargetSpec(Spec):
-    """What is drained."""
+    """The target of a drain."""
 
     kind: DrainTargetKind
     name: Name
@@ -83,7 +83,7 @@
 
 @resource_kind("model", form=models.Model)
 class ModelSpec(Spec):
-    """A model with its version, wanted in so many copies."""
+    """A model with its version and the desired number of copies."""
 
     service: Name
     version: Annotated[str, StringConstraints(min_length=1, max_length=64)]
@@ -97,7 +97,7 @@
 
 @resource_kind("adapter", form=models.Adapter)
 class AdapterSpec(Spec):
-    """An adapter of a model with its version, wanted in so many copies."""
+    """An adapter of a model with its version and the desired number of copies."""
 
     model: Name
     version: Annotated[str, StringConstraints(min_length=1, max_length=64)]
@@ -118,7 +118,7 @@
 
     @model_validator(mode="after")
     def check_some_limit(self) -> Self:
-        """Refuse a limit that limits nothing."""
+        """Refuse a limit with neither ``rate`` nor ``concurrency``."""
         if self.rate is None and self.concurrency is None:
             raise ValueError("set rate, concurrency or both")
         return self
--- a/chivetrack/components/resources/validation.py
+++ b/chivetrack/components/resources/validation.py
@@ -1,4 +1,4 @@
-"""Turns documents into validated resources; all faults come together."""
+"""Validates documents; all faults of a document are reported together."""
 
 import types
 from collections.abc import Mapping, Sequence
@@ -28,10 +28,10 @@
 
 
 class Metadata(Labels):
-    """The part of a document that names the resource.
+    """The metadata of a resource.
 
-    ``revision`` is the precondition of a write. What only the server sets may stand
-    in a document, since operators send back what they read; it is ignored.
+    ``revision`` is the precondition of a write. Fields that only the server sets are
+    accepted and ignored, because operators send back the documents that they read.
     """
 
     name: specs.Name
@@ -43,7 +43,7 @@
 
 
 class Document(BaseModel):
-    """A resource as an operator writes it, before its kind is known to be valid."""
+    """A resource as an operator writes it, before its kind and specification are checked."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Resource:
-    """A validated document; ``place`` is where it was written."""
+    """A validated document; ``place`` is its position in the source file."""
 
     kind: str
     metadata: Metadata
@@ -66,7 +66,7 @@
 def validate_document(data: Any, findings: Findings, *, place: str = "") -> Resource | None:
     """Validate one document; record all faults and return ``None`` if there are any."""
     before = len(findings)
-    document = _validate(Document, data, findings, place)
+    document = _validate_model(Document, data, findings, place)
     raw = data if isinstance(data, Mapping) else {}
     kind = raw.get("kind")
     spec = None
@@ -78,34 +78,36 @@
 
 
 def validate_spec(kind: str, data: Any, findings: Findings, *, place: str = "") -> Spec | None:
-    """Validate the specification of a kind; places begin with ``spec``."""
+    """Validate the specification of a kind; places of findings begin with ``spec``."""
     entry = KINDS.get(kind)
     if entry is None:
         hint = suggest_name(kind, KINDS)
-        findings.add(_join(place, "kind"), f"there is no kind {kind!r}", hint=hint)
+        findings.add(_join_place(place, "kind"), f"there is no kind {kind!r}", hint=hint)
         return None
-    return _validate(entry.spec, data, findings, _join(place, "spec"))
+    return _validate_model(entry.spec, data, findings, _join_place(place, "spec"))
 
 
 def validate_labels(labels: dict[str, str], findings: Findings) -> None:
-    """Validate labels alone; places begin with ``metadata.labels``."""
-    _validate(Labels, {"labels": labels}, findings, "metadata")
+    """Validate only labels; places of findings begin with ``metadata.labels``."""
+    _validate_model(Labels, {"labels": labels}, findings, "metadata")
 
 
 def encode_spec(spec: Spec) -> bytes:
-    """Encode a specification in its stored form: what the operator set, as msgpack."""
+    """Encode a specification as stored: only the keys that the operator set, as msgpack."""
     return msgspec.msgpack.encode(spec.model_dump(mode="json", exclude_unset=True))
 
 
-def _validate(model: type[ModelT], data: Any, findings: Findings, place: str) -> ModelT | None:
-    # Strict validation of JSON refuses "5" for 5, but takes lists for tuples.
+def _validate_model(
+    model: type[ModelT], data: Any, findings: Findings, place: str
+) -> ModelT | None:
+    # Strict validation from JSON rejects "5" for 5 but accepts lists for tuples.
     try:
         return model.model_validate_json(msgspec.json.encode(data), strict=True)
     except ValidationError as error:
         for fault in error.errors(include_url=False, include_context=False):
             path = fault["loc"]
             hint = _suggest_key(model, path) if fault["type"] == "extra_forbidden" else None
-            findings.add(_join(place, _format_path(path)), fault["msg"], hint=hint)
+            findings.add(_join_place(place, _format_path(path)), fault["msg"], hint=hint)
     return None
 
 
@@ -131,11 +133,11 @@
 def _format_path(path: Sequence[int | str]) -> str:
     text = ""
     for step in path:
-        text = f"{text}[{step}]" if isinstance(step, int) else _join(text, step)
+        text = f"{text}[{step}]" if isinstance(step, int) else _join_place(text, step)
     return text
 
 
-def _join(place: str, path: str) -> str:
+def _join_place(place: str, path: str) -> str:
     if not place or not path:
         return place or path
     return f"{place} {path}" if place.endswith(":") else f"{place}.{path}"
--- a/tests/components/resources/__init__.py
+++ b/tests/components/resources/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of resources."""
+"""Tests of the resources component."""
--- a/tests/components/resources/test_documents.py
+++ b/tests/components/resources/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents of operators: every fault is reported with its place."""
+"""Tests of documents and specifications: every fault is reported with its place."""
 
 import dataclasses
 import json
@@ -75,15 +75,15 @@
                 self.assertEqual([finding.place for finding in findings], [place])
                 self.assertIn(hint or "", next(iter(findings)).hint or "")
 
-    def test_stored_form_reads_back(self) -> None:
+    def test_stored_form_round_trips(self) -> None:
         for name, spec in MINIMAL.items():
             with self.subTest(kind=name):
                 findings = Findings()
                 model = validate_spec(name, spec, findings)
                 assert model is not None, list(findings)
                 stored = encode_spec(model)
-                again = validate_spec(name, msgspec.msgpack.decode(stored), findings)
-                self.assertEqual(again, model)
+                revalidated = validate_spec(name, msgspec.msgpack.decode(stored), findings)
+                self.assertEqual(revalidated, model)
                 compact = dataclasses.asdict(KINDS[name].compact.decode(stored))
                 self.assertEqual(
                     json.loads(msgspec.json.encode(compact)), model.model_dump(mode="json")
@@ -92,7 +92,7 @@
     def test_every_kind_is_covered(self) -> None:
         self.assertEqual(set(MINIMAL), set(KINDS))
 
-    def test_instants_read_back(self) -> None:
+    def test_times_round_trip(self) -> None:
         findings = Findings()
         spec = {**MINIMAL["drain"], "start": "1970-01-02T09:00:00+09:00"}
         model = validate_spec("drain", spec, findings)
@@ -103,7 +103,7 @@
 
 
 class DocumentTest(unittest.TestCase):
-    def test_all_faults_of_a_file_come_together(self) -> None:
+    def test_all_faults_of_a_file_are_reported_together(self) -> None:
         findings = Findings()
         resources = parse_documents(FLEET, findings, source="fleet.toml")
         self.assertEqual(
@@ -112,7 +112,7 @@
         )
         self.assertEqual([resource.metadata.name for resource in resources], ["acme", "acme"])
 
-    def test_forms_of_a_file(self) -> None:
+    def test_file_formats(self) -> None:
         document = {"kind": "limit", "metadata": {"name": "a"}, "spec": {"rate": 1}}
         other = {**document, "metadata": {"name": "b"}}
         table = [
@@ -134,7 +134,7 @@
 
 
 class KeyTest(unittest.TestCase):
-    def test_only_the_key_itself_fits_its_hash(self) -> None:
+    def test_only_the_key_itself_matches_its_hash(self) -> None:
         stored = hash_key(KEY)
         self.assertNotIn(KEY, stored)
         self.assertEqual(get_key_id(stored), derive_key_id(KEY))
