--- a/chivetrack/components/resource_api/app.py
+++ b/chivetrack/components/resource_api/app.py
@@ -34,7 +34,7 @@
 
 
 def build_app(ports: Ports) -> bottle.Bottle:
-    """Build the application; it may be mounted beside others.
+    """Build the application; it can be mounted beside others.
 
     Every operation of the registry becomes a route under ``/api/v1/{kind}`` or
     ``/api/v1/{kind}/{name}``.
@@ -101,7 +101,7 @@
 def _find_kind(ports: Ports, entry: Operation, name: str) -> Result[Kind, Problem]:
     scheme, _, token = bottle.request.get_header("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not ports.check_operator(token.strip()):
-        return Error(make_problem("unauthorized", "no operator's key", status=401))
+        return Error(make_problem("unauthorized", "no valid operator key", status=401))
     kind = KINDS.get(name)
     if kind is None:
         hint = suggest_name(name, KINDS)
@@ -119,15 +119,17 @@
         return Ok(None)
     matched = _REVISION.fullmatch(header)
     if matched is None:
-        return Error(make_problem("invalid_precondition", "If-Match: a revision", status=400))
+        return Error(
+            make_problem("invalid_precondition", "If-Match must be a revision", status=400)
+        )
     return Ok(int(matched.group(1)))
 
 
 def _read_body() -> Result[bytes, Problem]:
-    """Read the body, of known length and bounded.
+    """Read the body; refuse it without a length or above the size limit.
 
-    The HTTP library would put a body without a length on disk before anyone could
-    refuse it, as large as the sender likes.
+    The HTTP library would write a body without a length to disk, however large, before
+    this code could refuse it.
     """
     length = bottle.request.content_length
     if length < 0 or bottle.request.chunked:
@@ -172,13 +174,13 @@
 
 
 def _render_http_error(error: Any) -> str:
-    """Give the library's own errors (no such route, an exception) the same form."""
+    """Render errors of the HTTP library (unknown route, exception) in the same form."""
     codes = {404: "unknown_path", 405: "method_not_allowed"}
     code = codes.get(error.status_code)
     if code is not None:
         problem = make_problem(code, str(error.body), status=error.status_code)
     else:
-        # Nobody knows how far the request came before the exception.
+        # It is unknown whether the request had an effect before the exception.
         fault = Fault(code="internal_error", message="unexpected error", status=500, ran=Ran.MAYBE)
         problem = Problem(fault=fault)
     bottle.response.content_type = JSON_TYPE
--- a/chivetrack/components/resource_api/checks.py
+++ b/chivetrack/components/resource_api/checks.py
@@ -1,7 +1,7 @@
 """Checks of a specification against the rest of the configuration, by kind.
 
-They read the router's own view, so two writes at once may both pass: what depends on
-them must bear that.
+The checks read the router's own view, so two concurrent writes that conflict may both
+pass. Code that uses the checked resources must tolerate such conflicts.
 """
 
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 @CHECKS.register("workspace")
 def check_keys(view: ConfigView, name: str, spec: WorkspaceSpec, findings: Findings) -> None:
-    """Find keys that another workspace has: its callers would count as that one's."""
+    """Report keys of another workspace: their callers would be assigned to that one."""
     for index, key_hash in enumerate(spec.keys):
         others = [owner for owner in view.find_key_owners(key_hash) if owner != name]
         if others:
--- a/chivetrack/components/resource_api/const.py
+++ b/chivetrack/components/resource_api/const.py
@@ -1,4 +1,4 @@
-"""Names and bounds of the resource API."""
+"""Names and limits of the resource API."""
 
 from typing import Final
 
--- a/chivetrack/components/resource_api/models.py
+++ b/chivetrack/components/resource_api/models.py
@@ -1,4 +1,4 @@
-"""What the operations take and give; free of the HTTP library."""
+"""Requests, results and dependencies of the operations, independent of the HTTP library."""
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ObservedResource:
-    """A resource that is seen and not stored."""
+    """A resource of a kind that is observed and not stored."""
 
     name: str
     spec: Mapping[str, Any]
@@ -33,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Ports:
-    """What the API needs of its instance.
+    """The functions of the instance that the API depends on.
 
-    ``submit`` has a command committed by the leader, ``read`` answers as of all that
-    was committed when it was called; both may block the calling greenlet. A fault
-    with ``Ran.NO`` promises that the command will not be committed later.
-    ``observed`` lists the resources of the kinds that are not stored.
-    ``check_operator`` tells whether a bearer token is an operator's.
+    ``submit`` commits a command through the leader. ``read`` is linearizable: its answer
+    includes everything that was committed when it was called. Both may block the calling
+    greenlet. A fault with ``Ran.NO`` guarantees that the command will not be committed
+    later. ``observed`` lists the resources of each kind that is not stored.
+    ``check_operator`` returns whether a bearer token belongs to an operator.
     """
 
     submit: Submit
@@ -52,7 +52,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ApiRequest:
-    """One request to an operation; ``fingerprint`` tells a resend from another request."""
+    """One request to an operation.
+
+    ``fingerprint`` distinguishes a resend from another request with the same id.
+    """
 
     kind: Kind
     name: str = ""
@@ -65,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Reply:
-    """A whole answer."""
+    """A complete answer with a JSON body."""
 
     status: int
     body: Json
@@ -73,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Stream:
-    """An answer of JSON objects, one a line, that goes on until the caller leaves."""
+    """An answer of JSON objects, one per line, that lasts until the caller disconnects."""
 
     lines: Iterator[bytes]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Problem:
-    """An error answer; ``current`` is the resource that was in the way."""
+    """An error answer; ``current`` is the stored resource that conflicts with the request."""
 
     fault: Fault
     findings: Sequence[Finding] = ()
--- a/chivetrack/components/resource_api/openapi.py
+++ b/chivetrack/components/resource_api/openapi.py
@@ -1,4 +1,4 @@
-"""Makes the OpenAPI document from the registries of kinds and operations."""
+"""Generates the OpenAPI document from the registries of kinds and operations."""
 
 from typing import Final
 
@@ -17,11 +17,11 @@
     200: "done",
     201: "created",
     202: "accepted; finalizers must run first",
-    400: "the request can't be read",
-    401: "no operator's key",
+    400: "the request is malformed",
+    401: "no valid operator key",
     404: "no such resource",
     409: "refused; the error holds the current resource",
-    410: "the changes are no longer known",
+    410: "the changes are no longer kept",
     411: "the length of the body is missing",
     413: "too large",
     422: "the document has faults, or the request id was used for another request",
@@ -36,18 +36,18 @@
     "schema": {"type": "string"},
 }
 _WRITE_HEADERS: Final = (
-    (const.REQUEST_ID_HEADER, "Makes a resend return the first outcome."),
+    (const.REQUEST_ID_HEADER, "Makes a resend return the outcome of the first request."),
     ("If-Match", "The revision that was read; refused if the resource has changed since."),
 )
 
 
 def list_operations(kind: Kind) -> list[Operation]:
-    """Return the operations that a kind has."""
+    """Return the operations that a kind supports."""
     return [entry for entry in OPERATIONS.values() if kind.stored or not entry.is_write]
 
 
 def list_statuses(entry: Operation) -> list[int]:
-    """Return all statuses with which an operation may answer."""
+    """Return all HTTP statuses that an operation may answer with."""
     statuses = {*entry.statuses, *COMMON_STATUSES}
     if entry.is_write:
         statuses.add(400)
@@ -57,13 +57,13 @@
 
 
 def make_path(kind: Kind, entry: Operation) -> str:
-    """Return the path of an operation as OpenAPI writes it."""
+    """Return the path of an operation in OpenAPI notation."""
     path = f"{const.PREFIX}/{kind.name}"
     return f"{path}/{{name}}" if entry.has_name else path
 
 
 def make_openapi() -> Json:
-    """Return the document."""
+    """Return the OpenAPI document."""
     paths: dict[str, Json] = {}
     schemas: Json = {"Error": _make_error_schema(), "Metadata": _make_schema(Metadata)}
     for kind in KINDS.values():
@@ -86,12 +86,12 @@
 def _make_operation(kind: Kind, entry: Operation) -> Json:
     parameters: list[Json] = [dict(_NAME_PARAMETER)] if entry.has_name else []
     for parameter in entry.parameters:
-        described = _make_parameter(parameter.name, "query", parameter.summary, parameter.type)
-        parameters.append(described)
+        rendered = _make_parameter(parameter.name, "query", parameter.summary, parameter.type)
+        parameters.append(rendered)
     if entry.is_write:
         for name, summary in _WRITE_HEADERS:
             parameters.append(_make_parameter(name, "header", summary, "string"))
-    made: Json = {
+    document: Json = {
         "operationId": f"{entry.name}_{kind.name}",
         "summary": entry.summary,
         "parameters": parameters,
@@ -101,15 +101,15 @@
     }
     if entry.takes_body:
         is_patch = entry.method == "PATCH"
-        schema = {"type": "object"} if is_patch else _refer(kind.name)
+        schema = {"type": "object"} if is_patch else _make_reference(kind.name)
         content = {"application/json": {"schema": schema}}
-        made["requestBody"] = {"required": True, "content": content}
-    return made
+        document["requestBody"] = {"required": True, "content": content}
+    return document
 
 
 def _make_response(kind: Kind, entry: Operation, status: int) -> Json:
     is_error = status >= 400
-    schema = _refer("Error" if is_error else kind.name)
+    schema = _make_reference("Error" if is_error else kind.name)
     if entry.name == "list" and not is_error:
         items = {"type": "array", "items": schema}
         schema = {
@@ -138,7 +138,7 @@
         "required": ["kind", "metadata"],
         "properties": {
             "kind": {"const": kind.name},
-            "metadata": _refer("Metadata"),
+            "metadata": _make_reference("Metadata"),
             "spec": _make_schema(kind.spec),
             "status": {"type": "object"},
         },
@@ -152,7 +152,7 @@
 
 
 def _inline(value: Json, definitions: Json) -> Json:
-    """Put definitions in place: references inside a component would lead nowhere."""
+    """Inline definitions: references to ``$defs`` inside a component would not resolve."""
     if "$ref" in value:
         name = value["$ref"].rsplit("/", 1)[-1]
         rest = {key: entry for key, entry in value.items() if key != "$ref"}
@@ -193,5 +193,5 @@
     return {"type": "object", "required": ["error"], "properties": {"error": error}}
 
 
-def _refer(name: str) -> Json:
+def _make_reference(name: str) -> Json:
     return {"$ref": f"#/components/schemas/{name}"}
--- a/chivetrack/components/resource_api/operations.py
+++ b/chivetrack/components/resource_api/operations.py
@@ -1,4 +1,4 @@
-"""The registry of operations; routes and the OpenAPI document are made from it."""
+"""The registry of operations, from which routes and the OpenAPI document are generated."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Parameter:
-    """A parameter in the query."""
+    """A query parameter."""
 
     name: str
     type: str
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Operation:
-    """One operation on the resources of a kind; ``statuses`` are those of its own."""
+    """One operation on the resources of a kind.
+
+    ``statuses`` are the HTTP statuses specific to the operation; the OpenAPI document adds
+    those that are common to all operations.
+    """
 
     name: str
     method: str
@@ -35,7 +39,7 @@
 
     @property
     def is_write(self) -> bool:
-        """Tell whether the operation changes resources."""
+        """Return whether the operation changes resources."""
         return self.method != "GET"
 
 
@@ -52,7 +56,7 @@
 ) -> Callable[[HandlerT], HandlerT]:
     """Register a function as the handler of an operation."""
 
-    def enter(handler: HandlerT) -> HandlerT:
+    def register(handler: HandlerT) -> HandlerT:
         entry = Operation(
             name=name,
             method=method,
@@ -66,4 +70,4 @@
         OPERATIONS.register(name)(entry)
         return handler
 
-    return enter
+    return register
--- a/chivetrack/components/resource_api/operators.py
+++ b/chivetrack/components/resource_api/operators.py
@@ -1,4 +1,4 @@
-"""Checks operators' keys."""
+"""Checks the keys of operators."""
 
 from collections.abc import Callable, Iterable
 
@@ -8,13 +8,13 @@
 def make_operator_check(key_hashes: Iterable[str]) -> Callable[[str], bool]:
     """Return a check of bearer tokens against hashes made by ``hash_key``.
 
-    All hashes are compared, whether or not one fits, so that the time taken does
-    not tell which.
+    All hashes are compared, even after a match, so that the time taken does not reveal
+    which one matches.
     """
-    known = tuple(key_hashes)
+    hashes = tuple(key_hashes)
 
     def check_operator(token: str) -> bool:
-        fits = [check_key(token, key_hash) for key_hash in known]
-        return any(fits)
+        matches = [check_key(token, key_hash) for key_hash in hashes]
+        return any(matches)
 
     return check_operator
--- a/chivetrack/components/resource_api/paging.py
+++ b/chivetrack/components/resource_api/paging.py
@@ -1,4 +1,4 @@
-"""Tokens that continue a list."""
+"""Continuation tokens of paged lists."""
 
 import base64
 import binascii
@@ -7,19 +7,19 @@
 
 
 class Continuation(msgspec.Struct, frozen=True, array_like=True):
-    """Where the next page starts, and the revision of the first one."""
+    """The name after which the next page starts, and the revision of the first page."""
 
     after: str
     revision: int
 
 
 def encode_token(continuation: Continuation) -> str:
-    """Return the token of a place in a list."""
+    """Encode a continuation as a token for the caller."""
     return base64.urlsafe_b64encode(msgspec.msgpack.encode(continuation)).decode()
 
 
 def decode_token(token: str) -> Continuation | None:
-    """Return the place, or ``None`` for anything that is no token."""
+    """Decode a token; return ``None`` if it is invalid."""
     try:
         data = base64.urlsafe_b64decode(token.encode())
         return msgspec.msgpack.decode(data, type=Continuation)
--- a/chivetrack/components/resource_api/problems.py
+++ b/chivetrack/components/resource_api/problems.py
@@ -1,4 +1,4 @@
-"""Makes error answers."""
+"""Builds error answers."""
 
 from chivetrack.components.resource_api.models import Problem
 from chivetrack.components.resource_api.rendering import render_record
@@ -23,7 +23,7 @@
 
 
 def make_problem(code: str, message: str, *, status: int) -> Problem:
-    """Return an error of a request that changed nothing."""
+    """Return the error for a request that changed nothing."""
     return Problem(fault=Fault(code=code, message=message, status=status))
 
 
@@ -38,10 +38,10 @@
 
 
 def make_write_failure(fault: Fault) -> Problem:
-    """Return the error for a command whose answer did not come.
+    """Return the error for a command without an outcome.
 
-    Only a fault that promises that nothing happened may say so; with any other the
-    caller must ask again, with the same request id.
+    Only a fault with ``Ran.NO`` guarantees that nothing was changed. After any other the
+    outcome is unknown and the caller must resend with the same request id.
     """
     if fault.ran is Ran.NO:
         return Problem(fault=fault)
@@ -57,7 +57,7 @@
 
 def make_invalid(findings: Findings) -> Problem:
     """Return the error for a document with faults."""
-    listed: tuple[Finding, ...] = tuple(findings)
-    message = f"the document has {len(listed)} fault{'s' if len(listed) != 1 else ''}"
+    items: tuple[Finding, ...] = tuple(findings)
+    message = f"the document has {len(items)} fault{'s' if len(items) != 1 else ''}"
     fault = Fault(code="invalid_document", message=message, status=422)
-    return Problem(fault=fault, findings=listed)
+    return Problem(fault=fault, findings=items)
--- a/chivetrack/components/resource_api/reads.py
+++ b/chivetrack/components/resource_api/reads.py
@@ -1,4 +1,4 @@
-"""Operations that read: get, list, watch."""
+"""Operations that read resources: get, list and watch."""
 
 from collections.abc import Sequence
 
@@ -23,10 +23,10 @@
 from chivetrack.components.store.queries import GetResource, ListResources
 
 PAGE_PARAMETERS = (
-    Parameter(name="limit", type="integer", summary="How many resources a page may have."),
-    Parameter(name="continue", type="string", summary="The token of the page before."),
+    Parameter(name="limit", type="integer", summary="Largest number of resources in a page."),
+    Parameter(name="continue", type="string", summary="The token of the previous page."),
     Parameter(name="watch", type="boolean", summary="Stream changes instead of a list."),
-    Parameter(name="revision", type="integer", summary="Stream the changes after this."),
+    Parameter(name="revision", type="integer", summary="Stream the changes after this revision."),
 )
 
 
@@ -40,7 +40,7 @@
         return Error(Problem(fault=result.error))
     records = result.ok.records
     if not records:
-        return Error(_make_missing(request))
+        return Error(_make_not_found(request))
     return Ok(Reply(status=200, body=render_record(request.kind.name, records[0])))
 
 
@@ -48,8 +48,8 @@
 def list_resources(ports: Ports, request: ApiRequest) -> OperationResult:
     """Return the resources of a kind in pages, or stream their changes.
 
-    The revision in the answer is that of the first page: a watch from there on
-    brings what changed while the pages were read.
+    All pages of a stored kind carry the revision of the first page: a watch that starts
+    there returns the changes that were made while the pages were read.
     """
     if request.query.get("watch", "").lower() in ("true", "1"):
         return _watch(ports, request)
@@ -72,17 +72,17 @@
     for observed in _observe(ports, request):
         if observed.name == request.name:
             return Ok(Reply(status=200, body=render_observed(request.kind.name, observed)))
-    return Error(_make_missing(request))
+    return Error(_make_not_found(request))
 
 
 def _list_observed(
     ports: Ports, request: ApiRequest, limit: int, continuation: Continuation
 ) -> Reply:
-    known = sorted(_observe(ports, request), key=lambda observed: observed.name)
-    rest = [observed for observed in known if observed.name > continuation.after]
-    chosen = rest[:limit]
-    next_after = chosen[-1].name if len(rest) > limit else ""
-    items = [render_observed(request.kind.name, observed) for observed in chosen]
+    ordered = sorted(_observe(ports, request), key=lambda observed: observed.name)
+    rest = [observed for observed in ordered if observed.name > continuation.after]
+    page = rest[:limit]
+    next_after = page[-1].name if len(rest) > limit else ""
+    items = [render_observed(request.kind.name, observed) for observed in page]
     return _make_list(request, items, ports.view.revision, next_after)
 
 
@@ -107,12 +107,12 @@
         message = f"{request.kind.name} resources are observed and can't be watched"
         return Error(make_problem("not_watchable", message, status=400))
     table = ports.view.table
-    asked = request.query.get("revision")
-    if asked is not None and not asked.isdecimal():
+    requested = request.query.get("revision")
+    if requested is not None and not requested.isdecimal():
         return Error(make_problem("invalid_parameter", "revision must be a number", status=400))
-    revision = ports.view.revision if asked is None else int(asked)
+    revision = ports.view.revision if requested is None else int(requested)
     if revision < table.compaction_revision:
-        message = f"changes up to revision {table.compaction_revision} are no longer known"
+        message = f"changes up to revision {table.compaction_revision} are no longer kept"
         return Error(make_problem("compacted", message, status=410))
     interval = ports.bookmark_interval_s or const.BOOKMARK_INTERVAL_S
     lines = watch_changes(
@@ -122,20 +122,20 @@
 
 
 def _parse_page(request: ApiRequest) -> Result[tuple[int, Continuation], Problem]:
-    asked = request.query.get("limit", str(const.DEFAULT_PAGE_SIZE))
-    if not asked.isdecimal() or not 1 <= int(asked) <= const.MAX_PAGE_SIZE:
+    requested = request.query.get("limit", str(const.DEFAULT_PAGE_SIZE))
+    if not requested.isdecimal() or not 1 <= int(requested) <= const.MAX_PAGE_SIZE:
         message = f"limit must be a number from 1 to {const.MAX_PAGE_SIZE}"
         return Error(make_problem("invalid_parameter", message, status=400))
     token = request.query.get("continue", "")
     if not token:
-        return Ok((int(asked), Continuation("", 0)))
+        return Ok((int(requested), Continuation("", 0)))
     continuation = decode_token(token)
     if continuation is None:
-        message = "continue must be the token of the page before"
+        message = "continue must be the token of the previous page"
         return Error(make_problem("invalid_parameter", message, status=400))
-    return Ok((int(asked), continuation))
+    return Ok((int(requested), continuation))
 
 
-def _make_missing(request: ApiRequest) -> Problem:
+def _make_not_found(request: ApiRequest) -> Problem:
     message = f"there is no {request.kind.name}/{request.name}"
     return make_problem("not_found", message, status=404)
--- a/chivetrack/components/resource_api/rendering.py
+++ b/chivetrack/components/resource_api/rendering.py
@@ -1,4 +1,4 @@
-"""Turns records into JSON documents."""
+"""Converts resources and problems to JSON documents."""
 
 from typing import Any
 
--- a/chivetrack/components/resource_api/watch.py
+++ b/chivetrack/components/resource_api/watch.py
@@ -1,4 +1,4 @@
-"""Streams the changes of a kind, one JSON object a line."""
+"""Streams the changes of a kind, one JSON object per line."""
 
 from collections.abc import Iterator, Sequence
 
@@ -17,12 +17,12 @@
 def watch_changes(
     view: ConfigView, kind: str, *, revision: int, bookmark_interval_s: float
 ) -> Iterator[bytes]:
-    """Yield the changes after a revision as they come; bookmarks when there are none.
+    """Yield the changes after a revision as they are made, and bookmarks while idle.
 
-    No watcher has a queue of its own. The table's bounded history serves all of
-    them: a watcher that reads too slowly falls out of it and is cut off with the
-    error ``compacted``, instead of holding memory without end. A bookmark comes
-    first, so that the headers go out before the first change.
+    Watchers have no queues; all read from the bounded history of the table. A watcher
+    that is too slow for the history gets the error ``compacted`` and its stream ends, so
+    that it can't use unbounded memory. The first event is a bookmark, so that the headers
+    are sent before the first change.
     """
     changed = Event()
 
@@ -36,7 +36,7 @@
             changed.clear()
             changes = view.table.list_changes(revision, limit=const.MAX_WATCH_BATCH_CHANGES)
             if changes is None:
-                yield _encode(_make_cut(view))
+                yield _encode(_make_compacted(view))
                 return
             if changes:
                 revision = changes[-1].revision
@@ -53,8 +53,8 @@
 
 def _render(change: Change) -> Json:
     if change.record is None:
-        gone = {"kind": change.kind, "metadata": {"name": change.name}}
-        return {"type": "deleted", "revision": change.revision, "resource": gone}
+        deleted = {"kind": change.kind, "metadata": {"name": change.name}}
+        return {"type": "deleted", "revision": change.revision, "resource": deleted}
     resource = render_record(change.kind, change.record)
     return {"type": "changed", "revision": change.revision, "resource": resource}
 
@@ -63,8 +63,8 @@
     return {"type": "bookmark", "revision": revision}
 
 
-def _make_cut(view: ConfigView) -> Json:
-    message = f"changes up to revision {view.table.compaction_revision} are no longer known"
+def _make_compacted(view: ConfigView) -> Json:
+    message = f"changes up to revision {view.table.compaction_revision} are no longer kept"
     problem = make_problem("compacted", message, status=410)
     return {"type": "error", **render_problem(problem)}
 
--- a/chivetrack/components/resource_api/writes.py
+++ b/chivetrack/components/resource_api/writes.py
@@ -45,7 +45,7 @@
     """Create a resource."""
     parsed = _parse_document(ports, request)
     if parsed.is_error():
-        return _refuse_unless_sent_before(ports, request, parsed.error, status=201)
+        return _refuse_unless_resent(ports, request, parsed.error, status=201)
     resource = parsed.ok
     command = Create(
         _make_stamp(request),
@@ -60,10 +60,10 @@
 
 @operation("replace", "PUT", has_name=True, statuses=(200, 400, 404, *WRITE_STATUSES))
 def replace_resource(ports: Ports, request: ApiRequest) -> OperationResult:
-    """Replace specification and labels of a resource."""
+    """Replace the specification and labels of a resource."""
     parsed = _parse_document(ports, request)
     if parsed.is_error():
-        return _refuse_unless_sent_before(ports, request, parsed.error, status=200)
+        return _refuse_unless_resent(ports, request, parsed.error, status=200)
     resource = parsed.ok
     precondition = request.precondition
     if precondition is None:
@@ -81,7 +81,7 @@
 
 @operation("delete", "DELETE", has_name=True, statuses=(200, 202, 404, *WRITE_STATUSES))
 def delete_resource(ports: Ports, request: ApiRequest) -> OperationResult:
-    """Delete a resource; 202 while finalizers must run first."""
+    """Delete a resource; answers 202 if finalizers must run first."""
     command = Delete(_make_stamp(request), request.kind.name, request.name, request.precondition)
     return _submit(ports, command, status=200)
 
@@ -90,28 +90,28 @@
 def patch_resource(ports: Ports, request: ApiRequest) -> OperationResult:
     """Merge a JSON merge patch into a resource.
 
-    Without a precondition of the caller the patch is tried again when another write
-    came between. Every try has a request id of its own, made from the caller's: a
-    resend goes through the same tries and finds the first outcome.
+    Without a precondition from the caller the patch is attempted again if another write
+    was committed in between. Each attempt has its own request id, derived from the
+    caller's: a resend repeats the same attempts and finds the recorded outcome.
     """
     decoded = _decode_patch(request)
     if decoded.is_error():
         return Error(decoded.error)
     outcome: OperationResult = Error(
-        make_problem("conflict", "too many writes at once", status=409)
+        make_problem("conflict", "too many concurrent writes to this resource", status=409)
     )
     for attempt in range(const.MAX_PATCH_ATTEMPTS):
-        outcome = _try_patch(ports, request, decoded.ok, attempt)
+        outcome = _attempt_patch(ports, request, decoded.ok, attempt)
         if request.precondition is not None or not _is_conflict(outcome):
             return outcome
     return outcome
 
 
-def _try_patch(ports: Ports, request: ApiRequest, patch: Any, attempt: int) -> OperationResult:
+def _attempt_patch(ports: Ports, request: ApiRequest, patch: Any, attempt: int) -> OperationResult:
     stamp = _make_stamp(request, attempt)
-    first = _find_first(ports, stamp, status=200)
-    if first is not None:
-        return first
+    recorded = _find_recorded_outcome(ports, stamp, status=200)
+    if recorded is not None:
+        return recorded
     current = ports.read(GetResource(request.kind.name, request.name))
     if current.is_error():
         return Error(Problem(fault=current.error))
@@ -130,28 +130,28 @@
     return _submit(ports, command, status=200)
 
 
-def _find_first(ports: Ports, stamp: Stamp, *, status: int) -> OperationResult | None:
-    """Return the first outcome of a request that was sent before, if it was."""
+def _find_recorded_outcome(ports: Ports, stamp: Stamp, *, status: int) -> OperationResult | None:
+    """Return the recorded outcome of a request that was executed before, else ``None``."""
     if not stamp.request_id:
         return None
-    found = ports.read(FindOutcome(stamp.request_id, stamp.fingerprint))
-    if found.is_error():
-        return Error(Problem(fault=found.error))
-    if not found.ok.outcome:
+    answer = ports.read(FindOutcome(stamp.request_id, stamp.fingerprint))
+    if answer.is_error():
+        return Error(Problem(fault=answer.error))
+    if not answer.ok.outcome:
         return None
-    return _render_outcome(unpack(found.ok.outcome), status=status)
+    return _render_outcome(unpack(answer.ok.outcome), status=status)
 
 
-def _refuse_unless_sent_before(
+def _refuse_unless_resent(
     ports: Ports, request: ApiRequest, problem: Problem, *, status: int
 ) -> OperationResult:
     """Refuse a document, unless this is a resend of one that was accepted.
 
-    What is checked against other resources may have been right the first time; to
-    refuse the resend would say that the change was not made.
+    The checks against other resources may have passed the first time. Refusing the resend
+    would tell the caller that the change was not made.
     """
-    first = _find_first(ports, _make_stamp(request), status=status)
-    return Error(problem) if first is None else first
+    recorded = _find_recorded_outcome(ports, _make_stamp(request), status=status)
+    return Error(problem) if recorded is None else recorded
 
 
 def _check_merged(ports: Ports, request: ApiRequest, record: Record, patch: Any) -> Problem | None:
@@ -169,7 +169,7 @@
 
 
 def _decode_patch(request: ApiRequest) -> Result[Any, Problem]:
-    """Return the patch in the form of the store, with labels beside the spec."""
+    """Return the patch in the form that the store uses, with labels beside the spec."""
     data = _decode_json(request)
     if data.is_error():
         return data
@@ -233,8 +233,8 @@
         return Error(make_refusal(outcome))
     assert isinstance(outcome, Written)
     if outcome.record is None:
-        gone = {"name": outcome.name, "revision": outcome.revision}
-        body = {"kind": outcome.kind, "metadata": gone, "deleted": True}
+        metadata = {"name": outcome.name, "revision": outcome.revision}
+        body = {"kind": outcome.kind, "metadata": metadata, "deleted": True}
         return Ok(Reply(status=status, body=body))
     if outcome.record.deleting_ms:
         status = 202
--- a/tests/components/resource_api/__init__.py
+++ b/tests/components/resource_api/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of resource_api."""
+"""Tests of the resource API."""
--- a/tests/components/resource_api/client.py
+++ b/tests/components/resource_api/client.py
@@ -1,4 +1,4 @@
-"""Calls the application without a server and checks each answer against OpenAPI."""
+"""Calls the application without a server and checks answers against the OpenAPI document."""
 
 import io
 import json
@@ -65,10 +65,10 @@
         status = int(started[0].split()[0])
         if stream and status == 200:
             return Response(status, dict(started[1]), None, chunks)
-        found = json.loads(b"".join(chunks))
+        content = json.loads(b"".join(chunks))
         if documented:
-            check_documented(method, path, status, found)
-        return Response(status, dict(started[1]), found)
+            check_documented(method, path, status, content)
+        return Response(status, dict(started[1]), content)
 
 
 def encode(body: Any) -> bytes:
@@ -76,7 +76,7 @@
 
 
 def check_documented(method: str, path: str, status: int, body: Any) -> None:
-    """Fail unless the document allows this status with this body."""
+    """Fail unless the OpenAPI document allows this status with this body."""
     parts = path.split("/")
     if len(parts) > 4:
         parts[4] = "{name}"
@@ -103,7 +103,7 @@
 
 
 def check_schema(schema: Any, value: Any, place: str) -> None:
-    """Check the parts of JSON schema that the document uses, but for ``anyOf``."""
+    """Check the parts of JSON schema that the document uses, except ``anyOf``."""
     if "$ref" in schema:
         schema = DOCUMENT["components"]["schemas"][schema["$ref"].rsplit("/", 1)[-1]]
     if "type" in schema:
--- a/tests/components/resource_api/test_resource_api.py
+++ b/tests/components/resource_api/test_resource_api.py
@@ -1,4 +1,4 @@
-"""The resource API over a store without a log."""
+"""Tests of the resource API with a store but without a replicated log."""
 
 import dataclasses
 import json
@@ -39,8 +39,8 @@
 class ApiTestCase(unittest.TestCase):
     def setUp(self) -> None:
         self.store = Store(table=ResourceTable(history_changes=20))
-        self.fails_before: Fault | None = None
-        self.fails_after: Fault | None = None
+        self.fault_before: Fault | None = None
+        self.fault_after: Fault | None = None
         self.before_submit: list[Command] = []
         settings = ConfigurationSettings()
         self.view = ConfigView(table=self.store.table, settings=settings, started_at=0.0)
@@ -67,12 +67,12 @@
         return outcome
 
     def submit(self, command: Command) -> Result[Outcome, Fault]:
-        if self.fails_before is not None:
-            return Error(self.fails_before)
+        if self.fault_before is not None:
+            return Error(self.fault_before)
         if self.before_submit:
             self.apply(self.before_submit.pop(0))
         outcome = self.apply(command)
-        return Ok(outcome) if self.fails_after is None else Error(self.fails_after)
+        return Ok(outcome) if self.fault_after is None else Error(self.fault_after)
 
     def read(self, query: Query) -> Result[Answer, Fault]:
         return Ok(answer_query(self.store, query))
@@ -137,7 +137,7 @@
                     response = self.client.call(method, f"/api/v1/{path}", token=token)
                     self.assertEqual((response.status, response.code), (401, "unauthorized"))
 
-    def test_life_of_a_resource(self) -> None:
+    def test_lifecycle_of_a_resource(self) -> None:
         created = self.create("a")
         self.assertEqual((created.status, created.headers["Etag"]), (201, '"1"'))
         read = self.client.call("GET", "/api/v1/limit/a")
@@ -152,10 +152,10 @@
         marked = self.client.call("DELETE", "/api/v1/limit/a")
         self.assertEqual((marked.status, "deleting" in marked.body["metadata"]), (202, True))
         self.create("b")
-        gone = self.client.call("DELETE", "/api/v1/limit/b", headers={"If-Match": "6"})
-        self.assertEqual((gone.status, gone.body["deleted"]), (200, True))
+        deleted = self.client.call("DELETE", "/api/v1/limit/b", headers={"If-Match": "6"})
+        self.assertEqual((deleted.status, deleted.body["deleted"]), (200, True))
 
-    def test_all_findings_come_together(self) -> None:
+    def test_all_findings_are_reported_together(self) -> None:
         document = {"kind": "limit", "metadata": {"nam": "a"}, "spec": {"rat": 1, "rate": "x"}}
         response = self.client.call("POST", "/api/v1/limit", document)
         findings = {f["place"]: f["hint"] for f in response.body["error"]["findings"]}
@@ -187,10 +187,10 @@
         self.assertEqual(refused.body["error"]["findings"][0]["place"], "spec.keys[0]")
 
     def test_resend_after_the_key_has_moved(self) -> None:
-        """A create was accepted and its answer lost; its key now is another's.
+        """A create was accepted, its answer lost, and its key moved to another workspace.
 
-        The check against other workspaces would refuse the resend and so say that
-        the create never happened.
+        If the check against other workspaces refused the resend, the caller would conclude
+        that the create was never executed.
         """
         spec = {"keys": [hash_key(TOKEN)]}
         document = {"kind": "workspace", "metadata": {"name": "a"}, "spec": spec}
@@ -199,11 +199,11 @@
         self.client.call("DELETE", "/api/v1/workspace/a")
         other = {**document, "metadata": {"name": "b"}}
         self.client.call("POST", "/api/v1/workspace", other)
-        again = self.client.call("POST", "/api/v1/workspace", document, headers=headers)
-        self.assertEqual((again.status, again.body), (201, first.body))
+        resent = self.client.call("POST", "/api/v1/workspace", document, headers=headers)
+        self.assertEqual((resent.status, resent.body), (201, first.body))
 
-    def test_loser_of_a_race_sees_the_winner(self) -> None:
-        """Two operators read revision 1, and both replace. The second gets 409."""
+    def test_conflict_returns_the_current_resource(self) -> None:
+        """Two operators read revision 1 and both replace it; the second gets 409."""
         self.create("a")
         headers = {"If-Match": "1"}
         self.client.call("PUT", "/api/v1/limit/a", make_limit("a", 2), headers=headers)
@@ -212,10 +212,10 @@
         self.assertEqual(lost.body["error"]["current"]["spec"], {"rate": 2})
 
     def test_outcome_unknown_then_resent(self) -> None:
-        """The change is committed, but the answer is lost on the way back.
+        """The change is committed, but the answer is lost.
 
-        The caller must not be told that it did not happen; sending again with the
-        same request id gives the first answer, for each kind of write.
+        The error must not claim that the change was not made. A resend with the same
+        request id returns the first answer, for each kind of write.
         """
         self.create("a")
         table: list[tuple[str, str, Any, int]] = [
@@ -228,46 +228,46 @@
             with self.subTest(method):
                 headers = {const.REQUEST_ID_HEADER: f"id-{method}"}
                 path = f"/api/v1/{path}"
-                self.fails_after = LOST
+                self.fault_after = LOST
                 unknown = self.client.call(method, path, body, headers=headers)
                 error = unknown.body["error"]
                 self.assertEqual((unknown.status, error["code"]), (504, "outcome_unknown"))
                 self.assertEqual((error["ran"], unknown.headers["Retry-After"]), ("maybe", "1"))
-                self.fails_after = None
+                self.fault_after = None
                 revision = self.store.revision
-                again = self.client.call(method, path, body, headers=headers)
-                self.assertEqual(again.status, status, again.body)
-                self.assertEqual(again.body["metadata"]["revision"], revision)
+                resent = self.client.call(method, path, body, headers=headers)
+                self.assertEqual(resent.status, status, resent.body)
+                self.assertEqual(resent.body["metadata"]["revision"], revision)
                 self.assertEqual(self.store.revision, revision)
 
     def test_patch_resent_after_a_deletion(self) -> None:
-        """A patch is committed, its answer lost, and then the resource deleted.
+        """A patch is committed, its answer lost, and then the resource is deleted.
 
-        The resend must get the answer of the patch; 404 would say that the patch
-        was never made.
+        The resend must get the answer of the patch; with 404 the caller would conclude
+        that the patch was never applied.
         """
         self.create("a")
         headers = {const.REQUEST_ID_HEADER: "id"}
         patch = {"spec": {"concurrency": 3}}
         first = self.client.call("PATCH", "/api/v1/limit/a", patch, headers=headers)
         self.client.call("DELETE", "/api/v1/limit/a")
-        again = self.client.call("PATCH", "/api/v1/limit/a", patch, headers=headers)
-        self.assertEqual((again.status, again.body), (200, first.body))
+        resent = self.client.call("PATCH", "/api/v1/limit/a", patch, headers=headers)
+        self.assertEqual((resent.status, resent.body), (200, first.body))
 
-    def test_refused_by_the_log(self) -> None:
-        self.fails_before = NO_LEADER
+    def test_fault_before_the_commit(self) -> None:
+        self.fault_before = NO_LEADER
         response = self.create("a")
         error = response.body["error"]
         self.assertEqual((response.status, error["code"], error["ran"]), (503, "no_leader", "no"))
         self.assertEqual((error["retry_after_s"], response.headers["Retry-After"]), (2.4, "2"))
 
-    def test_exception_promises_nothing(self) -> None:
-        def explode(command: Command) -> Result[Outcome, Fault]:
+    def test_exception_leaves_the_outcome_open(self) -> None:
+        def submit_and_raise(command: Command) -> Result[Outcome, Fault]:
             raise RuntimeError("lost the stream after the command was sent")
 
         app = build_app(
             Ports(
-                submit=explode,
+                submit=submit_and_raise,
                 read=self.read,
                 view=self.view,
                 check_operator=self.ports.check_operator,
@@ -283,7 +283,7 @@
         other = self.client.call("POST", "/api/v1/limit", make_limit("b"), headers=headers)
         self.assertEqual((other.status, other.code), (422, "request_id_reused"))
 
-    def test_patch_is_tried_again_after_another_write(self) -> None:
+    def test_patch_is_retried_after_another_write(self) -> None:
         """Another operator writes between the read and the commit of a patch."""
         self.create("a")
         spec = self.store.table.get("limit", "a")
@@ -296,9 +296,9 @@
                 response = self.client.call("PATCH", "/api/v1/limit/a", patch, headers=headers)
                 self.assertEqual(response.body["spec"], {"concurrency": 7, "rate": 9})
                 self.client.call("PUT", "/api/v1/limit/a", make_limit("a"))
-        again = self.client.call("PATCH", "/api/v1/limit/a", patch, headers=headers)
-        self.assertEqual(again.status, 200)
-        self.assertEqual(again.body["spec"], {"concurrency": 7, "rate": 9})
+        resent = self.client.call("PATCH", "/api/v1/limit/a", patch, headers=headers)
+        self.assertEqual(resent.status, 200)
+        self.assertEqual(resent.body["spec"], {"concurrency": 7, "rate": 9})
 
 
 class ListTest(ApiTestCase):
@@ -310,7 +310,7 @@
             token = body["continue"]
 
     def test_pages(self) -> None:
-        """A resource that is deleted between two pages does not make one be left out."""
+        """Deleting a resource between two pages does not make the list skip another one."""
         for name in ("c", "a", "e", "b", "d"):
             self.create(name)
         pages = self.list_names("/api/v1/limit")
@@ -327,8 +327,8 @@
 
 class WatchTest(ApiTestCase):
     def watch(self, revision: int | None = None) -> Iterator[Any]:
-        asked = "" if revision is None else f"&revision={revision}"
-        response = self.client.call("GET", f"/api/v1/limit?watch=true{asked}", stream=True)
+        parameter = "" if revision is None else f"&revision={revision}"
+        response = self.client.call("GET", f"/api/v1/limit?watch=true{parameter}", stream=True)
         assert response.lines is not None, response
         for chunk in response.lines:
             for line in chunk.splitlines():
@@ -347,7 +347,7 @@
         self.create("c")
         self.assertEqual(next(watch)["resource"]["metadata"]["name"], "c")
 
-    def test_starts_now_without_a_revision(self) -> None:
+    def test_starts_at_the_current_revision(self) -> None:
         self.create("a")
         watch = self.watch()
         self.assertEqual(next(watch), {"type": "bookmark", "revision": 1})
@@ -358,11 +358,11 @@
         response = self.client.call("GET", "/api/v1/limit?watch=true&revision=1")
         self.assertEqual((response.status, response.code), (410, "compacted"))
 
-    def test_slow_watcher_is_cut_off(self) -> None:
-        """A watcher stops reading while more changes come than the history holds.
+    def test_stream_of_a_slow_watcher_ends(self) -> None:
+        """A watcher stops reading while more changes are made than the history keeps.
 
-        Kept for it they would fill the router's memory; it gets an error at the
-        end of its stream instead, and must list again.
+        Queued for the watcher, the changes would fill the router's memory. Instead its
+        stream ends with an error, and it must list again.
         """
         watch = self.watch(0)
         self.assertEqual(next(watch)["type"], "bookmark")
@@ -416,7 +416,7 @@
                     response = self.client.call(method.upper(), path.format(name="none"))
                     self.assertNotEqual(response.status, 405)
 
-    def test_references_lead_somewhere(self) -> None:
+    def test_references_resolve(self) -> None:
         served = self.client.call("GET", "/api/v1/openapi.json").body
         text = json.dumps(served)
         for reference in set(text.split('"$ref": "')[1:]):
