--- a/chivetrack/components/settings/checks.py
+++ b/chivetrack/components/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks that read more than one key; each is entered in a registry."""
+"""Checks that compare several settings; each one is registered in ``CHECKS``."""
 
 import ipaddress
 from collections.abc import Callable, Iterable, Iterator
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ValidSections:
-    """The sections that have no findings of their own; ``None`` for the others."""
+    """The sections that are valid by themselves; ``None`` for a section with findings."""
 
     instance: InstanceSettings | None = None
     listeners: ListenerSettings | None = None
@@ -43,7 +43,7 @@
 
 @CHECKS.register("data-folder")
 def check_data_folder(sections: ValidSections) -> Iterator[Problem]:
-    """A replica has a data folder, and nobody else has."""
+    """Require a data folder for the role ``replica`` and refuse it for other instances."""
     instance = sections.instance
     if instance is None:
         return
@@ -52,27 +52,27 @@
         yield Problem(
             path=("instance", "data_folder"),
             message="is required with role 'replica'",
-            hint="name a folder on the disk of this instance",
+            hint="set a folder on the disk of this instance",
         )
     if not is_replica and instance.data_folder is not None:
         yield Problem(
             path=("instance", "data_folder"),
             message="is only used with role 'replica'",
-            hint="add 'replica' to roles or take the folder out",
+            hint="add 'replica' to roles or remove data_folder",
         )
 
 
 @CHECKS.register("roles")
 def check_roles(sections: ValidSections) -> Iterator[Problem]:
-    """No role is named twice."""
+    """Refuse a role that is listed twice."""
     instance = sections.instance
     if instance is not None and len(set(instance.roles)) != len(instance.roles):
-        yield Problem(path=("instance", "roles"), message="names a role twice")
+        yield Problem(path=("instance", "roles"), message="lists a role twice")
 
 
 @CHECKS.register("listener-addresses")
 def check_listener_addresses(sections: ValidSections) -> Iterator[Problem]:
-    """Listeners differ, and those that others connect to can be reached."""
+    """Require distinct listener addresses that other instances can connect to."""
     listeners = sections.listeners
     if listeners is None:
         return
@@ -82,26 +82,26 @@
         if name in ("resources", "peer") and ipaddress.ip_address(address.host).is_unspecified:
             yield Problem(
                 path=("listeners", name),
-                message=f"{address.host} is not an address that other instances reach",
-                hint="name the IP number of this instance",
+                message=f"{address.host} is not an address that other instances can reach",
+                hint="set the IP number of this instance",
             )
         if address.port and address in seen:
             yield Problem(
                 path=("listeners", name),
-                message=f"{address} is taken by listeners.{seen[address]}",
+                message=f"{address} is already used by listeners.{seen[address]}",
             )
         seen.setdefault(address, name)
 
 
 @CHECKS.register("replica-members")
 def check_replica_members(sections: ValidSections) -> Iterator[Problem]:
-    """First members differ in id and address."""
+    """Require initial replicas with distinct ids and addresses, and with a port."""
     if sections.replicas is None:
         return
     members = sections.replicas.initial
-    yield from _find_repeats(("replicas", "initial"), "id", [m.id for m in members])
+    yield from _find_duplicates(("replicas", "initial"), "id", [m.id for m in members])
     addresses = [str(m.address) for m in members]
-    yield from _find_repeats(("replicas", "initial"), "address", addresses)
+    yield from _find_duplicates(("replicas", "initial"), "address", addresses)
     for index, member in enumerate(members):
         if member.address.port == 0:
             yield Problem(
@@ -112,7 +112,7 @@
 
 @CHECKS.register("tls")
 def check_tls(sections: ValidSections) -> Iterator[Problem]:
-    """Every listener has its files, or plain text is accepted in so many words."""
+    """Require a certificate for every listener, unless plain text is accepted explicitly."""
     tls = sections.tls
     if tls is None:
         return
@@ -134,7 +134,7 @@
 
 
 def _check_plain_text(tls: TlsSettings) -> Iterator[Problem]:
-    """Refuse ``enabled = false`` alone: one slip of the hand must not open a listener."""
+    """Refuse ``enabled = false`` alone: one mistaken edit must not disable encryption."""
     if not tls.plain_text_accepted:
         yield Problem(
             path=("tls", "plain_text_accepted"),
@@ -145,7 +145,7 @@
 
 @CHECKS.register("key-names")
 def check_key_names(sections: ValidSections) -> Iterator[Problem]:
-    """Key holders differ in name, and no key serves two of them."""
+    """Refuse two keys with the same name or the same hash in one section."""
     if sections.operators is not None:
         yield from _check_keys("operators", sections.operators.keys)
     if sections.announcers is not None:
@@ -153,14 +153,14 @@
 
 
 def _check_keys(section: str, keys: Iterable[HashedKey]) -> Iterator[Problem]:
-    held = list(keys)
-    yield from _find_repeats((section, "keys"), "name", [key.name for key in held])
-    yield from _find_repeats((section, "keys"), "hash", [key.hash for key in held])
+    listed = list(keys)
+    yield from _find_duplicates((section, "keys"), "name", [key.name for key in listed])
+    yield from _find_duplicates((section, "keys"), "hash", [key.hash for key in listed])
 
 
 @CHECKS.register("stop")
 def check_stop(sections: ValidSections) -> Iterator[Problem]:
-    """The settle time leaves time to finish what is in flight."""
+    """Require a settle time that leaves time to finish requests in flight."""
     stop = sections.stop
     if stop is not None and stop.settle_s >= stop.deadline_s:
         yield Problem(
@@ -169,7 +169,7 @@
         )
 
 
-def _find_repeats(path: KeyPath, name: str, values: list[str]) -> Iterator[Problem]:
+def _find_duplicates(path: KeyPath, name: str, values: list[str]) -> Iterator[Problem]:
     first: dict[str, int] = {}
     for index, value in enumerate(values):
         if value in first:
--- a/chivetrack/components/settings/config.py
+++ b/chivetrack/components/settings/config.py
@@ -1,4 +1,4 @@
-"""Reading and checking a settings file; all findings are reported together."""
+"""Reads and validates a settings file; all findings are reported together."""
 
 from collections.abc import Iterator
 from dataclasses import fields
@@ -19,12 +19,12 @@
 
 
 def load_settings(path: Path) -> Result[Settings, Findings]:
-    """Read a settings file; the error side holds everything that is wrong with it."""
+    """Read and validate a settings file; the error holds all findings."""
     return read_text(path).bind(lambda text: parse_settings(text, source=str(path)))
 
 
 def parse_settings(text: str, *, source: str) -> Result[Settings, Findings]:
-    """Check a settings text; ``source`` names it in the findings' places."""
+    """Validate the text of a settings file; ``source`` names it in the places of findings."""
     return parse_sections(
         text, source=source, model=Settings, check=_check_settings, meanings=PATTERN_MEANINGS
     )
@@ -32,7 +32,9 @@
 
 def _check_settings(valid: dict[str, Section]) -> Iterator[Problem]:
     known = {field.name for field in fields(ValidSections)}
-    picked: dict[str, Any] = {n: section for n, section in valid.items() if n in known}
-    sections = ValidSections(**picked)
+    sections_by_name: dict[str, Any] = {
+        name: section for name, section in valid.items() if name in known
+    }
+    sections = ValidSections(**sections_by_name)
     for check in CHECKS.values():
         yield from check(sections)
--- a/chivetrack/components/settings/const.py
+++ b/chivetrack/components/settings/const.py
@@ -1,4 +1,4 @@
-"""Bounds and defaults of the settings."""
+"""Limits, patterns and defaults of the settings."""
 
 from types import MappingProxyType
 from typing import Final
--- a/tests/components/settings/test_config.py
+++ b/tests/components/settings/test_config.py
@@ -1,4 +1,4 @@
-"""Settings files: what is accepted, and that all faults come back together with places."""
+"""Tests of settings files: valid ones, and that all faults are reported with places."""
 
 import unittest
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 SAMPLE = Path(__file__).parents[3] / "docs" / "samples" / "chivetrackd.toml"
 
-SMALL = """\
+MINIMAL = """\
 [instance]
 id = "r1"
 region = "kyushu"
@@ -38,14 +38,14 @@
         self.assertIn(Role.REPLICA, settings.instance.roles)
         self.assertEqual(len(settings.replicas.initial), 3)
 
-    def test_sample_file_shows_every_section(self) -> None:
+    def test_sample_file_has_every_section(self) -> None:
         text = SAMPLE.read_text()
         for section in Settings.model_fields:
             if section != "announcers":
                 self.assertIn(f"[{section}", text)
 
     def test_defaults(self) -> None:
-        settings = parse_settings(SMALL, source="f").ok
+        settings = parse_settings(MINIMAL, source="f").ok
         self.assertEqual(settings.listeners.peer, Address("::1", 0))
         self.assertEqual(str(settings.listeners.peer), "[::1]:0")
         self.assertIs(settings.configuration.when_unconfirmed, WhenUnconfirmed.REFUSE)
@@ -53,7 +53,7 @@
 
 
 class FaultTest(unittest.TestCase):
-    """One faulty line each, added to a file that is otherwise right."""
+    """Each case adds or changes one line of an otherwise valid file."""
 
     def test_each_fault_has_place_and_message(self) -> None:
         table = [
@@ -86,7 +86,7 @@
         ]
         for lines, place, message in table:
             with self.subTest(lines=lines):
-                faults = find_faults(SMALL + lines + "\n")
+                faults = find_faults(MINIMAL + lines + "\n")
                 self.assertTrue(any(f.startswith(place) and message in f for f in faults), faults)
                 self.assertNotIn("secret", "".join(faults))
 
@@ -103,16 +103,16 @@
         ]
         for old, new, place, message in table:
             with self.subTest(new=new):
-                faults = find_faults(SMALL.replace(old, new, 1))
+                faults = find_faults(MINIMAL.replace(old, new, 1))
                 self.assertTrue(any(f.startswith(place) and message in f for f in faults), faults)
 
     def test_all_faults_are_reported_together(self) -> None:
-        """An operator mends a file in one go.
+        """One run reports every fault, so that an operator can fix the file at once.
 
-        Five faults in five sections, some of single values and some between values.
-        A check that stopped at the first would cost four more rounds of edit and check.
+        The file has five faults in five sections, in single values and between values.
+        If validation stopped at the first, the operator would need four more runs.
         """
-        text = SMALL.replace('id = "r1"', 'id = "R 1"').replace("plain_text_accepted = true", "")
+        text = MINIMAL.replace('id = "r1"', 'id = "R 1"').replace("plain_text_accepted = true", "")
         text += "[limits]\nmax_streams = 0\n[stop]\nsettle_s = 500\n[controll]\n"
         faults = find_faults(text)
         for part in ("instance.id", "tls.plain_text", "limits.max_streams", "stop.", "controll"):
@@ -125,7 +125,7 @@
 
 
 class DamagedFileTest(unittest.TestCase):
-    """Any damage to a file is reported as findings with places, never as a crash."""
+    """Any damage to a file results in findings with places, never in an exception."""
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.data())
@@ -143,12 +143,12 @@
 
 
 class PlaceTest(unittest.TestCase):
-    def test_lines_end_as_on_other_systems(self) -> None:
-        faults = find_faults((SMALL + "[limits]\nx = 1\n").replace("\n", "\r\n"))
+    def test_crlf_line_endings(self) -> None:
+        faults = find_faults((MINIMAL + "[limits]\nx = 1\n").replace("\n", "\r\n"))
         self.assertTrue(faults[0].startswith("f:14 limits.x"), faults)
 
-    def test_lines_in_long_values_and_repeated_tables(self) -> None:
-        text = SMALL + (
+    def test_places_after_multiline_values_and_in_table_arrays(self) -> None:
+        text = MINIMAL + (
             'note = """\n[limits]\n"""\n'
             "[[operators.keys]]\n"
             'name = "a"\n'
--- a/tests/components/settings/test_reference.py
+++ b/tests/components/settings/test_reference.py
@@ -1,4 +1,4 @@
-"""The page of the settings is what the models say."""
+"""Tests that the reference pages match the settings models."""
 
 import unittest
 
@@ -13,7 +13,7 @@
             "run script/settings_reference and commit the page",
         )
 
-    def test_every_page_is_of_the_models_as_they_are(self) -> None:
+    def test_every_page_matches_its_models(self) -> None:
         for name, (settings, introduction) in PAGES.items():
             page = (FOLDER / name).read_text(encoding="utf-8")
             self.assertEqual(page, write_reference(settings, introduction), name)
