--- a/chivetrack/components/management/__init__.py
+++ b/chivetrack/components/management/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' routes beside the resources: status, explanations, replicas, backup."""
+"""HTTP routes for operators besides resources: status, explanations, replicas, backup."""
--- a/chivetrack/components/management/models.py
+++ b/chivetrack/components/management/models.py
@@ -1,4 +1,4 @@
-"""What the operators' routes need of their instance."""
+"""The functions of the instance that the management routes depend on."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ManagementPorts:
-    """The ways from the routes into the instance.
+    """The functions of the instance that the management routes call.
 
-    ``explain_request`` and ``explain_endpoint`` return ``None`` for what is not
-    known. The others may block the calling greenlet.
+    ``explain_request`` and ``explain_endpoint`` return ``None`` for a request or endpoint
+    that this instance does not know. The other functions may block the calling greenlet.
     """
 
     check_operator: Callable[[str], bool]
