--- a/chivetrack/components/stories/__init__.py
+++ b/chivetrack/components/stories/__init__.py
@@ -1,1 +1,1 @@
-"""Tells from event lines what happened to a request."""
+"""Reconstructs from logged events what happened to a request."""
--- a/chivetrack/components/stories/story.py
+++ b/chivetrack/components/stories/story.py
@@ -1,4 +1,4 @@
-"""Puts the event lines of one request in order and names the cause of its end."""
+"""Orders the logged events of one request and derives the cause of its end."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -11,7 +11,8 @@
 Event = dict[str, Any]
 Cause = Callable[[Event], str]
 
-# What an instance came to believe this long before a request's end may explain it.
+# Context events of an instance are included from this long before the first event of a
+# request until its last event: a change of state shortly before may explain its end.
 CONTEXT_WINDOW_S = 10.0
 _CONTEXT_EVENTS = frozenset(
     (
@@ -34,7 +35,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestStory:
-    """What is known of a request: its events in order, what stood around them, the cause."""
+    """The events of a request in order, related events, and the cause of its end.
+
+    ``context`` holds the events of the involved instances that may explain its end, such
+    as changes of state.
+    """
 
     request: str
     events: tuple[Event, ...]
@@ -43,7 +48,7 @@
 
 
 def read_events(lines: Iterable[str]) -> list[Event]:
-    """Return the events among log lines, whatever stands before or between them."""
+    """Return the events in log lines; prefixes and lines without an event are ignored."""
     events: list[Event] = []
     for line in lines:
         start = line.find("{")
@@ -59,7 +64,7 @@
 
 
 def build_story(request: str, events: Iterable[Event]) -> RequestStory | None:
-    """Return the story of a request, ``None`` if no line names it."""
+    """Build the story of a request; return ``None`` if no event has its id."""
     ordered = sorted(events, key=_get_position)
     own = [event for event in ordered if event.get("request") == request]
     if not own:
@@ -79,23 +84,23 @@
 
 
 def _get_position(event: Event) -> tuple[float, float]:
-    # Lines of one instance are ordered by its steady clock where the time of day stood still.
+    # Events of one instance with equal wall-clock times are ordered by its monotonic clock.
     return (float(event.get("at", 0.0)), float(event.get("up", 0.0)))
 
 
 def _find_cause(events: list[Event]) -> str:
-    last = next((one for one in reversed(events) if one["event"] in CAUSES), None)
+    last = next((event for event in reversed(events) if event["event"] in CAUSES), None)
     if last is None:
-        return "no line tells how it ended; the process may have been lost"
+        return "no event shows how it ended; the process may have crashed"
     cause = CAUSES[last["event"]](last)
-    tries = [one for one in events if one["event"] == "try_ended"]
-    if last["event"] == "try_ended" or not tries or cause.startswith("answered"):
+    attempts = [event for event in events if event["event"] == "try_ended"]
+    if last["event"] == "try_ended" or not attempts or cause.startswith("answered"):
         return cause
-    return f"{cause}; {_explain_try(tries[-1])}"
+    return f"{cause}; {_explain_attempt(attempts[-1])}"
 
 
 def format_event(event: Event) -> str:
-    """Return an event as one line for people."""
+    """Format an event as one human-readable line."""
     fields = [f"{key}={value}" for key, value in event.items() if key not in _HIDDEN]
     at = float(event.get("at", 0.0))
     return f"{at:.3f} {event.get('instance', '?')} {event['event']} {' '.join(fields)}"
@@ -110,10 +115,10 @@
 
 
 @CAUSES.register("request_given_up")
-def _explain_given_up(event: Event) -> str:
+def _explain_abandoned(event: Event) -> str:
     if event.get("why") == "no_candidate" and not event.get("tries"):
         return (
-            f"no endpoint could be chosen; {event.get('candidates')} are known as ready"
+            f"no endpoint could be chosen; {event.get('candidates')} are known to be ready"
             f"{_explain_zones(event)}"
         )
     return f"{event.get('tries')} tries failed and no further one was allowed"
@@ -125,7 +130,7 @@
 
 
 @CAUSES.register("try_ended")
-def _explain_try(event: Event) -> str:
+def _explain_attempt(event: Event) -> str:
     return f"endpoint {event.get('endpoint')}: {event.get('outcome')} ({event.get('detail')})"
 
 
@@ -137,9 +142,9 @@
     if outcome == "answered":
         return f"ended with status {event.get('status')} after {event.get('tries')} tries"
     causes = {
-        "timeout": "the time of the caller or the route was up",
+        "timeout": "the deadline of the caller or the route expired",
         "cut": "the answer broke off and could not go on elsewhere",
         "caller_left": "the caller closed its connection",
-        "cut_by_stop": "its router stopped before the answer was whole",
+        "cut_by_stop": "its router stopped before the answer was complete",
     }
     return f"{causes.get(str(outcome), outcome)} after {event.get('ms')} ms"
--- a/tests/components/stories/test_story.py
+++ b/tests/components/stories/test_story.py
@@ -1,4 +1,4 @@
-"""The story of a request from the lines of several instances."""
+"""Tests of the story of a request from the log lines of several instances."""
 
 import json
 import unittest
@@ -12,10 +12,10 @@
 
 class StoryTest(unittest.TestCase):
     def test_failed_request(self) -> None:
-        """A quote got 502: its endpoint reset the connection after the request was sent.
+        """A request got 502: its endpoint reset the connection after the request was sent.
 
-        The lines come from two instances, out of order, among text of other programs. The
-        last line of the story names the endpoint and what it did.
+        The log lines are out of order and mixed with output of other programs. The cause
+        names the status and the endpoint.
         """
         lines = [
             "12.5 r1 "
@@ -36,7 +36,7 @@
         self.assertEqual(
             names, ["request_placed", "try_ended", "request_given_up", "request_ended"]
         )
-        self.assertEqual([one["event"] for one in story.context], ["endpoint_changed"])
+        self.assertEqual([event["event"] for event in story.context], ["endpoint_changed"])
         self.assertTrue(story.cause.startswith("ended with status 502 after 1 tries; endpoint e1"))
 
     def test_causes(self) -> None:
@@ -44,9 +44,9 @@
             (("request_rejected", {"code": "unknown_route", "version": 4}), "version 4"),
             (("request_rejected", {"code": "instance_full"}), "instance_full"),
             (("request_given_up", {"why": "no_candidate", "tries": 0, "candidates": 3}), "3 are"),
-            (("request_ended", {"outcome": "timeout", "ms": 800}), "time"),
+            (("request_ended", {"outcome": "timeout", "ms": 800}), "deadline"),
             (("request_ended", {"outcome": "answered", "status": 200, "ms": 8}), "with 200"),
-            (("request_placed", {}), "no line tells"),
+            (("request_placed", {}), "no event shows"),
         ]
         for (event, fields), expected in cases:
             story = build_story("q", read_events([make_line(1.0, event, request="q", **fields)]))
