--- a/chivetrack/components/configuration/follower.py
+++ b/chivetrack/components/configuration/follower.py
@@ -246,7 +246,7 @@
         preferred = self._preferred_peer
         self._preferred_peer = None
         if is_paging:
-            return self._upstream.choose_holder(now)
+            return self._upstream.choose_page_source(now)
         return preferred or self._upstream.choose(now)
 
     def _schedule_poll(self, now: float) -> None:
--- a/chivetrack/components/configuration/upstream.py
+++ b/chivetrack/components/configuration/upstream.py
@@ -53,7 +53,7 @@
         """Return the first usable candidate, else the one that is usable again soonest."""
         return self._pick(self._candidates, now)
 
-    def choose_holder(self, now: float) -> str | None:
+    def choose_page_source(self, now: float) -> str | None:
         """Return a random peer for pulling pages, from the own zone if one is usable.
 
         Many routers that restart at the same time would otherwise all load from one relay.
