--- a/tests/components/configuration/fleet.py
+++ b/tests/components/configuration/fleet.py
@@ -139,7 +139,7 @@
         assert revision == 0 or revision >= self.highest.get(name, 0), "revision went backwards"
         if revision:
             self.highest[name] = revision
-            assert read_state(view.table) == self.states[revision], "state matches no single revision"
+            assert read_state(view.table) == self.states[revision], "state is of no single revision"
         if view.is_confirmed(node.read_clock(self.time)):
             oldest = self.time - SETTINGS.confirmation_window_s
             due = max(revision for time, revision in self.commits if time <= max(oldest, 0.0))
