--- a/tests/components/orders/test_orders_fuzz.py
+++ b/tests/components/orders/test_orders_fuzz.py
@@ -69,7 +69,7 @@
         loss=st.sampled_from([0.0, 0.4]),
     )
     def disturb_log(self, pick: int, delay: float, loss: float) -> None:
-        network = Network(delay=(0.0, delay), loss=loss, doubling=0.3)
+        network = Network(delay=(0.0, delay), loss=loss, duplication=0.3)
         self.get_live()[pick].network = network
 
     @rule(pick=st.integers(0, 2))
