--- a/chivetrack/platform/control_api.py
+++ b/chivetrack/platform/control_api.py
@@ -38,7 +38,7 @@
     min_version: int = 0
 
 
-class ControlDesk(Protocol):
+class ControlRequestHandler(Protocol):
     """What a replica does for operators and endpoints."""
 
     def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
@@ -75,7 +75,10 @@
 
 
 def build_control_app(
-    *, desk: ControlDesk, unpack: Callable[[bytes], bytes], note_bad: Callable[[str, str], None]
+    *,
+    desk: ControlRequestHandler,
+    unpack: Callable[[bytes], bytes],
+    note_bad: Callable[[str, str], None],
 ) -> Bottle:
     """Return the application of the control listener."""
     app = make_app()
@@ -88,7 +91,7 @@
 
 def _add_configuration_calls(
     app: Bottle,
-    desk: ControlDesk,
+    desk: ControlRequestHandler,
     unpack: Callable[[bytes], bytes],
     note_bad: Callable[[str, str], None],
 ) -> None:
@@ -113,7 +116,7 @@
     app.route("/config", "GET", get_config)
 
 
-def _add_zone_calls(app: Bottle, desk: ControlDesk) -> None:
+def _add_zone_calls(app: Bottle, desk: ControlRequestHandler) -> None:
     def order_zone(zone: str) -> HTTPResponse:
         if request.environ["wsgi.input"].read(1):
             return _answer(400, {"error": "body", "message": "this call takes no body"})
@@ -136,7 +139,7 @@
     app.route(PATH_ZONES, "GET", get_zones)
 
 
-def _add_quarantine_calls(app: Bottle, desk: ControlDesk) -> None:
+def _add_quarantine_calls(app: Bottle, desk: ControlRequestHandler) -> None:
     def release(fingerprint: str) -> HTTPResponse:
         try:
             decoded = bytes.fromhex(fingerprint)
@@ -159,7 +162,7 @@
 
 
 def _add_endpoint_calls(
-    app: Bottle, desk: ControlDesk, note_bad: Callable[[str, str], None]
+    app: Bottle, desk: ControlRequestHandler, note_bad: Callable[[str, str], None]
 ) -> None:
     def put_endpoint(endpoint_id: str) -> HTTPResponse:
         record = read_heartbeat(endpoint_id, request.environ["wsgi.input"].read())
