--- a/chivetrack/daemon/fleet/desk.py
+++ b/chivetrack/daemon/fleet/desk.py
@@ -29,7 +29,7 @@
 from chivetrack.exceptions import Fault
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.events import EventLog
-from chivetrack.platform.control_api import Elsewhere
+from chivetrack.platform.control_api import RedirectTo
 
 
 class _Spread:
@@ -77,29 +77,29 @@
         self._numbers = itertools.count(1)
         self._spreads: dict[int, _Spread] = {}
 
-    def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
+    def put(self, document: Document, body: bytes) -> Result[int, Fault | RedirectTo]:
         """Commit a document and return the version in force."""
         return self._documents.put(document, body)
 
-    def read(self) -> Result[StoredDocument, Fault | Elsewhere]:
+    def read(self) -> Result[StoredDocument, Fault | RedirectTo]:
         """Return the newest document."""
         return self._documents.read()
 
-    def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | Elsewhere]:
+    def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | RedirectTo]:
         """Commit that a zone is to be evacuated, or taken back; return the order's revision."""
         if self._zones and zone not in self._zones:
             return Error(_make_unknown_zone(zone, self._zones))
         return self._documents.order(zone, is_evacuated=is_evacuated)
 
-    def read_evacuations(self) -> Result[Evacuations, Fault | Elsewhere]:
+    def read_evacuations(self) -> Result[Evacuations, Fault | RedirectTo]:
         """Return the zone orders in force."""
         return self._documents.read_evacuations()
 
-    def release_request(self, fingerprint: bytes) -> Result[int, Fault | Elsewhere]:
+    def release_request(self, fingerprint: bytes) -> Result[int, Fault | RedirectTo]:
         """Commit the release of a quarantined request and return the quarantine's revision."""
         return self._documents.release_request(fingerprint)
 
-    def read_quarantine(self) -> Result[Quarantine, Fault | Elsewhere]:
+    def read_quarantine(self) -> Result[Quarantine, Fault | RedirectTo]:
         """Return the quarantined requests."""
         return self._documents.read_quarantine()
 
--- a/chivetrack/daemon/fleet/documents.py
+++ b/chivetrack/daemon/fleet/documents.py
@@ -45,7 +45,7 @@
 from chivetrack.exceptions import Fault, Ran
 from chivetrack.helpers.codec import Message, decode_as
 from chivetrack.helpers.events import EventLog
-from chivetrack.platform.control_api import Elsewhere
+from chivetrack.platform.control_api import RedirectTo
 
 _FORWARDED_EVENTS: Mapping[type[Command], str] = {
     StoredDocument: "configuration_forwarded",
@@ -97,14 +97,14 @@
         self._events = events
         self._questions = Questions[ProposalAnswer]()
 
-    def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
+    def put(self, document: Document, body: bytes) -> Result[int, Fault | RedirectTo]:
         """Commit a document and return the version in force."""
         stored = StoredDocument(version=document.version, payload=pack_document(body))
         outcome = self._submit(stored)
         self._log_change("configuration_sent", stored, outcome)
         return outcome
 
-    def order(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | Elsewhere]:
+    def order(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | RedirectTo]:
         """Commit that a zone is to be evacuated, or taken back; return the order's revision."""
         order = ZoneOrder(
             zone=zone,
@@ -116,38 +116,38 @@
         self._log_change("evacuation_ordered", order, outcome)
         return outcome
 
-    def read_evacuations(self) -> Result[Evacuations, Fault | Elsewhere]:
+    def read_evacuations(self) -> Result[Evacuations, Fault | RedirectTo]:
         """Return the zone orders in force, for sure; a follower refers to the leader."""
         if not self._host.is_leader:
             return Error(self._refer())
         return self._confirm().map(lambda version: self._store.evacuations)
 
-    def quarantine_request(self, order: QuarantineOrder) -> Result[int, Fault | Elsewhere]:
+    def quarantine_request(self, order: QuarantineOrder) -> Result[int, Fault | RedirectTo]:
         """Commit the quarantine of a request and return the quarantine's revision."""
         outcome = self._submit(order)
         self._log_change("quarantine_ordered", order, outcome)
         return outcome
 
-    def release_request(self, fingerprint: bytes) -> Result[int, Fault | Elsewhere]:
+    def release_request(self, fingerprint: bytes) -> Result[int, Fault | RedirectTo]:
         """Commit the release of a request and return the quarantine's revision."""
         order = ReleaseOrder(fingerprint=fingerprint)
         outcome = self._submit(order)
         self._log_change("quarantine_release_ordered", order, outcome)
         return outcome
 
-    def read_quarantine(self) -> Result[Quarantine, Fault | Elsewhere]:
+    def read_quarantine(self) -> Result[Quarantine, Fault | RedirectTo]:
         """Return the quarantine, confirmed by a quorum; a follower refers to the leader."""
         if not self._host.is_leader:
             return Error(self._refer())
         return self._confirm().map(lambda version: self._store.quarantine)
 
-    def _submit(self, command: Command) -> Result[int, Fault | Elsewhere]:
+    def _submit(self, command: Command) -> Result[int, Fault | RedirectTo]:
         if self._host.is_leader:
             return self._commit(command)
         data = encode_command(command)
         return self._ask_leader(lambda number: ForwardProposal(number=number, data=data))
 
-    def read(self) -> Result[StoredDocument, Fault | Elsewhere]:
+    def read(self) -> Result[StoredDocument, Fault | RedirectTo]:
         """Return the newest document, once a quorum has confirmed which one that is."""
         if self._host.is_leader:
             newest = self._confirm()
@@ -163,7 +163,7 @@
             return Error(make_unavailable("behind", "this replica lacks the newest one yet"))
         return self._hand_out(self._store.current)
 
-    def _hand_out(self, document: StoredDocument) -> Result[StoredDocument, Fault | Elsewhere]:
+    def _hand_out(self, document: StoredDocument) -> Result[StoredDocument, Fault | RedirectTo]:
         """Return a document, or a router that has it where it is large.
 
         Links of routers are wider. 480 kB of 1,600 routes take 1.3 s on 3 Mbit/s, longer
@@ -174,10 +174,10 @@
         readers = self._list_readers(document.version)
         if not readers:
             return Ok(document)
-        return Error(Elsewhere(address=random.choice(readers), min_version=document.version))
+        return Error(RedirectTo(address=random.choice(readers), min_version=document.version))
 
     def _log_change(
-        self, event: str, command: Command, outcome: Result[int, Fault | Elsewhere]
+        self, event: str, command: Command, outcome: Result[int, Fault | RedirectTo]
     ) -> None:
         if isinstance(command, StoredDocument):
             self._log(event, outcome, version=command.version, held=self._store.current.version)
@@ -194,7 +194,7 @@
         self._log(event, outcome, fingerprint=command.fingerprint.hex())
 
     def _log(
-        self, event: str, outcome: Result[int, Fault | Elsewhere], **fields: str | int
+        self, event: str, outcome: Result[int, Fault | RedirectTo], **fields: str | int
     ) -> None:
         self._events.write(
             event, **fields, leads=self._host.is_leader, **_describe_outcome(outcome)
@@ -208,7 +208,7 @@
 
     # At the leader
 
-    def _commit(self, command: Command) -> Result[int, Fault | Elsewhere]:
+    def _commit(self, command: Command) -> Result[int, Fault | RedirectTo]:
         replica = self._host.replica
         if replica is None:
             return Error(self._refer())
@@ -222,7 +222,7 @@
             return Error(self._refer_after(result.error))
         return _read_outcome(command, result.ok)
 
-    def _confirm(self) -> Result[int, Fault | Elsewhere]:
+    def _confirm(self) -> Result[int, Fault | RedirectTo]:
         """Return the version in force, after a quorum has confirmed that this replica leads."""
         replica = self._host.replica
         if replica is None:
@@ -241,7 +241,7 @@
 
     def _ask_leader(
         self, make_call: Callable[[int], ForwardProposal | ForwardRead]
-    ) -> Result[int, Fault | Elsewhere]:
+    ) -> Result[int, Fault | RedirectTo]:
         leader = self._host.get_leader()
         if not leader or leader == self._instance_id:
             return Error(self._refer())
@@ -254,14 +254,14 @@
             return Error(make_unavailable("leader_failed", "the leader could not do it now"))
         return Ok(answer.revision)
 
-    def _refer(self) -> Fault | Elsewhere:
+    def _refer(self) -> Fault | RedirectTo:
         leader = self._host.get_leader()
         if not leader or leader == self._instance_id:
             return make_unavailable("no_leader", "no replica leads at the moment")
         host = leader.rpartition(":")[0]
-        return Elsewhere(address=f"{host}:{self._control_port}")
+        return RedirectTo(address=f"{host}:{self._control_port}")
 
-    def _refer_after(self, fault: Fault) -> Fault | Elsewhere:
+    def _refer_after(self, fault: Fault) -> Fault | RedirectTo:
         return self._refer() if isinstance(fault, NotLeaderFault) else fault
 
     # Messages
@@ -286,7 +286,7 @@
             )
         self._send(source, answer)
 
-    def _carry_out(self, call: ForwardProposal | ForwardRead) -> Result[int, Fault | Elsewhere]:
+    def _carry_out(self, call: ForwardProposal | ForwardRead) -> Result[int, Fault | RedirectTo]:
         if not self._host.is_leader:
             return Error(self._refer())
         if isinstance(call, ForwardRead):
@@ -297,16 +297,16 @@
         return outcome
 
 
-def _describe_outcome(outcome: Result[int, Fault | Elsewhere]) -> dict[str, str | int]:
+def _describe_outcome(outcome: Result[int, Fault | RedirectTo]) -> dict[str, str | int]:
     """Return what a line says of an outcome; ``code`` is what on-call searches for."""
     if outcome.is_ok():
         return {"outcome": "done", "code": "", "revision": outcome.ok}
-    if isinstance(outcome.error, Elsewhere):
+    if isinstance(outcome.error, RedirectTo):
         return {"outcome": "referred", "code": "elsewhere", "address": outcome.error.address}
     return {"outcome": "failed", "code": outcome.error.code, "detail": outcome.error.message}
 
 
-def _read_outcome(command: Command, data: bytes) -> Result[int, Fault | Elsewhere]:
+def _read_outcome(command: Command, data: bytes) -> Result[int, Fault | RedirectTo]:
     if isinstance(command, StoredDocument):
         return Ok(decode_as(PutOutcome, data).version)
     if not isinstance(command, ZoneOrder):
--- a/chivetrack/platform/control_api.py
+++ b/chivetrack/platform/control_api.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Elsewhere:
+class RedirectTo:
     """Another instance has to be asked; ``address`` is its ``host:port``.
 
     With ``min_version`` it hands out its document if that is this new.
@@ -41,27 +41,27 @@
 class ControlRequestHandler(Protocol):
     """What a replica does for operators and endpoints."""
 
-    def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
+    def put(self, document: Document, body: bytes) -> Result[int, Fault | RedirectTo]:
         """Commit a document and return the version in force."""
         ...
 
-    def read(self) -> Result[StoredDocument, Fault | Elsewhere]:
+    def read(self) -> Result[StoredDocument, Fault | RedirectTo]:
         """Return the newest document for sure."""
         ...
 
-    def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | Elsewhere]:
+    def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | RedirectTo]:
         """Commit that a zone is evacuated, or taken back; return the order's revision."""
         ...
 
-    def read_evacuations(self) -> Result[Evacuations, Fault | Elsewhere]:
+    def read_evacuations(self) -> Result[Evacuations, Fault | RedirectTo]:
         """Return the zone orders in force for sure."""
         ...
 
-    def release_request(self, fingerprint: bytes) -> Result[int, Fault | Elsewhere]:
+    def release_request(self, fingerprint: bytes) -> Result[int, Fault | RedirectTo]:
         """Commit the release of a quarantined request and return the quarantine's revision."""
         ...
 
-    def read_quarantine(self) -> Result[Quarantine, Fault | Elsewhere]:
+    def read_quarantine(self) -> Result[Quarantine, Fault | RedirectTo]:
         """Return the quarantine, confirmed by a quorum."""
         ...
 
@@ -213,8 +213,8 @@
     return HTTPResponse(body=msgspec.json.encode(document), status=status, headers=_JSON)
 
 
-def _refuse(refusal: Fault | Elsewhere, path: str) -> HTTPResponse:
-    if isinstance(refusal, Elsewhere):
+def _refuse(refusal: Fault | RedirectTo, path: str) -> HTTPResponse:
+    if isinstance(refusal, RedirectTo):
         query = f"?{_QUERY_VERSION}={refusal.min_version}" if refusal.min_version else ""
         headers = {**_JSON, "Location": f"http://{refusal.address}{path}{query}"}
         return HTTPResponse(body=b"{}", status=307, headers=headers)
--- a/tests/daemon/fleet/test_documents.py
+++ b/tests/daemon/fleet/test_documents.py
@@ -20,7 +20,7 @@
 from chivetrack.exceptions import Fault
 from chivetrack.helpers.codec import Message, decode_as
 from chivetrack.helpers.events import EventLog
-from chivetrack.platform.control_api import Elsewhere
+from chivetrack.platform.control_api import RedirectTo
 from tests.components.traffic.documents import make_document
 
 BODY = b'{"version":5}'
@@ -86,7 +86,7 @@
         if (self.name, target) not in self.log.lost:
             gevent.spawn(self.log.nodes[target].desk.take, self.name, message)
 
-    def put(self, version: int, body: bytes = BODY) -> Result[int, Fault | Elsewhere]:
+    def put(self, version: int, body: bytes = BODY) -> Result[int, Fault | RedirectTo]:
         return self.desk.put(make_document(version), body)
 
 
@@ -150,8 +150,8 @@
         """
         self.log.lost = {("p2:1", "p1:1")}
         outcome = self.second.put(5)
-        self.assertEqual(outcome.error, Elsewhere(address="p1:9"))
-        self.assertEqual(self.second.desk.read().error, Elsewhere(address="p1:9"))
+        self.assertEqual(outcome.error, RedirectTo(address="p1:9"))
+        self.assertEqual(self.second.desk.read().error, RedirectTo(address="p1:9"))
 
     def test_leader_without_a_quorum_acknowledges_nothing(self) -> None:
         self.log.is_quorate = False
@@ -180,7 +180,7 @@
         self.log.readers = ["r1"]
         for node in (self.first, self.second):
             refusal = node.desk.read().error
-            self.assertEqual(refusal, Elsewhere(address="r1:5", min_version=5))
+            self.assertEqual(refusal, RedirectTo(address="r1:5", min_version=5))
         self.first.put(7)
         self.assertEqual(self.read(self.second), BODY)
 
@@ -200,7 +200,7 @@
         self.log.believed_leader = "p3:1"
         fault = NotLeaderFault(code="not_leader", message="", status=503)
         self.first.propose = lambda data, *, timeout_s: Error(fault)  # type: ignore[method-assign]
-        self.assertEqual(self.first.put(5).error, Elsewhere(address="p3:9"))
+        self.assertEqual(self.first.put(5).error, RedirectTo(address="p3:9"))
 
 
 class OutcomeLineTest(DeskCase):
@@ -215,7 +215,7 @@
 
 
 class ZoneOrderTest(DeskCase):
-    def order(self, node: Node, *, is_evacuated: bool = True) -> Result[int, Fault | Elsewhere]:
+    def order(self, node: Node, *, is_evacuated: bool = True) -> Result[int, Fault | RedirectTo]:
         return node.desk.order("z1", is_evacuated=is_evacuated)
 
     def test_order_is_served_at_any_replica(self) -> None:
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -17,7 +17,7 @@
 from chivetrack.exceptions import Fault
 from chivetrack.platform.announcements import read_departure, read_heartbeat
 from chivetrack.platform.configuration import read_document
-from chivetrack.platform.control_api import Elsewhere, add_document_route, build_control_app
+from chivetrack.platform.control_api import RedirectTo, add_document_route, build_control_app
 
 ROUTE = {
     "name": "r",
@@ -148,13 +148,13 @@
     """A replica that answers as it is told to."""
 
     def __init__(self) -> None:
-        self.outcome: Result[Any, Fault | Elsewhere] = Ok(7)
+        self.outcome: Result[Any, Fault | RedirectTo] = Ok(7)
         self.records: list[EndpointRecord] = []
 
-    def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
+    def put(self, document: Document, body: bytes) -> Result[int, Fault | RedirectTo]:
         return self.outcome
 
-    def read(self) -> Result[StoredDocument, Fault | Elsewhere]:
+    def read(self) -> Result[StoredDocument, Fault | RedirectTo]:
         if self.outcome.is_error():
             return self.outcome
         return Ok(StoredDocument(version=7, payload=zlib.compress(make_config())))
@@ -197,7 +197,7 @@
         self.assertIn("errors", json.loads(answer.data))
 
     def test_refusals(self) -> None:
-        self.desk.outcome = Error(Elsewhere(address="10.0.0.4:8080"))
+        self.desk.outcome = Error(RedirectTo(address="10.0.0.4:8080"))
         for method, body in (("PUT", make_config()), ("GET", None)):
             answer = self.ask(method, "/config", body)
             self.assertEqual(answer.status, 307)
@@ -210,7 +210,7 @@
 
     def test_large_document_at_a_router(self) -> None:
         """A replica sends the operator on; the router must have the version, or say 503."""
-        self.desk.outcome = Error(Elsewhere(address="10.0.0.9:8220", min_version=7))
+        self.desk.outcome = Error(RedirectTo(address="10.0.0.9:8220", min_version=7))
         answer = self.ask("GET", "/config")
         self.assertEqual(answer.headers["Location"], "http://10.0.0.9:8220/config?version=7")
         app = Bottle()
