--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -127,7 +127,7 @@
         self._pending_orders: set[bytes] = set()
         self._gate = CallGate(
             application=build_control_app(
-                desk=self._desk, unpack=unpack_document, note_bad=self._note_bad
+                desk=self._desk, unpack=unpack_document, report_invalid=self._note_bad
             )
         )
         self._control = HttpServer(
--- a/chivetrack/platform/control_api.py
+++ b/chivetrack/platform/control_api.py
@@ -78,14 +78,14 @@
     *,
     desk: ControlRequestHandler,
     unpack: Callable[[bytes], bytes],
-    note_bad: Callable[[str, str], None],
+    report_invalid: Callable[[str, str], None],
 ) -> Bottle:
     """Return the application of the control listener."""
     app = make_app()
-    _add_configuration_calls(app, desk, unpack, note_bad)
+    _add_configuration_calls(app, desk, unpack, report_invalid)
     _add_zone_calls(app, desk)
     _add_quarantine_calls(app, desk)
-    _add_endpoint_calls(app, desk, note_bad)
+    _add_endpoint_calls(app, desk, report_invalid)
     return app
 
 
@@ -93,13 +93,13 @@
     app: Bottle,
     desk: ControlRequestHandler,
     unpack: Callable[[bytes], bytes],
-    note_bad: Callable[[str, str], None],
+    report_invalid: Callable[[str, str], None],
 ) -> None:
     def put_config() -> HTTPResponse:
         body = request.environ["wsgi.input"].read()
         read = read_document(body)
         if read.is_error():
-            note_bad("configuration", "; ".join(str(one) for one in read.error)[:500])
+            report_invalid("configuration", "; ".join(str(one) for one in read.error)[:500])
             return _answer(400, render_findings(read.error))
         outcome = desk.put(read.ok, body)
         if outcome.is_ok():
@@ -162,12 +162,12 @@
 
 
 def _add_endpoint_calls(
-    app: Bottle, desk: ControlRequestHandler, note_bad: Callable[[str, str], None]
+    app: Bottle, desk: ControlRequestHandler, report_invalid: Callable[[str, str], None]
 ) -> None:
     def put_endpoint(endpoint_id: str) -> HTTPResponse:
         record = read_heartbeat(endpoint_id, request.environ["wsgi.input"].read())
         if record.is_error():
-            note_bad("heartbeat", record.error)
+            report_invalid("heartbeat", record.error)
             return _answer(400, {"error": record.error})
         outcome = desk.announce(record.ok)
         return _answer(200, {}) if outcome.is_ok() else _refuse(outcome.error, "")
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -174,7 +174,7 @@
         app = build_control_app(
             desk=self.desk,
             unpack=zlib.decompress,
-            note_bad=lambda what, detail: self.bad.append(what),
+            report_invalid=lambda what, detail: self.bad.append(what),
         )
         self.server = WSGIServer(("127.0.0.1", 0), app, log=None)
         self.server.start()
