--- a/chivetrack/cli/commands/quarantine.py
+++ b/chivetrack/cli/commands/quarantine.py
@@ -9,7 +9,7 @@
 from chivetrack.cli.deployment import ReplicaOption, TimeoutOption, take
 from chivetrack.cli.output import Output, format_document, print_json, print_line
 from chivetrack.cli.session import OutputOption
-from chivetrack.platform.operator_calls import OperatorCalls
+from chivetrack.platform.operator_calls import OperatorClient
 
 quarantine_app = typer.Typer(
     help="Requests rejected because they crashed the endpoints that ran them.",
@@ -29,7 +29,7 @@
     output: OutputOption = Output.TABLE,
 ) -> None:
     """List the quarantined requests and the endpoints that each of them crashed."""
-    requests = take(OperatorCalls(replicas=replica, timeout_s=timeout).read_quarantine())
+    requests = take(OperatorClient(replicas=replica, timeout_s=timeout).read_quarantine())
     document = {"requests": [one.describe() for one in requests]}
     if output is Output.JSON:
         print_json(document)
@@ -45,7 +45,7 @@
     output: OutputOption = Output.TABLE,
 ) -> None:
     """Release a request from quarantine; only later crashes count against it."""
-    calls = OperatorCalls(replicas=replica, timeout_s=timeout)
+    calls = OperatorClient(replicas=replica, timeout_s=timeout)
     revision = take(calls.release_request(fingerprint))
     if output is Output.JSON:
         print_json({"fingerprint": fingerprint, "revision": revision})
--- a/chivetrack/cli/commands/zones.py
+++ b/chivetrack/cli/commands/zones.py
@@ -9,7 +9,7 @@
 from chivetrack.cli.deployment import ReplicaOption, TimeoutOption, take
 from chivetrack.cli.output import Output, format_document, print_json, print_line
 from chivetrack.cli.session import OutputOption
-from chivetrack.platform.operator_calls import OperatorCalls
+from chivetrack.platform.operator_calls import OperatorClient
 
 evacuation_app = typer.Typer(
     help="Let the endpoints of a zone get nothing new, and take the zone back.",
@@ -52,7 +52,7 @@
     output: OutputOption = Output.TABLE,
 ) -> None:
     """List the zones that there was an order for, and since when it holds."""
-    zones = take(OperatorCalls(replicas=replica, timeout_s=timeout).read_zones())
+    zones = take(OperatorClient(replicas=replica, timeout_s=timeout).read_zones())
     document = {"zones": [one.describe() for one in zones]}
     if output is Output.JSON:
         print_json(document)
@@ -63,7 +63,7 @@
 def _order(
     zone: str, replicas: list[str], timeout_s: float, output: Output, *, is_evacuated: bool
 ) -> None:
-    calls = OperatorCalls(replicas=replicas, timeout_s=timeout_s)
+    calls = OperatorClient(replicas=replicas, timeout_s=timeout_s)
     revision = take(calls.order_evacuation(zone, is_evacuated=is_evacuated))
     if output is Output.JSON:
         print_json({"zone": zone, "evacuated": is_evacuated, "revision": revision})
--- a/chivetrack/platform/operator_calls.py
+++ b/chivetrack/platform/operator_calls.py
@@ -62,7 +62,7 @@
     body: bytes
 
 
-class OperatorCalls:
+class OperatorClient:
     """Asks one replica after the other until one of them answers for sure."""
 
     def __init__(
