--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -28,7 +28,7 @@
 HEADER_COLD = "X-Chivetrack-Cold-Ms"
 HEADER_LEAVING = "Server-Leaving"
 
-STATUS_OTHER_INSTANCE = 421
+STATUS_MISDIRECTED = 421
 STATUS_UNAVAILABLE = 503
 
 # Of one connection only, or set anew by this router. A hold, a pin or a continuation that
@@ -121,7 +121,7 @@
 def read_answer_facts(status: int, headers: Message) -> AnswerFacts:
     """Decode the head of an endpoint's answer (names in any case)."""
     retry_after = _read_number(headers.get("Retry-After", ""))
-    other = status == STATUS_OTHER_INSTANCE
+    other = status == STATUS_MISDIRECTED
     return AnswerFacts(
         request_id=headers.get(HEADER_ATTEMPT),
         is_sealed=HEADER_SEAL in headers,
