--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -17,7 +17,7 @@
 HEADER_EXPECTED_ENDPOINT = "X-Chivetrack-Expect-Instance"
 HEADER_PRIORITY = "X-Chivetrack-Request-Priority"
 HEADER_MODEL = "X-Chivetrack-Model"
-HEADER_TOKENS = "X-Chivetrack-Token-Counts"
+HEADER_TOKEN_COUNTS = "X-Chivetrack-Token-Counts"
 HEADER_PARTS = "X-Chivetrack-Prompt-Prefix"
 HEADER_LENGTH = "X-Chivetrack-Length-Hint"
 HEADER_FETCH = "Kv-Fetch"
@@ -74,7 +74,7 @@
 
 def read_request_facts(headers: Mapping[str, str]) -> RequestFacts:
     """Decode a caller's headers (names in lower case); what can't be read counts as absent."""
-    prompt_tokens, max_output = _read_counts(headers.get(HEADER_TOKENS.lower(), ""))
+    prompt_tokens, max_output = _read_counts(headers.get(HEADER_TOKEN_COUNTS.lower(), ""))
     wait_ms = _read_number(headers.get(HEADER_DEADLINE.lower(), ""))
     return RequestFacts(
         request_id=headers.get(HEADER_ATTEMPT.lower(), ""),
