--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -18,7 +18,7 @@
 HEADER_PRIORITY = "X-Chivetrack-Request-Priority"
 HEADER_MODEL = "X-Chivetrack-Model"
 HEADER_TOKEN_COUNTS = "X-Chivetrack-Token-Counts"
-HEADER_PARTS = "X-Chivetrack-Prompt-Prefix"
+HEADER_PROMPT_PARTS = "X-Chivetrack-Prompt-Prefix"
 HEADER_LENGTH = "X-Chivetrack-Length-Hint"
 HEADER_FETCH = "Kv-Fetch"
 HEADER_LAST_EVENT = "Last-Event-Id"
@@ -81,7 +81,7 @@
         key=headers.get(HEADER_KEY.lower(), ""),
         wait_s=None if wait_ms is None else wait_ms / 1000.0,
         model=headers.get(HEADER_MODEL.lower(), ""),
-        parts=tuple(_read_parts(headers.get(HEADER_PARTS.lower(), ""))),
+        parts=tuple(_read_parts(headers.get(HEADER_PROMPT_PARTS.lower(), ""))),
         prompt_tokens=prompt_tokens,
         max_output_tokens=max_output,
         expected_tokens=int(_read_number(headers.get(HEADER_LENGTH.lower(), "")) or 0),
