--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -19,7 +19,7 @@
 HEADER_MODEL = "X-Chivetrack-Model"
 HEADER_TOKEN_COUNTS = "X-Chivetrack-Token-Counts"
 HEADER_PROMPT_PARTS = "X-Chivetrack-Prompt-Prefix"
-HEADER_LENGTH = "X-Chivetrack-Length-Hint"
+HEADER_LENGTH_HINT = "X-Chivetrack-Length-Hint"
 HEADER_FETCH = "Kv-Fetch"
 HEADER_LAST_EVENT = "Last-Event-Id"
 HEADER_SEAL = "X-Chivetrack-Server-Seal"
@@ -84,7 +84,7 @@
         parts=tuple(_read_parts(headers.get(HEADER_PROMPT_PARTS.lower(), ""))),
         prompt_tokens=prompt_tokens,
         max_output_tokens=max_output,
-        expected_tokens=int(_read_number(headers.get(HEADER_LENGTH.lower(), "")) or 0),
+        expected_tokens=int(_read_number(headers.get(HEADER_LENGTH_HINT.lower(), "")) or 0),
         last_event_id=headers.get(HEADER_LAST_EVENT.lower(), ""),
     )
 
