--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -20,7 +20,7 @@
 HEADER_TOKEN_COUNTS = "X-Chivetrack-Token-Counts"
 HEADER_PROMPT_PARTS = "X-Chivetrack-Prompt-Prefix"
 HEADER_LENGTH_HINT = "X-Chivetrack-Length-Hint"
-HEADER_FETCH = "Kv-Fetch"
+HEADER_FETCH_FROM = "Kv-Fetch"
 HEADER_LAST_EVENT = "Last-Event-Id"
 HEADER_SEAL = "X-Chivetrack-Server-Seal"
 HEADER_DID_NOT_RUN = "X-Chivetrack-Not-Executed"
@@ -60,7 +60,7 @@
         "X-Chivetrack-Kv-From",
         "X-Chivetrack-Kv-Fetch",
         "Kv-From",
-        HEADER_FETCH,
+        HEADER_FETCH_FROM,
         "Kv-Backup",
         "Wait-Ms",
     )
@@ -112,7 +112,7 @@
     if last_event_id:
         passed.append((HEADER_LAST_EVENT, last_event_id))
     if fetch_from:
-        passed.append((HEADER_FETCH, fetch_from))
+        passed.append((HEADER_FETCH_FROM, fetch_from))
     if priority is not None:
         passed.append((HEADER_PRIORITY, str(priority)))
     return passed
