--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -25,7 +25,7 @@
 HEADER_SEAL = "X-Chivetrack-Server-Seal"
 HEADER_DID_NOT_RUN = "X-Chivetrack-Not-Executed"
 HEADER_LOAD = "X-Chivetrack-Server-Load"
-HEADER_COLD = "X-Chivetrack-Cold-Ms"
+HEADER_COLD_MS = "X-Chivetrack-Cold-Ms"
 HEADER_LEAVING = "Server-Leaving"
 
 STATUS_MISDIRECTED = 421
@@ -134,7 +134,7 @@
         retry_after_s=retry_after,
         pause_s=(retry_after or 0.0) if status == STATUS_UNAVAILABLE else 0.0,
         is_leaving=headers.get(HEADER_LEAVING, "").strip() == "1",
-        cold_s=(_read_number(headers.get(HEADER_COLD, "")) or 0.0) / 1000.0,
+        cold_s=(_read_number(headers.get(HEADER_COLD_MS, "")) or 0.0) / 1000.0,
     )
 
 
