--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -33,7 +33,7 @@
 
 # Of one connection only, or set anew by this router. A hold, a pin or a continuation that
 # a caller names is not its to ask for: an endpoint would refuse the request for it.
-_NOT_PASSED_ON = frozenset(
+_NOT_FORWARDED_HEADERS = frozenset(
     name.lower()
     for name in (
         "Connection",
@@ -104,7 +104,7 @@
     ``left_s`` is the time that is left of the caller's and the route's, in seconds;
     ``fetch_from`` is the address of an engine that has parts of the prompt cached.
     """
-    passed = [(name, value) for name, value in lines if name.lower() not in _NOT_PASSED_ON]
+    passed = [(name, value) for name, value in lines if name.lower() not in _NOT_FORWARDED_HEADERS]
     passed.append((HEADER_DEADLINE, str(max(1, int(left_s * 1000)))))
     passed.append((HEADER_EXPECTED_ENDPOINT, endpoint_id))
     if workspace:
