--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -65,7 +65,7 @@
         "Wait-Ms",
     )
 )
-_NOT_PASSED_BACK = frozenset(
+_NOT_RETURNED_HEADERS = frozenset(
     ("connection", "keep-alive", "transfer-encoding", "content-length", "upgrade", "trailer", "te")
 )
 
@@ -140,7 +140,7 @@
 
 def list_answer_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
     """Return what of an endpoint's headers goes back to the caller."""
-    return [(name, value) for name, value in headers if name.lower() not in _NOT_PASSED_BACK]
+    return [(name, value) for name, value in headers if name.lower() not in _NOT_RETURNED_HEADERS]
 
 
 def _read_counts(text: str) -> tuple[int, int]:
