--- a/chivetrack/platform/control_api.py
+++ b/chivetrack/platform/control_api.py
@@ -76,22 +76,22 @@
 
 def build_control_app(
     *,
-    desk: ControlRequestHandler,
+    handler: ControlRequestHandler,
     unpack: Callable[[bytes], bytes],
     report_invalid: Callable[[str, str], None],
 ) -> Bottle:
     """Return the application of the control listener."""
     app = make_app()
-    _add_configuration_calls(app, desk, unpack, report_invalid)
-    _add_zone_calls(app, desk)
-    _add_quarantine_calls(app, desk)
-    _add_endpoint_calls(app, desk, report_invalid)
+    _add_configuration_calls(app, handler, unpack, report_invalid)
+    _add_zone_calls(app, handler)
+    _add_quarantine_calls(app, handler)
+    _add_endpoint_calls(app, handler, report_invalid)
     return app
 
 
 def _add_configuration_calls(
     app: Bottle,
-    desk: ControlRequestHandler,
+    handler: ControlRequestHandler,
     unpack: Callable[[bytes], bytes],
     report_invalid: Callable[[str, str], None],
 ) -> None:
@@ -101,13 +101,13 @@
         if read.is_error():
             report_invalid("configuration", "; ".join(str(one) for one in read.error)[:500])
             return _answer(400, render_findings(read.error))
-        outcome = desk.put(read.ok, body)
+        outcome = handler.put(read.ok, body)
         if outcome.is_ok():
             return _answer(200, {"version": outcome.ok})
         return _refuse(outcome.error, "/config")
 
     def get_config() -> HTTPResponse:
-        outcome = desk.read()
+        outcome = handler.read()
         if outcome.is_error():
             return _refuse(outcome.error, "/config")
         return HTTPResponse(body=unpack(outcome.ok.payload), status=200, headers=_JSON)
@@ -116,7 +116,7 @@
     app.route("/config", "GET", get_config)
 
 
-def _add_zone_calls(app: Bottle, desk: ControlRequestHandler) -> None:
+def _add_zone_calls(app: Bottle, handler: ControlRequestHandler) -> None:
     def order_zone(zone: str) -> HTTPResponse:
         if request.environ["wsgi.input"].read(1):
             return _answer(400, {"error": "body", "message": "this call takes no body"})
@@ -124,13 +124,13 @@
             # It has sent the order elsewhere since, and perhaps withdrawn it.
             return _answer(503, {"error": "operator_left"})
         is_evacuated = request.method == "POST"
-        outcome = desk.order_evacuation(zone, is_evacuated=is_evacuated)
+        outcome = handler.order_evacuation(zone, is_evacuated=is_evacuated)
         if outcome.is_ok():
             return _answer(200, {"revision": outcome.ok})
         return _refuse(outcome.error, f"{PATH_ZONES}/{quote(zone, safe='')}")
 
     def get_zones() -> HTTPResponse:
-        outcome = desk.read_evacuations()
+        outcome = handler.read_evacuations()
         if outcome.is_error():
             return _refuse(outcome.error, PATH_ZONES)
         return _answer(200, {"zones": [one.describe() for one in outcome.ok.zones]})
@@ -139,20 +139,20 @@
     app.route(PATH_ZONES, "GET", get_zones)
 
 
-def _add_quarantine_calls(app: Bottle, desk: ControlRequestHandler) -> None:
+def _add_quarantine_calls(app: Bottle, handler: ControlRequestHandler) -> None:
     def release(fingerprint: str) -> HTTPResponse:
         try:
             decoded = bytes.fromhex(fingerprint)
         except ValueError:
             message = f"{fingerprint!r} is no fingerprint"
             return _answer(400, {"error": "fingerprint", "message": message})
-        outcome = desk.release_request(decoded)
+        outcome = handler.release_request(decoded)
         if outcome.is_ok():
             return _answer(200, {"revision": outcome.ok})
         return _refuse(outcome.error, f"{PATH_QUARANTINE}/{fingerprint}")
 
     def get_quarantine() -> HTTPResponse:
-        outcome = desk.read_quarantine()
+        outcome = handler.read_quarantine()
         if outcome.is_error():
             return _refuse(outcome.error, PATH_QUARANTINE)
         return _answer(200, {"requests": [one.describe() for one in outcome.ok.requests]})
@@ -162,19 +162,19 @@
 
 
 def _add_endpoint_calls(
-    app: Bottle, desk: ControlRequestHandler, report_invalid: Callable[[str, str], None]
+    app: Bottle, handler: ControlRequestHandler, report_invalid: Callable[[str, str], None]
 ) -> None:
     def put_endpoint(endpoint_id: str) -> HTTPResponse:
         record = read_heartbeat(endpoint_id, request.environ["wsgi.input"].read())
         if record.is_error():
             report_invalid("heartbeat", record.error)
             return _answer(400, {"error": record.error})
-        outcome = desk.announce(record.ok)
+        outcome = handler.announce(record.ok)
         return _answer(200, {}) if outcome.is_ok() else _refuse(outcome.error, "")
 
     def delete_endpoint(endpoint_id: str) -> HTTPResponse:
         born = read_departure(request.environ["wsgi.input"].read())
-        outcome = desk.leave(endpoint_id, born)
+        outcome = handler.leave(endpoint_id, born)
         return _answer(200, {}) if outcome.is_ok() else _refuse(outcome.error, "")
 
     app.route("/instances/<endpoint_id>", "PUT", put_endpoint)
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -169,10 +169,10 @@
 
 class ControlApiTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = Desk()
+        self.handler = Desk()
         self.bad: list[str] = []
         app = build_control_app(
-            desk=self.desk,
+            handler=self.handler,
             unpack=zlib.decompress,
             report_invalid=lambda what, detail: self.bad.append(what),
         )
@@ -197,20 +197,20 @@
         self.assertIn("errors", json.loads(answer.data))
 
     def test_refusals(self) -> None:
-        self.desk.outcome = Error(RedirectTo(address="10.0.0.4:8080"))
+        self.handler.outcome = Error(RedirectTo(address="10.0.0.4:8080"))
         for method, body in (("PUT", make_config()), ("GET", None)):
             answer = self.ask(method, "/config", body)
             self.assertEqual(answer.status, 307)
             self.assertEqual(answer.headers["Location"], "http://10.0.0.4:8080/config")
         fault = Fault(code="no_leader", message="no", status=503, retry_after_s=0.3)
-        self.desk.outcome = Error(fault)
+        self.handler.outcome = Error(fault)
         answer = self.ask("GET", "/config")
         self.assertEqual((answer.status, answer.headers["Retry-After"]), (503, "0.3"))
         self.assertEqual(self.ask("DELETE", "/instances/i-1").status, 503)
 
     def test_large_document_at_a_router(self) -> None:
         """A replica sends the operator on; the router must have the version, or say 503."""
-        self.desk.outcome = Error(RedirectTo(address="10.0.0.9:8220", min_version=7))
+        self.handler.outcome = Error(RedirectTo(address="10.0.0.9:8220", min_version=7))
         answer = self.ask("GET", "/config")
         self.assertEqual(answer.headers["Location"], "http://10.0.0.9:8220/config?version=7")
         app = Bottle()
@@ -224,7 +224,7 @@
     def test_endpoints(self) -> None:
         answer = self.ask("PUT", "/instances/i-1", json.dumps(BEAT).encode())
         self.assertEqual(answer.status, 200)
-        self.assertEqual(self.desk.records[0].endpoint_id, "i-1")
+        self.assertEqual(self.handler.records[0].endpoint_id, "i-1")
         self.assertEqual(self.ask("PUT", "/instances/i-1", b"x").status, 400)
         self.assertEqual(self.bad, ["heartbeat"])
         self.assertEqual(self.ask("DELETE", "/instances/i-1").status, 200)
