--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -144,7 +144,7 @@
         self.assertEqual(read_departure(b'{"born": 5}'), 5)
 
 
-class Desk:
+class StubHandler:
     """A replica that answers as it is told to."""
 
     def __init__(self) -> None:
@@ -169,7 +169,7 @@
 
 class ControlApiTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.handler = Desk()
+        self.handler = StubHandler()
         self.bad: list[str] = []
         app = build_control_app(
             handler=self.handler,
