--- a/chivetrack/daemon/fleet/forwarder.py
+++ b/chivetrack/daemon/fleet/forwarder.py
@@ -115,20 +115,20 @@
         kept = self._kept.take(record.endpoint_id)
         if kept is not None:
             return kept
-        left_s = max(0.01, call.ends_at - time.monotonic())
+        remaining_s = max(0.01, call.ends_at - time.monotonic())
         return EndpointConnection(
-            address=record.address, connect_timeout_s=min(CONNECT_TIMEOUT_S, left_s)
+            address=record.address, connect_timeout_s=min(CONNECT_TIMEOUT_S, remaining_s)
         )
 
     def _ask(
         self, connection: EndpointConnection, call: Call, choice: Choice, may_repeat: bool
     ) -> tuple[EndpointAnswer, AnswerFacts]:
-        left_s = max(0.01, call.ends_at - time.monotonic())
+        remaining_s = max(0.01, call.ends_at - time.monotonic())
         headers = make_endpoint_headers(
             call.headers,
             endpoint_id=choice.record.endpoint_id,
             workspace="" if call.workspace is None else call.workspace.name,
-            left_s=left_s,
+            remaining_s=remaining_s,
             last_event_id=call.last_event_id,
             priority=call.priority if call.facts.parts else None,
             fetch_from=choice.fetch_from,
@@ -136,11 +136,11 @@
         request = EndpointRequest(
             method=call.method, target=call.target, headers=headers, body=call.body
         )
-        connection.send(request, timeout_s=left_s)
+        connection.send(request, timeout_s=remaining_s)
         self._await_answer(connection, call, may_repeat)
-        left_s = max(0.01, call.ends_at - time.monotonic())
+        remaining_s = max(0.01, call.ends_at - time.monotonic())
         for _ in range(_MAX_STRAY_ANSWERS + 1):
-            answer = connection.read_answer(call.method, timeout_s=left_s)
+            answer = connection.read_answer(call.method, timeout_s=remaining_s)
             facts = read_answer_facts(answer.status, answer.headers)
             if facts.request_id is None or facts.request_id == call.facts.request_id:
                 return answer, facts
@@ -158,11 +158,11 @@
             return
         wait_limit_s = call.placed.wait_limit_s
         while not connection.wait_readable(min(wait_limit_s, call.ends_at - time.monotonic())):
-            left_s = call.ends_at - time.monotonic()
+            remaining_s = call.ends_at - time.monotonic()
             is_silent = self._note_overdue(call)
-            if may_repeat and is_silent and left_s > LEAST_TIME_ELSEWHERE_S:
+            if may_repeat and is_silent and remaining_s > LEAST_TIME_ELSEWHERE_S:
                 raise MaybeRanError(f"silent for {wait_limit_s:.2f} s")
-            if left_s <= 0 or not may_repeat:
+            if remaining_s <= 0 or not may_repeat:
                 return
         self._hear(call)
 
@@ -250,8 +250,8 @@
 
     @staticmethod
     def _get_stall(call: Call) -> float:
-        left_s = call.ends_at - time.monotonic()
-        return max(0.05, min(left_s + LATE_ANSWER_S, ANSWER_STALL_S))
+        remaining_s = call.ends_at - time.monotonic()
+        return max(0.05, min(remaining_s + LATE_ANSWER_S, ANSWER_STALL_S))
 
     @staticmethod
     def _begin(call: Call, answer: EndpointAnswer) -> None:
--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -94,18 +94,18 @@
     *,
     endpoint_id: str,
     workspace: str,
-    left_s: float,
+    remaining_s: float,
     last_event_id: str,
     priority: int | None,
     fetch_from: str = "",
 ) -> list[tuple[str, str]]:
     """Return the headers for an endpoint: the caller's own ones and those that we set.
 
-    ``left_s`` is the time that is left of the caller's and the route's, in seconds;
+    ``remaining_s`` is the time that is left of the caller's and the route's, in seconds;
     ``fetch_from`` is the address of an engine that has parts of the prompt cached.
     """
     passed = [(name, value) for name, value in lines if name.lower() not in _NOT_FORWARDED_HEADERS]
-    passed.append((HEADER_DEADLINE, str(max(1, int(left_s * 1000)))))
+    passed.append((HEADER_DEADLINE, str(max(1, int(remaining_s * 1000)))))
     passed.append((HEADER_EXPECTED_ENDPOINT, endpoint_id))
     if workspace:
         passed.append((HEADER_WORKSPACE, workspace))
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -99,7 +99,7 @@
             lines,
             endpoint_id="e1",
             workspace="w",
-            left_s=1.25,
+            remaining_s=1.25,
             last_event_id="7",
             priority=None,
         )
