--- a/chivetrack/platform/control_api.py
+++ b/chivetrack/platform/control_api.py
@@ -104,12 +104,12 @@
         outcome = handler.put(read.ok, body)
         if outcome.is_ok():
             return _answer(200, {"version": outcome.ok})
-        return _refuse(outcome.error, "/config")
+        return _make_refusal(outcome.error, "/config")
 
     def get_config() -> HTTPResponse:
         outcome = handler.read()
         if outcome.is_error():
-            return _refuse(outcome.error, "/config")
+            return _make_refusal(outcome.error, "/config")
         return HTTPResponse(body=unpack(outcome.ok.payload), status=200, headers=_JSON)
 
     app.route("/config", "PUT", put_config)
@@ -127,12 +127,12 @@
         outcome = handler.order_evacuation(zone, is_evacuated=is_evacuated)
         if outcome.is_ok():
             return _answer(200, {"revision": outcome.ok})
-        return _refuse(outcome.error, f"{PATH_ZONES}/{quote(zone, safe='')}")
+        return _make_refusal(outcome.error, f"{PATH_ZONES}/{quote(zone, safe='')}")
 
     def get_zones() -> HTTPResponse:
         outcome = handler.read_evacuations()
         if outcome.is_error():
-            return _refuse(outcome.error, PATH_ZONES)
+            return _make_refusal(outcome.error, PATH_ZONES)
         return _answer(200, {"zones": [one.describe() for one in outcome.ok.zones]})
 
     app.route(f"{PATH_ZONES}/<zone>", ["POST", "DELETE"], order_zone)
@@ -149,12 +149,12 @@
         outcome = handler.release_request(decoded)
         if outcome.is_ok():
             return _answer(200, {"revision": outcome.ok})
-        return _refuse(outcome.error, f"{PATH_QUARANTINE}/{fingerprint}")
+        return _make_refusal(outcome.error, f"{PATH_QUARANTINE}/{fingerprint}")
 
     def get_quarantine() -> HTTPResponse:
         outcome = handler.read_quarantine()
         if outcome.is_error():
-            return _refuse(outcome.error, PATH_QUARANTINE)
+            return _make_refusal(outcome.error, PATH_QUARANTINE)
         return _answer(200, {"requests": [one.describe() for one in outcome.ok.requests]})
 
     app.route(f"{PATH_QUARANTINE}/<fingerprint>", "DELETE", release)
@@ -170,12 +170,12 @@
             report_invalid("heartbeat", record.error)
             return _answer(400, {"error": record.error})
         outcome = handler.announce(record.ok)
-        return _answer(200, {}) if outcome.is_ok() else _refuse(outcome.error, "")
+        return _answer(200, {}) if outcome.is_ok() else _make_refusal(outcome.error, "")
 
     def delete_endpoint(endpoint_id: str) -> HTTPResponse:
         born = read_departure(request.environ["wsgi.input"].read())
         outcome = handler.leave(endpoint_id, born)
-        return _answer(200, {}) if outcome.is_ok() else _refuse(outcome.error, "")
+        return _answer(200, {}) if outcome.is_ok() else _make_refusal(outcome.error, "")
 
     app.route("/instances/<endpoint_id>", "PUT", put_endpoint)
     app.route("/instances/<endpoint_id>", "DELETE", delete_endpoint)
@@ -213,7 +213,7 @@
     return HTTPResponse(body=msgspec.json.encode(document), status=status, headers=_JSON)
 
 
-def _refuse(refusal: Fault | RedirectTo, path: str) -> HTTPResponse:
+def _make_refusal(refusal: Fault | RedirectTo, path: str) -> HTTPResponse:
     if isinstance(refusal, RedirectTo):
         query = f"?{_QUERY_VERSION}={refusal.min_version}" if refusal.min_version else ""
         headers = {**_JSON, "Location": f"http://{refusal.address}{path}{query}"}
