--- a/chivetrack/platform/control_api.py
+++ b/chivetrack/platform/control_api.py
@@ -100,10 +100,10 @@
         read = read_document(body)
         if read.is_error():
             report_invalid("configuration", "; ".join(str(one) for one in read.error)[:500])
-            return _answer(400, render_findings(read.error))
+            return _make_response(400, render_findings(read.error))
         outcome = handler.put(read.ok, body)
         if outcome.is_ok():
-            return _answer(200, {"version": outcome.ok})
+            return _make_response(200, {"version": outcome.ok})
         return _make_refusal(outcome.error, "/config")
 
     def get_config() -> HTTPResponse:
@@ -119,21 +119,21 @@
 def _add_zone_calls(app: Bottle, handler: ControlRequestHandler) -> None:
     def order_zone(zone: str) -> HTTPResponse:
         if request.environ["wsgi.input"].read(1):
-            return _answer(400, {"error": "body", "message": "this call takes no body"})
+            return _make_response(400, {"error": "body", "message": "this call takes no body"})
         if has_left(request.environ.get(ENVIRON_SOCKET)):
             # It has sent the order elsewhere since, and perhaps withdrawn it.
-            return _answer(503, {"error": "operator_left"})
+            return _make_response(503, {"error": "operator_left"})
         is_evacuated = request.method == "POST"
         outcome = handler.order_evacuation(zone, is_evacuated=is_evacuated)
         if outcome.is_ok():
-            return _answer(200, {"revision": outcome.ok})
+            return _make_response(200, {"revision": outcome.ok})
         return _make_refusal(outcome.error, f"{PATH_ZONES}/{quote(zone, safe='')}")
 
     def get_zones() -> HTTPResponse:
         outcome = handler.read_evacuations()
         if outcome.is_error():
             return _make_refusal(outcome.error, PATH_ZONES)
-        return _answer(200, {"zones": [one.describe() for one in outcome.ok.zones]})
+        return _make_response(200, {"zones": [one.describe() for one in outcome.ok.zones]})
 
     app.route(f"{PATH_ZONES}/<zone>", ["POST", "DELETE"], order_zone)
     app.route(PATH_ZONES, "GET", get_zones)
@@ -145,17 +145,17 @@
             decoded = bytes.fromhex(fingerprint)
         except ValueError:
             message = f"{fingerprint!r} is no fingerprint"
-            return _answer(400, {"error": "fingerprint", "message": message})
+            return _make_response(400, {"error": "fingerprint", "message": message})
         outcome = handler.release_request(decoded)
         if outcome.is_ok():
-            return _answer(200, {"revision": outcome.ok})
+            return _make_response(200, {"revision": outcome.ok})
         return _make_refusal(outcome.error, f"{PATH_QUARANTINE}/{fingerprint}")
 
     def get_quarantine() -> HTTPResponse:
         outcome = handler.read_quarantine()
         if outcome.is_error():
             return _make_refusal(outcome.error, PATH_QUARANTINE)
-        return _answer(200, {"requests": [one.describe() for one in outcome.ok.requests]})
+        return _make_response(200, {"requests": [one.describe() for one in outcome.ok.requests]})
 
     app.route(f"{PATH_QUARANTINE}/<fingerprint>", "DELETE", release)
     app.route(PATH_QUARANTINE, "GET", get_quarantine)
@@ -168,14 +168,14 @@
         record = read_heartbeat(endpoint_id, request.environ["wsgi.input"].read())
         if record.is_error():
             report_invalid("heartbeat", record.error)
-            return _answer(400, {"error": record.error})
+            return _make_response(400, {"error": record.error})
         outcome = handler.announce(record.ok)
-        return _answer(200, {}) if outcome.is_ok() else _make_refusal(outcome.error, "")
+        return _make_response(200, {}) if outcome.is_ok() else _make_refusal(outcome.error, "")
 
     def delete_endpoint(endpoint_id: str) -> HTTPResponse:
         born = read_departure(request.environ["wsgi.input"].read())
         outcome = handler.leave(endpoint_id, born)
-        return _answer(200, {}) if outcome.is_ok() else _make_refusal(outcome.error, "")
+        return _make_response(200, {}) if outcome.is_ok() else _make_refusal(outcome.error, "")
 
     app.route("/instances/<endpoint_id>", "PUT", put_endpoint)
     app.route("/instances/<endpoint_id>", "DELETE", delete_endpoint)
@@ -203,13 +203,13 @@
         asked = request.query.get(_QUERY_VERSION, "")
         body = find_body(int(asked)) if asked.isdigit() else None
         if body is None:
-            return _answer(503, {"error": "behind"})
+            return _make_response(503, {"error": "behind"})
         return HTTPResponse(body=body, status=200, headers=_JSON)
 
     app.route("/config", "GET", get_config)
 
 
-def _answer(status: int, document: object) -> HTTPResponse:
+def _make_response(status: int, document: object) -> HTTPResponse:
     return HTTPResponse(body=msgspec.json.encode(document), status=status, headers=_JSON)
 
 
