--- a/chivetrack/platform/operator_calls.py
+++ b/chivetrack/platform/operator_calls.py
@@ -83,23 +83,23 @@
     def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault]:
         """Have a zone evacuated, or taken back; return the order's revision."""
         method = "POST" if is_evacuated else "DELETE"
-        body = self._repeat(method, f"{PATH_ZONES}/{quote(zone, safe='')}")
+        body = self._send_until_final(method, f"{PATH_ZONES}/{quote(zone, safe='')}")
         return body.map(lambda one: msgspec.json.decode(one, type=_Ordered).revision)
 
     def read_zones(self) -> Result[tuple[ZoneState, ...], Fault]:
         """Return the last order for each zone."""
-        return self._repeat("GET", PATH_ZONES).map(_read_zones)
+        return self._send_until_final("GET", PATH_ZONES).map(_read_zones)
 
     def read_quarantine(self) -> Result[tuple[QuarantinedRequest, ...], Fault]:
         """Return the quarantined requests."""
-        return self._repeat("GET", PATH_QUARANTINE).map(_read_quarantine)
+        return self._send_until_final("GET", PATH_QUARANTINE).map(_read_quarantine)
 
     def release_request(self, fingerprint: str) -> Result[int, Fault]:
         """Release a quarantined request and return the quarantine's revision."""
-        body = self._repeat("DELETE", f"{PATH_QUARANTINE}/{quote(fingerprint, safe='')}")
+        body = self._send_until_final("DELETE", f"{PATH_QUARANTINE}/{quote(fingerprint, safe='')}")
         return body.map(lambda one: msgspec.json.decode(one, type=_Ordered).revision)
 
-    def _repeat(self, method: str, path: str) -> Result[bytes, Fault]:
+    def _send_until_final(self, method: str, path: str) -> Result[bytes, Fault]:
         """Try until there is an answer that stands; orders may be repeated."""
         ends_at = self._clock() + self._timeout_s
         last = _make_unreachable("no replica was asked")
