--- a/chivetrack/platform/operator_calls.py
+++ b/chivetrack/platform/operator_calls.py
@@ -103,7 +103,7 @@
         """Try until there is an answer that stands; orders may be repeated."""
         ends_at = self._clock() + self._timeout_s
         last = _make_unreachable("no replica was asked")
-        for replica in self._list_turns():
+        for replica in self._cycle_replicas():
             answer = self._ask(method, f"http://{replica}{path}")
             if isinstance(answer, Fault):
                 last = answer
@@ -118,7 +118,7 @@
             self._sleep(BACKOFF_S)
         return Error(last)
 
-    def _list_turns(self) -> Iterator[str]:
+    def _cycle_replicas(self) -> Iterator[str]:
         order = random.sample(self._replicas, len(self._replicas))
         while order:
             yield from order
