--- a/chivetrack/platform/operator_calls.py
+++ b/chivetrack/platform/operator_calls.py
@@ -104,7 +104,7 @@
         ends_at = self._clock() + self._timeout_s
         last = _make_unreachable("no replica was asked")
         for replica in self._cycle_replicas():
-            answer = self._ask(method, f"http://{replica}{path}")
+            answer = self._send(method, f"http://{replica}{path}")
             if isinstance(answer, Fault):
                 last = answer
             elif answer.status < 300:
@@ -123,7 +123,7 @@
         while order:
             yield from order
 
-    def _ask(self, method: str, url: str) -> _Answer | Fault:
+    def _send(self, method: str, url: str) -> _Answer | Fault:
         try:
             for _ in range(MAX_REDIRECTS + 1):
                 response = self._pool.request(method, url, redirect=False)
