--- a/chivetrack/platform/operator_calls.py
+++ b/chivetrack/platform/operator_calls.py
@@ -52,7 +52,7 @@
     requests: list[_Quarantined]
 
 
-class _Ordered(msgspec.Struct):
+class _OrderAnswer(msgspec.Struct):
     revision: int
 
 
@@ -84,7 +84,7 @@
         """Have a zone evacuated, or taken back; return the order's revision."""
         method = "POST" if is_evacuated else "DELETE"
         body = self._send_until_final(method, f"{PATH_ZONES}/{quote(zone, safe='')}")
-        return body.map(lambda one: msgspec.json.decode(one, type=_Ordered).revision)
+        return body.map(lambda one: msgspec.json.decode(one, type=_OrderAnswer).revision)
 
     def read_zones(self) -> Result[tuple[ZoneState, ...], Fault]:
         """Return the last order for each zone."""
@@ -97,7 +97,7 @@
     def release_request(self, fingerprint: str) -> Result[int, Fault]:
         """Release a quarantined request and return the quarantine's revision."""
         body = self._send_until_final("DELETE", f"{PATH_QUARANTINE}/{quote(fingerprint, safe='')}")
-        return body.map(lambda one: msgspec.json.decode(one, type=_Ordered).revision)
+        return body.map(lambda one: msgspec.json.decode(one, type=_OrderAnswer).revision)
 
     def _send_until_final(self, method: str, path: str) -> Result[bytes, Fault]:
         """Try until there is an answer that stands; orders may be repeated."""
