--- a/chivetrack/platform/operator_calls.py
+++ b/chivetrack/platform/operator_calls.py
@@ -102,7 +102,7 @@
     def _send_until_final(self, method: str, path: str) -> Result[bytes, Fault]:
         """Try until there is an answer that stands; orders may be repeated."""
         ends_at = self._clock() + self._timeout_s
-        last = _make_unreachable("no replica was asked")
+        last = _make_unreachable_fault("no replica was asked")
         for replica in self._cycle_replicas():
             answer = self._send(method, f"http://{replica}{path}")
             if isinstance(answer, Fault):
@@ -131,8 +131,8 @@
                     return _Answer(status=response.status, body=response.data)
                 url = response.headers.get("Location", url)
         except urllib3.exceptions.HTTPError as error:
-            return _make_unreachable(str(error))
-        return _make_unreachable("the replicas refer to each other")
+            return _make_unreachable_fault(str(error))
+        return _make_unreachable_fault("the replicas refer to each other")
 
 
 def _read_zones(body: bytes) -> tuple[ZoneState, ...]:
@@ -165,5 +165,5 @@
     return Fault(code=code, message=read.message or code, status=answer.status, ran=Ran.MAYBE)
 
 
-def _make_unreachable(detail: str) -> Fault:
+def _make_unreachable_fault(detail: str) -> Fault:
     return Fault(code="unreachable", message=detail, status=0, ran=Ran.MAYBE)
