--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -26,9 +26,9 @@
 from chivetrack.components.slow_start.permits import PermitBook
 from chivetrack.daemon.fleet.call_gate import CallGate
 from chivetrack.daemon.fleet.const import FLUSH_S, STOP_CALLS_S, TIDY_EVERY_S, TRAFFIC_EVERY
-from chivetrack.daemon.fleet.desk import Desk
 from chivetrack.daemon.fleet.documents import DocumentDesk
 from chivetrack.daemon.fleet.gauges import Gauge
+from chivetrack.daemon.fleet.handler import Desk
 from chivetrack.daemon.fleet.log_host import LogHost
 from chivetrack.daemon.fleet.metrics import Metrics, open_metrics_server
 from chivetrack.daemon.fleet.peering import TrafficLog, list_seed_peers, make_transport, send_all
@@ -127,7 +127,7 @@
         self._pending_orders: set[bytes] = set()
         self._gate = CallGate(
             application=build_control_app(
-                desk=self._desk, unpack=unpack_document, report_invalid=self._note_bad
+                handler=self._desk, unpack=unpack_document, report_invalid=self._note_bad
             )
         )
         self._control = HttpServer(
