--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -182,16 +182,16 @@
         self.http = urllib3.PoolManager(retries=False)
         self.pool = ThreadPool(1)
 
-    def ask(self, method: str, path: str, body: bytes | None = None) -> Any:
+    def send_request(self, method: str, path: str, body: bytes | None = None) -> Any:
         url = f"http://127.0.0.1:{self.server.server_port}{path}"
         return self.pool.apply(lambda: self.http.request(method, url, body=body, redirect=False))
 
     def test_configuration(self) -> None:
-        answer = self.ask("PUT", "/config", make_config())
+        answer = self.send_request("PUT", "/config", make_config())
         self.assertEqual((answer.status, json.loads(answer.data)), (200, {"version": 7}))
-        answer = self.ask("GET", "/config")
+        answer = self.send_request("GET", "/config")
         self.assertEqual(json.loads(answer.data), json.loads(make_config()))
-        answer = self.ask("PUT", "/config", b"{")
+        answer = self.send_request("PUT", "/config", b"{")
         self.assertEqual(answer.status, 400)
         self.assertEqual(self.bad, ["configuration"])
         self.assertIn("errors", json.loads(answer.data))
@@ -199,35 +199,35 @@
     def test_refusals(self) -> None:
         self.handler.outcome = Error(RedirectTo(address="10.0.0.4:8080"))
         for method, body in (("PUT", make_config()), ("GET", None)):
-            answer = self.ask(method, "/config", body)
+            answer = self.send_request(method, "/config", body)
             self.assertEqual(answer.status, 307)
             self.assertEqual(answer.headers["Location"], "http://10.0.0.4:8080/config")
         fault = Fault(code="no_leader", message="no", status=503, retry_after_s=0.3)
         self.handler.outcome = Error(fault)
-        answer = self.ask("GET", "/config")
+        answer = self.send_request("GET", "/config")
         self.assertEqual((answer.status, answer.headers["Retry-After"]), (503, "0.3"))
-        self.assertEqual(self.ask("DELETE", "/instances/i-1").status, 503)
+        self.assertEqual(self.send_request("DELETE", "/instances/i-1").status, 503)
 
     def test_large_document_at_a_router(self) -> None:
         """A replica sends the operator on; the router must have the version, or say 503."""
         self.handler.outcome = Error(RedirectTo(address="10.0.0.9:8220", min_version=7))
-        answer = self.ask("GET", "/config")
+        answer = self.send_request("GET", "/config")
         self.assertEqual(answer.headers["Location"], "http://10.0.0.9:8220/config?version=7")
         app = Bottle()
         add_document_route(app, lambda version: b"{}" if version <= 7 else None)
         self.server.application = app
-        answer = self.ask("GET", "/config?version=7")
+        answer = self.send_request("GET", "/config?version=7")
         self.assertEqual((answer.status, answer.data), (200, b"{}"))
         for query in ("?version=8", "?version=x", ""):
-            self.assertEqual(self.ask("GET", "/config" + query).status, 503)
+            self.assertEqual(self.send_request("GET", "/config" + query).status, 503)
 
     def test_endpoints(self) -> None:
-        answer = self.ask("PUT", "/instances/i-1", json.dumps(BEAT).encode())
+        answer = self.send_request("PUT", "/instances/i-1", json.dumps(BEAT).encode())
         self.assertEqual(answer.status, 200)
         self.assertEqual(self.handler.records[0].endpoint_id, "i-1")
-        self.assertEqual(self.ask("PUT", "/instances/i-1", b"x").status, 400)
+        self.assertEqual(self.send_request("PUT", "/instances/i-1", b"x").status, 400)
         self.assertEqual(self.bad, ["heartbeat"])
-        self.assertEqual(self.ask("DELETE", "/instances/i-1").status, 200)
+        self.assertEqual(self.send_request("DELETE", "/instances/i-1").status, 200)
 
 
 if __name__ == "__main__":
