--- a/chivetrack/platform/__init__.py
+++ b/chivetrack/platform/__init__.py
@@ -1,4 +1,5 @@
-"""The names, formats and calls of the platform; nothing here decides anything.
+"""Wire formats of the platform: headers, message bodies, paths and HTTP calls.
 
-Every message of the platform is decoded once, into types of the product.
+Each message of the platform is decoded once, here, into types of the components. This
+package makes no decisions.
 """
--- a/chivetrack/platform/announcements.py
+++ b/chivetrack/platform/announcements.py
@@ -1,4 +1,4 @@
-"""Decodes what endpoints say of themselves."""
+"""Decoders for the heartbeats and departures that endpoints send."""
 
 import msgspec
 from expression import Error, Ok, Result
@@ -13,10 +13,11 @@
 
 
 class _Heartbeat(msgspec.Struct, rename="camel"):
-    """What arrives; three of the names need a word.
+    """The body of a heartbeat.
 
-    ``version`` is that of the endpoint's software, ``cold_remaining_ms`` how long it stays
-    slow after its start, ``born`` the Unix millisecond of its start.
+    ``version`` is the version of the endpoint's software. ``cold_remaining_ms`` is the time
+    for which the endpoint is still slow after its start. ``born`` is the time of its start
+    in Unix milliseconds.
     """
 
     service: str
@@ -40,7 +41,7 @@
 
 
 def read_heartbeat(endpoint_id: str, body: bytes) -> Result[EndpointRecord, str]:
-    """Decode a heartbeat; the error side says why it names no endpoint to use."""
+    """Decode a heartbeat; the error side says why it cannot be used."""
     try:
         beat = _HEARTBEAT.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -69,7 +70,7 @@
 
 
 def read_departure(body: bytes) -> int | None:
-    """Return the start of the lifetime that ends (Unix ms), ``None`` if it was not said."""
+    """Return the start time (Unix ms) of the incarnation that ends, ``None`` if not given."""
     if not body:
         return None
     try:
--- a/chivetrack/platform/configuration.py
+++ b/chivetrack/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the configuration that operators send."""
+"""Decoder for the configuration document that operators send."""
 
 from typing import Any
 
@@ -27,7 +27,11 @@
 
 
 class _Route(msgspec.Struct, rename="camel"):
-    """``target_latency_ms`` and ``gap_target_ms`` are limits for a full-value answer."""
+    """A route; ``target_latency_ms`` and ``gap_target_ms`` are the limits for a good answer.
+
+    They bound the response time (for streams, up to the first event) and the pause between
+    two events of a stream.
+    """
 
     name: str
     hostname: str
@@ -46,7 +50,10 @@
 
 
 class _Engine(msgspec.Struct, rename="camel"):
-    """``kv_capacity`` is memory in tokens, ``moves`` whether engines share cached parts."""
+    """A model engine; ``kv_capacity`` is its cache memory in tokens.
+
+    ``moves`` says whether engines can fetch cached parts of a prompt from each other.
+    """
 
     slots: int = 0
     kv_capacity: int = 0
@@ -86,7 +93,7 @@
 
 
 def read_document(body: bytes) -> Result[Document, Findings]:
-    """Decode and check a configuration; the error side holds every finding with its place."""
+    """Decode and validate a configuration; the error side lists all findings with places."""
     findings = Findings()
     try:
         sent = _DECODER.decode(body)
@@ -124,7 +131,7 @@
         name=route.name,
         host=route.hostname,
         prefix=route.path_prefix,
-        # A kind that is not known here may not be repeated: that is the safe reading.
+        # Requests of an unknown kind are never retried, since they may not be idempotent.
         kind=_KINDS.get(route.kind, RouteKind.NON_IDEMPOTENT),
         timeout_s=route.timeout_ms / 1000.0,
         target_s=route.target_latency_ms / 1000.0,
@@ -162,5 +169,5 @@
 
 
 def render_findings(findings: Findings) -> dict[str, Any]:
-    """Return findings as the answer to an operator."""
+    """Return the response body that reports findings to an operator."""
     return {"errors": [{"place": one.place, "message": one.message} for one in findings]}
--- a/chivetrack/platform/control_api.py
+++ b/chivetrack/platform/control_api.py
@@ -1,4 +1,4 @@
-"""The HTTP calls that operators and endpoints make."""
+"""HTTP API of the control listener, for operators and endpoints."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 from chivetrack.platform.configuration import read_document, render_findings
 from chivetrack.platform.paths import PATH_QUARANTINE, PATH_ZONES
 
-# Not the platform's: only a replica of ours sends operators to it.
+# Not part of the platform's API: only redirects sent by replicas contain this parameter.
 _QUERY_VERSION = "version"
 _JSON = {"Content-Type": "application/json"}
 _MAX_ERROR_TEXT = 300
@@ -29,9 +29,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RedirectTo:
-    """Another instance has to be asked; ``address`` is its ``host:port``.
+    """The sender must repeat the request at another instance.
 
-    With ``min_version`` it hands out its document if that is this new.
+    ``address`` is the ``host:port`` of that instance. If ``min_version`` is set, that
+    instance returns its document only if the document has at least this version.
     """
 
     address: str
@@ -39,22 +40,22 @@
 
 
 class ControlRequestHandler(Protocol):
-    """What a replica does for operators and endpoints."""
+    """Handler of a replica for the requests of operators and endpoints."""
 
     def put(self, document: Document, body: bytes) -> Result[int, Fault | RedirectTo]:
         """Commit a document and return the version in force."""
         ...
 
     def read(self) -> Result[StoredDocument, Fault | RedirectTo]:
-        """Return the newest document for sure."""
+        """Return the newest document, confirmed by a quorum."""
         ...
 
     def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | RedirectTo]:
-        """Commit that a zone is evacuated, or taken back; return the order's revision."""
+        """Commit the evacuation of a zone, or its withdrawal; return the order's revision."""
         ...
 
     def read_evacuations(self) -> Result[Evacuations, Fault | RedirectTo]:
-        """Return the zone orders in force for sure."""
+        """Return the zone orders in force, confirmed by a quorum."""
         ...
 
     def release_request(self, fingerprint: bytes) -> Result[int, Fault | RedirectTo]:
@@ -66,11 +67,11 @@
         ...
 
     def announce(self, record: EndpointRecord) -> Result[None, Fault]:
-        """Take an endpoint's statement."""
+        """Handle an endpoint's heartbeat."""
         ...
 
     def leave(self, endpoint_id: str, born: int | None) -> Result[None, Fault]:
-        """Take an endpoint's departure."""
+        """Handle an endpoint's departure; ``born`` is its start time in Unix milliseconds."""
         ...
 
 
@@ -80,7 +81,11 @@
     unpack: Callable[[bytes], bytes],
     report_invalid: Callable[[str, str], None],
 ) -> Bottle:
-    """Return the application of the control listener."""
+    """Return the application of the control listener.
+
+    ``unpack`` decompresses a stored document. ``report_invalid`` is called with the kind of
+    an invalid body and what is wrong with it.
+    """
     app = make_app()
     _add_configuration_calls(app, handler, unpack, report_invalid)
     _add_zone_calls(app, handler)
@@ -121,7 +126,8 @@
         if request.environ["wsgi.input"].read(1):
             return _make_response(400, {"error": "body", "message": "this call takes no body"})
         if has_left(request.environ.get(ENVIRON_SOCKET)):
-            # It has sent the order elsewhere since, and perhaps withdrawn it.
+            # The operator has closed the connection. It may have sent the order to another
+            # replica since then, and even withdrawn it, so a late order must not be committed.
             return _make_response(503, {"error": "operator_left"})
         is_evacuated = request.method == "POST"
         outcome = handler.order_evacuation(zone, is_evacuated=is_evacuated)
@@ -182,7 +188,7 @@
 
 
 def make_app() -> Bottle:
-    """Return an application whose own errors are short and in JSON."""
+    """Return an application that renders its errors as short JSON documents."""
     app = Bottle()
 
     def render_error(error: HTTPError) -> bytes:
@@ -197,11 +203,14 @@
 
 
 def add_document_route(app: Bottle, find_body: Callable[[int], bytes | None]) -> None:
-    """Let a router hand out its document to operators whom a replica has sent on."""
+    """Add the call by which a router serves its document to operators redirected to it.
+
+    ``find_body`` returns the document if it has at least the given version.
+    """
 
     def get_config() -> HTTPResponse:
-        asked = request.query.get(_QUERY_VERSION, "")
-        body = find_body(int(asked)) if asked.isdigit() else None
+        min_version = request.query.get(_QUERY_VERSION, "")
+        body = find_body(int(min_version)) if min_version.isdigit() else None
         if body is None:
             return _make_response(503, {"error": "behind"})
         return HTTPResponse(body=body, status=200, headers=_JSON)
--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers: what each one is called and which side may set it."""
+"""Headers of the platform: their names, their decoders and which side may set them."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from email.message import Message
@@ -31,8 +31,9 @@
 STATUS_MISDIRECTED = 421
 STATUS_UNAVAILABLE = 503
 
-# Of one connection only, or set anew by this router. A hold, a pin or a continuation that
-# a caller names is not its to ask for: an endpoint would refuse the request for it.
+# Hop-by-hop headers, headers that the router sets itself, and headers that ask for a hold, a
+# pin or a continuation. Callers may not ask for a hold, a pin or a continuation: an endpoint
+# would refuse the request because of it.
 _NOT_FORWARDED_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -73,7 +74,7 @@
 
 
 def read_request_facts(headers: Mapping[str, str]) -> RequestFacts:
-    """Decode a caller's headers (names in lower case); what can't be read counts as absent."""
+    """Decode a caller's headers (names in lower case); malformed values count as absent."""
     prompt_tokens, max_output = _read_counts(headers.get(HEADER_TOKEN_COUNTS.lower(), ""))
     wait_ms = _read_number(headers.get(HEADER_DEADLINE.lower(), ""))
     return RequestFacts(
@@ -99,34 +100,37 @@
     priority: int | None,
     fetch_from: str = "",
 ) -> list[tuple[str, str]]:
-    """Return the headers for an endpoint: the caller's own ones and those that we set.
+    """Return the headers of a request to an endpoint: forwarded ones and the router's own.
 
-    ``remaining_s`` is the time that is left of the caller's and the route's, in seconds;
-    ``fetch_from`` is the address of an engine that has parts of the prompt cached.
+    ``remaining_s`` is the time left for the request, which the caller's deadline and the
+    route's timeout bound, in seconds. ``fetch_from`` is the address of an engine that has
+    parts of the prompt cached.
     """
-    passed = [(name, value) for name, value in lines if name.lower() not in _NOT_FORWARDED_HEADERS]
-    passed.append((HEADER_DEADLINE, str(max(1, int(remaining_s * 1000)))))
-    passed.append((HEADER_EXPECTED_ENDPOINT, endpoint_id))
+    forwarded = [
+        (name, value) for name, value in lines if name.lower() not in _NOT_FORWARDED_HEADERS
+    ]
+    forwarded.append((HEADER_DEADLINE, str(max(1, int(remaining_s * 1000)))))
+    forwarded.append((HEADER_EXPECTED_ENDPOINT, endpoint_id))
     if workspace:
-        passed.append((HEADER_WORKSPACE, workspace))
+        forwarded.append((HEADER_WORKSPACE, workspace))
     if last_event_id:
-        passed.append((HEADER_LAST_EVENT, last_event_id))
+        forwarded.append((HEADER_LAST_EVENT, last_event_id))
     if fetch_from:
-        passed.append((HEADER_FETCH_FROM, fetch_from))
+        forwarded.append((HEADER_FETCH_FROM, fetch_from))
     if priority is not None:
-        passed.append((HEADER_PRIORITY, str(priority)))
-    return passed
+        forwarded.append((HEADER_PRIORITY, str(priority)))
+    return forwarded
 
 
 def read_answer_facts(status: int, headers: Message) -> AnswerFacts:
-    """Decode the head of an endpoint's answer (names in any case)."""
+    """Decode the status and the headers (names in any case) of an endpoint's answer."""
     retry_after = _read_number(headers.get("Retry-After", ""))
-    other = status == STATUS_MISDIRECTED
+    is_misdirected = status == STATUS_MISDIRECTED
     return AnswerFacts(
         request_id=headers.get(HEADER_ATTEMPT),
         is_sealed=HEADER_SEAL in headers,
-        did_not_run=HEADER_DID_NOT_RUN in headers or other,
-        is_other_instance=other,
+        did_not_run=HEADER_DID_NOT_RUN in headers or is_misdirected,
+        is_other_instance=is_misdirected,
         is_encoded="Content-Encoding" in headers,
         closes="close" in headers.get("Connection", "").lower(),
         keep_alive_s=_read_keep_alive(headers.get("Keep-Alive", "")),
@@ -139,7 +143,7 @@
 
 
 def list_answer_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return what of an endpoint's headers goes back to the caller."""
+    """Return those of an endpoint's headers that are forwarded to the caller."""
     return [(name, value) for name, value in headers if name.lower() not in _NOT_RETURNED_HEADERS]
 
 
--- a/chivetrack/platform/operator_calls.py
+++ b/chivetrack/platform/operator_calls.py
@@ -1,4 +1,4 @@
-"""What the command line asks of the control listeners of a deployment's replicas."""
+"""Client of the control listeners of a deployment's replicas, for the command line."""
 
 import random
 import time
@@ -15,11 +15,12 @@
 from chivetrack.exceptions import Fault, Ran
 from chivetrack.platform.paths import PATH_QUARANTINE, PATH_ZONES
 
-# A replica waits 0.9 s for a majority; the answer needs a moment on top.
+# A replica waits up to 0.9 s for a majority; the rest is for connecting and the answer.
 CALL_TIMEOUT_S = 2.0
 BACKOFF_S = 0.1
 MAX_REDIRECTS = 2
-# The others speak of one moment only, as 408, 429 and 503 do.
+# A repeated request would get the same answer. Other statuses, such as 408, 429 and 503, are
+# temporary, so the request is sent again.
 _FINAL_STATUSES = frozenset({400, 404, 405, 409, 412, 413, 422})
 
 
@@ -63,7 +64,7 @@
 
 
 class OperatorClient:
-    """Asks one replica after the other until one of them answers for sure."""
+    """Sends a request to one replica after another until one gives a final answer."""
 
     def __init__(
         self,
@@ -73,7 +74,10 @@
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
-        """Take control addresses (``host:port``) and how long to go on trying in all."""
+        """Initialize with control addresses (``host:port``) and the time limit of a request.
+
+        The limit covers all attempts of a request together.
+        """
         self._replicas = tuple(replicas)
         self._timeout_s = timeout_s
         self._clock = clock
@@ -81,13 +85,13 @@
         self._pool = urllib3.PoolManager(retries=False, timeout=CALL_TIMEOUT_S)
 
     def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault]:
-        """Have a zone evacuated, or taken back; return the order's revision."""
+        """Order the evacuation of a zone, or withdraw it; return the order's revision."""
         method = "POST" if is_evacuated else "DELETE"
         body = self._send_until_final(method, f"{PATH_ZONES}/{quote(zone, safe='')}")
         return body.map(lambda one: msgspec.json.decode(one, type=_OrderAnswer).revision)
 
     def read_zones(self) -> Result[tuple[ZoneState, ...], Fault]:
-        """Return the last order for each zone."""
+        """Return the latest order for each zone."""
         return self._send_until_final("GET", PATH_ZONES).map(_read_zones)
 
     def read_quarantine(self) -> Result[tuple[QuarantinedRequest, ...], Fault]:
@@ -100,23 +104,23 @@
         return body.map(lambda one: msgspec.json.decode(one, type=_OrderAnswer).revision)
 
     def _send_until_final(self, method: str, path: str) -> Result[bytes, Fault]:
-        """Try until there is an answer that stands; orders may be repeated."""
+        """Send until an answer is final or the time is up; orders are idempotent."""
         ends_at = self._clock() + self._timeout_s
-        last = _make_unreachable_fault("no replica was asked")
+        last_fault = _make_unreachable_fault("no request was sent to any replica")
         for replica in self._cycle_replicas():
             answer = self._send(method, f"http://{replica}{path}")
             if isinstance(answer, Fault):
-                last = answer
+                last_fault = answer
             elif answer.status < 300:
                 return Ok(answer.body)
             else:
-                last = _read_fault(answer)
+                last_fault = _read_fault(answer)
                 if answer.status in _FINAL_STATUSES:
-                    return Error(last)
+                    return Error(last_fault)
             if self._clock() >= ends_at:
                 break
             self._sleep(BACKOFF_S)
-        return Error(last)
+        return Error(last_fault)
 
     def _cycle_replicas(self) -> Iterator[str]:
         order = random.sample(self._replicas, len(self._replicas))
@@ -132,7 +136,7 @@
                 url = response.headers.get("Location", url)
         except urllib3.exceptions.HTTPError as error:
             return _make_unreachable_fault(str(error))
-        return _make_unreachable_fault("the replicas refer to each other")
+        return _make_unreachable_fault("the replicas redirect to each other")
 
 
 def _read_zones(body: bytes) -> tuple[ZoneState, ...]:
--- a/chivetrack/platform/paths.py
+++ b/chivetrack/platform/paths.py
@@ -1,4 +1,4 @@
-"""The paths that the platform asks."""
+"""URL paths of the platform's HTTP API."""
 
 PATH_READY = "/ready"
 PATH_ZONES = "/evacuate"
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -1,4 +1,4 @@
-"""The files that the platform reads: what they render to is what the programs take."""
+"""Deployment files: the rendered settings must be accepted by the programs."""
 
 import re
 import tomllib
@@ -41,7 +41,7 @@
 
 
 def render(template: str, fields: dict[str, Any]) -> str:
-    """Fill in the part of the platform's template language that ours uses."""
+    """Render the subset of the platform's template language that the template here uses."""
 
     def fill_section(match: re.Match[str]) -> str:
         section = find(fields, match[1])
@@ -68,7 +68,7 @@
         self.deploy = tomllib.loads((ROOT / "deploy/system.toml").read_text())
         self.template = (ROOT / "deploy/settings.toml.template").read_text()
 
-    def test_rendered_settings_are_taken(self) -> None:
+    def test_rendered_settings_are_accepted(self) -> None:
         for fields, role in ((ROUTER, ProcessRole.ROUTER), (REPLICA, ProcessRole.REPLICA)):
             settings = parse_deployment(render(self.template, fields), source="rendered")
             self.assertTrue(
@@ -83,24 +83,24 @@
         text = render(self.template, REPLICA).replace("data_folder", "data_foldr")
         text = text.replace('control = "10.1.0.43:8229"', "")
         findings = parse_deployment(text, source="file").error
-        words = " ".join(str(one) for one in findings)
-        self.assertIn("data_foldr", words)
-        self.assertIn("did you mean 'data_folder'?", words)
+        text_of_findings = " ".join(str(one) for one in findings)
+        self.assertIn("data_foldr", text_of_findings)
+        self.assertIn("did you mean 'data_folder'?", text_of_findings)
         self.assertGreaterEqual(len(list(findings)), 1)
 
-    def test_roles_name_what_exists(self) -> None:
+    def test_roles_refer_to_existing_files(self) -> None:
         for role in self.deploy["roles"].values():
             self.assertTrue((ROOT / role["template"]).is_file())
             self.assertIn("chivetrack.daemon.fleet", role["run"])
         script = self.deploy["build"].split()[-1]
         self.assertTrue((ROOT / script).is_file())
 
-    def test_build_installs_what_the_project_pins(self) -> None:
+    def test_runtime_requirements_are_pinned_by_the_project(self) -> None:
         pins = set((ROOT / "requirements.txt").read_text().splitlines())
         runtime = set((ROOT / "requirements-runtime.txt").read_text().splitlines())
         self.assertLess(runtime, pins)
 
-    def test_days_are_read(self) -> None:
+    def test_day_files_are_valid(self) -> None:
         for path in (ROOT / "deploy/days").glob("*.toml"):
             day = tomllib.loads(path.read_text())
             entries = day.pop("plan", []) + day.pop("faults", [])
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers of the platform: what is read, what passes to which side."""
+"""Headers of the platform: decoding, and which ones are forwarded to which side."""
 
 import unittest
 from email.message import Message
@@ -20,7 +20,7 @@
 
 
 class RequestFactsTest(unittest.TestCase):
-    def test_good_request(self) -> None:
+    def test_valid_headers_are_decoded(self) -> None:
         facts = read_request_facts(
             {
                 "x-chivetrack-attempt-id": "9c41",
@@ -38,7 +38,7 @@
         self.assertEqual(facts.shared_parts, (PromptPart("5c1e", 800), PromptPart("91bd", 410)))
         self.assertEqual((facts.expected_tokens, facts.last_event_id), (33, "12"))
 
-    def test_odd_and_broken_values_count_as_absent(self) -> None:
+    def test_malformed_values_count_as_absent(self) -> None:
         cases = [
             ("x-chivetrack-deadline-ms", "soon"),
             ("x-chivetrack-deadline-ms", "-5"),
@@ -58,11 +58,11 @@
 
 
 class EndpointHeadersTest(unittest.TestCase):
-    def test_callers_may_not_ask_for_what_is_ours(self) -> None:
-        """A tenth of the callers send headers that only routers may set.
+    def test_reserved_headers_of_callers_are_not_forwarded(self) -> None:
+        """Guards against forwarding headers that only routers may set.
 
-        Passed on, a made-up hold or continuation is refused by the endpoint, which looks
-        like overload; a made-up workspace would be believed.
+        A tenth of the callers send such headers. An endpoint refuses a forged hold or
+        continuation, which looks like overload, and would accept a forged workspace.
         """
         for name in (
             "X-Chivetrack-Key",
@@ -86,7 +86,7 @@
             self.assertIn(("X-Own", "1"), lines)
             self.assertIn(("Host", "h"), lines)
 
-    def test_what_the_router_sets(self) -> None:
+    def test_router_sets_its_own_headers(self) -> None:
         lines = dict(self.make([("X-Chivetrack-Attempt-Id", "9c41")]))
         self.assertEqual(lines["X-Chivetrack-Attempt-Id"], "9c41")
         self.assertEqual(lines["X-Chivetrack-Deadline-Ms"], "1250")
@@ -106,7 +106,7 @@
 
 
 class AnswerFactsTest(unittest.TestCase):
-    def test_statements(self) -> None:
+    def test_seal_not_executed_and_misdirected(self) -> None:
         cases = [
             (200, {"X_Chivetrack_Server_Seal": "s"}, (True, False, False)),
             (200, {}, (False, False, False)),
@@ -126,11 +126,11 @@
         )
         self.assertEqual(facts.load, EndpointLoadFacts(running=3, waiting=0, slots=8))
         self.assertEqual(facts.keep_alive_s, 4.0)
-        odd = read_answer_facts(
+        malformed = read_answer_facts(
             200, make_headers(X_Chivetrack_Server_Load="3,0", Keep_Alive="max=9")
         )
-        self.assertIsNone(odd.load)
-        self.assertIsNone(odd.keep_alive_s)
+        self.assertIsNone(malformed.load)
+        self.assertIsNone(malformed.keep_alive_s)
 
     def test_cold_endpoint(self) -> None:
         facts = read_answer_facts(200, make_headers(X_Chivetrack_Cold_Ms="1500"))
@@ -140,7 +140,7 @@
                 read_answer_facts(200, make_headers(X_Chivetrack_Cold_Ms=text)).cold_s, 0
             )
 
-    def test_what_goes_back(self) -> None:
+    def test_hop_by_hop_headers_are_not_returned_to_the_caller(self) -> None:
         headers = [("X-Chivetrack-Server-Seal", "s"), ("Connection", "close"), ("X-A", "1")]
         self.assertEqual(
             list_answer_headers(headers), [("X-Chivetrack-Server-Seal", "s"), ("X-A", "1")]
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform: good, odd and broken ones, and what the sender gets."""
+"""Message bodies of the platform: decoding of valid and invalid ones, and the responses."""
 
 import json
 import unittest
@@ -61,18 +61,18 @@
 
 
 def make_config(**changes: Any) -> bytes:
-    whole = {
+    document = {
         "version": 7,
         "routes": [ROUTE],
         "services": SERVICES,
         "limits": {"maxHeaderBytes": 16384, "idleTimeoutMs": 15000},
         "tenants": [{"name": "t", "apiKeys": ["k"], "priority": 1}],
     }
-    return json.dumps({**whole, **changes}).encode()
+    return json.dumps({**document, **changes}).encode()
 
 
 class ConfigurationTest(unittest.TestCase):
-    def test_good_document(self) -> None:
+    def test_valid_document(self) -> None:
         document = read_document(make_config(unknown={"field": 1})).ok
         (route,) = document.routes
         self.assertIs(route.kind, RouteKind.STREAM)
@@ -110,18 +110,18 @@
             with self.subTest(name):
                 self.assertTrue(read_document(body).is_error())
 
-    def test_kind_that_is_not_known_may_not_be_repeated(self) -> None:
+    def test_unknown_kind_is_not_retried(self) -> None:
         document = read_document(make_config(routes=[{**ROUTE, "kind": "new"}])).ok
         self.assertFalse(document.routes[0].is_repeatable)
 
 
 class HeartbeatTest(unittest.TestCase):
-    def test_good_heartbeat(self) -> None:
+    def test_valid_heartbeat(self) -> None:
         record = read_heartbeat("i-1", json.dumps(BEAT).encode()).ok
         self.assertEqual((record.born, record.sequence, record.cold_s), (1790732696017, 4, 1.5))
         self.assertIs(record.state, EndpointState.READY)
 
-    def test_heartbeats_of_another_writer(self) -> None:
+    def test_invalid_heartbeats(self) -> None:
         missing = [{k: v for k, v in BEAT.items() if k != name} for name in ("service", "state")]
         bodies = [
             b"",
@@ -145,7 +145,7 @@
 
 
 class StubHandler:
-    """A replica that answers as it is told to."""
+    """A replica's handler that returns the preset ``outcome``."""
 
     def __init__(self) -> None:
         self.outcome: Result[Any, Fault | RedirectTo] = Ok(7)
@@ -208,8 +208,11 @@
         self.assertEqual((answer.status, answer.headers["Retry-After"]), (503, "0.3"))
         self.assertEqual(self.send_request("DELETE", "/instances/i-1").status, 503)
 
-    def test_large_document_at_a_router(self) -> None:
-        """A replica sends the operator on; the router must have the version, or say 503."""
+    def test_document_is_read_from_a_router(self) -> None:
+        """A replica redirects the operator to a router, which serves that version or newer.
+
+        A router that has only an older version answers 503.
+        """
         self.handler.outcome = Error(RedirectTo(address="10.0.0.9:8220", min_version=7))
         answer = self.send_request("GET", "/config")
         self.assertEqual(answer.headers["Location"], "http://10.0.0.9:8220/config?version=7")
