--- a/chivetrack/helpers/events.py
+++ b/chivetrack/helpers/events.py
@@ -27,7 +27,7 @@
 # A pipe that polls as writable takes so much without blocking.
 MAX_WRITE_BYTES = select.PIPE_BUF
 # A process whose greenlets wait for longer than this answers nobody in time.
-LATE_S = 0.25
+LATE_THRESHOLD_S = 0.25
 
 
 class _Bucket:
@@ -102,7 +102,7 @@
 
     def _note_late(self, due: float) -> None:
         late_s = time.monotonic() - due
-        if late_s > LATE_S:
+        if late_s > LATE_THRESHOLD_S:
             self.write("loop_late", late_s=round(late_s, 3))
 
     def flush(self) -> None:
