--- a/chivetrack/helpers/events.py
+++ b/chivetrack/helpers/events.py
@@ -23,7 +23,7 @@
 IDLE_EVERY_S = 1.0
 # Lines of one kind a second, in bursts of twice as many. At 40 requests a second and
 # three lines each, a router stays below it; a storm of refusals does not.
-LINES_PER_S = 150.0
+MAX_LINES_PER_S = 150.0
 # A pipe that polls as writable takes so much without blocking.
 MAX_WRITE_BYTES = select.PIPE_BUF
 # A process whose greenlets wait for longer than this answers nobody in time.
@@ -34,12 +34,12 @@
     """Allows a rate and a burst, and counts what it left out."""
 
     def __init__(self) -> None:
-        self.tokens = 2 * LINES_PER_S
+        self.tokens = 2 * MAX_LINES_PER_S
         self.at = 0.0
         self.left_out = 0
 
     def take(self, now: float) -> bool:
-        self.tokens = min(2 * LINES_PER_S, self.tokens + (now - self.at) * LINES_PER_S)
+        self.tokens = min(2 * MAX_LINES_PER_S, self.tokens + (now - self.at) * MAX_LINES_PER_S)
         self.at = now
         if self.tokens < 1.0:
             self.left_out += 1
@@ -71,7 +71,7 @@
             bucket = self._buckets[event] = _Bucket()
         if not bucket.take(now):
             return
-        if bucket.left_out and bucket.tokens > LINES_PER_S:
+        if bucket.left_out and bucket.tokens > MAX_LINES_PER_S:
             left_out, bucket.left_out = bucket.left_out, 0
             self._queue({"event": "lines_left_out", "of": event, "count": left_out}, now)
         self._queue({"event": event, **fields}, now)
--- a/tests/helpers/test_events.py
+++ b/tests/helpers/test_events.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from chivetrack.helpers.events import LINES_PER_S, MAX_QUEUED_LINES, EventLog
+from chivetrack.helpers.events import MAX_LINES_PER_S, MAX_QUEUED_LINES, EventLog
 
 
 class EventsTest(unittest.TestCase):
@@ -48,7 +48,7 @@
         """
         began = time.monotonic()
         for number in range(2 * MAX_QUEUED_LINES):
-            self.events.write(f"kind-{number // int(LINES_PER_S)}", number=number)
+            self.events.write(f"kind-{number // int(MAX_LINES_PER_S)}", number=number)
         dropped = self.events.dropped
         self.assertGreater(dropped, 0)
         self.events.flush()
