--- a/chivetrack/helpers/events.py
+++ b/chivetrack/helpers/events.py
@@ -18,7 +18,7 @@
 from gevent.event import Event
 
 MAX_QUEUED_LINES = 4096
-WRITE_EVERY_S = 0.25
+WRITE_INTERVAL_S = 0.25
 # While nothing is to be written; also how often a late process is noticed.
 IDLE_EVERY_S = 1.0
 # Lines of one kind a second, in bursts of twice as many. At 40 requests a second and
@@ -87,7 +87,7 @@
     def run(self) -> None:
         """Write what waits, again and again, until killed."""
         while True:
-            self._wait(WRITE_EVERY_S)
+            self._wait(WRITE_INTERVAL_S)
             self.flush()
             if not self._lines:
                 self._has_lines.clear()
