--- a/chivetrack/helpers/events.py
+++ b/chivetrack/helpers/events.py
@@ -20,7 +20,7 @@
 MAX_QUEUED_LINES = 4096
 WRITE_INTERVAL_S = 0.25
 # While nothing is to be written; also how often a late process is noticed.
-IDLE_EVERY_S = 1.0
+IDLE_INTERVAL_S = 1.0
 # Lines of one kind a second, in bursts of twice as many. At 40 requests a second and
 # three lines each, a router stays below it; a storm of refusals does not.
 MAX_LINES_PER_S = 150.0
@@ -91,8 +91,8 @@
             self.flush()
             if not self._lines:
                 self._has_lines.clear()
-                due = time.monotonic() + IDLE_EVERY_S
-                if not self._has_lines.wait(IDLE_EVERY_S):
+                due = time.monotonic() + IDLE_INTERVAL_S
+                if not self._has_lines.wait(IDLE_INTERVAL_S):
                     self._note_late(due)
 
     def _wait(self, wait_s: float) -> None:
