--- a/chivetrack/helpers/events.py
+++ b/chivetrack/helpers/events.py
@@ -30,7 +30,7 @@
 LATE_THRESHOLD_S = 0.25
 
 
-class _Bucket:
+class _TokenBucket:
     """Allows a rate and a burst, and counts what it left out."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         self._instance = instance
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
-        self._buckets: dict[str, _Bucket] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
         self._has_lines = Event()
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
@@ -68,7 +68,7 @@
         now = time.monotonic()
         bucket = self._buckets.get(event)
         if bucket is None:
-            bucket = self._buckets[event] = _Bucket()
+            bucket = self._buckets[event] = _TokenBucket()
         if not bucket.take(now):
             return
         if bucket.left_out and bucket.tokens > MAX_LINES_PER_S:
