--- a/chivetrack/helpers/events.py
+++ b/chivetrack/helpers/events.py
@@ -38,7 +38,7 @@
         self.at = 0.0
         self.left_out = 0
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         self.tokens = min(2 * MAX_LINES_PER_S, self.tokens + (now - self.at) * MAX_LINES_PER_S)
         self.at = now
         if self.tokens < 1.0:
@@ -69,7 +69,7 @@
         bucket = self._buckets.get(event)
         if bucket is None:
             bucket = self._buckets[event] = _TokenBucket()
-        if not bucket.take(now):
+        if not bucket.try_acquire(now):
             return
         if bucket.left_out and bucket.tokens > MAX_LINES_PER_S:
             left_out, bucket.left_out = bucket.left_out, 0
