--- a/chivetrack/helpers/events.py
+++ b/chivetrack/helpers/events.py
@@ -36,13 +36,13 @@
     def __init__(self) -> None:
         self.tokens = 2 * MAX_LINES_PER_S
         self.at = 0.0
-        self.left_out = 0
+        self.suppressed = 0
 
     def try_acquire(self, now: float) -> bool:
         self.tokens = min(2 * MAX_LINES_PER_S, self.tokens + (now - self.at) * MAX_LINES_PER_S)
         self.at = now
         if self.tokens < 1.0:
-            self.left_out += 1
+            self.suppressed += 1
             return False
         self.tokens -= 1.0
         return True
@@ -71,9 +71,9 @@
             bucket = self._buckets[event] = _TokenBucket()
         if not bucket.try_acquire(now):
             return
-        if bucket.left_out and bucket.tokens > MAX_LINES_PER_S:
-            left_out, bucket.left_out = bucket.left_out, 0
-            self._queue({"event": "lines_left_out", "of": event, "count": left_out}, now)
+        if bucket.suppressed and bucket.tokens > MAX_LINES_PER_S:
+            suppressed, bucket.suppressed = bucket.suppressed, 0
+            self._queue({"event": "lines_left_out", "of": event, "count": suppressed}, now)
         self._queue({"event": event, **fields}, now)
 
     def _queue(self, fields: dict[str, Any], now: float) -> None:
