--- a/chivetrack/helpers/events.py
+++ b/chivetrack/helpers/events.py
@@ -93,14 +93,14 @@
                 self._has_lines.clear()
                 due = time.monotonic() + IDLE_INTERVAL_S
                 if not self._has_lines.wait(IDLE_INTERVAL_S):
-                    self._note_late(due)
+                    self._report_late(due)
 
     def _wait(self, wait_s: float) -> None:
         due = time.monotonic() + wait_s
         gevent.sleep(wait_s)
-        self._note_late(due)
+        self._report_late(due)
 
-    def _note_late(self, due: float) -> None:
+    def _report_late(self, due: float) -> None:
         late_s = time.monotonic() - due
         if late_s > LATE_THRESHOLD_S:
             self.write("loop_late", late_s=round(late_s, 3))
