--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -279,7 +279,7 @@
         while True:
             now = time.monotonic()
             self._timers.run_due(now)
-            due = self._timers.find_next()
+            due = self._timers.find_next_due()
             gevent.sleep(0.1 if due is None else max(0.005, due - time.monotonic()))
 
     def run(self) -> int:
--- a/chivetrack/daemon/runner.py
+++ b/chivetrack/daemon/runner.py
@@ -84,7 +84,7 @@
             gevent.sleep(0)
 
     def _find_next(self) -> float:
-        due = self._timers.find_next()
+        due = self._timers.find_next_due()
         return self._wake_at if due is None else min(self._wake_at, due)
 
     def start(self) -> None:
--- a/chivetrack/helpers/timer.py
+++ b/chivetrack/helpers/timer.py
@@ -44,7 +44,7 @@
 
         return unsubscribe
 
-    def find_next(self) -> float | None:
+    def find_next_due(self) -> float | None:
         """Return when the next subscriber is due, or ``None``."""
         while self._heap and not self._heap[0].active:
             heapq.heappop(self._heap)
@@ -56,7 +56,7 @@
         A subscriber that was missed several times is called once: a process that
         was frozen must not do minutes of work in one burst when it wakes.
         """
-        while (due := self.find_next()) is not None and due <= now:
+        while (due := self.find_next_due()) is not None and due <= now:
             entry = heapq.heappop(self._heap)
             if entry.interval is not None:
                 entry.due = max(entry.due + entry.interval, now)
--- a/tests/helpers/test_timer.py
+++ b/tests/helpers/test_timer.py
@@ -21,10 +21,10 @@
         unsubscribe()
         self.timers.run_due(5.0)
         self.assertEqual(self.calls, [])
-        self.assertIsNone(self.timers.find_next())
+        self.assertIsNone(self.timers.find_next_due())
 
     def test_missed_intervals_are_called_once(self) -> None:
         self.timers.call_every(1.0, self.calls.append, now=0.0)
         self.timers.run_due(100.0)
         self.assertEqual(self.calls, [100.0])
-        self.assertEqual(self.timers.find_next(), 101.0)
+        self.assertEqual(self.timers.find_next_due(), 101.0)
