--- a/chivetrack/helpers/sections/places.py
+++ b/chivetrack/helpers/sections/places.py
@@ -15,7 +15,7 @@
     text: str
 
 
-class Places:
+class LineIndex:
     """Finds the line of a key path; a path that is not there gets its nearest parent's."""
 
     def __init__(self, *, text: str) -> None:
--- a/chivetrack/helpers/sections/text.py
+++ b/chivetrack/helpers/sections/text.py
@@ -10,7 +10,7 @@
 from expression import Error, Ok, Result
 
 from chivetrack.helpers.finding import Findings, suggest_name
-from chivetrack.helpers.sections.places import KeyPath, Places
+from chivetrack.helpers.sections.places import KeyPath, LineIndex
 
 _SYNTAX_PLACE = re.compile(
     r"^(?P<message>.*) \(at (line (?P<line>\d+), column \d+|end of document)\)$", re.DOTALL
@@ -33,7 +33,7 @@
         """Take a text that ``read_document`` accepts; ``source`` names it."""
         self.findings = Findings()
         self._source = source
-        self._places = Places(text=text)
+        self._places = LineIndex(text=text)
 
     def add(self, path: KeyPath, message: str, *, hint: str | None = None) -> None:
         """Note what is wrong at a key path."""
