--- a/chivetrack/components/settings/checks.py
+++ b/chivetrack/components/settings/checks.py
@@ -16,7 +16,7 @@
     TlsSettings,
 )
 from chivetrack.helpers.registry import Registry
-from chivetrack.helpers.sections.places import KeyPath
+from chivetrack.helpers.sections.line_index import KeyPath
 from chivetrack.helpers.sections.text import Problem
 from chivetrack.helpers.sections.values import Address
 
--- a/chivetrack/helpers/sections/reader.py
+++ b/chivetrack/helpers/sections/reader.py
@@ -9,7 +9,7 @@
 
 from chivetrack.helpers.finding import Findings
 from chivetrack.helpers.sections.base import Section
-from chivetrack.helpers.sections.places import KeyPath
+from chivetrack.helpers.sections.line_index import KeyPath
 from chivetrack.helpers.sections.text import Problem, Report, read_document
 
 SettingsT = TypeVar("SettingsT", bound=BaseModel)
--- a/chivetrack/helpers/sections/structs.py
+++ b/chivetrack/helpers/sections/structs.py
@@ -14,7 +14,7 @@
 from msgspec.structs import FieldInfo, fields
 
 from chivetrack.helpers.finding import Findings
-from chivetrack.helpers.sections.places import KeyPath
+from chivetrack.helpers.sections.line_index import KeyPath
 from chivetrack.helpers.sections.text import Problem, Report, read_document
 from chivetrack.helpers.sections.values import Address, parse_address
 
--- a/chivetrack/helpers/sections/text.py
+++ b/chivetrack/helpers/sections/text.py
@@ -10,7 +10,7 @@
 from expression import Error, Ok, Result
 
 from chivetrack.helpers.finding import Findings, suggest_name
-from chivetrack.helpers.sections.places import KeyPath, LineIndex
+from chivetrack.helpers.sections.line_index import KeyPath, LineIndex
 
 _SYNTAX_PLACE = re.compile(
     r"^(?P<message>.*) \(at (line (?P<line>\d+), column \d+|end of document)\)$", re.DOTALL
