--- a/chivetrack/helpers/sections/text.py
+++ b/chivetrack/helpers/sections/text.py
@@ -33,11 +33,11 @@
         """Take a text that ``read_document`` accepts; ``source`` names it."""
         self.findings = Findings()
         self._source = source
-        self._places = LineIndex(text=text)
+        self._line_index = LineIndex(text=text)
 
     def add(self, path: KeyPath, message: str, *, hint: str | None = None) -> None:
         """Note what is wrong at a key path."""
-        line = self._places.find_line(path)
+        line = self._line_index.find_line(path)
         place = self._source if line is None else f"{self._source}:{line}"
         self.findings.add(f"{place} {format_path(path)}", message, hint=hint)
 
