--- a/chivetrack/helpers/sections/line_index.py
+++ b/chivetrack/helpers/sections/line_index.py
@@ -25,7 +25,7 @@
         for statement in _split_statements(text):
             content = tomllib.loads(statement.text)
             if statement.text.lstrip().startswith("["):
-                prefix = self._enter_header(content, statement.line)
+                prefix = self._index_header(content, statement.line)
             else:
                 self._enter_values(prefix, content, statement.line)
 
@@ -37,7 +37,7 @@
                 return line
         return None
 
-    def _enter_header(self, content: dict[str, object], line: int) -> KeyPath:
+    def _index_header(self, content: dict[str, object], line: int) -> KeyPath:
         path: KeyPath = ()
         value: object = content
         while isinstance(value, dict) and value:
