--- a/chivetrack/helpers/sections/line_index.py
+++ b/chivetrack/helpers/sections/line_index.py
@@ -27,7 +27,7 @@
             if statement.text.lstrip().startswith("["):
                 prefix = self._index_header(content, statement.line)
             else:
-                self._enter_values(prefix, content, statement.line)
+                self._index_values(prefix, content, statement.line)
 
     def find_line(self, path: KeyPath) -> int | None:
         """Return the line of a key path, counted from 1."""
@@ -55,7 +55,7 @@
             return (*path, count)
         return (*path, count - 1) if count else path
 
-    def _enter_values(self, path: KeyPath, value: object, line: int) -> None:
+    def _index_values(self, path: KeyPath, value: object, line: int) -> None:
         items: list[tuple[str | int, object]] = []
         if isinstance(value, dict):
             items = list(value.items())
@@ -63,7 +63,7 @@
             items = list(enumerate(value))
         for name, inner in items:
             self._lines.setdefault((*path, name), line)
-            self._enter_values((*path, name), inner, line)
+            self._index_values((*path, name), inner, line)
 
 
 def _split_statements(text: str) -> Iterator[_Statement]:
