--- a/chivetrack/helpers/sections/line_index.py
+++ b/chivetrack/helpers/sections/line_index.py
@@ -75,13 +75,13 @@
             start = number
         pending.append(line)
         statement = "\n".join(pending)
-        if _is_whole(statement):
+        if _is_complete(statement):
             pending = []
             if statement.strip() and not statement.lstrip().startswith("#"):
                 yield _Statement(start, statement)
 
 
-def _is_whole(text: str) -> bool:
+def _is_complete(text: str) -> bool:
     try:
         tomllib.loads(text)
     except tomllib.TOMLDecodeError:
