--- a/chivetrack/helpers/sections/reader.py
+++ b/chivetrack/helpers/sections/reader.py
@@ -80,9 +80,9 @@
         if detail["type"] == "missing":
             self._report.add(path, "is missing")
             return
-        self._report.add(path, self._tidy_message(detail))
+        self._report.add(path, self._format_message(detail))
 
-    def _tidy_message(self, detail: ErrorDetails) -> str:
+    def _format_message(self, detail: ErrorDetails) -> str:
         """Say it in words, without the library's opening; the place already names the value."""
         pattern = str(detail.get("ctx", {}).get("pattern"))
         if pattern in self._meanings:
