--- a/chivetrack/components/settings/config.py
+++ b/chivetrack/components/settings/config.py
@@ -26,7 +26,11 @@
 def parse_settings(text: str, *, source: str) -> Result[Settings, Findings]:
     """Check a settings text; ``source`` names it in the findings' places."""
     return parse_sections(
-        text, source=source, model=Settings, check=_check_settings, meanings=PATTERN_MEANINGS
+        text,
+        source=source,
+        model=Settings,
+        check=_check_settings,
+        pattern_messages=PATTERN_MEANINGS,
     )
 
 
--- a/chivetrack/helpers/sections/reader.py
+++ b/chivetrack/helpers/sections/reader.py
@@ -22,7 +22,7 @@
     source: str,
     model: type[SettingsT],
     check: Callable[[dict[str, Section]], Iterator[Problem]],
-    meanings: Mapping[str, str] = _NO_MEANINGS,
+    pattern_messages: Mapping[str, str] = _NO_MEANINGS,
 ) -> Result[SettingsT, Findings]:
     """Check a text against a model of sections, and then what reads more than one of them.
 
@@ -30,7 +30,7 @@
     """
     return read_document(text, source=source).bind(
         lambda document: _Reader(
-            report=Report(source=source, text=text), model=model, meanings=meanings
+            report=Report(source=source, text=text), model=model, pattern_messages=pattern_messages
         ).read(document, check)
     )
 
@@ -39,11 +39,11 @@
     """Checks one document section by section, so that one fault hides no other."""
 
     def __init__(
-        self, *, report: Report, model: type[SettingsT], meanings: Mapping[str, str]
+        self, *, report: Report, model: type[SettingsT], pattern_messages: Mapping[str, str]
     ) -> None:
         self._report = report
         self._model = model
-        self._meanings = meanings
+        self._meanings = pattern_messages
 
     def read(
         self,
