--- a/chivetrack/helpers/sections/reader.py
+++ b/chivetrack/helpers/sections/reader.py
@@ -43,7 +43,7 @@
     ) -> None:
         self._report = report
         self._model = model
-        self._meanings = pattern_messages
+        self._pattern_messages = pattern_messages
 
     def read(
         self,
@@ -85,8 +85,8 @@
     def _format_message(self, detail: ErrorDetails) -> str:
         """Say it in words, without the library's opening; the place already names the value."""
         pattern = str(detail.get("ctx", {}).get("pattern"))
-        if pattern in self._meanings:
-            return self._meanings[pattern]
+        if pattern in self._pattern_messages:
+            return self._pattern_messages[pattern]
         text = detail["msg"].removeprefix("Value error, ").replace("Input should be", "must be")
         return text[:1].lower() + text[1:]
 
