--- a/chivetrack/helpers/sections/reader.py
+++ b/chivetrack/helpers/sections/reader.py
@@ -13,7 +13,7 @@
 from chivetrack.helpers.sections.text import Problem, Report, read_document
 
 SettingsT = TypeVar("SettingsT", bound=BaseModel)
-_NO_MEANINGS: Mapping[str, str] = {}
+_NO_PATTERN_MESSAGES: Mapping[str, str] = {}
 
 
 def parse_sections(
@@ -22,7 +22,7 @@
     source: str,
     model: type[SettingsT],
     check: Callable[[dict[str, Section]], Iterator[Problem]],
-    pattern_messages: Mapping[str, str] = _NO_MEANINGS,
+    pattern_messages: Mapping[str, str] = _NO_PATTERN_MESSAGES,
 ) -> Result[SettingsT, Findings]:
     """Check a text against a model of sections, and then what reads more than one of them.
 
