--- a/chivetrack/helpers/sections/structs.py
+++ b/chivetrack/helpers/sections/structs.py
@@ -21,7 +21,7 @@
 SettingsT = TypeVar("SettingsT", bound=msgspec.Struct)
 
 # Where in a value the library found the fault: "... - at `$[2]`".
-_ENTRY = re.compile(r" - at `\$\[(\d+)\]`$")
+_ENTRY_INDEX_PATTERN = re.compile(r" - at `\$\[(\d+)\]`$")
 
 
 class StructSection(msgspec.Struct, frozen=True, kw_only=True):
@@ -93,9 +93,9 @@
     except _BadEntryError as error:
         report.add(error.path, str(error))
     except msgspec.ValidationError as error:
-        entry = _ENTRY.search(str(error))
+        entry = _ENTRY_INDEX_PATTERN.search(str(error))
         where = (*path, int(entry[1])) if entry else path
-        message = _ENTRY.sub("", str(error))
+        message = _ENTRY_INDEX_PATTERN.sub("", str(error))
         report.add(where, message[:1].lower() + message[1:])
     return None
 
