--- a/chivetrack/helpers/sections/text.py
+++ b/chivetrack/helpers/sections/text.py
@@ -12,7 +12,7 @@
 from chivetrack.helpers.finding import Findings, suggest_name
 from chivetrack.helpers.sections.line_index import KeyPath, LineIndex
 
-_SYNTAX_PLACE = re.compile(
+_SYNTAX_ERROR_PATTERN = re.compile(
     r"^(?P<message>.*) \(at (line (?P<line>\d+), column \d+|end of document)\)$", re.DOTALL
 )
 
@@ -74,7 +74,7 @@
 
 def _report_syntax(message: str, text: str, source: str) -> Findings:
     findings = Findings()
-    match = _SYNTAX_PLACE.match(message)
+    match = _SYNTAX_ERROR_PATTERN.match(message)
     if match is None:
         findings.add(source, f"is not TOML: {message}")
         return findings
