--- a/chivetrack/helpers/sections/structs.py
+++ b/chivetrack/helpers/sections/structs.py
@@ -87,7 +87,7 @@
         return msgspec.convert(
             _read_addresses(field.type, content[field.name], path),
             type=field.type,
-            dec_hook=_read_custom,
+            dec_hook=_decode_path,
             from_attributes=True,
         )
     except _BadEntryError as error:
@@ -126,7 +126,7 @@
         raise _BadEntryError(path, error) from error
 
 
-def _read_custom(kind: type, value: Any) -> Any:
+def _decode_path(kind: type, value: Any) -> Any:
     if kind is Path and isinstance(value, str):
         return Path(value)
     raise ValueError("must be a path")
