--- a/chivetrack/helpers/tls.py
+++ b/chivetrack/helpers/tls.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Loaded:
+class _LoadedContexts:
     """Content that fits together, and the contexts made from it."""
 
     content: _Content
@@ -65,7 +65,7 @@
 class Tls:
     """The certificate, key and authorities in use; drive ``check`` by the timer service."""
 
-    def __init__(self, *, files: TlsFiles, loaded: _Loaded) -> None:
+    def __init__(self, *, files: TlsFiles, loaded: _LoadedContexts) -> None:
         """Take files that ``open_tls`` has loaded."""
         self._files = files
         self._loaded = loaded
@@ -173,7 +173,7 @@
         return b""
 
 
-def _load(files: TlsFiles) -> Result[_Loaded, Findings]:
+def _load(files: TlsFiles) -> Result[_LoadedContexts, Findings]:
     content = _read(files)
     if content.is_error():
         return Error(content.error)
@@ -193,7 +193,9 @@
     if len(findings):
         return Error(findings)
     return Ok(
-        _Loaded(content=content.ok, server_context=server_context, client_context=client_context)
+        _LoadedContexts(
+            content=content.ok, server_context=server_context, client_context=client_context
+        )
     )
 
 
