--- a/chivetrack/helpers/tls.py
+++ b/chivetrack/helpers/tls.py
@@ -111,7 +111,7 @@
         certificate and that of the key. Put to use, it would refuse every connection
         until the next check; so the old one stays until a whole new one is there.
         """
-        content = _read(self._files)
+        content = _read_content(self._files)
         if content.is_ok() and content.ok.digest == self._loaded.content.digest:
             self._refused_digest = None
             return Findings()
@@ -155,7 +155,7 @@
         )
 
 
-def _read(files: TlsFiles) -> Result[_Content, Findings]:
+def _read_content(files: TlsFiles) -> Result[_Content, Findings]:
     findings = Findings()
     certificate = _read_file(files.certificate_file, findings)
     key = _read_file(files.key_file, findings)
@@ -174,7 +174,7 @@
 
 
 def _load(files: TlsFiles) -> Result[_LoadedContexts, Findings]:
-    content = _read(files)
+    content = _read_content(files)
     if content.is_error():
         return Error(content.error)
     findings = Findings()
@@ -188,7 +188,9 @@
         server_context.verify_mode = ssl.CERT_REQUIRED
     else:
         client_context.load_default_certs()
-    if not len(findings) and _read(files).map(lambda again: again.digest) != Ok(content.ok.digest):
+    if not len(findings) and _read_content(files).map(lambda again: again.digest) != Ok(
+        content.ok.digest
+    ):
         findings.add(str(files.certificate_file), "is being replaced at this moment")
     if len(findings):
         return Error(findings)
