--- a/chivetrack/helpers/tls.py
+++ b/chivetrack/helpers/tls.py
@@ -183,7 +183,7 @@
     for context in (server_context, client_context):
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         if not len(findings):
-            _fill_context(context, files, content.ok, findings)
+            _load_into_context(context, files, content.ok, findings)
     if files.ca_file is not None:
         server_context.verify_mode = ssl.CERT_REQUIRED
     else:
@@ -201,7 +201,7 @@
     )
 
 
-def _fill_context(
+def _load_into_context(
     context: ssl.SSLContext, files: TlsFiles, content: _Content, findings: Findings
 ) -> None:
     try:
