--- a/chivetrack/daemon/encryption.py
+++ b/chivetrack/daemon/encryption.py
@@ -22,10 +22,10 @@
         """Return the TLS of a listener."""
         return self.listeners.get(name)
 
-    def check(self) -> None:
+    def reload_if_changed(self) -> None:
         """Take up files that have changed."""
         for tls in self.listeners.values():
-            tls.check()
+            tls.reload_if_changed()
 
 
 def open_encryption(settings: Settings) -> Result[Encryption, Findings]:
