--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -138,7 +138,7 @@
             answer = self._follow(conversation)
             keep = isinstance(answer.body, RelayBody)
             if answer.fault is not None:
-                conversation.hop.fail(answer.fault.code)
+                conversation.hop.mark_failed(answer.fault.code)
             return answer
         except BaseException:
             self._post(CallerGone(request_id=request_id))
@@ -227,7 +227,7 @@
         result = self._client.send(make_upstream_request(effect, hop))
         if result.is_error():
             failure = result.error
-            hop.fail(failure.outcome.value)
+            hop.mark_failed(failure.outcome.value)
             self._post(
                 AttemptFailed(
                     request_id=effect.request_id,
--- a/chivetrack/helpers/telemetry/traces.py
+++ b/chivetrack/helpers/telemetry/traces.py
@@ -43,7 +43,7 @@
         """Add an attribute; ids and numbers only, never content of callers."""
         self.span.set_attribute(name, value)
 
-    def fail(self, code: str) -> None:
+    def mark_failed(self, code: str) -> None:
         """Mark the hop as failed with the code of an error."""
         self.span.set_status(Status(StatusCode.ERROR, code))
 
@@ -83,7 +83,7 @@
         try:
             yield hop
         except Exception as error:
-            hop.fail(type(error).__name__)
+            hop.mark_failed(type(error).__name__)
             raise
         finally:
             span.end()
