--- a/tests/helpers/telemetry/stalled_collector.py
+++ b/tests/helpers/telemetry/stalled_collector.py
@@ -19,7 +19,7 @@
 from chivetrack.helpers.telemetry import const, open_telemetry  # noqa: E402
 
 REQUESTS = 4 * const.MAX_QUEUED_SPANS
-HANG_S = 20.0
+HANG_TIMEOUT_S = 20.0
 
 
 def serve_nothing(listener: socket.socket, held: list[socket.socket]) -> None:
@@ -36,8 +36,8 @@
     threading.Thread(target=serve_nothing, args=(listener, held), daemon=True).start()
     endpoint = f"http://127.0.0.1:{listener.getsockname()[1]}"
     with (
-        gevent.Timeout(HANG_S),
-        mock.patch.object(const, "EXPORT_TIMEOUT_S", 10 * HANG_S),
+        gevent.Timeout(HANG_TIMEOUT_S),
+        mock.patch.object(const, "EXPORT_TIMEOUT_S", 10 * HANG_TIMEOUT_S),
         mock.patch.object(const, "SPAN_EXPORT_INTERVAL_S", 0.001),
         mock.patch.object(const, "METRIC_EXPORT_INTERVAL_S", 0.001),
         open_telemetry(
--- a/tests/helpers/telemetry/test_provider.py
+++ b/tests/helpers/telemetry/test_provider.py
@@ -8,7 +8,7 @@
 from chivetrack.helpers.telemetry import const, open_telemetry
 from chivetrack.helpers.telemetry.instruments import INSTRUMENTS, Direction
 
-HANG_S = 60
+HANG_TIMEOUT_S = 60
 ROOT = Path(__file__).resolve().parents[3]
 
 
@@ -76,7 +76,7 @@
         [sys.executable, *arguments],
         capture_output=True,
         text=True,
-        timeout=HANG_S,
+        timeout=HANG_TIMEOUT_S,
         check=False,
         cwd=ROOT,
     )
--- a/tests/helpers/test_tls.py
+++ b/tests/helpers/test_tls.py
@@ -22,7 +22,7 @@
 from chivetrack.proto import peer_pb2, peer_pb2_grpc
 from tests.helpers.certificates import Authority, write_files
 
-HANG_S = 20.0
+HANG_TIMEOUT_S = 20.0
 ROOT = Path(__file__).resolve().parents[2]
 UNAVAILABLE = grpc.StatusCode.UNAVAILABLE
 
@@ -100,7 +100,7 @@
         )
         os.close(theirs)
         self.addCleanup(process.kill)
-        self.assertEqual(process.wait(HANG_S), 3)
+        self.assertEqual(process.wait(HANG_TIMEOUT_S), 3)
 
     def test_file_replaced_while_it_is_read(self) -> None:
         """The contexts and the gRPC content never come from two different files.
@@ -206,7 +206,7 @@
         """
         server = self.open()
         ours, theirs = socket.socketpair()
-        end = threading.Timer(HANG_S / 10, theirs.close)
+        end = threading.Timer(HANG_TIMEOUT_S / 10, theirs.close)
         end.start()
         self.addCleanup(end.join)
         self.addCleanup(end.cancel)
@@ -232,7 +232,7 @@
             [sys.executable, "-m", "tests.helpers.tls_under_gevent"],
             capture_output=True,
             text=True,
-            timeout=2 * HANG_S,
+            timeout=2 * HANG_TIMEOUT_S,
             reload_if_changed=False,
             cwd=ROOT,
         )
@@ -269,7 +269,7 @@
     with grpc.secure_channel(f"127.0.0.1:{port}", credentials, options) as channel:
         try:
             batches = iter([peer_pb2.Batch()])
-            peer_pb2_grpc.PeerStub(channel).Deliver(batches, timeout=HANG_S)
+            peer_pb2_grpc.PeerStub(channel).Deliver(batches, timeout=HANG_TIMEOUT_S)
         except grpc.RpcError as error:
             return error.code()
     return None
--- a/tests/helpers/tls_under_gevent.py
+++ b/tests/helpers/tls_under_gevent.py
@@ -25,7 +25,7 @@
 from chivetrack.proto import peer_pb2, peer_pb2_grpc  # noqa: E402
 from tests.helpers.certificates import Authority, write_files  # noqa: E402
 
-HANG_S = 30.0
+HANG_TIMEOUT_S = 30.0
 
 
 class _Server(TlsServerMixin, WSGIServer):
@@ -53,13 +53,13 @@
     credentials = tls.create_grpc_channel_credentials()
     with grpc.secure_channel(f"127.0.0.1:{grpc_port}", credentials, options) as channel:
         batches = iter([peer_pb2.Batch()])
-        peer_pb2_grpc.PeerStub(channel).Deliver(batches, timeout=HANG_S)
+        peer_pb2_grpc.PeerStub(channel).Deliver(batches, timeout=HANG_TIMEOUT_S)
 
 
 def main() -> None:
     """Serve, replace the files, serve again."""
     grpc_gevent.init_gevent()
-    with gevent.Timeout(HANG_S), tempfile.TemporaryDirectory() as name:
+    with gevent.Timeout(HANG_TIMEOUT_S), tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         first, second = Authority("first"), Authority("second")
         files = write_files(folder, first.issue(), first.pem)
