--- a/tests/helpers/certificates.py
+++ b/tests/helpers/certificates.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Pair:
+class CertificateAndKey:
     certificate: bytes
     key: bytes
     encrypted_key: bytes
@@ -35,7 +35,7 @@
         )
         self.pem = certificate.public_bytes(serialization.Encoding.PEM)
 
-    def issue(self, *, hosts: Sequence[str] = ("127.0.0.1",)) -> Pair:
+    def issue(self, *, hosts: Sequence[str] = ("127.0.0.1",)) -> CertificateAndKey:
         key = ec.generate_private_key(ec.SECP256R1())
         name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "instance")])
         addresses = [x509.IPAddress(ipaddress.ip_address(host)) for host in hosts]
@@ -44,7 +44,7 @@
             .add_extension(x509.SubjectAlternativeName(addresses), critical=False)
             .sign(self._key, hashes.SHA256())
         )
-        return Pair(
+        return CertificateAndKey(
             certificate.public_bytes(serialization.Encoding.PEM),
             _write_key(key, serialization.NoEncryption()),
             _write_key(key, serialization.BestAvailableEncryption(b"pass phrase")),
@@ -52,7 +52,7 @@
         )
 
 
-def write_files(folder: Path, pair: Pair, ca: bytes | None) -> TlsFiles:
+def write_files(folder: Path, pair: CertificateAndKey, ca: bytes | None) -> TlsFiles:
     (folder / "cert.pem").write_bytes(pair.certificate)
     (folder / "key.pem").write_bytes(pair.key)
     if ca is None:
