--- a/tests/helpers/test_structs.py
+++ b/tests/helpers/test_structs.py
@@ -25,7 +25,7 @@
     wait_s: Annotated[float, Meta(gt=0)] = 1.0
 
 
-class Whole(msgspec.Struct, frozen=True, kw_only=True):
+class SampleSettings(msgspec.Struct, frozen=True, kw_only=True):
     place: Place
     links: Links
 
@@ -38,13 +38,13 @@
 
 class StructsTest(unittest.TestCase):
     def list_findings(self, text: str) -> list[str]:
-        read = parse_structs(text, source="f", model=Whole, check=check)
+        read = parse_structs(text, source="f", model=SampleSettings, check=check)
         return [str(one) for one in read.error]
 
     def test_whole_text_is_read(self) -> None:
         text = '[place]\nname = "a"\nlevel = "debug"\nfolder = "/d"\n'
         text += '[links]\npeers = ["10.0.0.1:1", "[::1]:2"]\nmain = "10.0.0.9:3"\nwait_s = 2\n'
-        read = parse_structs(text, source="f", model=Whole, check=check).ok
+        read = parse_structs(text, source="f", model=SampleSettings, check=check).ok
         self.assertEqual(read.place, Place(name="a", level=LogLevel.DEBUG, folder=Path("/d")))
         self.assertEqual(read.links.peers, (Address("10.0.0.1", 1), Address("::1", 2)))
         self.assertEqual(read.links.main, Address("10.0.0.9", 3))
