--- a/chivetrack/daemon/encryption.py
+++ b/chivetrack/daemon/encryption.py
@@ -22,10 +22,10 @@
         """Return the TLS of a listener."""
         return self.listeners.get(name)
 
-    def reload_if_changed(self) -> None:
+    def check(self) -> None:
         """Take up files that have changed."""
         for tls in self.listeners.values():
-            tls.reload_if_changed()
+            tls.check()
 
 
 def open_encryption(settings: Settings) -> Result[Encryption, Findings]:
--- a/tests/helpers/test_tls.py
+++ b/tests/helpers/test_tls.py
@@ -135,13 +135,13 @@
         following = self.authority.issue()
         self.files.certificate_file.write_bytes(following.certificate)
         with mock.patch.object(tls_module, "_LOGGER") as logger:
-            self.assertIn("key values mismatch", str(list(tls.reload_if_changed())))
-            self.assertEqual(len(tls.reload_if_changed()), 1)
+            self.assertIn("key values mismatch", str(list(tls.check())))
+            self.assertEqual(len(tls.check()), 1)
             self.assertEqual(logger.error.call_count, 1)
         self.assertEqual(shake_hands(tls, self.open_client()), self.pair.serial)
         self.assertEqual(calls, [])
         self.files.key_file.write_bytes(following.key)
-        self.assertEqual(len(tls.reload_if_changed()), 0)
+        self.assertEqual(len(tls.check()), 0)
         self.assertEqual(shake_hands(tls, self.open_client()), following.serial)
         self.assertEqual(calls, [1])
 
@@ -152,7 +152,7 @@
         write_files(self.folder, following, self.authority.pem)
         for path in (self.files.certificate_file, self.files.key_file):
             os.utime(path, ns=(before.st_atime_ns, before.st_mtime_ns))
-        tls.reload_if_changed()
+        tls.check()
         self.assertEqual(shake_hands(tls, self.open_client()), following.serial)
 
     def test_unchanged_files_change_nothing(self) -> None:
@@ -160,14 +160,14 @@
         context = tls.server_context
         tls.subscribe(lambda: self.fail("called without a change"))
         self.files.certificate_file.touch()
-        tls.reload_if_changed()
+        tls.check()
         self.assertIs(tls.server_context, context)
 
     def test_authority_that_was_taken_out_is_not_trusted_any_more(self) -> None:
         tls = self.open()
         old_client = self.open_client().client_context
         write_files(self.folder, self.other.issue(), self.other.pem)
-        tls.reload_if_changed()
+        tls.check()
         with self.assertRaises(ssl.SSLError):
             do_handshake_with(tls.server_context, old_client)
 
@@ -233,7 +233,7 @@
             capture_output=True,
             text=True,
             timeout=2 * HANG_TIMEOUT_S,
-            reload_if_changed=False,
+            check=False,
             cwd=ROOT,
         )
         self.assertEqual(result.returncode, 0, result.stderr)
@@ -252,7 +252,7 @@
         old = tls.create_grpc_channel_credentials()
         self.assertIsNone(call(port, old))
         write_files(self.folder, self.other.issue(), self.other.pem)
-        self.assertEqual(len(tls.reload_if_changed()), 0)
+        self.assertEqual(len(tls.check()), 0)
         self.assertIsNone(call(port, tls.create_grpc_channel_credentials()))
         self.assertIs(call(port, old), UNAVAILABLE)
         self.assertIs(call(port, grpc.ssl_channel_credentials(self.other.pem)), UNAVAILABLE)
--- a/tests/helpers/tls_under_gevent.py
+++ b/tests/helpers/tls_under_gevent.py
@@ -74,10 +74,10 @@
         silent.append(socket.create_connection(("127.0.0.1", grpc_port)))
         call_both(tls, http.server_port, grpc_port)
         files.key_file.write_bytes(second.issue().key)
-        assert len(tls.reload_if_changed()) == 1
+        assert len(tls.check()) == 1
         call_both(tls, http.server_port, grpc_port)
         write_files(folder, second.issue(), second.pem)
-        assert len(tls.reload_if_changed()) == 0
+        assert len(tls.check()) == 0
         call_both(tls, http.server_port, grpc_port)
         for connection in silent:
             connection.close()
