--- a/tests/helpers/test_tls.py
+++ b/tests/helpers/test_tls.py
@@ -138,11 +138,11 @@
             self.assertIn("key values mismatch", str(list(tls.check())))
             self.assertEqual(len(tls.check()), 1)
             self.assertEqual(logger.error.call_count, 1)
-        self.assertEqual(shake_hands(tls, self.open_client()), self.pair.serial)
+        self.assertEqual(run_handshake(tls, self.open_client()), self.pair.serial)
         self.assertEqual(calls, [])
         self.files.key_file.write_bytes(following.key)
         self.assertEqual(len(tls.check()), 0)
-        self.assertEqual(shake_hands(tls, self.open_client()), following.serial)
+        self.assertEqual(run_handshake(tls, self.open_client()), following.serial)
         self.assertEqual(calls, [1])
 
     def test_change_that_keeps_the_time_of_the_files(self) -> None:
@@ -153,7 +153,7 @@
         for path in (self.files.certificate_file, self.files.key_file):
             os.utime(path, ns=(before.st_atime_ns, before.st_mtime_ns))
         tls.check()
-        self.assertEqual(shake_hands(tls, self.open_client()), following.serial)
+        self.assertEqual(run_handshake(tls, self.open_client()), following.serial)
 
     def test_unchanged_files_change_nothing(self) -> None:
         tls = self.open()
@@ -275,7 +275,7 @@
     return None
 
 
-def shake_hands(server: Tls, client: Tls) -> int:
+def run_handshake(server: Tls, client: Tls) -> int:
     return do_handshake_with(server.server_context, client.client_context)
 
 
