--- a/tests/helpers/test_tls.py
+++ b/tests/helpers/test_tls.py
@@ -169,7 +169,7 @@
         write_files(self.folder, self.other.issue(), self.other.pem)
         tls.check()
         with self.assertRaises(ssl.SSLError):
-            do_handshake_with(tls.server_context, old_client)
+            run_handshake_with(tls.server_context, old_client)
 
     def open_client(self) -> Tls:
         folder = self.folder / "client"
@@ -186,7 +186,7 @@
         nobody = ssl.create_default_context(cadata=self.authority.pem.decode())
         for client in (stranger.client_context, nobody):
             with self.subTest(), self.assertRaises(ssl.SSLError):
-                do_handshake_with(server.server_context, client)
+                run_handshake_with(server.server_context, client)
 
     def test_client_refuses_a_server_of_another_authority_or_address(self) -> None:
         folder = self.folder / "server"
@@ -194,9 +194,9 @@
         impostor = self.open(write_files(folder, self.other.issue(), None))
         client = self.open().client_context
         with self.assertRaises(ssl.SSLCertVerificationError):
-            do_handshake_with(impostor.server_context, client)
+            run_handshake_with(impostor.server_context, client)
         with self.assertRaises(ssl.SSLCertVerificationError):
-            do_handshake_with(self.open().server_context, client, host="127.0.0.2")
+            run_handshake_with(self.open().server_context, client, host="127.0.0.2")
 
     def test_silent_client_is_let_go(self) -> None:
         """A client that connects and says nothing does not hold a greenlet for good.
@@ -276,10 +276,10 @@
 
 
 def run_handshake(server: Tls, client: Tls) -> int:
-    return do_handshake_with(server.server_context, client.client_context)
+    return run_handshake_with(server.server_context, client.client_context)
 
 
-def do_handshake_with(
+def run_handshake_with(
     server: ssl.SSLContext, client: ssl.SSLContext, host: str = "127.0.0.1"
 ) -> int:
     """Return the serial of the certificate that the client saw."""
