--- a/chivetrack/helpers/tls.py
+++ b/chivetrack/helpers/tls.py
@@ -103,7 +103,7 @@
         self._callbacks.append(callback)
         return lambda: self._callbacks.remove(callback)
 
-    def reload_if_changed(self, now: float = 0.0) -> Findings:
+    def check(self, now: float = 0.0) -> Findings:
         """Take up changed files; return and log what is wrong with them.
 
         The content is compared, not the time of the files: copies may keep their time.
