--- a/chivetrack/helpers/__init__.py
+++ b/chivetrack/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Small tools that every layer may use."""
+"""General helpers that any package may import."""
--- a/chivetrack/helpers/codec.py
+++ b/chivetrack/helpers/codec.py
@@ -1,4 +1,4 @@
-"""Messages between instances and records on disk, as msgpack arrays."""
+"""Codec for messages between instances and records on disk: msgpack arrays."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -9,11 +9,11 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Base of every message and record.
+    """Base class of every message and record.
 
-    Encoded as an array, so new fields go at the end and need a default: an older
-    reader ignores them, a newer one fills them in. Subclasses repeat
-    ``frozen=True, array_like=True``.
+    Messages are encoded as arrays, so a new field is added at the end with a default: older
+    readers ignore the field, and newer readers use the default when it is missing.
+    Subclasses must repeat ``frozen=True, array_like=True``.
     """
 
 
@@ -27,19 +27,19 @@
 
 
 class DecodeError(Exception):
-    """The bytes are not a message of the kind they claim to be."""
+    """The bytes are not a valid message of the given kind."""
 
 
 def message(kind: str) -> Callable[[MessageT], MessageT]:
-    """Register a message class under the name it has on the wire."""
+    """Return a decorator that registers a message class under its kind, its wire name."""
 
-    def enter(cls: MessageT) -> MessageT:
+    def register(cls: MessageT) -> MessageT:
         MESSAGES.register(kind)(cls)
         _KINDS[cls] = kind
         _DECODERS[kind] = msgspec.msgpack.Decoder(cls)
         return cls
 
-    return enter
+    return register
 
 
 def get_kind(value: Message) -> str:
@@ -53,7 +53,7 @@
 
 
 def decode(kind: str, payload: bytes) -> Message:
-    """Decode a message; raise ``DecodeError`` for an unknown kind or bad bytes."""
+    """Decode a message; raise ``DecodeError`` for an unknown kind or malformed bytes."""
     decoder = _DECODERS.get(kind)
     if decoder is None:
         raise DecodeError(f"no message is named {kind!r}")
@@ -64,7 +64,7 @@
 
 
 def decode_as(cls: type[ValueT], payload: bytes) -> ValueT:
-    """Decode a message whose class is known; raise ``DecodeError`` for bad bytes."""
+    """Decode a message whose class is known; raise ``DecodeError`` for malformed bytes."""
     value = decode(_KINDS[cls], payload)
     assert isinstance(value, cls)
     return value
@@ -76,7 +76,7 @@
 
 
 def unpack(data: bytes) -> Message:
-    """Decode what ``pack`` gave; raise ``DecodeError`` for anything else."""
+    """Decode the output of ``pack``; raise ``DecodeError`` for anything else."""
     try:
         kind, payload = msgspec.msgpack.decode(data, type=tuple[str, msgspec.Raw])
     except msgspec.MsgspecError as error:
--- a/chivetrack/helpers/events.py
+++ b/chivetrack/helpers/events.py
@@ -1,8 +1,8 @@
-"""Structured event lines on standard output: bounded, and never waited for.
+"""Event log: structured lines on standard output, written without blocking.
 
-A line a decision is what on-call engineers have afterwards. A pipe that nobody reads
-would stop the process at the next write, so lines wait in a bounded queue until the pipe
-has room, and what doesn't fit is counted and told in a line.
+Each decision writes one line, so that on-call engineers can reconstruct it later. A write
+to a pipe that nobody reads would block the process, so lines wait in a bounded queue until
+the pipe has room. Lines that do not fit are dropped, and their count is logged.
 """
 
 import os
@@ -19,28 +19,30 @@
 
 MAX_QUEUED_LINES = 4096
 WRITE_INTERVAL_S = 0.25
-# While nothing is to be written; also how often a late process is noticed.
+# Wait while the queue is empty; the delay of the event loop is measured after each wait.
 IDLE_INTERVAL_S = 1.0
-# Lines of one kind a second, in bursts of twice as many. At 40 requests a second and
-# three lines each, a router stays below it; a storm of refusals does not.
+# Limit for each event name, with bursts of twice as many lines. A router with 40 requests per
+# second and three lines each stays below the limit; a flood of refusals does not.
 MAX_LINES_PER_S = 150.0
-# A pipe that polls as writable takes so much without blocking.
+# A pipe that polls as writable accepts this many bytes without blocking.
 MAX_WRITE_BYTES = select.PIPE_BUF
-# A process whose greenlets wait for longer than this answers nobody in time.
+# A process whose greenlets are delayed for longer than this answers its callers too late.
 LATE_THRESHOLD_S = 0.25
 
 
 class _TokenBucket:
-    """Allows a rate and a burst, and counts what it left out."""
+    """Token bucket: allows a rate and a burst, and counts the suppressed lines."""
 
     def __init__(self) -> None:
         self.tokens = 2 * MAX_LINES_PER_S
-        self.at = 0.0
+        self.refilled_at = 0.0
         self.suppressed = 0
 
     def try_acquire(self, now: float) -> bool:
-        self.tokens = min(2 * MAX_LINES_PER_S, self.tokens + (now - self.at) * MAX_LINES_PER_S)
-        self.at = now
+        self.tokens = min(
+            2 * MAX_LINES_PER_S, self.tokens + (now - self.refilled_at) * MAX_LINES_PER_S
+        )
+        self.refilled_at = now
         if self.tokens < 1.0:
             self.suppressed += 1
             return False
@@ -49,10 +51,10 @@
 
 
 class EventLog:
-    """Takes events from anywhere in the process and writes them as JSON lines."""
+    """Queues the events of the process and writes them as JSON lines."""
 
     def __init__(self, *, instance: str, descriptor: int = 1) -> None:
-        """Take the name of the instance and where lines go."""
+        """Initialize with the instance's name and the file descriptor that lines go to."""
         self._instance = instance
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
@@ -64,7 +66,7 @@
         self.dropped = 0
 
     def write(self, event: str, **fields: Any) -> None:
-        """Queue one line; returns at once."""
+        """Queue one line without blocking; ``fields`` become fields of the line."""
         now = time.monotonic()
         bucket = self._buckets.get(event)
         if bucket is None:
@@ -85,7 +87,7 @@
         self._has_lines.set()
 
     def run(self) -> None:
-        """Write what waits, again and again, until killed."""
+        """Write queued lines periodically until the greenlet is killed."""
         while True:
             self._wait(WRITE_INTERVAL_S)
             self.flush()
@@ -106,7 +108,7 @@
             self.write("loop_late", late_s=round(late_s, 3))
 
     def flush(self) -> None:
-        """Write what the reader has room for; never blocks."""
+        """Write as many queued lines as the pipe has room for, without blocking."""
         while self._lines and self._is_writable():
             self._write_some()
         if self.dropped and len(self._lines) < MAX_QUEUED_LINES:
@@ -117,7 +119,7 @@
         return any(flags & select.POLLOUT for _, flags in self._poll.poll(0))
 
     def _write_some(self) -> None:
-        """Write the oldest lines that fit, at least a part of the first."""
+        """Write the oldest lines that fit into one write, or a part of a longer first line."""
         parts = [self._lines.popleft()]
         size = len(parts[0])
         while self._lines and size + len(self._lines[0]) <= MAX_WRITE_BYTES:
@@ -127,7 +129,7 @@
         try:
             written = os.write(self._descriptor, data[:MAX_WRITE_BYTES])
         except OSError:
-            # The reader has gone; the process goes on without its lines.
+            # The reader has closed the pipe; these lines are lost and the process continues.
             return
         if written < len(data):
             self._lines.appendleft(data[written:])
@@ -135,7 +137,7 @@
 
 @contextmanager
 def open_events(*, instance: str) -> Iterator[EventLog]:
-    """Give a log that is written until the block ends."""
+    """Open an event log whose queue is written in the background until the block ends."""
     events = EventLog(instance=instance)
     writer = gevent.spawn(events.run)
     try:
--- a/chivetrack/helpers/finding.py
+++ b/chivetrack/helpers/finding.py
@@ -1,4 +1,4 @@
-"""Findings: every fault of a document with its place, reported together."""
+"""Findings: all faults of a document, each with its place, reported together."""
 
 import difflib
 from collections.abc import Iterable, Iterator
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Finding:
-    """One fault: where it is, what it is and what may help."""
+    """One fault: its place, its description and an optional hint how to fix it."""
 
     place: str
     message: str
@@ -19,7 +19,7 @@
 
 
 class Findings:
-    """Collects findings; empty means that nothing is wrong."""
+    """Collects findings; it is empty when a document has no faults."""
 
     def __init__(self) -> None:
         """Start with no findings."""
@@ -37,6 +37,6 @@
 
 
 def suggest_name(name: str, valid: Iterable[str]) -> str | None:
-    """Return a hint with the nearest valid name, if one is near."""
-    near = difflib.get_close_matches(name, list(valid), n=1)
-    return f"did you mean {near[0]!r}?" if near else None
+    """Return a hint with the most similar valid name, ``None`` if no name is similar."""
+    matches = difflib.get_close_matches(name, list(valid), n=1)
+    return f"did you mean {matches[0]!r}?" if matches else None
--- a/chivetrack/helpers/handshakes.py
+++ b/chivetrack/helpers/handshakes.py
@@ -1,4 +1,4 @@
-"""TLS handshakes of a server: those that fail, and a server that survives them."""
+"""Handling of failed TLS handshakes in gevent servers."""
 
 import socket
 from typing import Any
@@ -14,16 +14,17 @@
 
 
 class TlsServerMixin:
-    """Goes before a gevent server class whose ``ssl_context`` is a ``Tls``.
+    """Mixin for a gevent server class whose ``ssl_context`` is a ``Tls``; list it first.
 
-    A balancer's probe connects and closes, every second for each instance. The server
-    would print a traceback for each; this leaves a line at the level ``debug``.
+    A load balancer's probe connects to each instance every second and closes the connection
+    at once. gevent would print a traceback for each probe; the mixin logs a line at level
+    ``debug`` instead.
     """
 
     def wrap_socket_and_handle(self, client_socket: socket.socket, address: Any) -> Any:
-        """Do the handshake and serve the connection."""
+        """Perform the handshake and serve the connection."""
         try:
             return super().wrap_socket_and_handle(client_socket, address)  # type: ignore[misc]
         except HandshakeError as error:
-            _LOGGER.debug("A client ended in the handshake: {}.", error)
+            _LOGGER.debug("TLS handshake with a client failed: {}.", error)
             return None
--- a/chivetrack/helpers/keys.py
+++ b/chivetrack/helpers/keys.py
@@ -1,9 +1,9 @@
-"""Keys of operators, announcers and callers: made once, kept only as hashes.
+"""Keys of operators, announcers and callers, which are stored only as hashes.
 
-A key is 256 random bits, so a plain SHA-256 is enough: a slow hash makes guessing of
-*weak* secrets dear, but nobody gets through 2**256 keys at any speed, and a slow hash
-would cost each request milliseconds. A key that a person thought up must not be used;
-``hash_key`` refuses what is not of the form that ``make_key`` gives.
+A key is 256 random bits, so SHA-256 is enough: a slow password hash protects *weak*
+secrets against guessing, but 2**256 keys cannot be tried at any speed, and a slow hash
+would cost milliseconds for each request. Keys chosen by a person must not be used;
+``hash_key`` refuses a text that does not have the form of a key from ``make_key``.
 """
 
 import hashlib
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KeyHolder:
-    """Who holds a key, and the key's hash."""
+    """The name of a key's holder, and the key's hash."""
 
     name: str
     hash: str = field(repr=False)
@@ -39,14 +39,14 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the hash of a key; raise ``ValueError`` for what ``make_key`` did not make."""
+    """Return the hash of a key; raise ``ValueError`` for a text without the form of a key."""
     if not is_key(key):
         raise ValueError("this is not a key made by `chivetrack key make`")
     return _hash(key)
 
 
 def verify_key(key: str, key_hash: str) -> bool:
-    """Return whether a key belongs to a hash, in a time that does not depend on either."""
+    """Return whether a key matches a hash, compared in constant time."""
     return hmac.compare_digest(_hash(key).encode(), key_hash.encode())
 
 
@@ -54,17 +54,17 @@
     """The keys that one listener accepts."""
 
     def __init__(self, *, holders: Iterable[KeyHolder]) -> None:
-        """Take the holders; several keys may be valid at a time."""
+        """Initialize with the holders; a holder may have several keys."""
         self._holders = tuple(holders)
 
     def __len__(self) -> int:
         return len(self._holders)
 
     def find_holder(self, key: str) -> str | None:
-        """Return who holds a key, or ``None``.
+        """Return the name of a key's holder, or ``None``.
 
-        Every entry is compared, also after a match: the time of the answer would
-        otherwise tell a caller which entry, or how much of a hash, was met.
+        All entries are compared in constant time, also after a match. Otherwise the
+        response time would reveal which entry, or how much of a hash, matched.
         """
         digest = _hash(key).encode()
         found: str | None = None
--- a/chivetrack/helpers/log.py
+++ b/chivetrack/helpers/log.py
@@ -1,8 +1,8 @@
-"""Logs on stderr: short sentences with a fixed prefix for each part.
+"""Logs on stderr: short sentences with a fixed prefix for each part of the program.
 
 Never log what callers or endpoints send (bodies, headers, chat ids, prompts, answers)
-nor keys or their hashes: logs are copied to places that such content must not reach.
-Log ids of the system's own (request, instance, endpoint, workspace) and counts instead.
+nor keys or their hashes: logs are copied to systems that must not receive such content.
+Log the program's own ids (request, instance, endpoint, workspace) and counts instead.
 """
 
 import logging
@@ -30,7 +30,7 @@
 
 
 def get_logger(part: str) -> logbook.Logger:
-    """Return the logger of a part; its lines start with ``[part]``."""
+    """Return the logger of a part of the program; its lines start with ``[part]``."""
     return logbook.Logger(part)
 
 
@@ -40,7 +40,7 @@
 ) -> Iterator[None]:
     """Write log lines of at least ``level`` to ``stream`` (stderr) until the block ends.
 
-    Warnings of libraries that use the standard ``logging`` come out in the same form,
+    Warnings of libraries that use the standard ``logging`` are written in the same form,
     with the library's name as the part.
     """
     formatter = format_json if LogFormat(form) is LogFormat.JSON else format_text
@@ -60,7 +60,7 @@
 
 
 def format_text(record: logbook.LogRecord, _handler: Any = None) -> str:
-    """Write a record as ``[part] time level: sentence``, its traceback on lines below."""
+    """Format a record as ``[part] time level: sentence``, with a traceback on lines below."""
     part = _get_part(record)
     head = f"[{part}] {_format_time(record)} {record.level_name.lower()}"
     lines = [f"{head}: {_escape(record.message or '')}"]
@@ -71,7 +71,7 @@
 
 
 def format_json(record: logbook.LogRecord, _handler: Any = None) -> str:
-    """Write a record as one JSON object on one line."""
+    """Format a record as one JSON object on one line."""
     fields = {
         "time": _format_time(record),
         "level": record.level_name.lower(),
@@ -95,12 +95,12 @@
 
 
 def _escape(text: str) -> str:
-    """Keep a record on its line: a name with a line break could fake a second record."""
+    """Escape control characters: a name with a line break could forge a second record."""
     return text.translate(_CONTROL_CHARACTERS)
 
 
 class _LineHandler(logbook.Handler):
-    """Writes lines; a reader that has gone away loses lines and does no other harm."""
+    """Writes log lines; drops them if the stream cannot be written."""
 
     def __init__(self, *, stream: TextIO, level: int, formatter: Any) -> None:
         super().__init__(level=level)
@@ -115,7 +115,7 @@
                 self._stream.write(line)
                 self._stream.flush()
             except (OSError, ValueError):
-                # The pipe's reader ended or the stream was closed. The library would
-                # print a traceback to stderr, which on a closed stderr raises in the
-                # midst of a request. Losing the line is all that can be done here.
+                # The reader of the pipe ended or the stream was closed. The library would
+                # print a traceback to stderr; if stderr is closed, that raises an error
+                # during a request. The line is dropped instead.
                 return
--- a/chivetrack/helpers/sections/__init__.py
+++ b/chivetrack/helpers/sections/__init__.py
@@ -1,1 +1,1 @@
-"""Settings files in sections: their models' base, and one reader for all programs."""
+"""Settings files with sections: base classes of the models, and readers for all programs."""
--- a/chivetrack/helpers/sections/base.py
+++ b/chivetrack/helpers/sections/base.py
@@ -1,4 +1,4 @@
-"""The base of the sections that are models of pydantic."""
+"""Base class of settings sections that are pydantic models."""
 
 from typing import Annotated
 
@@ -10,6 +10,6 @@
 
 
 class Section(BaseModel):
-    """Base of every section: unknown keys are findings, values never change."""
+    """Base class of a section; unknown keys are findings and instances are immutable."""
 
     model_config = ConfigDict(frozen=True, extra="forbid", arbitrary_types_allowed=True)
--- a/chivetrack/helpers/sections/line_index.py
+++ b/chivetrack/helpers/sections/line_index.py
@@ -1,4 +1,7 @@
-"""Where each key of a TOML text stands; the standard reader keeps no places."""
+"""Index of the lines on which the keys of a TOML text stand.
+
+``tomllib`` does not report line numbers.
+"""
 
 import tomllib
 from collections.abc import Iterator
@@ -16,10 +19,10 @@
 
 
 class LineIndex:
-    """Finds the line of a key path; a path that is not there gets its nearest parent's."""
+    """Finds the line of a key path; a missing path gets the line of its nearest parent."""
 
     def __init__(self, *, text: str) -> None:
-        """Read the lines of a text that ``tomllib`` accepts."""
+        """Index the lines of a text that ``tomllib`` accepts."""
         self._lines: dict[KeyPath, int] = {}
         prefix: KeyPath = ()
         for statement in _split_statements(text):
@@ -30,7 +33,7 @@
                 self._index_values(prefix, content, statement.line)
 
     def find_line(self, path: KeyPath) -> int | None:
-        """Return the line of a key path, counted from 1."""
+        """Return the line of a key path, counted from 1; ``None`` without any parent."""
         for length in range(len(path), 0, -1):
             line = self._lines.get(path[:length])
             if line is not None:
@@ -47,7 +50,11 @@
         return path
 
     def _resolve(self, path: KeyPath, *, is_new: bool) -> KeyPath:
-        """Add the index of the element of an array of tables that a header means."""
+        """Append the element's index to a path that names an array of tables.
+
+        ``is_new`` means that the header starts a new element; otherwise the header refers
+        to the last one.
+        """
         count = 0
         while (*path, count) in self._lines:
             count += 1
@@ -67,7 +74,7 @@
 
 
 def _split_statements(text: str) -> Iterator[_Statement]:
-    """Cut a text into the shortest runs of lines that are TOML by themselves."""
+    """Split a text into the shortest runs of lines that are valid TOML on their own."""
     pending: list[str] = []
     start = 1
     for number, line in enumerate(text.replace("\r\n", "\n").split("\n"), start=1):
--- a/chivetrack/helpers/sections/reader.py
+++ b/chivetrack/helpers/sections/reader.py
@@ -1,4 +1,4 @@
-"""Checks a settings text against models of pydantic; all findings are reported together."""
+"""Reader for settings texts described by pydantic models; reports all findings together."""
 
 from collections.abc import Callable, Iterator, Mapping
 from typing import Any, Generic, TypeVar, get_args
@@ -24,9 +24,10 @@
     check: Callable[[dict[str, Section]], Iterator[Problem]],
     pattern_messages: Mapping[str, str] = _NO_PATTERN_MESSAGES,
 ) -> Result[SettingsT, Findings]:
-    """Check a text against a model of sections, and then what reads more than one of them.
+    """Validate a text against a model of sections, then run the checks across sections.
 
-    ``meanings`` says in words what the patterns of the model ask for.
+    ``pattern_messages`` maps a pattern of the model to the message for a value that does
+    not match it.
     """
     return read_document(text, source=source).bind(
         lambda document: _Reader(
@@ -36,7 +37,7 @@
 
 
 class _Reader(Generic[SettingsT]):
-    """Checks one document section by section, so that one fault hides no other."""
+    """Validates a document section by section, so that one fault does not hide others."""
 
     def __init__(
         self, *, report: Report, model: type[SettingsT], pattern_messages: Mapping[str, str]
@@ -50,7 +51,7 @@
         document: dict[str, Any],
         check: Callable[[dict[str, Section]], Iterator[Problem]],
     ) -> Result[SettingsT, Findings]:
-        """Return the settings, or what is wrong."""
+        """Return the settings, or all findings."""
         for name in document:
             if name not in self._model.model_fields:
                 self._report.add_unknown((name,), self._model.model_fields)
@@ -83,7 +84,10 @@
         self._report.add(path, self._format_message(detail))
 
     def _format_message(self, detail: ErrorDetails) -> str:
-        """Say it in words, without the library's opening; the place already names the value."""
+        """Return the message of an error without the library's prefix.
+
+        The finding's place already names the value.
+        """
         pattern = str(detail.get("ctx", {}).get("pattern"))
         if pattern in self._pattern_messages:
             return self._pattern_messages[pattern]
--- a/chivetrack/helpers/sections/structs.py
+++ b/chivetrack/helpers/sections/structs.py
@@ -1,7 +1,7 @@
-"""Checks a settings text against sections that are structs; all findings are reported.
+"""Reader for settings texts described by msgspec structs; reports all findings together.
 
-A process that is started in hundreds, and again after each loss of power, reads its settings
-before it serves; loading pydantic for a few small tables would delay every one of them.
+Hundreds of processes read such settings before they serve, and all start again after a loss
+of power. Importing pydantic for a few small tables would delay the start of each of them.
 """
 
 import re
@@ -20,12 +20,12 @@
 
 SettingsT = TypeVar("SettingsT", bound=msgspec.Struct)
 
-# Where in a value the library found the fault: "... - at `$[2]`".
+# Index of the faulty entry at the end of a message of the library: "... - at `$[2]`".
 _ENTRY_INDEX_PATTERN = re.compile(r" - at `\$\[(\d+)\]`$")
 
 
 class StructSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Base of every section; values never change."""
+    """Base class of a section; instances are immutable."""
 
 
 def parse_structs(
@@ -35,7 +35,7 @@
     model: type[SettingsT],
     check: Callable[[Mapping[str, StructSection]], Iterator[Problem]],
 ) -> Result[SettingsT, Findings]:
-    """Check a text against a struct of sections, and then what reads more than one of them."""
+    """Validate a text against a struct of sections, then run the checks across sections."""
     return read_document(text, source=source).bind(
         lambda document: _read_sections(document, Report(source=source, text=text), model, check)
     )
@@ -94,14 +94,14 @@
         report.add(error.path, str(error))
     except msgspec.ValidationError as error:
         entry = _ENTRY_INDEX_PATTERN.search(str(error))
-        where = (*path, int(entry[1])) if entry else path
+        entry_path = (*path, int(entry[1])) if entry else path
         message = _ENTRY_INDEX_PATTERN.sub("", str(error))
-        report.add(where, message[:1].lower() + message[1:])
+        report.add(entry_path, message[:1].lower() + message[1:])
     return None
 
 
 class _BadEntryError(ValueError):
-    """An address can't be read, at a key path."""
+    """The address at a key path cannot be parsed."""
 
     def __init__(self, path: KeyPath, error: ValueError) -> None:
         super().__init__(str(error))
@@ -109,9 +109,10 @@
 
 
 def _read_addresses(kind: Any, value: Any, path: KeyPath) -> Any:
-    """Return a value with the addresses read that its type asks for.
+    """Return a value whose texts are parsed as addresses where its type requires them.
 
-    The library would read a data class from a table; addresses are texts.
+    msgspec would decode the dataclass ``Address`` from a table, but settings write
+    addresses as texts.
     """
     if get_origin(kind) is Annotated:
         return _read_addresses(get_args(kind)[0], value, path)
--- a/chivetrack/helpers/sections/text.py
+++ b/chivetrack/helpers/sections/text.py
@@ -1,4 +1,4 @@
-"""The text of a settings file, and findings that name its lines."""
+"""Reading of settings files as TOML, and findings that name their lines."""
 
 import re
 import tomllib
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Problem:
-    """What a check found, at a key path."""
+    """A fault that a check found at a key path."""
 
     path: KeyPath
     message: str
@@ -27,28 +27,28 @@
 
 
 class Report:
-    """Collects what is wrong with one text, each fault with its line."""
+    """Collects the findings of one text, each with its line."""
 
     def __init__(self, *, source: str, text: str) -> None:
-        """Take a text that ``read_document`` accepts; ``source`` names it."""
+        """Initialize with a text that ``read_document`` accepts; ``source`` is its file name."""
         self.findings = Findings()
         self._source = source
         self._line_index = LineIndex(text=text)
 
     def add(self, path: KeyPath, message: str, *, hint: str | None = None) -> None:
-        """Note what is wrong at a key path."""
+        """Add a finding for a key path."""
         line = self._line_index.find_line(path)
         place = self._source if line is None else f"{self._source}:{line}"
         self.findings.add(f"{place} {format_path(path)}", message, hint=hint)
 
     def add_unknown(self, path: KeyPath, names: Iterable[str]) -> None:
-        """Note a key that is none of the names that are valid there."""
+        """Add a finding for an unknown key; ``names`` are the valid names there."""
         valid = list(names)
         hint = suggest_name(str(path[-1]), valid)
         self.add(path, "is not a setting", hint=hint or "valid here: " + ", ".join(valid))
 
     def add_problems(self, problems: Iterable[Problem]) -> None:
-        """Note what checks have found."""
+        """Add the faults that checks have found."""
         for problem in problems:
             self.add(problem.path, problem.message, hint=problem.hint)
 
@@ -65,7 +65,7 @@
 
 
 def read_document(text: str, *, source: str) -> Result[dict[str, Any], Findings]:
-    """Read a text as TOML."""
+    """Parse a text as TOML; ``source`` names the text in findings."""
     try:
         return Ok(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
@@ -84,7 +84,7 @@
 
 
 def format_path(path: KeyPath) -> str:
-    """Write a key path the way the file does, with list entries counted from 1."""
+    """Format a key path as in TOML, with list entries counted from 1."""
     text = ""
     for part in path:
         if isinstance(part, int):
--- a/chivetrack/helpers/sections/values.py
+++ b/chivetrack/helpers/sections/values.py
@@ -1,4 +1,4 @@
-"""Values that settings files of all programs have in common."""
+"""Types of values that the settings files of all programs share."""
 
 import ipaddress
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and a port; port 0 lets the system choose one."""
+    """An IP address and a port; with port 0 the operating system chooses a port."""
 
     host: str
     port: int
@@ -20,7 +20,7 @@
 
 
 def parse_address(value: Any) -> Address:
-    """Read ``host:port`` with an IP number; raise ``ValueError`` for anything else."""
+    """Parse ``host:port`` with an IP address; raise ``ValueError`` for anything else."""
     if isinstance(value, Address):
         return value
     if not isinstance(value, str):
@@ -37,7 +37,7 @@
 
 
 class LogLevel(StrEnum):
-    """The least important level that is written."""
+    """The lowest log level that is written."""
 
     DEBUG = "debug"
     INFO = "info"
--- a/chivetrack/helpers/telemetry/__init__.py
+++ b/chivetrack/helpers/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Metrics and traces by OpenTelemetry; a collector that fails never holds up a request."""
+"""Metrics and traces with OpenTelemetry; a failed collector never blocks a request."""
 
 from chivetrack.helpers.telemetry.instruments import Instruments
 from chivetrack.helpers.telemetry.provider import METRICS_CONTENT_TYPE, Telemetry, open_telemetry
--- a/chivetrack/helpers/telemetry/export.py
+++ b/chivetrack/helpers/telemetry/export.py
@@ -1,4 +1,4 @@
-"""Sending to an OTLP collector; imported only when one is set."""
+"""Export to an OTLP collector; imported only when a collector is configured."""
 
 from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
 from opentelemetry.exporter.otlp.proto.http.trace_exporter import OTLPSpanExporter
@@ -17,8 +17,8 @@
 def create_span_processor(endpoint: str) -> SpanProcessor:
     """Return a processor that queues ended spans and sends them from its own thread.
 
-    The queue is bounded and drops the oldest: a collector that stalls would otherwise
-    fill the memory of the instance, and waiting for it would stop requests.
+    The queue is bounded and drops the oldest spans: with a stalled collector an unbounded
+    queue would fill the memory of the instance, and waiting would block requests.
     """
     exporter = OTLPSpanExporter(
         endpoint=f"{endpoint.rstrip('/')}/v1/traces", timeout=const.EXPORT_TIMEOUT_S
@@ -32,7 +32,7 @@
 
 
 def create_metric_reader(endpoint: str, limits: CardinalityLimits) -> MetricReader:
-    """Return a reader that sends the sums so far from its own thread."""
+    """Return a reader that periodically sends the cumulative metrics from its own thread."""
     exporter = OTLPMetricExporter(
         endpoint=f"{endpoint.rstrip('/')}/v1/metrics", timeout=const.EXPORT_TIMEOUT_S
     )
--- a/chivetrack/helpers/telemetry/instruments.py
+++ b/chivetrack/helpers/telemetry/instruments.py
@@ -1,8 +1,9 @@
-"""Every metric of the product, declared in one place.
+"""Declarations of all metrics.
 
-A measurement costs some microseconds: record per answer, not per chunk. Attributes are
-names from the configuration or from a fixed list, never what a caller sent, and never
-the workspace: 49,000 of them would take up the memory of an instance.
+Recording a measurement takes a few microseconds, so record once per answer and not once
+per chunk. Attribute values are names from the configuration or from a fixed list, never
+content that a caller sent, and never the workspace: 49,000 workspaces would fill the
+memory of an instance.
 """
 
 from dataclasses import dataclass
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstrumentSpec:
-    """What an instrument measures."""
+    """The declaration of an instrument."""
 
     name: str
     kind: InstrumentKind
@@ -130,14 +131,14 @@
 
 
 class Direction(StrEnum):
-    """Which way control bytes went."""
+    """Direction of messages between instances."""
 
     SENT = "sent"
     RECEIVED = "received"
 
 
 class Instruments:
-    """Records measurements; each method names the instrument that it feeds."""
+    """Records measurements; each method is named after its instrument."""
 
     def __init__(self, *, meter: Meter) -> None:
         """Create every instrument on a meter."""
@@ -170,7 +171,7 @@
         self._chunks.add(count, {"service": service})
 
     def change_in_flight(self, change: int) -> None:
-        """Add to or take from the requests in flight."""
+        """Add ``change``, which may be negative, to the number of requests in flight."""
         self._in_flight.add(change)
 
     def record_retry(self, *, reason: str) -> None:
@@ -182,11 +183,11 @@
         self._refused.add(1, {"code": code, "ran": ran})
 
     def record_control_bytes(self, *, direction: Direction, kind: str, count: int) -> None:
-        """Record bytes of messages of one kind."""
+        """Record the bytes of messages of one kind between instances."""
         self._control_bytes.add(count, {"direction": direction.value, "kind": kind})
 
     def set_config_revision(self, revision: int) -> None:
-        """Set the revision in force."""
+        """Set the revision of the configuration in force."""
         self._config_revision.set(revision)
 
     def set_leader(self, is_leader: bool) -> None:
@@ -194,7 +195,7 @@
         self._leader.set(int(is_leader))
 
     def set_applied_lag(self, entries: int) -> None:
-        """Set how many committed entries are not applied yet."""
+        """Set the number of committed log entries that are not applied yet."""
         self._applied_lag.set(entries)
 
 
--- a/chivetrack/helpers/telemetry/provider.py
+++ b/chivetrack/helpers/telemetry/provider.py
@@ -1,4 +1,4 @@
-"""The telemetry of one instance: what is recorded, and where it goes."""
+"""Set-up of the telemetry of one instance: instruments, tracer and exporters."""
 
 import threading
 from collections.abc import Callable, Iterator
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Telemetry:
-    """What the parts of an instance record into."""
+    """The instruments, tracer and metric registry that an instance records to."""
 
     instruments: Instruments
     tracer: Tracer
     registry: CollectorRegistry
 
     def render_metrics(self) -> bytes:
-        """Return all metrics in the Prometheus text form (``METRICS_CONTENT_TYPE``)."""
+        """Return all metrics in the Prometheus text format (``METRICS_CONTENT_TYPE``)."""
         return generate_latest(self.registry)
 
 
@@ -48,7 +48,10 @@
     sample_ratio: float = 0.0,
     close_within_s: float = const.CLOSE_WITHIN_S,
 ) -> Iterator[Telemetry]:
-    """Record until the block ends; then send what is left, for a bounded time only."""
+    """Record until the block ends; then export the remaining data for a limited time.
+
+    ``close_within_s`` limits the time for the final export, in seconds.
+    """
     resource = Resource(
         {
             "service.name": const.SCOPE,
@@ -85,7 +88,7 @@
 
 
 def _create_readers(registry: CollectorRegistry, otlp_endpoint: str) -> list[MetricReader]:
-    # Without the limit each new attribute value would stay in memory for good.
+    # Without a limit each new attribute value would stay in memory until the process ends.
     limits: CardinalityLimits = {
         Counter: const.MAX_SERIES_PER_INSTRUMENT,
         UpDownCounter: const.MAX_SERIES_PER_INSTRUMENT,
@@ -105,18 +108,18 @@
 
 
 def _create_sampler(otlp_endpoint: str, sample_ratio: float) -> Sampler:
-    """Follow the caller's decision; decide by ratio for requests without one."""
+    """Return a sampler that follows the caller's decision, or else samples by ratio."""
     if not otlp_endpoint:
         return ParentBased(root=ALWAYS_OFF)
     return ParentBased(root=TraceIdRatioBased(sample_ratio))
 
 
 def _close_all(closers: list[Callable[[], None]], *, within_s: float) -> None:
-    """Run closers side by side and leave behind those that take too long.
+    """Run closers in parallel and abandon those that exceed the time limit.
 
-    They send what is queued first; with a collector that accepts and never answers
-    that would hold up the stop of the instance by half a minute each. The threads are
-    daemons, so what is left behind does not keep the process alive.
+    A closer first exports queued data. With a collector that accepts connections but never
+    answers, each closer would delay the stop of the instance by half a minute. The threads
+    are daemon threads, so an abandoned closer does not keep the process alive.
     """
     threads = [threading.Thread(target=closer, daemon=True) for closer in closers]
     for thread in threads:
@@ -124,4 +127,4 @@
     for thread in threads:
         thread.join(within_s / len(threads))
     if any(thread.is_alive() for thread in threads):
-        _LOGGER.warning("The collector did not take the last data in {} s.", within_s)
+        _LOGGER.warning("The collector did not accept the final export within {} s.", within_s)
--- a/chivetrack/helpers/telemetry/traces.py
+++ b/chivetrack/helpers/telemetry/traces.py
@@ -1,8 +1,8 @@
-"""Traces: one span a hop, the context passed on in the W3C form.
+"""Traces: one span for each hop, with W3C trace context propagation.
 
-The context is handed from hop to hop explicitly. A streamed answer is written by a
-generator that may run in another greenlet than the one that opened the span; an
-implicit current span would then end up in the wrong request.
+The context is passed from hop to hop explicitly. A streamed answer is written by a
+generator that may run in another greenlet than the one that opened the span; an implicit
+current span would then belong to the wrong request.
 """
 
 from collections.abc import Iterator, Mapping
@@ -20,7 +20,7 @@
 
 
 def extract_context(headers: Mapping[str, str]) -> Context:
-    """Read ``traceparent`` and ``tracestate``; anything malformed starts a new trace.
+    """Decode ``traceparent`` and ``tracestate``; malformed values start a new trace.
 
     The names of ``headers`` are in lower case, as in gRPC metadata.
     """
@@ -40,7 +40,7 @@
         return trace.format_trace_id(self.span.get_span_context().trace_id)
 
     def set_attribute(self, name: str, value: AttributeValue) -> None:
-        """Add an attribute; ids and numbers only, never content of callers."""
+        """Add an attribute; use only ids and numbers, never content that callers sent."""
         self.span.set_attribute(name, value)
 
     def mark_failed(self, code: str) -> None:
@@ -48,17 +48,17 @@
         self.span.set_status(Status(StatusCode.ERROR, code))
 
     def write_headers(self) -> dict[str, str]:
-        """Return the headers (or gRPC metadata) that carry the context on."""
+        """Return the headers (or gRPC metadata) that propagate the context."""
         headers: dict[str, str] = {}
         _PROPAGATOR.inject(headers, context=self.context)
         return headers
 
 
 class Tracer:
-    """Opens hops."""
+    """Opens the spans of hops."""
 
     def __init__(self, *, tracer: trace.Tracer) -> None:
-        """Wrap a tracer of the library."""
+        """Wrap a tracer of OpenTelemetry."""
         self._tracer = tracer
 
     @contextmanager
@@ -72,8 +72,8 @@
     ) -> Iterator[Hop]:
         """Open a span below ``parent`` (from ``extract_context`` or another hop).
 
-        An exception marks the span as failed with its class only: messages may quote
-        what a caller sent.
+        An exception marks the span as failed with the name of its class only, since the
+        message may contain content that a caller sent.
         """
         context = Context() if parent is None else parent
         span = self._tracer.start_span(
--- a/chivetrack/helpers/timer.py
+++ b/chivetrack/helpers/timer.py
@@ -1,4 +1,7 @@
-"""The timer service: parts subscribe to it, whoever drives it hands in the time."""
+"""Timer service: calls subscribers when they are due.
+
+It has no clock or thread of its own; the owner calls ``run_due`` with the current time.
+"""
 
 import heapq
 import itertools
@@ -20,7 +23,7 @@
 
 
 class TimerService:
-    """Calls subscribers when their time has come; times are seconds of one clock."""
+    """Calls subscribers when they are due; all times are seconds of the owner's clock."""
 
     def __init__(self) -> None:
         """Start with no subscribers."""
@@ -28,11 +31,11 @@
         self._orders = itertools.count()
 
     def call_at(self, due: float, callback: Callback) -> Unsubscribe:
-        """Call once at ``due``."""
+        """Call ``callback`` once at ``due``; return a function that cancels the call."""
         return self._add(due, callback, None)
 
     def call_every(self, interval: float, callback: Callback, *, now: float) -> Unsubscribe:
-        """Call every ``interval`` seconds, first at ``now + interval``."""
+        """Call ``callback`` every ``interval`` seconds, first at ``now + interval``."""
         return self._add(now + interval, callback, interval)
 
     def _add(self, due: float, callback: Callback, interval: float | None) -> Unsubscribe:
@@ -45,16 +48,16 @@
         return unsubscribe
 
     def find_next_due(self) -> float | None:
-        """Return when the next subscriber is due, or ``None``."""
+        """Return when the next subscriber is due, ``None`` without subscribers."""
         while self._heap and not self._heap[0].active:
             heapq.heappop(self._heap)
         return self._heap[0].due if self._heap else None
 
     def run_due(self, now: float) -> None:
-        """Call all that are due at ``now``.
+        """Call all subscribers that are due at ``now``.
 
-        A subscriber that was missed several times is called once: a process that
-        was frozen must not do minutes of work in one burst when it wakes.
+        A subscriber that missed several intervals is called only once: a process that was
+        suspended must not run minutes of missed work in one burst when it resumes.
         """
         while (due := self.find_next_due()) is not None and due <= now:
             entry = heapq.heappop(self._heap)
--- a/chivetrack/helpers/tls.py
+++ b/chivetrack/helpers/tls.py
@@ -1,6 +1,6 @@
-"""TLS from files, taken up again when they change and without a restart.
+"""TLS contexts from files, reloaded without a restart when the files change.
 
-The certificate of an instance must name its IP number, since instances connect by IP.
+The certificate of an instance must contain its IP address, since instances connect by IP.
 """
 
 import hashlib
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TlsFiles:
-    """The PEM files of one listener; with authorities, clients need a certificate too."""
+    """The PEM files of one listener; with a ``ca_file``, clients need a certificate too."""
 
     certificate_file: Path
     key_file: Path
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Content:
-    """What the files hold at one moment."""
+    """The content of the files, read at one time."""
 
     certificate: bytes = field(repr=False)
     key: bytes = field(repr=False)
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _LoadedContexts:
-    """Content that fits together, and the contexts made from it."""
+    """Content whose certificate and key match, and the contexts made from it."""
 
     content: _Content
     server_context: ssl.SSLContext
@@ -58,15 +58,18 @@
 
 
 def open_tls(files: TlsFiles) -> Result["Tls", Findings]:
-    """Load the files; the error side says which of them is unusable and why."""
+    """Load the files; the error side says which file is unusable and why."""
     return _load(files).map(lambda loaded: Tls(files=files, loaded=loaded))
 
 
 class Tls:
-    """The certificate, key and authorities in use; drive ``check`` by the timer service."""
+    """The certificate, key and authorities in use.
+
+    The owner calls ``check`` periodically through the timer service.
+    """
 
     def __init__(self, *, files: TlsFiles, loaded: _LoadedContexts) -> None:
-        """Take files that ``open_tls`` has loaded."""
+        """Initialize with files that ``open_tls`` has loaded."""
         self._files = files
         self._loaded = loaded
         self._refused_digest: bytes | None = None
@@ -79,14 +82,18 @@
 
     @property
     def client_context(self) -> ssl.SSLContext:
-        """Return the context for connections opened from now on; do not keep it."""
+        """Return the context for connections opened from now on.
+
+        Callers must not store it, since a reload replaces it.
+        """
         return self._loaded.client_context
 
     def wrap_socket(self, sock: socket.socket, **options: Any) -> ssl.SSLSocket:
-        """Wrap an accepted socket; lets this object stand in for a server's context.
+        """Wrap an accepted socket, as ``ssl.SSLContext.wrap_socket`` does.
 
-        The handshake has a time limit: clients that connect and say nothing would
-        otherwise hold a greenlet and a socket each until there are no more.
+        With this method the object can be used as the ``ssl_context`` of a server. The
+        handshake has a timeout: each client that connects and sends nothing would otherwise
+        occupy a greenlet and a socket until none are left.
         """
         timeout = sock.gettimeout()
         sock.settimeout(HANDSHAKE_TIMEOUT_S)
@@ -99,17 +106,17 @@
         return wrapped
 
     def subscribe(self, callback: Callable[[], None]) -> Unsubscribe:
-        """Call after each change, such as to open gRPC channels anew."""
+        """Call ``callback`` after each reload, for example to reopen gRPC channels."""
         self._callbacks.append(callback)
         return lambda: self._callbacks.remove(callback)
 
     def check(self, now: float = 0.0) -> Findings:
-        """Take up changed files; return and log what is wrong with them.
+        """Reload the files if they changed; return and log what is wrong with them.
 
-        The content is compared, not the time of the files: copies may keep their time.
-        A pair that does not fit is common for a moment, between the replacement of the
-        certificate and that of the key. Put to use, it would refuse every connection
-        until the next check; so the old one stays until a whole new one is there.
+        The content is compared and not the modification time, which copies may preserve.
+        Between the replacement of the certificate and that of the key, the two do not match
+        for a moment. Such a pair would fail every connection until the next check, so the
+        old pair stays in use until a matching new one is found.
         """
         content = _read_content(self._files)
         if content.is_ok() and content.ok.digest == self._loaded.content.digest:
@@ -121,22 +128,22 @@
             return loaded.error
         self._loaded = loaded.ok
         self._refused_digest = None
-        _LOGGER.info("Took up a new certificate from {}.", self._files.certificate_file)
+        _LOGGER.info("Loaded a new certificate from {}.", self._files.certificate_file)
         for callback in list(self._callbacks):
             callback()
         return Findings()
 
     def _report(self, findings: Findings, content: Result[_Content, Findings]) -> None:
-        """Log each unusable content once, not at every check."""
+        """Log findings, once for each unusable content and not at every check."""
         digest = content.ok.digest if content.is_ok() else b""
         if digest == self._refused_digest:
             return
         self._refused_digest = digest
         for finding in findings:
-            _LOGGER.error("New TLS files are not used, the old stay: {}.", finding)
+            _LOGGER.error("New TLS files are not used, the old ones stay in use: {}.", finding)
 
     def create_grpc_server_credentials(self) -> grpc.ServerCredentials:
-        """Return credentials that ask for the content in use at every handshake."""
+        """Return credentials that use the current certificate at every handshake."""
         return grpc.dynamic_ssl_server_credentials(
             self._create_grpc_configuration(),
             self._create_grpc_configuration,
@@ -144,7 +151,7 @@
         )
 
     def create_grpc_channel_credentials(self) -> grpc.ChannelCredentials:
-        """Return the credentials of a new channel; they do not change by themselves."""
+        """Return credentials for a new channel; a reload does not change them."""
         content = self._loaded.content
         return grpc.ssl_channel_credentials(content.ca, content.key, content.certificate)
 
@@ -205,7 +212,8 @@
     context: ssl.SSLContext, files: TlsFiles, content: _Content, findings: Findings
 ) -> None:
     try:
-        # An encrypted key would otherwise wait for a pass phrase at the terminal.
+        # Without a password, the library would ask for the pass phrase of an encrypted key
+        # at the terminal and wait.
         context.load_cert_chain(files.certificate_file, files.key_file, password=lambda: b"")
     except (ssl.SSLError, OSError, ValueError) as error:
         findings.add(
--- a/tests/helpers/certificates.py
+++ b/tests/helpers/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests, made anew for each run."""
+"""Certificates for tests, created for each run."""
 
 import datetime
 import ipaddress
--- a/tests/helpers/telemetry/stalled_collector.py
+++ b/tests/helpers/telemetry/stalled_collector.py
@@ -1,7 +1,7 @@
-"""A program for the tests: requests while the collector accepts and never answers.
+"""Test program: requests while the collector accepts connections but never answers.
 
-Runs as its own process, since it patches the standard library for gevent. Prints
-``survived`` when all requests and the close were through while no export was answered.
+It runs in its own process, since it patches the standard library for gevent. It prints
+``survived`` if all requests and the close finished although no export was answered.
 """
 
 import gevent.monkey
@@ -22,18 +22,20 @@
 HANG_TIMEOUT_S = 20.0
 
 
-def serve_nothing(listener: socket.socket, held: list[socket.socket]) -> None:
-    """Accept connections and leave every one of them without an answer."""
+def accept_without_answer(listener: socket.socket, open_connections: list[socket.socket]) -> None:
+    """Accept connections, keep them open and never answer."""
     while True:
         connection, _ = listener.accept()
-        held.append(connection)
+        open_connections.append(connection)
 
 
 def main() -> None:
-    """Send many sampled requests past a collector that has stalled."""
+    """Record many sampled requests while the collector is stalled."""
     listener = socket.create_server(("127.0.0.1", 0))
-    held: list[socket.socket] = []
-    threading.Thread(target=serve_nothing, args=(listener, held), daemon=True).start()
+    open_connections: list[socket.socket] = []
+    threading.Thread(
+        target=accept_without_answer, args=(listener, open_connections), daemon=True
+    ).start()
     endpoint = f"http://127.0.0.1:{listener.getsockname()[1]}"
     with (
         gevent.Timeout(HANG_TIMEOUT_S),
@@ -44,7 +46,7 @@
             instance_id="r1", otlp_endpoint=endpoint, sample_ratio=1.0, close_within_s=0.1
         ) as telemetry,
     ):
-        while len(held) < 2:
+        while len(open_connections) < 2:
             telemetry.instruments.record_retry(reason="connect")
             with telemetry.tracer.open_hop("before"):
                 gevent.sleep(0.001)
@@ -52,8 +54,8 @@
             with telemetry.tracer.open_hop("request"):
                 telemetry.instruments.record_chunks(service="chat", count=1)
         text = telemetry.render_metrics().decode()
-        kept = sum(isinstance(item, ReadableSpan) for item in gc.get_objects())
-    assert kept <= const.MAX_QUEUED_SPANS + const.MAX_SPANS_PER_EXPORT, kept
+        span_count = sum(isinstance(item, ReadableSpan) for item in gc.get_objects())
+    assert span_count <= const.MAX_QUEUED_SPANS + const.MAX_SPANS_PER_EXPORT, span_count
     assert f'chivetrack_chunks_total{{service="chat"}} {REQUESTS}' in text, text
     print("survived")
 
--- a/tests/helpers/telemetry/test_provider.py
+++ b/tests/helpers/telemetry/test_provider.py
@@ -1,4 +1,4 @@
-"""Telemetry: what is recorded, and that a collector never holds up a request."""
+"""Telemetry: rendered metrics, bounded memory, and a stalled collector."""
 
 import subprocess
 import sys
@@ -34,11 +34,11 @@
         self.assertIn('service_instance_id="r1"', text)
         self.assertIn("process_resident_memory_bytes", text)
 
-    def test_new_names_without_end_take_bounded_memory(self) -> None:
-        """A router's memory does not follow the names that it meets.
+    def test_unlimited_attribute_values_take_bounded_memory(self) -> None:
+        """Guards against memory that grows with the number of attribute values.
 
-        Something passes ever new names as an attribute. Each would stay in memory until
-        the process ends; beyond the limit they are counted as one overflow entry.
+        Some code keeps passing new names as an attribute. Each would stay in memory until
+        the process ends; beyond the limit, names are counted in one overflow entry.
         """
         with open_telemetry(instance_id="r1") as telemetry:
             for number in range(10 * const.MAX_SERIES_PER_INSTRUMENT):
@@ -59,12 +59,12 @@
 
 
 class StalledCollectorTest(unittest.TestCase):
-    def test_requests_go_on_and_the_stop_is_not_held_up(self) -> None:
-        """A collector that accepts connections and never answers costs callers nothing.
+    def test_stalled_collector_blocks_neither_requests_nor_the_stop(self) -> None:
+        """Guards against a collector that accepts connections, never answers and blocks requests.
 
-        Both exporters connect and wait; requests go on, four times as many spans as the
-        queue holds; then the instance stops, with the collector still silent. Under
-        gevent's patched library one blocking call would halt every request at once.
+        Both exporters connect and wait. Requests go on and end four times as many spans as
+        the queue holds; then the instance stops while the collector still does not answer.
+        Under gevent's patched library one blocking call would halt all requests at once.
         """
         result = _run("-m", "tests.helpers.telemetry.stalled_collector")
         self.assertIn("survived", result.stdout, result.stderr)
--- a/tests/helpers/telemetry/test_traces.py
+++ b/tests/helpers/telemetry/test_traces.py
@@ -1,4 +1,4 @@
-"""Traces: the context of the caller is taken up and passed on."""
+"""Traces: the caller's context is continued and propagated."""
 
 import unittest
 
@@ -21,19 +21,19 @@
         provider.add_span_processor(SimpleSpanProcessor(self.spans))
         self.tracer = Tracer(tracer=provider.get_tracer("test"))
 
-    def test_context_goes_from_hop_to_hop(self) -> None:
+    def test_context_is_propagated_from_hop_to_hop(self) -> None:
         headers = {"traceparent": f"00-{TRACE_ID}-{PARENT_ID}-01", "tracestate": "a=b"}
         with (
             self.tracer.open_hop("receive", parent=extract_context(headers)) as first,
             self.tracer.open_hop("forward", parent=first.context) as second,
         ):
-            passed_on = second.write_headers()
+            propagated = second.write_headers()
         inner, outer = self.spans.get_finished_spans()
         self.assertEqual(first.trace_id, TRACE_ID)
         self.assertEqual(outer.parent and f"{outer.parent.span_id:016x}", PARENT_ID)
         self.assertEqual(inner.parent and inner.parent.span_id, outer.context.span_id)
-        self.assertEqual(passed_on["traceparent"].split("-")[1], TRACE_ID)
-        self.assertEqual(passed_on["tracestate"], "a=b")
+        self.assertEqual(propagated["traceparent"].split("-")[1], TRACE_ID)
+        self.assertEqual(propagated["tracestate"], "a=b")
 
     def test_malformed_context_starts_a_new_trace(self) -> None:
         for value in ("", "x", f"00-{'0' * 32}-{PARENT_ID}-01", f"00-{TRACE_ID}-{PARENT_ID}", "é"):
@@ -45,10 +45,11 @@
                 self.assertNotEqual(hop.trace_id, "0" * 32)
 
     def test_hops_of_different_requests_do_not_mix(self) -> None:
-        """A request's trace holds none of another request's hops.
+        """Guards against a trace that contains hops of another request.
 
-        One request's span is left as the greenlet's current one; the greenlet then takes
-        up another request. By the library's default its span would join the first trace.
+        The span of one request remains the greenlet's current span, and the greenlet then
+        handles another request. By the library's default, the new span would join the first
+        trace.
         """
         with (
             self.tracer.open_hop("first") as first,
@@ -64,7 +65,7 @@
         self.assertIs(span.status.status_code, StatusCode.ERROR)
         self.assertNotIn("prompt", span.to_json())
 
-    def test_callers_decision_is_passed_on_without_a_collector(self) -> None:
+    def test_sampling_decision_is_propagated_without_a_collector(self) -> None:
         for flag in ("00", "01"):
             headers = {"traceparent": f"00-{TRACE_ID}-{PARENT_ID}-{flag}"}
             with (
--- a/tests/helpers/test_events.py
+++ b/tests/helpers/test_events.py
@@ -1,4 +1,4 @@
-"""Event lines: all of them in order, and a reader that stops reading holds up nobody."""
+"""Event log: lines are written in order, and a stalled reader does not block the process."""
 
 import json
 import os
@@ -22,10 +22,11 @@
     def read_lines(self, size: int = 1 << 20) -> list[dict[str, Any]]:
         return [json.loads(line) for line in os.read(self.reader, size).splitlines()]
 
-    def test_lines_come_out_in_order_and_without_a_thread(self) -> None:
-        """Hundreds of processes on one machine log a few lines a second each.
+    def test_lines_are_written_in_order_and_without_a_thread(self) -> None:
+        """Guards against a writer thread for each process.
 
-        A thread for each of them took more processor time than the lines.
+        Hundreds of processes on one machine each log a few lines per second; their writer
+        threads took more processor time than the lines.
         """
         threads = threading.active_count()
         writer = gevent.spawn(self.events.run)
@@ -40,31 +41,31 @@
         self.assertEqual([line["event"] for line in self.read_lines()], ["started"])
         self.assertEqual(threading.active_count(), threads)
 
-    def test_reader_that_stops_reading_holds_up_nobody(self) -> None:
-        """A collector hangs: the pipe fills up, and no write may wait for it.
+    def test_stalled_reader_does_not_block_the_process(self) -> None:
+        """Guards against writes that block when the log collector hangs and the pipe fills up.
 
-        Lines wait, those over the limit are counted, and the count is told once the
+        Lines are queued, lines over the limit are counted, and the count is logged once the
         collector reads again.
         """
-        began = time.monotonic()
+        started = time.monotonic()
         for number in range(2 * MAX_QUEUED_LINES):
             self.events.write(f"kind-{number // int(MAX_LINES_PER_S)}", number=number)
         dropped = self.events.dropped
         self.assertGreater(dropped, 0)
         self.events.flush()
-        self.assertLess(time.monotonic() - began, 5.0)
+        self.assertLess(time.monotonic() - started, 5.0)
         lines: list[bytes] = []
         while self.events._lines or self.events.dropped:
             self.events.flush()
             lines.append(os.read(self.reader, 1 << 20))
-        told = [json.loads(line) for line in b"".join(lines).splitlines()]
-        numbers = [line["number"] for line in told if "number" in line]
+        written = [json.loads(line) for line in b"".join(lines).splitlines()]
+        numbers = [line["number"] for line in written if "number" in line]
         self.assertEqual(numbers, list(range(2 * MAX_QUEUED_LINES - dropped)))
         self.assertEqual(
-            [line["count"] for line in told if line["event"] == "lines_dropped"], [dropped]
+            [line["count"] for line in written if line["event"] == "lines_dropped"], [dropped]
         )
 
-    def test_line_longer_than_a_write_is_whole(self) -> None:
+    def test_line_longer_than_one_write_is_complete(self) -> None:
         self.events.write("configuration_unreadable", detail="y" * 9000)
         self.events.flush()
         (line,) = self.read_lines()
--- a/tests/helpers/test_keys.py
+++ b/tests/helpers/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys: made with enough chance, kept hashed, compared in constant time."""
+"""Keys: random, stored as hashes, compared in constant time."""
 
 import hmac
 import unittest
@@ -15,7 +15,7 @@
         self.assertFalse(verify_key(second, hash_key(first)))
         self.assertNotIn(first, hash_key(first))
 
-    def test_thought_up_secrets_are_refused(self) -> None:
+    def test_secrets_chosen_by_a_person_are_refused(self) -> None:
         for text in (
             "",
             "barrier",
@@ -47,10 +47,10 @@
             self.assertIsNone(self.ring.find_holder(other))
 
     def test_every_entry_is_compared_in_constant_time(self) -> None:
-        """The time of an answer tells nothing about the keys that are kept.
+        """Guards against response times that reveal something about the stored keys.
 
-        A caller times many refusals; a comparison that ends at the first difference, or
-        a search that ends at the first match, gives away which guess came nearer.
+        A caller times many refusals. A comparison that ends at the first difference, or a
+        search that ends at the first match, would reveal which guess was closer.
         """
         real = hmac.compare_digest
         for key in (self.keys[0], self.keys[2], make_key()):
--- a/tests/helpers/test_log.py
+++ b/tests/helpers/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines: prefix, form, one record a line, and a reader that has gone away."""
+"""Logs: prefix, format, one line for each record, and a closed stream."""
 
 import io
 import json
@@ -19,7 +19,7 @@
         stream = io.StringIO()
         logger = get_logger("peers")
         with open_logs(level=level, form=form, stream=stream):
-            logger.debug("Too fine.")
+            logger.debug("Debug detail.")
             logger.info("Lease of {} ran out.", "r1")
             logger.warning("a\n[peers] fake\x1b[2J")
             logging.getLogger("urllib3.pool").warning("Slow.")
@@ -49,19 +49,19 @@
         self.assertEqual(records[0]["message"], "Lease of r1 ran out.")
         self.assertIn("ValueError: broken", records[-1]["exception"])
 
-    def test_level_leaves_out_lesser_records(self) -> None:
+    def test_records_below_the_level_are_not_written(self) -> None:
         self.assertNotIn("Lease", "".join(self.write("text", level="warning")))
-        self.assertIn("Too fine", "".join(self.write("text", level="debug")))
+        self.assertIn("Debug detail", "".join(self.write("text", level="debug")))
 
-    def test_reader_that_has_gone_away(self) -> None:
-        """A log call never fails the request that makes it.
+    def test_stream_that_cannot_be_written(self) -> None:
+        """Guards against a log call that fails the request that makes it.
 
-        The collector at the other end of stderr ends, or stderr is closed; the next
-        line cannot be written. The log library's own answer is to print a traceback to
-        that same stderr, which fails the caller when it is closed.
+        The collector that reads stderr ends, or stderr is closed, so the next line cannot be
+        written. The log library would print a traceback to the same stderr, which raises an
+        error in the caller when stderr is closed.
         """
         closed = io.StringIO()
         closed.close()
         for stream in (_BrokenStream(), closed):
             with self.subTest(stream=stream), mock.patch("sys.stderr", stream), open_logs():
-                get_logger("peers").info("Nobody reads this.")
+                get_logger("peers").info("This line is lost.")
--- a/tests/helpers/test_structs.py
+++ b/tests/helpers/test_structs.py
@@ -1,4 +1,4 @@
-"""Settings that are structs: every fault is told, with its line."""
+"""Settings described by structs: all faults are reported, with their lines."""
 
 import unittest
 from collections.abc import Iterator, Mapping
@@ -41,7 +41,7 @@
         read = parse_structs(text, source="f", model=SampleSettings, check=check)
         return [str(one) for one in read.error]
 
-    def test_whole_text_is_read(self) -> None:
+    def test_valid_text_is_read(self) -> None:
         text = '[place]\nname = "a"\nlevel = "debug"\nfolder = "/d"\n'
         text += '[links]\npeers = ["10.0.0.1:1", "[::1]:2"]\nmain = "10.0.0.9:3"\nwait_s = 2\n'
         read = parse_structs(text, source="f", model=SampleSettings, check=check).ok
@@ -50,8 +50,8 @@
         self.assertEqual(read.links.main, Address("10.0.0.9", 3))
         self.assertEqual(read.links.wait_s, 2.0)
 
-    def test_all_faults_are_told_together(self) -> None:
-        """A file has eight faults; told one by one, it would take eight starts to mend it."""
+    def test_all_faults_are_reported_together(self) -> None:
+        """Guards against one fault per start: a file with eight would need eight attempts."""
         text = '[place]\nnaem = "a"\nlevel = "loud"\nfolder = 3\n'
         text += '[links]\npeers = ["10.0.0.1:1", "host:2"]\nmain = 7\nwait_s = 0\n[other]\n'
         found = " / ".join(self.list_findings(text))
@@ -76,7 +76,7 @@
         (found,) = self.list_findings('[place]\nname = "a"\n[links]\npeers = []\n')
         self.assertTrue(found.startswith("f:4 links.peers"), found)
 
-    def test_section_that_is_no_table(self) -> None:
+    def test_section_that_is_not_a_table(self) -> None:
         found = self.list_findings('place = 1\n[links]\npeers = ["10.0.0.1:1"]\n')
         self.assertEqual(len(found), 1, found)
 
--- a/tests/helpers/test_tls.py
+++ b/tests/helpers/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS from files: what is refused, reload without a restart, mutual TLS."""
+"""TLS from files: refused files, reload without a restart, mutual TLS."""
 
 import contextlib
 import fcntl
@@ -75,10 +75,10 @@
                 self.assertIn(message, found[0])
 
     def test_encrypted_key_does_not_wait_at_the_terminal(self) -> None:
-        """A daemon started by hand does not stand still at a hidden question.
+        """Guards against a daemon that waits for a pass phrase at its terminal.
 
-        The key has a pass phrase and the process has a terminal: the library would ask
-        there and wait, at the start or, worse, in the midst of a reload.
+        The key has a pass phrase and the process was started at a terminal. The library
+        would ask there and wait, at the start or, worse, during a reload.
         """
         self.files.key_file.write_bytes(self.pair.encrypted_key)
         program = (
@@ -87,33 +87,33 @@
             "sys.exit(3 if open_tls(TlsFiles(certificate_file=a, key_file=b)).is_error() else 0)"
         )
         arguments = (str(self.files.certificate_file), str(self.files.key_file))
-        ours, theirs = os.openpty()
-        self.addCleanup(os.close, ours)
+        terminal, process_end = os.openpty()
+        self.addCleanup(os.close, terminal)
         process = subprocess.Popen(
             [sys.executable, "-c", program, *arguments],
-            stdin=theirs,
-            stdout=theirs,
-            stderr=theirs,
+            stdin=process_end,
+            stdout=process_end,
+            stderr=process_end,
             cwd=ROOT,
             start_new_session=True,
             preexec_fn=lambda: fcntl.ioctl(0, termios.TIOCSCTTY, 0),
         )
-        os.close(theirs)
+        os.close(process_end)
         self.addCleanup(process.kill)
         self.assertEqual(process.wait(HANG_TIMEOUT_S), 3)
 
     def test_file_replaced_while_it_is_read(self) -> None:
-        """The contexts and the gRPC content never come from two different files.
+        """Guards against contexts and gRPC credentials made from different files.
 
-        The certificate is replaced after its content was read and before the library
-        reads it again by its path. Two listeners of one instance would then show
-        different certificates; the pair is refused and taken up at the next check.
+        The certificate is replaced after its content was read and before the library reads
+        it again by its path. Two listeners of one instance would then present different
+        certificates. The pair is refused instead and loaded at the next check.
         """
-        following = self.authority.issue()
+        next_pair = self.authority.issue()
         real = ssl.SSLContext.load_cert_chain
 
         def replace(context: ssl.SSLContext, *args: object, **options: object) -> None:
-            write_files(self.folder, following, self.authority.pem)
+            write_files(self.folder, next_pair, self.authority.pem)
             real(context, *args, **options)
 
         with mock.patch.object(ssl.SSLContext, "load_cert_chain", replace):
@@ -122,40 +122,40 @@
 
 
 class ReloadTest(TlsCase):
-    def test_broken_new_pair_is_reported_and_the_old_stays(self) -> None:
-        """Callers never meet a listener whose key does not fit its certificate.
+    def test_mismatched_new_pair_is_reported_and_the_old_pair_stays(self) -> None:
+        """Guards against a listener whose key does not match its certificate.
 
-        A new certificate is written, a check runs, then the new key is written and the
-        next check runs. Between the two the old pair goes on serving, and the fault is
-        logged once and not at every check.
+        A new certificate is written and a check runs; then the new key is written and the
+        next check runs. In between the old pair stays in use, and the fault is logged once
+        and not at every check.
         """
         tls = self.open()
         calls: list[int] = []
         tls.subscribe(lambda: calls.append(1))
-        following = self.authority.issue()
-        self.files.certificate_file.write_bytes(following.certificate)
+        next_pair = self.authority.issue()
+        self.files.certificate_file.write_bytes(next_pair.certificate)
         with mock.patch.object(tls_module, "_LOGGER") as logger:
             self.assertIn("key values mismatch", str(list(tls.check())))
             self.assertEqual(len(tls.check()), 1)
             self.assertEqual(logger.error.call_count, 1)
         self.assertEqual(run_handshake(tls, self.open_client()), self.pair.serial)
         self.assertEqual(calls, [])
-        self.files.key_file.write_bytes(following.key)
+        self.files.key_file.write_bytes(next_pair.key)
         self.assertEqual(len(tls.check()), 0)
-        self.assertEqual(run_handshake(tls, self.open_client()), following.serial)
+        self.assertEqual(run_handshake(tls, self.open_client()), next_pair.serial)
         self.assertEqual(calls, [1])
 
-    def test_change_that_keeps_the_time_of_the_files(self) -> None:
+    def test_change_that_keeps_the_modification_time(self) -> None:
         tls = self.open()
         before = os.stat(self.files.certificate_file)
-        following = self.authority.issue()
-        write_files(self.folder, following, self.authority.pem)
+        next_pair = self.authority.issue()
+        write_files(self.folder, next_pair, self.authority.pem)
         for path in (self.files.certificate_file, self.files.key_file):
             os.utime(path, ns=(before.st_atime_ns, before.st_mtime_ns))
         tls.check()
-        self.assertEqual(run_handshake(tls, self.open_client()), following.serial)
+        self.assertEqual(run_handshake(tls, self.open_client()), next_pair.serial)
 
-    def test_unchanged_files_change_nothing(self) -> None:
+    def test_unchanged_files_are_not_reloaded(self) -> None:
         tls = self.open()
         context = tls.server_context
         tls.subscribe(lambda: self.fail("called without a change"))
@@ -163,7 +163,7 @@
         tls.check()
         self.assertIs(tls.server_context, context)
 
-    def test_authority_that_was_taken_out_is_not_trusted_any_more(self) -> None:
+    def test_removed_authority_is_no_longer_trusted(self) -> None:
         tls = self.open()
         old_client = self.open_client().client_context
         write_files(self.folder, self.other.issue(), self.other.pem)
@@ -178,13 +178,13 @@
 
 
 class MutualTest(TlsCase):
-    def test_clients_without_a_fitting_certificate_are_refused(self) -> None:
+    def test_clients_without_a_trusted_certificate_are_refused(self) -> None:
         server = self.open()
         folder = self.folder / "client"
         folder.mkdir()
-        stranger = self.open(write_files(folder, self.other.issue(), self.authority.pem))
-        nobody = ssl.create_default_context(cadata=self.authority.pem.decode())
-        for client in (stranger.client_context, nobody):
+        untrusted = self.open(write_files(folder, self.other.issue(), self.authority.pem))
+        no_certificate = ssl.create_default_context(cadata=self.authority.pem.decode())
+        for client in (untrusted.client_context, no_certificate):
             with self.subTest(), self.assertRaises(ssl.SSLError):
                 run_handshake_with(server.server_context, client)
 
@@ -198,35 +198,37 @@
         with self.assertRaises(ssl.SSLCertVerificationError):
             run_handshake_with(self.open().server_context, client, host="127.0.0.2")
 
-    def test_silent_client_is_let_go(self) -> None:
-        """A client that connects and says nothing does not hold a greenlet for good.
+    def test_handshake_with_a_silent_client_times_out(self) -> None:
+        """Guards against a client that connects, sends nothing and occupies a greenlet.
 
-        It sends no byte and would go away only much later; the server ends the handshake
-        first, which shows as its timeout and not as the client's end.
+        The client sends no byte and would close the connection only much later. The server
+        must end the handshake first, so the cause is the server's timeout and not the
+        client's close.
         """
         server = self.open()
-        ours, theirs = socket.socketpair()
-        end = threading.Timer(HANG_TIMEOUT_S / 10, theirs.close)
-        end.start()
-        self.addCleanup(end.join)
-        self.addCleanup(end.cancel)
+        server_socket, client_socket = socket.socketpair()
+        close_timer = threading.Timer(HANG_TIMEOUT_S / 10, client_socket.close)
+        close_timer.start()
+        self.addCleanup(close_timer.join)
+        self.addCleanup(close_timer.cancel)
         with (
-            ours,
-            theirs,
+            server_socket,
+            client_socket,
             mock.patch.object(tls_module, "HANDSHAKE_TIMEOUT_S", 0.01),
             self.assertRaises(HandshakeError) as raised,
         ):
-            server.wrap_socket(ours, server_side=True)
+            server.wrap_socket(server_socket, server_side=True)
         self.assertIsInstance(raised.exception.__cause__, TimeoutError)
 
 
 class GeventTest(unittest.TestCase):
     def test_listeners_of_the_daemon(self) -> None:
-        """Listeners under gevent's patched library take up new files while they serve.
+        """Guards against a blocked process and tracebacks when files are reloaded under gevent.
 
-        Clients that connect and say nothing stay connected all the while, as a balancer's
-        probes do, and then close. A blocking handshake or a lock of the gRPC library held
-        across one would stop every request; a probe must not leave a traceback in the log.
+        Clients that connect and send nothing stay connected meanwhile, as a load balancer's
+        probes do, and then close. A blocking handshake, or a lock of the gRPC library held
+        during a handshake, would stop all requests. A probe must not leave a traceback in
+        the log.
         """
         result = subprocess.run(
             [sys.executable, "-m", "tests.helpers.tls_under_gevent"],
@@ -242,7 +244,7 @@
 
 
 class GrpcTest(TlsCase):
-    def test_server_takes_up_new_files_without_a_restart(self) -> None:
+    def test_server_reloads_files_without_a_restart(self) -> None:
         tls = self.open()
         server = grpc.server(futures.ThreadPoolExecutor(max_workers=1))
         peer_pb2_grpc.add_PeerServicer_to_server(_Receiver(), server)
@@ -282,7 +284,7 @@
 def run_handshake_with(
     server: ssl.SSLContext, client: ssl.SSLContext, host: str = "127.0.0.1"
 ) -> int:
-    """Return the serial of the certificate that the client saw."""
+    """Return the serial number of the certificate that the server presented."""
     to_server, to_client = ssl.MemoryBIO(), ssl.MemoryBIO()
     sides = [
         client.wrap_bio(to_client, to_server, server_hostname=host),
--- a/tests/helpers/tls_under_gevent.py
+++ b/tests/helpers/tls_under_gevent.py
@@ -1,8 +1,8 @@
-"""A program for the tests: TLS listeners under gevent, before and after a reload.
+"""Test program: TLS listeners under gevent, before and after a reload.
 
-Runs as its own process, since it patches the standard library for gevent. Prints
-``served`` when HTTP and gRPC answered with the old and then with the new certificate,
-a silent client held up nobody, and a broken pair changed nothing.
+It runs in its own process, since it patches the standard library for gevent. It prints
+``served`` if HTTP and gRPC answered with the old and then with the new certificate, silent
+clients blocked no request, and a mismatched pair was not loaded.
 """
 
 import gevent.monkey
@@ -45,7 +45,7 @@
 
 
 def call_both(tls: Tls, http_port: int, grpc_port: int) -> None:
-    """Ask both listeners once, each over a connection of its own."""
+    """Send one request to each listener, over a new connection."""
     pool = urllib3.PoolManager(ssl_context=tls.client_context, retries=False)
     assert pool.request("GET", f"https://127.0.0.1:{http_port}/").data == b"ok"
     pool.clear()
