--- a/chivetrack/helpers/events.py
+++ b/chivetrack/helpers/events.py
@@ -38,7 +38,7 @@
         self.refilled_at = 0.0
         self.suppressed = 0
 
-    def try_acquire(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         self.tokens = min(
             2 * MAX_LINES_PER_S, self.tokens + (now - self.refilled_at) * MAX_LINES_PER_S
         )
@@ -71,7 +71,7 @@
         bucket = self._buckets.get(event)
         if bucket is None:
             bucket = self._buckets[event] = _TokenBucket()
-        if not bucket.try_acquire(now):
+        if not bucket.try_consume(now):
             return
         if bucket.suppressed and bucket.tokens > MAX_LINES_PER_S:
             suppressed, bucket.suppressed = bucket.suppressed, 0
