--- a/chivetrack/cli/commands/backup.py
+++ b/chivetrack/cli/commands/backup.py
@@ -11,7 +11,7 @@
 from chivetrack.cli.app import app
 from chivetrack.cli.const import ExitCode
 from chivetrack.cli.output import print_error, print_line
-from chivetrack.cli.session import get_client, take
+from chivetrack.cli.session import get_client, get_or_exit
 from chivetrack.components.storage.backup import make_replica_id
 from chivetrack.components.storage.backup import restore_backup as make_folder_from_backup
 from chivetrack.components.storage.exceptions import StorageError
@@ -29,7 +29,7 @@
 
     The file is whole or not there: it is written aside, synced and then renamed.
     """
-    content = take(get_client(context).read_bytes(BACKUP))
+    content = get_or_exit(get_client(context).read_bytes(BACKUP))
     _write_whole(file, content)
     digest = hashlib.sha256(content).hexdigest()
     _write_whole(get_checksum_path(file), f"{digest}  {file.name}\n".encode())
--- a/chivetrack/cli/commands/fleet.py
+++ b/chivetrack/cli/commands/fleet.py
@@ -11,7 +11,7 @@
 from chivetrack.cli.const import DRAIN_KIND
 from chivetrack.cli.models import Document, Resource
 from chivetrack.cli.output import Output, format_document, print_json, print_line
-from chivetrack.cli.session import OutputOption, get_client, take
+from chivetrack.cli.session import OutputOption, get_client, get_or_exit
 from chivetrack.components.resources.models import DrainTargetKind
 
 
@@ -25,7 +25,7 @@
 @app.command("status")
 def show_status(context: typer.Context, output: OutputOption = Output.TABLE) -> None:
     """Show the leader, its term, the replicas, their lag and the age of the snapshot."""
-    _print_document(take(get_client(context).read("status")), output)
+    _print_document(get_or_exit(get_client(context).read("status")), output)
 
 
 @app.command("explain")
@@ -40,7 +40,7 @@
     The id of a request is in the X-Request-Id header of its answer.
     """
     path = join_path("explain", subject.value, id)
-    _print_document(take(get_client(context).read(path)), output)
+    _print_document(get_or_exit(get_client(context).read(path)), output)
 
 
 @app.command("drain")
@@ -59,14 +59,14 @@
     client = get_client(context)
     title = f"{DRAIN_KIND}/{name}"
     if undo:
-        take(client.send(Request(method="DELETE", path=join_path(DRAIN_KIND, name))))
+        get_or_exit(client.send(Request(method="DELETE", path=join_path(DRAIN_KIND, name))))
         print_line(f"{title} accepted: deleted")
         return
     spec: Document = {"target": {"kind": kind.value, "name": name}}
     if reason:
         spec["reason"] = reason
     document = {"kind": DRAIN_KIND, "metadata": {"name": name}, "spec": spec}
-    applied = take(apply_resource(client, Resource(document)))
+    applied = get_or_exit(apply_resource(client, Resource(document)))
     print_line(f"{title} accepted: {applied.change}")
 
 
--- a/chivetrack/cli/commands/quarantine.py
+++ b/chivetrack/cli/commands/quarantine.py
@@ -6,7 +6,7 @@
 
 from chivetrack.cli import const
 from chivetrack.cli.app import app
-from chivetrack.cli.deployment import ReplicaOption, TimeoutOption, take
+from chivetrack.cli.deployment import ReplicaOption, TimeoutOption, get_or_exit
 from chivetrack.cli.output import Output, format_document, print_json, print_line
 from chivetrack.cli.session import OutputOption
 from chivetrack.platform.operator_calls import OperatorClient
@@ -29,7 +29,7 @@
     output: OutputOption = Output.TABLE,
 ) -> None:
     """List the quarantined requests and the endpoints that each of them crashed."""
-    requests = take(OperatorClient(replicas=replica, timeout_s=timeout).read_quarantine())
+    requests = get_or_exit(OperatorClient(replicas=replica, timeout_s=timeout).read_quarantine())
     document = {"requests": [one.describe() for one in requests]}
     if output is Output.JSON:
         print_json(document)
@@ -46,7 +46,7 @@
 ) -> None:
     """Release a request from quarantine; only later crashes count against it."""
     calls = OperatorClient(replicas=replica, timeout_s=timeout)
-    revision = take(calls.release_request(fingerprint))
+    revision = get_or_exit(calls.release_request(fingerprint))
     if output is Output.JSON:
         print_json({"fingerprint": fingerprint, "revision": revision})
         return
--- a/chivetrack/cli/commands/replicas.py
+++ b/chivetrack/cli/commands/replicas.py
@@ -8,7 +8,7 @@
 from chivetrack.cli.client import Client, Request, join_path
 from chivetrack.cli.const import ExitCode
 from chivetrack.cli.output import print_error, print_line
-from chivetrack.cli.session import exit_with_failure, get_client, take
+from chivetrack.cli.session import exit_with_failure, get_client, get_or_exit
 
 REPLICAS = "replicas"
 
@@ -35,7 +35,7 @@
 @replica_app.command("remove")
 def remove_replica(context: typer.Context, id: IdArgument) -> None:
     """Remove a replica for good; its id must not be used again."""
-    take(get_client(context).send(Request(method="DELETE", path=join_path(REPLICAS, id))))
+    get_or_exit(get_client(context).send(Request(method="DELETE", path=join_path(REPLICAS, id))))
     print_line(f"replica {id} accepted: removed")
 
 
--- a/chivetrack/cli/commands/resources.py
+++ b/chivetrack/cli/commands/resources.py
@@ -10,7 +10,7 @@
 from chivetrack.cli.client import Client, Request, join_path
 from chivetrack.cli.models import Resource
 from chivetrack.cli.output import Output, format_document, format_table, print_json, print_line
-from chivetrack.cli.session import KindArgument, NameArgument, OutputOption, get_client, take
+from chivetrack.cli.session import KindArgument, NameArgument, OutputOption, get_client, get_or_exit
 
 HEADERS = ("NAME", "REVISION", "LABELS", "IN FORCE")
 
@@ -28,7 +28,7 @@
     """
     client = get_client(context)
     if name:
-        resources = [Resource(take(client.read(join_path(kind, name))))]
+        resources = [Resource(get_or_exit(client.read(join_path(kind, name))))]
     else:
         resources = list(list_resources(client, kind))
     if output is Output.JSON:
@@ -41,13 +41,13 @@
 @app.command("describe")
 def describe_resource(context: typer.Context, kind: KindArgument, name: NameArgument) -> None:
     """Show everything about one resource, its status included."""
-    print_line(format_document(take(get_client(context).read(join_path(kind, name)))))
+    print_line(format_document(get_or_exit(get_client(context).read(join_path(kind, name)))))
 
 
 @app.command("delete")
 def delete_resource(context: typer.Context, kind: KindArgument, name: NameArgument) -> None:
     """Delete a resource."""
-    take(get_client(context).send(Request(method="DELETE", path=join_path(kind, name))))
+    get_or_exit(get_client(context).send(Request(method="DELETE", path=join_path(kind, name))))
     print_line(f"{kind}/{name} accepted: deleted")
 
 
@@ -55,7 +55,7 @@
     """Yield the resources of a kind, page by page; end the command on a failure."""
     query: dict[str, str | int] = {"limit": const.PAGE_SIZE}
     while True:
-        page = take(client.read(join_path(kind), **query))
+        page = get_or_exit(client.read(join_path(kind), **query))
         yield from (Resource(item) for item in page.get("items", []))
         following = page.get("continue")
         if not following:
--- a/chivetrack/cli/commands/watch.py
+++ b/chivetrack/cli/commands/watch.py
@@ -16,7 +16,7 @@
     OutputOption,
     exit_with_failure,
     get_client,
-    take,
+    get_or_exit,
 )
 
 STATUS_GONE = 410
@@ -61,7 +61,7 @@
 
 def find_revision(client: Client, kind: str) -> int:
     """Return the revision of the state as it is now."""
-    page = take(client.read(join_path(kind), limit=1))
+    page = get_or_exit(client.read(join_path(kind), limit=1))
     return int(page.get("revision", 0))
 
 
--- a/chivetrack/cli/commands/zones.py
+++ b/chivetrack/cli/commands/zones.py
@@ -6,7 +6,7 @@
 
 from chivetrack.cli import const
 from chivetrack.cli.app import app
-from chivetrack.cli.deployment import ReplicaOption, TimeoutOption, take
+from chivetrack.cli.deployment import ReplicaOption, TimeoutOption, get_or_exit
 from chivetrack.cli.output import Output, format_document, print_json, print_line
 from chivetrack.cli.session import OutputOption
 from chivetrack.platform.operator_calls import OperatorClient
@@ -52,7 +52,7 @@
     output: OutputOption = Output.TABLE,
 ) -> None:
     """List the zones that there was an order for, and since when it holds."""
-    zones = take(OperatorClient(replicas=replica, timeout_s=timeout).read_zones())
+    zones = get_or_exit(OperatorClient(replicas=replica, timeout_s=timeout).read_zones())
     document = {"zones": [one.describe() for one in zones]}
     if output is Output.JSON:
         print_json(document)
@@ -64,7 +64,7 @@
     zone: str, replicas: list[str], timeout_s: float, output: Output, *, is_evacuated: bool
 ) -> None:
     calls = OperatorClient(replicas=replicas, timeout_s=timeout_s)
-    revision = take(calls.order_evacuation(zone, is_evacuated=is_evacuated))
+    revision = get_or_exit(calls.order_evacuation(zone, is_evacuated=is_evacuated))
     if output is Output.JSON:
         print_json({"zone": zone, "evacuated": is_evacuated, "revision": revision})
         return
--- a/chivetrack/cli/deployment.py
+++ b/chivetrack/cli/deployment.py
@@ -22,7 +22,7 @@
 TimeoutOption = Annotated[float, typer.Option(min=0.1, help="Seconds to go on trying.")]
 
 
-def take(result: Result[ValueT, Fault]) -> ValueT:
+def get_or_exit(result: Result[ValueT, Fault]) -> ValueT:
     """Return the value, or print the fault and exit with the matching code."""
     if result.is_ok():
         return result.ok
--- a/chivetrack/cli/session.py
+++ b/chivetrack/cli/session.py
@@ -70,7 +70,7 @@
     print_findings(failure.findings)
 
 
-def take(result: Result[ValueT, Failure]) -> ValueT:
+def get_or_exit(result: Result[ValueT, Failure]) -> ValueT:
     """Return the value, or end the command with what is known about the failure."""
     if result.is_error():
         exit_with_failure(result.error)
