--- a/chivetrack/cli/commands/apply.py
+++ b/chivetrack/cli/commands/apply.py
@@ -77,14 +77,14 @@
 
 def _create(client: Client, resource: Resource) -> Result[Applied, Failure]:
     request = Request(
-        method="POST", path=join_path(resource.kind), document=resource.write_wanted()
+        method="POST", path=join_path(resource.kind), document=resource.make_desired_document()
     )
     return client.send(request).map(lambda answer: _note("created", answer))
 
 
 def _replace(client: Client, resource: Resource) -> Result[Applied, Failure]:
     path = join_path(resource.kind, resource.name)
-    request = Request(method="PUT", path=path, document=resource.write_wanted())
+    request = Request(method="PUT", path=path, document=resource.make_desired_document())
     return client.send(request).map(lambda answer: _note("replaced", answer))
 
 
--- a/chivetrack/cli/models.py
+++ b/chivetrack/cli/models.py
@@ -51,7 +51,7 @@
         """Return what was observed."""
         return self.document.get("status") or {}
 
-    def write_wanted(self) -> Document:
+    def make_desired_document(self) -> Document:
         """Return the document to send: all but the status, which is the server's to say."""
         return {name: value for name, value in self.document.items() if name != "status"}
 
