--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -59,7 +59,7 @@
         context: ssl.SSLContext | None = None,
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
         notify: Callable[[str], None] = lambda text: None,
     ) -> None:
         """Open no connection yet; clock, sleep and chance may be a test's own.
@@ -69,7 +69,7 @@
         self._connection = connection
         self._clock = clock
         self._sleep = sleep
-        self._chance = chance or random.Random()
+        self._chance = rng or random.Random()
         self._notify = notify
         self._pool = urllib3.PoolManager(retries=False, ssl_context=context)
 
--- a/tests/cli/case.py
+++ b/tests/cli/case.py
@@ -55,7 +55,7 @@
         }
         self.clock = Clock()
         client = functools.partial(
-            Client, clock=self.clock.read, sleep=self.clock.sleep, chance=random.Random(1)
+            Client, clock=self.clock.read, sleep=self.clock.sleep, rng=random.Random(1)
         )
         stack.enter_context(mock.patch("chivetrack.cli.session.Client", client))
 
