--- a/chivetrack/cli/commands/watch.py
+++ b/chivetrack/cli/commands/watch.py
@@ -10,7 +10,7 @@
 from chivetrack.cli.app import app
 from chivetrack.cli.client import Client, Request, join_path
 from chivetrack.cli.models import Failure, Resource
-from chivetrack.cli.output import Output, clean, print_error
+from chivetrack.cli.output import Output, print_error, replace_control_characters
 from chivetrack.cli.session import (
     KindArgument,
     OutputOption,
@@ -113,4 +113,8 @@
         typer.echo(msgspec.json.encode(event).decode())
         return
     resource = Resource(event.resource or {})
-    typer.echo(clean(f"{event.revision}  {event.type}  {resource.kind}/{resource.name}"))
+    typer.echo(
+        replace_control_characters(
+            f"{event.revision}  {event.type}  {resource.kind}/{resource.name}"
+        )
+    )
--- a/chivetrack/cli/output.py
+++ b/chivetrack/cli/output.py
@@ -28,12 +28,12 @@
 
 def print_line(text: str) -> None:
     """Print a line of text."""
-    _write(clean(text))
+    _write(replace_control_characters(text))
 
 
 def print_error(text: str) -> None:
     """Print a line to stderr."""
-    _write(clean(text), to_stderr=True)
+    _write(replace_control_characters(text), to_stderr=True)
 
 
 def _write(text: str, *, to_stderr: bool = False) -> None:
@@ -93,10 +93,10 @@
         return ",".join(f"{name}={format_value(inner)}" for name, inner in value.items())
     if isinstance(value, list | tuple):
         return ",".join(format_value(inner) for inner in value)
-    return clean(str(value))
+    return replace_control_characters(str(value))
 
 
-def clean(text: str) -> str:
+def replace_control_characters(text: str) -> str:
     """Replace control characters: names come from others and could drive the terminal."""
     return "".join(char if char.isprintable() or char == "\n" else "?" for char in text)
 
