--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -109,7 +109,7 @@
             if wait is None:
                 wait = backoff * self._chance.uniform(0.5, 1.0)
             if not _is_worth_another(failure) or self._clock() + wait >= deadline:
-                return Error(_conclude(failure, lost, request))
+                return Error(_resolve_failure(failure, lost, request))
             if not is_told and self._clock() - started >= const.NOTIFY_AFTER_S:
                 self._notify(f"{failure}; trying for up to {self._connection.timeout_s:g} s")
                 is_told = True
@@ -260,7 +260,7 @@
     return failure.code != "untrusted"
 
 
-def _conclude(failure: Failure, lost: Failure | None, request: Request) -> Failure:
+def _resolve_failure(failure: Failure, lost: Failure | None, request: Request) -> Failure:
     """Say what is known in the end.
 
     After a lost answer, an attempt that cannot connect or is turned away tells nothing
