--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -93,7 +93,7 @@
         """Try until there is an outcome; once sent, a lost answer stays in memory."""
         started = self._clock()
         deadline = started + self._connection.timeout_s
-        is_told = False
+        is_notified = False
         request_id = str(uuid.uuid4()) if request.is_write else None
         lost: Failure | None = None
         backoff = const.FIRST_BACKOFF_S
@@ -110,9 +110,9 @@
                 wait = backoff * self._chance.uniform(0.5, 1.0)
             if not _is_worth_another(failure) or self._clock() + wait >= deadline:
                 return Error(_resolve_failure(failure, lost, request))
-            if not is_told and self._clock() - started >= const.NOTIFY_AFTER_S:
+            if not is_notified and self._clock() - started >= const.NOTIFY_AFTER_S:
                 self._notify(f"{failure}; trying for up to {self._connection.timeout_s:g} s")
-                is_told = True
+                is_notified = True
             self._sleep(wait)
             backoff = min(backoff * 2, const.MAX_BACKOFF_S)
 
