--- a/tests/cli/case.py
+++ b/tests/cli/case.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Ended:
+class CommandResult:
     code: int
     out: str
     err: str
@@ -59,7 +59,7 @@
         )
         stack.enter_context(mock.patch("chivetrack.cli.session.Client", client))
 
-    def run_command(self, *arguments: str) -> Ended:
+    def run_command(self, *arguments: str) -> CommandResult:
         out, err = io.StringIO(), io.StringIO()
         with (
             mock.patch.dict("os.environ", self.environment, clear=True),
@@ -67,7 +67,7 @@
             contextlib.redirect_stderr(err),
         ):
             code = run(list(arguments))
-        return Ended(code, out.getvalue(), err.getvalue())
+        return CommandResult(code, out.getvalue(), err.getvalue())
 
     def write(self, name: str, content: Any) -> str:
         path = self.folder / name
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -13,7 +13,7 @@
 from chivetrack.components.storage.snapshots import encode_snapshot
 from chivetrack.helpers.finding import Findings
 from chivetrack.helpers.keys import hash_key, make_key
-from tests.cli.case import CliCase, Ended
+from tests.cli.case import CliCase, CommandResult
 from tests.cli.stand_in import Fault, write_error
 
 SAMPLE = Path(__file__).parents[2] / "docs" / "samples" / "chivetrackd.toml"
@@ -135,7 +135,7 @@
         self.assertEqual((snapshot.index, snapshot.data), (7, b"state" * 100))
         self.assertEqual(member.instance_id, "tanta-1")
 
-    def restore(self) -> Ended:
+    def restore(self) -> CommandResult:
         return self.run_command(
             "restore",
             "--yes",
