--- a/tests/cli/test_apply.py
+++ b/tests/cli/test_apply.py
@@ -24,8 +24,8 @@
         )
         self.assertIn("accepted: unchanged", self.run_command("apply", "-f", self.file).out)
         toml = 'kind = "workspace"\nmetadata = {name = "w1"}\n[spec]\nweight = 2\n'
-        ended = self.run_command("apply", "-f", self.write("w1.toml", toml))
-        self.assertIn("accepted: replaced, revision 12", ended.out)
+        result = self.run_command("apply", "-f", self.write("w1.toml", toml))
+        self.assertIn("accepted: replaced, revision 12", result.out)
         self.assertEqual(self.server.resources["workspace", "w1"]["spec"], {"weight": 2})
 
     def test_status_is_not_sent_back(self) -> None:
@@ -40,8 +40,8 @@
         for revision, code in ((10, ExitCode.CONFLICT), (11, ExitCode.OK)):
             document = {**WORKSPACE, "metadata": {"name": "w1", "revision": revision}}
             with self.subTest(revision=revision):
-                ended = self.run_command("apply", "-f", self.write("x.json", document))
-                self.assertEqual(ended.code, code, ended)
+                result = self.run_command("apply", "-f", self.write("x.json", document))
+                self.assertEqual(result.code, code, result)
 
     def test_lost_answer_is_asked_for_again_with_the_same_request_id(self) -> None:
         """One change is made once, and the operator sees that it was accepted.
@@ -56,8 +56,8 @@
                 self.server.requests.clear()
                 self.server.faults.extend((Fault.NONE, fault))
                 before = self.server.revision
-                ended = self.run_command("apply", "-f", self.file)
-                self.assertEqual((ended.code, ended.err), (ExitCode.OK, ""))
+                result = self.run_command("apply", "-f", self.file)
+                self.assertEqual((result.code, result.err), (ExitCode.OK, ""))
                 writes = [entry for entry in self.server.requests if entry[0] == "POST"]
                 self.assertEqual(len(writes), 2)
                 self.assertEqual(len({request_id for _, _, request_id in writes}), 1)
@@ -82,10 +82,10 @@
                 self.server.resources.clear()
                 self.server.faults.clear()
                 self.server.faults.extend((Fault.NONE, Fault.LOSE_ANSWER, *[answer] * 500))
-                ended = self.run_command("apply", "-f", self.file)
-                self.assertEqual(ended.code, ExitCode.UNKNOWN, ended)
-                self.assertIn("w1 unknown", ended.out)
-                self.assertIn("request id", ended.err)
+                result = self.run_command("apply", "-f", self.file)
+                self.assertEqual(result.code, ExitCode.UNKNOWN, result)
+                self.assertIn("w1 unknown", result.out)
+                self.assertIn("request id", result.err)
 
     def test_final_answer_after_a_lost_one_counts(self) -> None:
         self.server.faults.extend(
@@ -110,9 +110,9 @@
             with self.subTest(status=status, body=body):
                 self.server.faults.clear()
                 self.server.faults.extend((Fault.NONE, *[(status, body)] * 500))
-                ended = self.run_command("apply", "-f", self.file, "-o", "json")
-                self.assertEqual(ended.code, code, ended)
-                (outcome,) = json.loads(ended.out)["outcomes"]
+                result = self.run_command("apply", "-f", self.file, "-o", "json")
+                self.assertEqual(result.code, code, result)
+                (outcome,) = json.loads(result.out)["outcomes"]
                 self.assertEqual(outcome["outcome"], word)
         self.assertEqual(self.server.resources, {})
 
@@ -121,10 +121,10 @@
         self.server.faults.extend(
             (Fault.NONE, Fault.NONE, Fault.NONE, (403, write_error("forbidden", "no")))
         )
-        ended = self.run_command("apply", "-f", self.write("x.json", {"items": documents}))
-        self.assertEqual(ended.code, ExitCode.REFUSED)
-        self.assertEqual(ended.out.count("accepted: created"), 2)
-        self.assertIn("workspace/w1 refused", ended.out)
+        result = self.run_command("apply", "-f", self.write("x.json", {"items": documents}))
+        self.assertEqual(result.code, ExitCode.REFUSED)
+        self.assertEqual(result.out.count("accepted: created"), 2)
+        self.assertIn("workspace/w1 refused", result.out)
 
     def test_reader_that_has_gone_away_does_not_break_off(self) -> None:
         """All changes of a file are made, also when nobody reads the outcomes.
@@ -136,16 +136,16 @@
         documents = [{**WORKSPACE, "metadata": {"name": f"w{n}"}} for n in range(3)]
         file = self.write("x.json", {"items": documents})
         with mock.patch("typer.echo", side_effect=BrokenPipeError):
-            ended = self.run_command("apply", "-f", file)
-        self.assertEqual(ended.code, ExitCode.OK)
+            result = self.run_command("apply", "-f", file)
+        self.assertEqual(result.code, ExitCode.OK)
         self.assertEqual(len(self.server.resources), 3)
 
     def test_nothing_is_sent_while_a_file_has_findings(self) -> None:
         bad = self.write("bad.json", [{"knd": "w", "metadata": {}}, {"kind": "w", "spec": 3}, 7])
-        ended = self.run_command("apply", "-f", self.file, "-f", bad, "-f", "/nonexistent")
-        self.assertEqual(ended.code, ExitCode.FINDINGS)
+        result = self.run_command("apply", "-f", self.file, "-f", bad, "-f", "/nonexistent")
+        self.assertEqual(result.code, ExitCode.FINDINGS)
         for part in ("resource 1 knd", "'kind'", "resource 2 spec", "resource 3", "/nonexistent"):
-            self.assertIn(part, ended.err)
+            self.assertIn(part, result.err)
         self.assertEqual(self.server.requests, [])
 
     def test_refusal_with_a_time_is_tried_again(self) -> None:
@@ -171,8 +171,8 @@
                 self.subTest(error=error),
                 mock.patch.object(urllib3.PoolManager, "request", side_effect=failure),
             ):
-                ended = self.run_command("apply", "-f", file)
-                self.assertEqual(ended.code, code, ended)
+                result = self.run_command("apply", "-f", file)
+                self.assertEqual(result.code, code, result)
 
 
 class UnreachableTest(CliCase):
@@ -181,9 +181,9 @@
         self.environment["CHIVETRACK_SERVER"] = "http://127.0.0.1:1"
         for arguments in (("apply", "-f", file), ("get", "workspace"), ("delete", "w", "x")):
             with self.subTest(arguments=arguments):
-                ended = self.run_command(*arguments)
-                self.assertEqual(ended.code, ExitCode.UNREACHABLE, ended)
-                self.assertIn("cannot be reached", ended.err)
+                result = self.run_command(*arguments)
+                self.assertEqual(result.code, ExitCode.UNREACHABLE, result)
+                self.assertIn("cannot be reached", result.err)
 
     def test_sleep_that_ends_after_the_time_is_up(self) -> None:
         """A busy machine wakes the command late; there is no time left for the attempt.
@@ -197,8 +197,8 @@
 
     def test_long_wait_is_explained_once(self) -> None:
         self.environment["CHIVETRACK_SERVER"] = "http://127.0.0.1:1"
-        ended = self.run_command("--timeout", "9", "get", "workspace")
-        self.assertEqual(ended.err.count("trying for up to 9 s"), 1)
+        result = self.run_command("--timeout", "9", "get", "workspace")
+        self.assertEqual(result.err.count("trying for up to 9 s"), 1)
         self.assertLess(self.clock.now, 9)
 
     def test_fault_of_the_program_is_not_a_refusal(self) -> None:
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -28,16 +28,16 @@
 
     def test_list_takes_all_pages(self) -> None:
         self.server.page = 2
-        ended = self.run_command("get", "workspace")
-        self.assertEqual(ended.out.count("hall=tanta"), 5)
+        result = self.run_command("get", "workspace")
+        self.assertEqual(result.out.count("hall=tanta"), 5)
         self.assertEqual(self.server.count("GET"), 3)
 
     def test_json_of_one_can_be_applied_again(self) -> None:
-        ended = self.run_command("get", "workspace", "w1", "-o", "json")
-        document = json.loads(ended.out)
+        result = self.run_command("get", "workspace", "w1", "-o", "json")
+        document = json.loads(result.out)
         document["spec"] = {"n": 9}
-        ended = self.run_command("apply", "-f", self.write("w1.json", document))
-        self.assertEqual(ended.code, ExitCode.OK, ended)
+        result = self.run_command("apply", "-f", self.write("w1.json", document))
+        self.assertEqual(result.code, ExitCode.OK, result)
         self.assertEqual(self.server.resources["workspace", "w1"]["spec"], {"n": 9})
 
     def test_describe_and_delete(self) -> None:
@@ -68,17 +68,17 @@
         self.server.documents["status"] = status
         self.server.documents["explain/request/abc"] = {"endpoint": "e1", "reason": "home"}
         self.server.documents["explain/endpoint/e1"] = {"availability": "leaving"}
-        ended = self.run_command("status")
-        self.assertIn("term: 4", ended.out)
-        self.assertRegex(ended.out, r"(?m)^  ID  LAG\n  r1  0\n  r2  -$")
+        result = self.run_command("status")
+        self.assertIn("term: 4", result.out)
+        self.assertRegex(result.out, r"(?m)^  ID  LAG\n  r1  0\n  r2  -$")
         self.assertEqual(json.loads(self.run_command("status", "-o", "json").out), status)
         self.assertIn("reason: home", self.run_command("explain", "request", "abc").out)
         self.assertIn("leaving", self.run_command("explain", "endpoint", "e1").out)
         self.assertEqual(self.run_command("explain", "chat", "x").code, ExitCode.USAGE)
 
     def test_drain_and_undo(self) -> None:
-        ended = self.run_command("drain", "e1", "--reason", "new disk")
-        self.assertIn("drain/e1 accepted: created", ended.out)
+        result = self.run_command("drain", "e1", "--reason", "new disk")
+        self.assertIn("drain/e1 accepted: created", result.out)
         spec = self.server.resources["drain", "e1"]["spec"]
         target = {"kind": "endpoint", "name": "e1"}
         self.assertEqual(spec, {"target": target, "reason": "new disk"})
@@ -96,19 +96,19 @@
         Its votes were on the lost disk: it could vote twice in one term, two leaders
         could be elected, and an accepted change could be lost.
         """
-        ended = self.run_command("replica", "replace", "r1", "r1")
-        self.assertEqual(ended.code, ExitCode.USAGE)
+        result = self.run_command("replica", "replace", "r1", "r1")
+        self.assertEqual(result.code, ExitCode.USAGE)
         self.assertEqual(self.server.requests, [])
 
     def test_replace_goes_on_where_it_was_broken_off(self) -> None:
         self.server.documents["replicas/r1"] = {}
         self.server.faults.extend((Fault.NONE, (403, write_error("no", "no"))))
-        ended = self.run_command("replica", "replace", "r1", "r4")
-        self.assertEqual(ended.code, ExitCode.REFUSED)
-        self.assertIn("chivetrack replica add r4", ended.err)
+        result = self.run_command("replica", "replace", "r1", "r4")
+        self.assertEqual(result.code, ExitCode.REFUSED)
+        self.assertIn("chivetrack replica add r4", result.err)
         del self.server.documents["replicas/r1"]
-        ended = self.run_command("replica", "replace", "r1", "r4")
-        self.assertEqual(ended.code, ExitCode.OK, ended)
+        result = self.run_command("replica", "replace", "r1", "r4")
+        self.assertEqual(result.code, ExitCode.OK, result)
         self.assertIn("r4", self.server.documents["replicas/r4"]["id"])
 
     def test_add_and_remove(self) -> None:
@@ -126,8 +126,8 @@
 
     def test_backup_and_restore(self) -> None:
         self.assertEqual(self.run_command("backup", str(self.file)).code, ExitCode.OK)
-        ended = self.restore()
-        self.assertEqual(ended.code, ExitCode.OK, ended)
+        result = self.restore()
+        self.assertEqual(result.code, ExitCode.OK, result)
         with open_storage(path=self.data_folder) as storage:
             snapshot = storage.take_recovered().snapshot
             (member,) = snapshot.members.members
@@ -154,8 +154,8 @@
 
     def test_answer_that_was_cut_short_never_becomes_a_backup(self) -> None:
         self.server.faults.extend([Fault.CUT_ANSWER] * 500)
-        ended = self.run_command("backup", str(self.file))
-        self.assertEqual(ended.code, ExitCode.UNREACHABLE)
+        result = self.run_command("backup", str(self.file))
+        self.assertEqual(result.code, ExitCode.UNREACHABLE)
         self.assertEqual(list(self.folder.iterdir()), [])
 
     def test_damaged_backup_is_not_restored(self) -> None:
@@ -175,11 +175,11 @@
     def test_config_check(self) -> None:
         self.assertEqual(self.run_command("config", "check", str(SAMPLE)).code, ExitCode.OK)
         bad = self.write("bad.toml", SAMPLE.read_text() + "[limit]\n[stopp]\n")
-        ended = self.run_command("config", "check", bad)
-        self.assertEqual(ended.code, ExitCode.FINDINGS)
-        self.assertIn("did you mean 'limits'?", ended.err)
-        ended = self.run_command("config", "check", bad, "-o", "json")
-        self.assertEqual(len(json.loads(ended.out)["findings"]), 2)
+        result = self.run_command("config", "check", bad)
+        self.assertEqual(result.code, ExitCode.FINDINGS)
+        self.assertIn("did you mean 'limits'?", result.err)
+        result = self.run_command("config", "check", bad, "-o", "json")
+        self.assertEqual(len(json.loads(result.out)["findings"]), 2)
 
     def test_keys(self) -> None:
         made = json.loads(self.run_command("key", "make", "-o", "json").out)
@@ -205,9 +205,9 @@
         ]
         for arguments, code, text in table:
             with self.subTest(arguments=arguments):
-                ended = self.run_command(*arguments)
-                self.assertEqual(ended.code, code)
-                self.assertIn(text, ended.out + ended.err)
+                result = self.run_command(*arguments)
+                self.assertEqual(result.code, code)
+                self.assertIn(text, result.out + result.err)
 
     def test_completion_is_offered(self) -> None:
         environment = {**self.environment, "_CHIVETRACK_COMPLETE": "complete_bash"}
@@ -227,8 +227,8 @@
 
     def find_key(self, *flags: str) -> str | None:
         self.server.keys.clear()
-        ended = self.run_command(*flags, "get", "workspace")
-        self.assertEqual(ended.code, ExitCode.OK, ended)
+        result = self.run_command(*flags, "get", "workspace")
+        self.assertEqual(result.code, ExitCode.OK, result)
         return self.server.keys[0]
 
     def test_flags_go_before_environment_before_profile(self) -> None:
@@ -248,9 +248,9 @@
     def test_key_that_cannot_be_sent_is_wrong_usage(self) -> None:
         for key in ("a\r\nX-Other: b", "schlüssel"):
             self.environment["CHIVETRACK_KEY"] = key
-            ended = self.run_command("get", "workspace")
-            self.assertEqual(ended.code, ExitCode.USAGE)
-            self.assertNotIn(key, ended.err)
+            result = self.run_command("get", "workspace")
+            self.assertEqual(result.code, ExitCode.USAGE)
+            self.assertNotIn(key, result.err)
 
     def test_faults_are_reported_together(self) -> None:
         table = [
@@ -261,18 +261,18 @@
         for text, flags, parts in table:
             with self.subTest(text=text):
                 self.write_profiles(text)
-                ended = self.run_command(*flags, "get", "workspace")
-                self.assertEqual(ended.code, ExitCode.USAGE)
+                result = self.run_command(*flags, "get", "workspace")
+                self.assertEqual(result.code, ExitCode.USAGE)
                 for part in parts:
-                    self.assertIn(part, ended.err)
+                    self.assertIn(part, result.err)
 
     def test_key_that_others_may_read_is_refused(self) -> None:
         self.write_profiles('[default]\nkey = "secret"\n')
         os.chmod(self.profiles, 0o644)
-        ended = self.run_command("get", "workspace")
-        self.assertEqual(ended.code, ExitCode.USAGE)
-        self.assertIn("chmod 600", ended.err)
-        self.assertNotIn("secret", ended.err)
+        result = self.run_command("get", "workspace")
+        self.assertEqual(result.code, ExitCode.USAGE)
+        self.assertIn("chmod 600", result.err)
+        self.assertNotIn("secret", result.err)
 
     def test_server_is_named(self) -> None:
         for server in ("", "10.0.0.1:8081"):
--- a/tests/cli/test_watch.py
+++ b/tests/cli/test_watch.py
@@ -18,9 +18,9 @@
 
 class WatchTest(CliCase):
     def watch(self, count: int, *arguments: str) -> list[int]:
-        ended = self.run_command("watch", "workspace", "--count", str(count), *arguments)
-        self.assertEqual((ended.code, ended.err), (ExitCode.OK, ""))
-        return [int(line.split()[0]) for line in ended.out.splitlines()]
+        result = self.run_command("watch", "workspace", "--count", str(count), *arguments)
+        self.assertEqual((result.code, result.err), (ExitCode.OK, ""))
+        return [int(line.split()[0]) for line in result.out.splitlines()]
 
     def list_starts(self) -> list[str]:
         return [query["revision"] for query in self.server.queries if "watch" in query]
@@ -58,24 +58,24 @@
         self.server.faults.extend(
             (Fault.LOSE_REQUEST, (503, write_error("no_leader", "no leader")), Fault.NONE)
         )
-        ended = self.run_command("watch", "workspace", "--revision", "10", "--count", "1")
-        self.assertEqual(ended.out, "11  replaced  workspace/w11\n")
-        self.assertIn("no leader", ended.err)
+        result = self.run_command("watch", "workspace", "--revision", "10", "--count", "1")
+        self.assertEqual(result.out, "11  replaced  workspace/w11\n")
+        self.assertIn("no leader", result.err)
 
     def test_missed_changes_are_said(self) -> None:
         self.server.streams.extend([[write_event(12)]])
         self.server.faults.append((410, write_error("compacted", "no longer kept")))
-        ended = self.run_command("watch", "workspace", "--revision", "3", "--count", "1")
-        self.assertIn("after revision 3 are no longer kept", ended.err)
+        result = self.run_command("watch", "workspace", "--revision", "3", "--count", "1")
+        self.assertIn("after revision 3 are no longer kept", result.err)
         self.assertEqual(self.list_starts(), ["3", "10"])
 
     def test_refusal_ends_the_watch(self) -> None:
         self.server.faults.append((403, write_error("forbidden", "not yours")))
-        ended = self.run_command("watch", "workspace", "--revision", "3")
-        self.assertEqual(ended.code, ExitCode.REFUSED)
+        result = self.run_command("watch", "workspace", "--revision", "3")
+        self.assertEqual(result.code, ExitCode.REFUSED)
 
     def test_line_that_is_not_an_event_opens_it_again(self) -> None:
         self.server.streams.extend([[b"<html>\n", write_event(11)], [write_event(12)]])
-        ended = self.run_command("watch", "workspace", "--revision", "10", "--count", "1")
-        self.assertEqual(ended.out, "12  replaced  workspace/w12\n")
-        self.assertIn("not an event", ended.err)
+        result = self.run_command("watch", "workspace", "--revision", "10", "--count", "1")
+        self.assertEqual(result.out, "12  replaced  workspace/w12\n")
+        self.assertIn("not an event", result.err)
