--- a/tests/cli/case.py
+++ b/tests/cli/case.py
@@ -17,7 +17,7 @@
 from chivetrack.cli.client import Client
 from tests.cli.stand_in import open_stand_in
 
-ENDLESS_S = 600.0
+MAX_COMMAND_S = 600.0
 
 
 @dataclass(frozen=True)
@@ -39,7 +39,7 @@
 
     def sleep(self, seconds: float) -> None:
         self.now += seconds + self.late
-        if self.now > ENDLESS_S:
+        if self.now > MAX_COMMAND_S:
             raise RuntimeError("the command does not end")
 
 
