--- a/chivetrack/cli/commands/apply.py
+++ b/chivetrack/cli/commands/apply.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Applied:
+class AppliedChange:
     """An accepted change."""
 
     change: str
@@ -58,7 +58,7 @@
     raise typer.Exit(find_worst(codes))
 
 
-def apply_resource(client: Client, resource: Resource) -> Result[Applied, Failure]:
+def apply_resource(client: Client, resource: Resource) -> Result[AppliedChange, Failure]:
     """Create a resource, or replace the revision it names or the one that is there."""
     if resource.revision is not None:
         return _replace(client, resource)
@@ -69,30 +69,30 @@
         return Error(found.error)
     current = Resource(found.ok)
     if current.spec == resource.spec and current.labels == resource.labels:
-        return Ok(Applied(change="unchanged", revision=current.revision))
+        return Ok(AppliedChange(change="unchanged", revision=current.revision))
     if current.revision is None:
         return _replace(client, resource)
     return _replace(client, resource.set_revision(current.revision))
 
 
-def _create(client: Client, resource: Resource) -> Result[Applied, Failure]:
+def _create(client: Client, resource: Resource) -> Result[AppliedChange, Failure]:
     request = Request(
         method="POST", path=join_path(resource.kind), document=resource.make_desired_document()
     )
     return client.send(request).map(lambda answer: _note("created", answer))
 
 
-def _replace(client: Client, resource: Resource) -> Result[Applied, Failure]:
+def _replace(client: Client, resource: Resource) -> Result[AppliedChange, Failure]:
     path = join_path(resource.kind, resource.name)
     request = Request(method="PUT", path=path, document=resource.make_desired_document())
     return client.send(request).map(lambda answer: _note("replaced", answer))
 
 
-def _note(change: str, answer: Document) -> Applied:
-    return Applied(change=change, revision=Resource(answer).revision)
+def _note(change: str, answer: Document) -> AppliedChange:
+    return AppliedChange(change=change, revision=Resource(answer).revision)
 
 
-def _print_outcome(resource: Resource, result: Result[Applied, Failure]) -> None:
+def _print_outcome(resource: Resource, result: Result[AppliedChange, Failure]) -> None:
     name = f"{resource.kind}/{resource.name}"
     if result.is_ok():
         applied = result.ok
@@ -103,7 +103,7 @@
     report_failure(result.error)
 
 
-def _write_report(resource: Resource, result: Result[Applied, Failure]) -> Document:
+def _write_report(resource: Resource, result: Result[AppliedChange, Failure]) -> Document:
     report: Document = {"kind": resource.kind, "name": resource.name}
     if result.is_ok():
         applied = result.ok
