--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -96,7 +96,7 @@
         is_notified = False
         request_id = str(uuid.uuid4()) if request.is_write else None
         lost: Failure | None = None
-        backoff = const.FIRST_BACKOFF_S
+        backoff = const.INITIAL_BACKOFF_S
         while True:
             remaining_s = max(deadline - self._clock(), const.MIN_ATTEMPT_S)
             result = self._attempt(request, request_id, remaining_s)
--- a/chivetrack/cli/commands/watch.py
+++ b/chivetrack/cli/commands/watch.py
@@ -67,7 +67,7 @@
 
 def follow(client: Client, kind: str, revision: int) -> Iterator[WatchEvent]:
     """Yield changes after ``revision`` for good, across lost connections."""
-    backoff = const.FIRST_BACKOFF_S
+    backoff = const.INITIAL_BACKOFF_S
     while True:
         query: dict[str, str | int] = {"watch": "true", "revision": revision}
         request = Request(method="GET", path=join_path(kind), query=query)
@@ -76,7 +76,7 @@
                 revision = _recover(client, kind, revision, stream.error)
             else:
                 for event in _decode_events(stream.ok):
-                    backoff = const.FIRST_BACKOFF_S
+                    backoff = const.INITIAL_BACKOFF_S
                     if event.revision <= revision:
                         continue
                     revision = event.revision
