--- a/chivetrack/cli/commands/apply.py
+++ b/chivetrack/cli/commands/apply.py
@@ -79,16 +79,16 @@
     request = Request(
         method="POST", path=join_path(resource.kind), document=resource.make_desired_document()
     )
-    return client.send(request).map(lambda answer: _note("created", answer))
+    return client.send(request).map(lambda answer: _make_applied("created", answer))
 
 
 def _replace(client: Client, resource: Resource) -> Result[AppliedChange, Failure]:
     path = join_path(resource.kind, resource.name)
     request = Request(method="PUT", path=path, document=resource.make_desired_document())
-    return client.send(request).map(lambda answer: _note("replaced", answer))
+    return client.send(request).map(lambda answer: _make_applied("replaced", answer))
 
 
-def _note(change: str, answer: Document) -> AppliedChange:
+def _make_applied(change: str, answer: Document) -> AppliedChange:
     return AppliedChange(change=change, revision=Resource(answer).revision)
 
 
