--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -133,7 +133,7 @@
             )
         except HTTPError as error:
             if _was_sent(error):
-                return Error(_lost(error, request_id))
+                return Error(_make_lost_answer_failure(error, request_id))
             return Error(_unreachable(self._connection.server, error))
         if response.status < 300:
             return Ok(response.data)
@@ -232,7 +232,7 @@
     return Failure(kind=FailureKind.UNREACHABLE, code=code, message=message)
 
 
-def _lost(error: Exception, request_id: str | None) -> Failure:
+def _make_lost_answer_failure(error: Exception, request_id: str | None) -> Failure:
     message = f"the answer was lost: {error}"
     return Failure(
         kind=FailureKind.UNKNOWN, code="answer_lost", message=message, request_id=request_id
