--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -134,7 +134,7 @@
         except HTTPError as error:
             if _was_sent(error):
                 return Error(_make_lost_answer_failure(error, request_id))
-            return Error(_unreachable(self._connection.server, error))
+            return Error(_make_unreachable_failure(self._connection.server, error))
         if response.status < 300:
             return Ok(response.data)
         failure = _read_failure(response.status, response.data)
@@ -155,7 +155,7 @@
                 preload_content=False,
             )
         except HTTPError as error:
-            yield Error(_unreachable(self._connection.server, error))
+            yield Error(_make_unreachable_failure(self._connection.server, error))
             return
         try:
             if response.status < 300:
@@ -226,7 +226,7 @@
     )
 
 
-def _unreachable(server: str, error: Exception) -> Failure:
+def _make_unreachable_failure(server: str, error: Exception) -> Failure:
     message = f"{server} cannot be reached: {error}"
     code = "untrusted" if _is_untrusted(error) else "unreachable"
     return Failure(kind=FailureKind.UNREACHABLE, code=code, message=message)
