--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -79,17 +79,17 @@
 
     def read_bytes(self, path: str) -> Result[bytes, Failure]:
         """Get the bytes of an answer."""
-        return self._repeat(Request(method="GET", path=path))
+        return self._send_with_retries(Request(method="GET", path=path))
 
     def send(self, request: Request) -> Result[Document, Failure]:
         """Send a request, again with the same id while its outcome is open."""
-        return self._repeat(request).bind(lambda body: _decode(body, request))
+        return self._send_with_retries(request).bind(lambda body: _decode(body, request))
 
     def pause(self, seconds: float) -> None:
         """Wait before the caller tries something again."""
         self._sleep(seconds)
 
-    def _repeat(self, request: Request) -> Result[bytes, Failure]:
+    def _send_with_retries(self, request: Request) -> Result[bytes, Failure]:
         """Try until there is an outcome; once sent, a lost answer stays in memory."""
         started = self._clock()
         deadline = started + self._connection.timeout_s
