--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -108,7 +108,7 @@
             wait = failure.retry_after_s
             if wait is None:
                 wait = backoff * self._chance.uniform(0.5, 1.0)
-            if not _is_worth_another(failure) or self._clock() + wait >= deadline:
+            if not _should_retry(failure) or self._clock() + wait >= deadline:
                 return Error(_resolve_failure(failure, lost, request))
             if not is_notified and self._clock() - started >= const.NOTIFY_AFTER_S:
                 self._notify(f"{failure}; trying for up to {self._connection.timeout_s:g} s")
@@ -254,7 +254,7 @@
     return isinstance(error.args[0] if error.args else None, ssl.SSLCertVerificationError)
 
 
-def _is_worth_another(failure: Failure) -> bool:
+def _should_retry(failure: Failure) -> bool:
     if failure.kind is FailureKind.REFUSED:
         return failure.retry_after_s is not None
     return failure.code != "untrusted"
