--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -122,7 +122,7 @@
         try:
             response = self._pool.request(
                 request.method,
-                self._write_url(request),
+                self._make_url(request),
                 body=_encode(request),
                 headers=self._write_headers(request, request_id),
                 timeout=urllib3.Timeout(
@@ -146,7 +146,7 @@
         try:
             response = self._pool.request(
                 request.method,
-                self._write_url(request),
+                self._make_url(request),
                 headers=self._write_headers(request, None),
                 timeout=urllib3.Timeout(
                     connect=const.CONNECT_TIMEOUT_S, read=const.WATCH_READ_TIMEOUT_S
@@ -165,7 +165,7 @@
         finally:
             response.close()
 
-    def _write_url(self, request: Request) -> str:
+    def _make_url(self, request: Request) -> str:
         url = f"{self._connection.server}{const.API_PREFIX}/{request.path}"
         return f"{url}?{urlencode(request.query)}" if request.query else url
 
