--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -124,7 +124,7 @@
                 request.method,
                 self._make_url(request),
                 body=_encode(request),
-                headers=self._write_headers(request, request_id),
+                headers=self._make_headers(request, request_id),
                 timeout=urllib3.Timeout(
                     connect=min(const.CONNECT_TIMEOUT_S, remaining_s),
                     read=min(const.READ_TIMEOUT_S, remaining_s),
@@ -147,7 +147,7 @@
             response = self._pool.request(
                 request.method,
                 self._make_url(request),
-                headers=self._write_headers(request, None),
+                headers=self._make_headers(request, None),
                 timeout=urllib3.Timeout(
                     connect=const.CONNECT_TIMEOUT_S, read=const.WATCH_READ_TIMEOUT_S
                 ),
@@ -169,7 +169,7 @@
         url = f"{self._connection.server}{const.API_PREFIX}/{request.path}"
         return f"{url}?{urlencode(request.query)}" if request.query else url
 
-    def _write_headers(self, request: Request, request_id: str | None) -> dict[str, str]:
+    def _make_headers(self, request: Request, request_id: str | None) -> dict[str, str]:
         headers = {"User-Agent": f"chivetrack/{VERSION}", "Accept": "application/json"}
         if self._connection.key:
             headers["Authorization"] = f"Bearer {self._connection.key}"
