--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -132,7 +132,7 @@
                 redirect=False,
             )
         except HTTPError as error:
-            if _was_sent(error):
+            if _may_have_arrived(error):
                 return Error(_make_lost_answer_failure(error, request_id))
             return Error(_make_unreachable_failure(self._connection.server, error))
         if response.status < 300:
@@ -239,7 +239,7 @@
     )
 
 
-def _was_sent(error: HTTPError) -> bool:
+def _may_have_arrived(error: HTTPError) -> bool:
     """Return whether the server may have received the request.
 
     Of the TLS errors only an untrusted certificate is sure to come before the request;
