--- a/chivetrack/cli/const.py
+++ b/chivetrack/cli/const.py
@@ -42,7 +42,7 @@
 
 
 # Worst last: the code of a command that touched several resources is the worst of theirs.
-SEVERITY: Final = (
+EXIT_CODES_BY_SEVERITY: Final = (
     ExitCode.OK,
     ExitCode.NOT_FOUND,
     ExitCode.REFUSED,
--- a/chivetrack/cli/models.py
+++ b/chivetrack/cli/models.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from chivetrack.cli.const import SEVERITY, ExitCode
+from chivetrack.cli.const import EXIT_CODES_BY_SEVERITY, ExitCode
 from chivetrack.exceptions import Ran
 from chivetrack.helpers.finding import Finding
 
@@ -132,4 +132,4 @@
 
 def find_worst(codes: Sequence[ExitCode]) -> ExitCode:
     """Return the exit code of several outcomes together."""
-    return max(codes, key=SEVERITY.index, default=ExitCode.OK)
+    return max(codes, key=EXIT_CODES_BY_SEVERITY.index, default=ExitCode.OK)
