--- a/chivetrack/cli/commands/apply.py
+++ b/chivetrack/cli/commands/apply.py
@@ -10,7 +10,7 @@
 from chivetrack.cli.client import Client, Request, join_path
 from chivetrack.cli.const import ExitCode
 from chivetrack.cli.documents import read_resources
-from chivetrack.cli.models import Document, Failure, Resource, find_worst
+from chivetrack.cli.models import Document, Failure, Resource, get_worst_exit_code
 from chivetrack.cli.output import Output, print_json, print_line
 from chivetrack.cli.session import OutputOption, exit_with_findings, get_client, report_failure
 from chivetrack.helpers.finding import Findings
@@ -55,7 +55,7 @@
             _print_outcome(resource, result)
     if output is Output.JSON:
         print_json({"outcomes": reports})
-    raise typer.Exit(find_worst(codes))
+    raise typer.Exit(get_worst_exit_code(codes))
 
 
 def apply_resource(client: Client, resource: Resource) -> Result[AppliedChange, Failure]:
--- a/chivetrack/cli/models.py
+++ b/chivetrack/cli/models.py
@@ -130,6 +130,6 @@
         return text
 
 
-def find_worst(codes: Sequence[ExitCode]) -> ExitCode:
+def get_worst_exit_code(codes: Sequence[ExitCode]) -> ExitCode:
     """Return the exit code of several outcomes together."""
     return max(codes, key=EXIT_CODES_BY_SEVERITY.index, default=ExitCode.OK)
