--- a/tests/cli/stand_in.py
+++ b/tests/cli/stand_in.py
@@ -57,12 +57,12 @@
             bottle.response.status = fault[0]
             return fault[1].encode() if isinstance(fault[1], str) else json.dumps(fault[1]).encode()
         if fault is Fault.LOSE_REQUEST:
-            _cut(request)
+            _close_connection(request)
         if request.query.get("watch"):
             return iter(self.streams.popleft())
         status, document = self._answer_once(path, request_id)
         if fault is Fault.LOSE_ANSWER:
-            _cut(request)
+            _close_connection(request)
         is_content = path == "backup" and request.method == "GET"
         body = self.content if is_content else json.dumps(document).encode()
         bottle.response.status = status
@@ -173,6 +173,6 @@
         pass
 
 
-def _cut(request: bottle.BaseRequest) -> None:
+def _close_connection(request: bottle.BaseRequest) -> None:
     request.environ["stand_in.socket"].shutdown(socket.SHUT_RDWR)
     raise ConnectionAbortedError
