--- a/chivetrack/cli/commands/backup.py
+++ b/chivetrack/cli/commands/backup.py
@@ -30,9 +30,9 @@
     The file is whole or not there: it is written aside, synced and then renamed.
     """
     content = get_or_exit(get_client(context).read_bytes(BACKUP))
-    _write_whole(file, content)
+    _write_atomically(file, content)
     digest = hashlib.sha256(content).hexdigest()
-    _write_whole(get_checksum_path(file), f"{digest}  {file.name}\n".encode())
+    _write_atomically(get_checksum_path(file), f"{digest}  {file.name}\n".encode())
     print_line(f"{file}: {len(content)} bytes, sha256 {digest}")
 
 
@@ -83,7 +83,7 @@
     return file.with_name(f"{file.name}.sha256")
 
 
-def _write_whole(file: Path, content: bytes) -> None:
+def _write_atomically(file: Path, content: bytes) -> None:
     aside = file.with_name(f"{file.name}.partial")
     try:
         with aside.open("wb") as stream:
