--- a/chivetrack/cli/documents.py
+++ b/chivetrack/cli/documents.py
@@ -11,7 +11,7 @@
 from chivetrack.helpers.finding import Findings, suggest_name
 
 STANDARD_INPUT = "-"
-TOP_KEYS = ("kind", "metadata", "spec", "status")
+TOP_LEVEL_KEYS = ("kind", "metadata", "spec", "status")
 
 
 def read_resources(paths: list[str], findings: Findings) -> list[Resource]:
@@ -56,8 +56,10 @@
         findings.add(place, "is not a resource: a table with kind, metadata and spec")
         return False
     for key in document:
-        if key not in TOP_KEYS:
-            findings.add(f"{place} {key}", "is not a key here", hint=suggest_name(key, TOP_KEYS))
+        if key not in TOP_LEVEL_KEYS:
+            findings.add(
+                f"{place} {key}", "is not a key here", hint=suggest_name(key, TOP_LEVEL_KEYS)
+            )
     if not isinstance(document.get("kind"), str) or not document.get("kind"):
         findings.add(f"{place} kind", "is missing or not a text")
     metadata = document.get("metadata")
