--- a/chivetrack/cli/profile.py
+++ b/chivetrack/cli/profile.py
@@ -92,10 +92,10 @@
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         findings.add(str(path), f"cannot be read: {error}")
         return Error(findings)
-    return _pick_profile(path, profiles, wanted)
+    return _select_profile(path, profiles, wanted)
 
 
-def _pick_profile(
+def _select_profile(
     path: Path, profiles: Mapping[str, object], wanted: str
 ) -> Result[Mapping[str, str], Findings]:
     findings = Findings()
