--- a/tests/cli/case.py
+++ b/tests/cli/case.py
@@ -32,13 +32,13 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.late = 0.0
+        self.wake_delay_s = 0.0
 
     def read(self) -> float:
         return self.now
 
     def sleep(self, seconds: float) -> None:
-        self.now += seconds + self.late
+        self.now += seconds + self.wake_delay_s
         if self.now > MAX_COMMAND_S:
             raise RuntimeError("the command does not end")
 
--- a/tests/cli/test_apply.py
+++ b/tests/cli/test_apply.py
@@ -192,7 +192,7 @@
         library: exit code 70 where "unreachable" was known.
         """
         self.environment["CHIVETRACK_SERVER"] = "http://127.0.0.1:1"
-        self.clock.late = 60.0
+        self.clock.wake_delay_s = 60.0
         self.assertEqual(self.run_command("get", "workspace").code, ExitCode.UNREACHABLE)
 
     def test_long_wait_is_explained_once(self) -> None:
