--- a/chivetrack/cli/commands/watch.py
+++ b/chivetrack/cli/commands/watch.py
@@ -50,7 +50,7 @@
     start = find_revision(client, kind) if revision < 0 else revision
     printed = 0
     try:
-        for event in follow(client, kind, start):
+        for event in follow_changes(client, kind, start):
             _print_event(event, output)
             printed += 1
             if printed == count:
@@ -65,7 +65,7 @@
     return int(page.get("revision", 0))
 
 
-def follow(client: Client, kind: str, revision: int) -> Iterator[WatchEvent]:
+def follow_changes(client: Client, kind: str, revision: int) -> Iterator[WatchEvent]:
     """Yield changes after ``revision`` for good, across lost connections."""
     backoff = const.INITIAL_BACKOFF_S
     while True:
