--- a/chivetrack/cli/commands/watch.py
+++ b/chivetrack/cli/commands/watch.py
@@ -73,7 +73,7 @@
         request = Request(method="GET", path=join_path(kind), query=query)
         with client.open_stream(request) as stream:
             if stream.is_error():
-                revision = _recover(client, kind, revision, stream.error)
+                revision = _get_resume_revision(client, kind, revision, stream.error)
             else:
                 for event in _decode_events(stream.ok):
                     backoff = const.INITIAL_BACKOFF_S
@@ -86,7 +86,7 @@
         backoff = min(backoff * 2, const.MAX_BACKOFF_S)
 
 
-def _recover(client: Client, kind: str, revision: int, failure: Failure) -> int:
+def _get_resume_revision(client: Client, kind: str, revision: int, failure: Failure) -> int:
     """Return the revision to go on from, or end the command."""
     if failure.status == STATUS_GONE:
         print_error(f"The changes after revision {revision} are no longer kept; some are missed.")
