--- a/chivetrack/cli/commands/zones.py
+++ b/chivetrack/cli/commands/zones.py
@@ -31,7 +31,7 @@
 
     The command ends once the order is safe on a majority of the replicas.
     """
-    _order(zone, replica, timeout, output, is_evacuated=True)
+    _send_order(zone, replica, timeout, output, is_evacuated=True)
 
 
 @evacuation_app.command("withdraw")
@@ -42,7 +42,7 @@
     output: OutputOption = Output.TABLE,
 ) -> None:
     """Take a zone back: its endpoints get requests again."""
-    _order(zone, replica, timeout, output, is_evacuated=False)
+    _send_order(zone, replica, timeout, output, is_evacuated=False)
 
 
 @evacuation_app.command("list")
@@ -60,7 +60,7 @@
         print_line(format_document(document))
 
 
-def _order(
+def _send_order(
     zone: str, replicas: list[str], timeout_s: float, output: Output, *, is_evacuated: bool
 ) -> None:
     calls = OperatorClient(replicas=replicas, timeout_s=timeout_s)
