--- a/chivetrack/cli/__init__.py
+++ b/chivetrack/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line: a client of the resource API."""
+"""Command line for operators: a client of the resource API."""
--- a/chivetrack/cli/__main__.py
+++ b/chivetrack/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Entry of the ``chivetrack`` command."""
+"""Entry point of the ``chivetrack`` command."""
 
 import sys
 import traceback
@@ -22,15 +22,15 @@
 
 
 def main() -> None:
-    """Run one command and end with its exit code."""
+    """Run one command and exit with its exit code."""
     sys.exit(run(sys.argv[1:]))
 
 
 def run(arguments: list[str]) -> int:
     """Run one command; return its exit code.
 
-    A crash would end with 1. A program would read that as "refused, it did not happen"
-    of a change that was already sent.
+    An uncaught exception would exit with 1, which programs read as "refused, it did not
+    happen", although the change may have been sent already.
     """
     try:
         app(arguments, prog_name="chivetrack")
--- a/chivetrack/cli/app.py
+++ b/chivetrack/cli/app.py
@@ -1,4 +1,4 @@
-"""The typer app, and the options that come before the command."""
+"""The typer app, and the options that precede the command."""
 
 from typing import Annotated
 
@@ -23,14 +23,14 @@
     epilog=const.EXIT_CODE_HELP,
     no_args_is_help=True,
     rich_markup_mode=None,
-    # A traceback with local values could show a key.
+    # A traceback that shows local variables could reveal a key.
     pretty_exceptions_show_locals=False,
     pretty_exceptions_enable=False,
 )
 
 
-def _print_version(is_wanted: bool) -> None:
-    if is_wanted:
+def _print_version(is_requested: bool) -> None:
+    if is_requested:
         typer.echo(f"chivetrack {VERSION}")
         raise typer.Exit
 
@@ -47,7 +47,7 @@
     profile: Annotated[str, typer.Option(help="Profile to use instead of [default].")] = "",
     timeout: Annotated[
         float,
-        typer.Option(min=0.1, help="Seconds to go on trying while an outcome is not known."),
+        typer.Option(min=0.1, help="Seconds to keep retrying while the outcome is not known."),
     ] = const.DEFAULT_TIMEOUT_S,
     version: Annotated[
         bool,
@@ -56,7 +56,7 @@
         ),
     ] = False,
 ) -> None:
-    """Keep the options for the command that follows."""
+    """Store the options for the command that follows."""
     context.obj = Session(
         flags=Flags(server=server, key=key, ca=ca, profile=profile, timeout_s=timeout)
     )
--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -1,8 +1,8 @@
-"""The client of the resource API: what happened to each request, known or unknown.
+"""Client of the resource API, which reports the outcome of each request or that it is unknown.
 
-A write carries a request id, the same on every attempt, so that the server answers a
-resend with the outcome of the first. Without it a lost answer would leave two choices,
-both wrong: to give up on a change that happened, or to make it twice.
+A write has a request id that is the same on every attempt, so the server answers a repeated
+attempt with the outcome of the first. Without the id, a client that lost an answer could only
+report a change as failed that was made, or make the change twice.
 """
 
 import random
@@ -28,14 +28,14 @@
 from chivetrack.helpers.finding import Finding
 
 _TIMEOUT_STATUSES = (408, 425, 499)
-# What the server says of the request itself, whenever it is asked. The others (such as
-# 401, 429 or 503) speak of one attempt only.
+# Statuses that concern the request itself and would be the same on every attempt. The other
+# statuses (such as 401, 429 or 503) concern one attempt only.
 _FINAL_STATUSES = (400, 404, 409, 410, 412, 413, 415, 422)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Request:
-    """One request; ``path`` is below the API's prefix."""
+    """One request; ``path`` is relative to the prefix of the API."""
 
     method: str
     path: str
@@ -50,7 +50,7 @@
 
 
 class Client:
-    """Sends requests until the outcome is known or the time is up."""
+    """Sends requests, with retries until the outcome is known or the timeout has passed."""
 
     def __init__(
         self,
@@ -62,9 +62,9 @@
         rng: random.Random | None = None,
         notify: Callable[[str], None] = lambda text: None,
     ) -> None:
-        """Open no connection yet; clock, sleep and chance may be a test's own.
+        """Initialize without opening a connection; tests replace clock, sleep and rng.
 
-        ``notify`` is told once a request when it takes long, and why.
+        ``notify`` is called at most once for each request, with the reason why it takes long.
         """
         self._connection = connection
         self._clock = clock
@@ -78,24 +78,28 @@
         return self.send(Request(method="GET", path=path, query=query))
 
     def read_bytes(self, path: str) -> Result[bytes, Failure]:
-        """Get the bytes of an answer."""
+        """Get the body of an answer as bytes."""
         return self._send_with_retries(Request(method="GET", path=path))
 
     def send(self, request: Request) -> Result[Document, Failure]:
-        """Send a request, again with the same id while its outcome is open."""
+        """Send a request, with the same request id on every attempt until the outcome is known."""
         return self._send_with_retries(request).bind(lambda body: _decode(body, request))
 
     def pause(self, seconds: float) -> None:
-        """Wait before the caller tries something again."""
+        """Sleep before the caller retries."""
         self._sleep(seconds)
 
     def _send_with_retries(self, request: Request) -> Result[bytes, Failure]:
-        """Try until there is an outcome; once sent, a lost answer stays in memory."""
+        """Send until there is an outcome or the timeout has passed.
+
+        The failure of a write whose answer was lost is kept: later failures do not say
+        whether that attempt changed anything.
+        """
         started = self._clock()
         deadline = started + self._connection.timeout_s
         is_notified = False
         request_id = str(uuid.uuid4()) if request.is_write else None
-        lost: Failure | None = None
+        lost_answer: Failure | None = None
         backoff = const.INITIAL_BACKOFF_S
         while True:
             remaining_s = max(deadline - self._clock(), const.MIN_ATTEMPT_S)
@@ -104,12 +108,12 @@
                 return result
             failure = result.error
             if failure.kind is FailureKind.UNKNOWN and request.is_write:
-                lost = failure
+                lost_answer = failure
             wait = failure.retry_after_s
             if wait is None:
                 wait = backoff * self._chance.uniform(0.5, 1.0)
             if not _should_retry(failure) or self._clock() + wait >= deadline:
-                return Error(_resolve_failure(failure, lost, request))
+                return Error(_resolve_failure(failure, lost_answer, request))
             if not is_notified and self._clock() - started >= const.NOTIFY_AFTER_S:
                 self._notify(f"{failure}; trying for up to {self._connection.timeout_s:g} s")
                 is_notified = True
@@ -142,7 +146,7 @@
 
     @contextmanager
     def open_stream(self, request: Request) -> Iterator[Result[Iterator[bytes], Failure]]:
-        """Open a stream of lines; it ends without an error when the connection is lost."""
+        """Open a stream of lines, which ends without an error when the connection is lost."""
         try:
             response = self._pool.request(
                 request.method,
@@ -183,7 +187,7 @@
 
 
 def join_path(*parts: str) -> str:
-    """Return a path below the API's prefix, each part quoted."""
+    """Return a path relative to the prefix of the API, with each part percent-encoded."""
     return "/".join(quote(part, safe="") for part in parts)
 
 
@@ -200,7 +204,7 @@
         return Ok(msgspec.json.decode(body, type=dict[str, Any]))
     except msgspec.MsgspecError:
         kind = FailureKind.UNKNOWN if request.is_write else FailureKind.REFUSED
-        message = "the answer is not one of the resource API; is the server address right?"
+        message = "the answer is not from the resource API; check the server address"
         return Error(Failure(kind=kind, code="bad_answer", message=message))
 
 
@@ -208,7 +212,8 @@
     try:
         error = msgspec.json.decode(body, type=ErrorBody).error
     except msgspec.MsgspecError:
-        # Not ours, so some proxy's: a 4xx was not passed on, a 5xx may have been.
+        # The answer is not from the resource API, so it comes from a proxy. With a 4xx status
+        # the proxy did not forward the request; with a 5xx status it may have done so.
         is_refused = status < 500 and status not in _TIMEOUT_STATUSES
         ran = Ran.NO if is_refused else Ran.MAYBE
         message = f"the server answered {status} without an error of the resource API"
@@ -242,8 +247,8 @@
 def _may_have_arrived(error: HTTPError) -> bool:
     """Return whether the server may have received the request.
 
-    Of the TLS errors only an untrusted certificate is sure to come before the request;
-    an instance that dies while it answers shows as a TLS error too.
+    Among TLS errors, only an untrusted certificate always occurs before the request is sent;
+    an instance that crashes while it answers also causes a TLS error.
     """
     if isinstance(error, SSLError):
         return not _is_untrusted(error)
@@ -260,22 +265,26 @@
     return failure.code != "untrusted"
 
 
-def _resolve_failure(failure: Failure, lost: Failure | None, request: Request) -> Failure:
-    """Say what is known in the end.
+def _resolve_failure(failure: Failure, lost_answer: Failure | None, request: Request) -> Failure:
+    """Return the failure to report after the last attempt.
 
-    After a lost answer, an attempt that cannot connect or is turned away tells nothing
-    about the one that was sent. Reported as it is, "refused" would be read as "did not
-    happen" of a change that did; so only a final answer counts.
+    After a lost answer, a later attempt that cannot connect or is refused says nothing about
+    the attempt that was sent. Reporting its "refused" would mean "it did not happen" for a
+    change that may have been made, so only a final answer replaces the unknown outcome.
     """
     if failure.kind is FailureKind.UNKNOWN and not request.is_write:
         return replace(failure, kind=FailureKind.UNREACHABLE)
-    if lost is None or failure.kind is FailureKind.UNKNOWN or failure.status in _FINAL_STATUSES:
+    if (
+        lost_answer is None
+        or failure.kind is FailureKind.UNKNOWN
+        or failure.status in _FINAL_STATUSES
+    ):
         return failure
-    return replace(lost, message=f"{lost.message}; then {failure.message}")
+    return replace(lost_answer, message=f"{lost_answer.message}; then {failure.message}")
 
 
 def _read_lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    """Yield whole lines; what is left of a line when the connection ends is dropped."""
+    """Yield complete lines; an incomplete line at the end of the connection is dropped."""
     pending = b""
     while True:
         try:
--- a/chivetrack/cli/commands/apply.py
+++ b/chivetrack/cli/commands/apply.py
@@ -1,4 +1,4 @@
-"""Creating and replacing resources from files."""
+"""Command that creates and replaces resources from files."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -59,7 +59,11 @@
 
 
 def apply_resource(client: Client, resource: Resource) -> Result[AppliedChange, Failure]:
-    """Create a resource, or replace the revision it names or the one that is there."""
+    """Create a resource or replace the existing one.
+
+    If the resource names a revision, the replacement succeeds only if that revision is
+    current; otherwise the revision just read is replaced.
+    """
     if resource.revision is not None:
         return _replace(client, resource)
     found = client.read(join_path(resource.kind, resource.name))
--- a/chivetrack/cli/commands/backup.py
+++ b/chivetrack/cli/commands/backup.py
@@ -1,4 +1,4 @@
-"""Copies of the durable state."""
+"""Commands that back up the durable state and restore it."""
 
 import hashlib
 import os
@@ -27,7 +27,7 @@
 ) -> None:
     """Write all durable state to a file.
 
-    The file is whole or not there: it is written aside, synced and then renamed.
+    The file is complete or absent: it is written under another name, synced and then renamed.
     """
     content = get_or_exit(get_client(context).read_bytes(BACKUP))
     _write_atomically(file, content)
@@ -64,33 +64,33 @@
 
 
 def read_backup(file: Path) -> bytes | None:
-    """Return the content of a backup, or ``None`` after saying why it cannot be used."""
+    """Return the content of a backup; print why it cannot be used and return ``None``."""
     try:
         content = file.read_bytes()
-        noted = get_checksum_path(file).read_text(encoding="utf-8").split()
+        checksum_fields = get_checksum_path(file).read_text(encoding="utf-8").split()
     except (OSError, UnicodeDecodeError) as error:
         print_error(f"{file}: the backup or its checksum cannot be read: {error}")
         return None
-    if not noted or noted[0] != hashlib.sha256(content).hexdigest():
-        # A copy that was cut short would otherwise become the state of the fleet.
+    if not checksum_fields or checksum_fields[0] != hashlib.sha256(content).hexdigest():
+        # A truncated copy would otherwise become the state of the fleet.
         print_error(f"{file}: the content does not match {get_checksum_path(file)}")
         return None
     return content
 
 
 def get_checksum_path(file: Path) -> Path:
-    """Return where the checksum of a backup is kept."""
+    """Return the path of a backup's checksum file."""
     return file.with_name(f"{file.name}.sha256")
 
 
 def _write_atomically(file: Path, content: bytes) -> None:
-    aside = file.with_name(f"{file.name}.partial")
+    partial_file = file.with_name(f"{file.name}.partial")
     try:
-        with aside.open("wb") as stream:
+        with partial_file.open("wb") as stream:
             stream.write(content)
             stream.flush()
             os.fsync(stream.fileno())
-        aside.replace(file)
+        partial_file.replace(file)
     except OSError as error:
         print_error(f"{file}: cannot be written: {error.strerror}")
         raise typer.Exit(ExitCode.FINDINGS) from None
--- a/chivetrack/cli/commands/fleet.py
+++ b/chivetrack/cli/commands/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as a whole: its state, why it did what it did, drains."""
+"""Commands that show the state of the fleet, explain its decisions and drain targets."""
 
 from enum import StrEnum
 from typing import Annotated
@@ -16,7 +16,7 @@
 
 
 class Subject(StrEnum):
-    """What can be explained."""
+    """Kinds of things that ``explain`` can explain."""
 
     REQUEST = "request"
     ENDPOINT = "endpoint"
@@ -35,7 +35,7 @@
     id: Annotated[str, typer.Argument(help="Id of the request, or name of the endpoint.")],
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """Tell why a request went where it went, or why an endpoint is in or out.
+    """Explain why a request was sent to its endpoint, or why an endpoint is in use or not.
 
     The id of a request is in the X-Request-Id header of its answer.
     """
@@ -46,15 +46,17 @@
 @app.command("drain")
 def drain_target(
     context: typer.Context,
-    name: Annotated[str, typer.Argument(help="Name of what is to be drained.")],
-    kind: Annotated[DrainTargetKind, typer.Option(help="What it is.")] = DrainTargetKind.ENDPOINT,
-    reason: Annotated[str, typer.Option(help="Why, for those who look later.")] = "",
-    undo: Annotated[bool, typer.Option("--undo", help="Take the drain back.")] = False,
+    name: Annotated[str, typer.Argument(help="Name of the target to drain.")],
+    kind: Annotated[
+        DrainTargetKind, typer.Option(help="Kind of the target.")
+    ] = DrainTargetKind.ENDPOINT,
+    reason: Annotated[str, typer.Option(help="Reason, stored with the drain.")] = "",
+    undo: Annotated[bool, typer.Option("--undo", help="Delete the drain.")] = False,
 ) -> None:
-    """Let an endpoint, or a whole zone, finish what it has and give it nothing new.
+    """Drain an endpoint or a whole zone: it finishes its requests and gets no new ones.
 
     This creates a drain resource of the same name; `chivetrack describe drain NAME` shows
-    how far it is, `--undo` deletes it.
+    its progress, `--undo` deletes it.
     """
     client = get_client(context)
     title = f"{DRAIN_KIND}/{name}"
--- a/chivetrack/cli/commands/quarantine.py
+++ b/chivetrack/cli/commands/quarantine.py
@@ -45,8 +45,8 @@
     output: OutputOption = Output.TABLE,
 ) -> None:
     """Release a request from quarantine; only later crashes count against it."""
-    calls = OperatorClient(replicas=replica, timeout_s=timeout)
-    revision = get_or_exit(calls.release_request(fingerprint))
+    client = OperatorClient(replicas=replica, timeout_s=timeout)
+    revision = get_or_exit(client.release_request(fingerprint))
     if output is Output.JSON:
         print_json({"fingerprint": fingerprint, "revision": revision})
         return
--- a/chivetrack/cli/commands/replicas.py
+++ b/chivetrack/cli/commands/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas that hold the durable state."""
+"""Commands that add, remove and replace the replicas that hold the durable state."""
 
 from typing import Annotated
 
@@ -24,7 +24,7 @@
 
 @replica_app.command("add")
 def add_replica(context: typer.Context, id: IdArgument) -> None:
-    """Add a replica; it learns the state first and votes once it has caught up.
+    """Add a replica; it receives the state first and votes once it has caught up.
 
     An instance with an empty data folder makes a new id and logs it. `chivetrack status`
     shows how far the replica is.
@@ -51,7 +51,7 @@
     `chivetrack status` shows that the new one votes.
     """
     if lost == id:
-        # The lost disk held the votes that the replica gave. Under its old id it could
+        # The lost disk stored the votes of the replica. Under its old id, the replica could
         # vote a second time in the same term, and two leaders could be elected.
         print_error("The successor needs a new id: a replica with an empty disk may vote twice.")
         raise typer.Exit(ExitCode.USAGE)
--- a/chivetrack/cli/commands/resources.py
+++ b/chivetrack/cli/commands/resources.py
@@ -1,4 +1,4 @@
-"""Reading and deleting resources."""
+"""Commands that list, show and delete resources."""
 
 from collections.abc import Iterator
 from typing import Annotated
@@ -52,15 +52,15 @@
 
 
 def list_resources(client: Client, kind: str) -> Iterator[Resource]:
-    """Yield the resources of a kind, page by page; end the command on a failure."""
+    """Yield the resources of a kind, fetched page by page; exit on a failure."""
     query: dict[str, str | int] = {"limit": const.PAGE_SIZE}
     while True:
         page = get_or_exit(client.read(join_path(kind), **query))
         yield from (Resource(item) for item in page.get("items", []))
-        following = page.get("continue")
-        if not following:
+        next_page = page.get("continue")
+        if not next_page:
             return
-        query = {"limit": const.PAGE_SIZE, "continue": str(following)}
+        query = {"limit": const.PAGE_SIZE, "continue": str(next_page)}
 
 
 def _write_row(resource: Resource) -> tuple[object, ...]:
--- a/chivetrack/cli/commands/story.py
+++ b/chivetrack/cli/commands/story.py
@@ -1,4 +1,4 @@
-"""What happened to a request, from the logs of routers."""
+"""Command that reconstructs from event logs what happened to a request."""
 
 import sys
 from pathlib import Path
@@ -21,9 +21,9 @@
     ] = None,
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """Tell from event lines what happened to a request; the last line names the cause.
+    """Show from event lines what happened to a request; the last line names the cause.
 
-    The lines may be of several instances and in any order.
+    The lines may come from several instances and be in any order.
     """
     lines: list[str] = []
     for file in files or ():
@@ -37,10 +37,10 @@
     if output is Output.JSON:
         print_json({"request": request, "events": story.events, "cause": story.cause})
         return
-    _print(story)
+    _print_story(story)
 
 
-def _print(story: Story) -> None:
+def _print_story(story: Story) -> None:
     events = sorted([*story.context, *story.events], key=lambda one: float(one.get("at", 0.0)))
     for event in events:
         mark = " " if event in story.context else "*"
--- a/chivetrack/cli/commands/watch.py
+++ b/chivetrack/cli/commands/watch.py
@@ -1,4 +1,4 @@
-"""Following the changes of resources."""
+"""Command that follows the changes of resources."""
 
 from collections.abc import Iterator
 from typing import Annotated, Any
@@ -23,7 +23,7 @@
 
 
 class WatchEvent(msgspec.Struct, frozen=True):
-    """One line of a watch; a bookmark has no resource."""
+    """One line of a watch; a bookmark has a revision but no resource."""
 
     type: str
     revision: int
@@ -37,7 +37,9 @@
     revision: Annotated[
         int, typer.Option(min=-1, help="Revision after which to begin; -1 for now.")
     ] = -1,
-    count: Annotated[int, typer.Option(min=0, help="End after so many changes; 0: never.")] = 0,
+    count: Annotated[
+        int, typer.Option(min=0, help="Number of changes after which to end; 0 for no limit.")
+    ] = 0,
     output: OutputOption = Output.TABLE,
 ) -> None:
     """Print the changes of a kind as they happen, until Ctrl-C.
@@ -60,13 +62,13 @@
 
 
 def find_revision(client: Client, kind: str) -> int:
-    """Return the revision of the state as it is now."""
+    """Return the current revision."""
     page = get_or_exit(client.read(join_path(kind), limit=1))
     return int(page.get("revision", 0))
 
 
 def follow_changes(client: Client, kind: str, revision: int) -> Iterator[WatchEvent]:
-    """Yield changes after ``revision`` for good, across lost connections."""
+    """Yield changes after ``revision`` without end; reopen lost connections."""
     backoff = const.INITIAL_BACKOFF_S
     while True:
         query: dict[str, str | int] = {"watch": "true", "revision": revision}
@@ -87,7 +89,7 @@
 
 
 def _get_resume_revision(client: Client, kind: str, revision: int, failure: Failure) -> int:
-    """Return the revision to go on from, or end the command."""
+    """Return the revision from which to resume, or exit if a retry cannot help."""
     if failure.status == STATUS_GONE:
         print_error(f"The changes after revision {revision} are no longer kept; some are missed.")
         return find_revision(client, kind)
--- a/chivetrack/cli/commands/zones.py
+++ b/chivetrack/cli/commands/zones.py
@@ -1,4 +1,4 @@
-"""Evacuated zones of a deployment: order, withdraw, list."""
+"""Commands that order, withdraw and list the evacuations of zones of a deployment."""
 
 from typing import Annotated
 
@@ -12,7 +12,7 @@
 from chivetrack.platform.operator_calls import OperatorClient
 
 evacuation_app = typer.Typer(
-    help="Let the endpoints of a zone get nothing new, and take the zone back.",
+    help="Evacuate zones, so that their endpoints get no new requests, and withdraw evacuations.",
     no_args_is_help=True,
 )
 app.add_typer(evacuation_app, name="evacuation")
@@ -27,9 +27,9 @@
     timeout: TimeoutOption = const.DEFAULT_TIMEOUT_S,
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """Evacuate a zone: its endpoints get nothing new, what runs there goes on.
+    """Evacuate a zone: its endpoints get no new requests, running requests continue.
 
-    The command ends once the order is safe on a majority of the replicas.
+    The command ends once the order is stored on a majority of the replicas.
     """
     _send_order(zone, replica, timeout, output, is_evacuated=True)
 
@@ -41,7 +41,7 @@
     timeout: TimeoutOption = const.DEFAULT_TIMEOUT_S,
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """Take a zone back: its endpoints get requests again."""
+    """Withdraw the evacuation of a zone: its endpoints get requests again."""
     _send_order(zone, replica, timeout, output, is_evacuated=False)
 
 
@@ -51,7 +51,7 @@
     timeout: TimeoutOption = const.DEFAULT_TIMEOUT_S,
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """List the zones that there was an order for, and since when it holds."""
+    """List the zones with an order, and since when each order is in force."""
     zones = get_or_exit(OperatorClient(replicas=replica, timeout_s=timeout).read_zones())
     document = {"zones": [one.describe() for one in zones]}
     if output is Output.JSON:
@@ -63,8 +63,8 @@
 def _send_order(
     zone: str, replicas: list[str], timeout_s: float, output: Output, *, is_evacuated: bool
 ) -> None:
-    calls = OperatorClient(replicas=replicas, timeout_s=timeout_s)
-    revision = get_or_exit(calls.order_evacuation(zone, is_evacuated=is_evacuated))
+    client = OperatorClient(replicas=replicas, timeout_s=timeout_s)
+    revision = get_or_exit(client.order_evacuation(zone, is_evacuated=is_evacuated))
     if output is Output.JSON:
         print_json({"zone": zone, "evacuated": is_evacuated, "revision": revision})
         return
--- a/chivetrack/cli/const.py
+++ b/chivetrack/cli/const.py
@@ -1,4 +1,4 @@
-"""Names, times and exit codes of the command line."""
+"""Names, timeouts and exit codes of the command line."""
 
 from enum import IntEnum
 from typing import Final
@@ -17,7 +17,8 @@
 DEFAULT_TIMEOUT_S: Final = 30.0
 CONNECT_TIMEOUT_S: Final = 5.0
 READ_TIMEOUT_S: Final = 10.0
-# A sleep may end after the time is up; the attempt that follows still needs some.
+# A sleep between attempts may end after the deadline; the attempt that follows it still needs
+# a positive timeout.
 MIN_ATTEMPT_S: Final = 0.1
 WATCH_READ_TIMEOUT_S: Final = 60.0
 NOTIFY_AFTER_S: Final = 2.0
@@ -27,7 +28,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the exit code of the command says; programs may rely on it."""
+    """Exit codes of the command; programs may rely on them."""
 
     OK = 0
     REFUSED = 1
@@ -41,7 +42,8 @@
     INTERRUPTED = 130
 
 
-# Worst last: the code of a command that touched several resources is the worst of theirs.
+# Ordered from best to worst: a command that handles several resources ends with the worst of
+# their exit codes.
 EXIT_CODES_BY_SEVERITY: Final = (
     ExitCode.OK,
     ExitCode.NOT_FOUND,
--- a/chivetrack/cli/deployment.py
+++ b/chivetrack/cli/deployment.py
@@ -19,7 +19,7 @@
         help="Control address of a replica, host:port; may be given several times.",
     ),
 ]
-TimeoutOption = Annotated[float, typer.Option(min=0.1, help="Seconds to go on trying.")]
+TimeoutOption = Annotated[float, typer.Option(min=0.1, help="Seconds to keep retrying.")]
 
 
 def get_or_exit(result: Result[ValueT, Fault]) -> ValueT:
--- a/chivetrack/cli/documents.py
+++ b/chivetrack/cli/documents.py
@@ -1,4 +1,4 @@
-"""Files with resources: JSON or TOML, one resource or many."""
+"""Reading of resource files: JSON or TOML, with one or several resources."""
 
 import sys
 import tomllib
@@ -15,7 +15,7 @@
 
 
 def read_resources(paths: list[str], findings: Findings) -> list[Resource]:
-    """Read the resources of all files; faults of any of them go into ``findings``."""
+    """Read the resources of all files and add the faults of all files to ``findings``."""
     resources: list[Resource] = []
     for path in paths:
         documents = _read_documents(path, findings)
@@ -50,15 +50,17 @@
 
 
 def _check_document(document: Any, place: str, findings: Findings) -> bool:
-    """Check the shape only; the server checks the rest."""
-    before = len(findings)
+    """Check the structure of a resource only; the server validates its content."""
+    count_before = len(findings)
     if not isinstance(document, dict):
         findings.add(place, "is not a resource: a table with kind, metadata and spec")
         return False
     for key in document:
         if key not in TOP_LEVEL_KEYS:
             findings.add(
-                f"{place} {key}", "is not a key here", hint=suggest_name(key, TOP_LEVEL_KEYS)
+                f"{place} {key}",
+                "is not a key of a resource",
+                hint=suggest_name(key, TOP_LEVEL_KEYS),
             )
     if not isinstance(document.get("kind"), str) or not document.get("kind"):
         findings.add(f"{place} kind", "is missing or not a text")
@@ -68,4 +70,4 @@
         findings.add(f"{place} metadata.name", "is missing or not a text")
     if not isinstance(document.get("spec", {}), dict):
         findings.add(f"{place} spec", "must be a table")
-    return len(findings) == before
+    return len(findings) == count_before
--- a/chivetrack/cli/models.py
+++ b/chivetrack/cli/models.py
@@ -1,4 +1,4 @@
-"""What the resource API answers, as the command line uses it."""
+"""Models of the resource API's answers, as the command line uses them."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """A resource as the server gave it; ``document`` holds all of it."""
+    """A resource as the server or a file describes it; ``document`` is the whole resource."""
 
     document: Document
 
@@ -32,7 +32,7 @@
 
     @property
     def revision(self) -> int | None:
-        """Return the revision; ``None`` for one that was not read from a server."""
+        """Return the revision, ``None`` if the document has none."""
         revision = self._metadata.get("revision")
         return revision if isinstance(revision, int) else None
 
@@ -43,16 +43,16 @@
 
     @property
     def spec(self) -> Document:
-        """Return what is wanted."""
+        """Return the desired state."""
         return self.document.get("spec") or {}
 
     @property
     def status(self) -> Document:
-        """Return what was observed."""
+        """Return the observed state."""
         return self.document.get("status") or {}
 
     def make_desired_document(self) -> Document:
-        """Return the document to send: all but the status, which is the server's to say."""
+        """Return the document to send, without the status, which only the server sets."""
         return {name: value for name, value in self.document.items() if name != "status"}
 
     @property
@@ -60,13 +60,13 @@
         return self.document.get("metadata") or {}
 
     def set_revision(self, revision: int) -> "Resource":
-        """Return a copy that carries the revision that was read."""
+        """Return a copy with the given revision, which a replacement then requires."""
         metadata = {**self._metadata, "revision": revision}
         return Resource({**self.document, "metadata": metadata})
 
 
 class RemoteFinding(msgspec.Struct, frozen=True):
-    """A fault in a document, found by the server."""
+    """A fault in a document that the server found."""
 
     message: str
     place: str = ""
@@ -74,7 +74,7 @@
 
 
 class RemoteError(msgspec.Struct, frozen=True):
-    """The error of an answer."""
+    """The error in an answer of the resource API."""
 
     code: str
     message: str
@@ -90,7 +90,7 @@
 
 
 class FailureKind(StrEnum):
-    """What is known about a request that did not succeed."""
+    """What is known about the effect of a request that did not succeed."""
 
     REFUSED = "refused"
     UNKNOWN = "unknown"
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Failure:
-    """A request that did not succeed, and what is known about it."""
+    """A request that did not succeed, and what is known about its effect."""
 
     kind: FailureKind
     code: str
@@ -111,7 +111,7 @@
 
     @property
     def exit_code(self) -> ExitCode:
-        """Return the exit code that says this."""
+        """Return the exit code of the command for this failure."""
         if self.kind is FailureKind.UNKNOWN:
             return ExitCode.UNKNOWN
         if self.kind is FailureKind.UNREACHABLE:
@@ -131,5 +131,5 @@
 
 
 def get_worst_exit_code(codes: Sequence[ExitCode]) -> ExitCode:
-    """Return the exit code of several outcomes together."""
+    """Return the worst of several exit codes, ``OK`` if there are none."""
     return max(codes, key=EXIT_CODES_BY_SEVERITY.index, default=ExitCode.OK)
--- a/chivetrack/cli/output.py
+++ b/chivetrack/cli/output.py
@@ -1,4 +1,4 @@
-"""Tables for people, JSON for programs."""
+"""Output of the commands: tables for people, JSON for programs."""
 
 import os
 import sys
@@ -37,28 +37,29 @@
 
 
 def _write(text: str, *, to_stderr: bool = False) -> None:
-    """Write a line; a reader that has gone away (``| head``) does not end the command.
+    """Write a line; a closed pipe (as with ``| head``) does not end the command.
 
-    It would end between two changes, with an exit code that says "refused".
+    Otherwise the command could end between two changes, with an exit code that means
+    "refused".
     """
     try:
         typer.echo(text, err=to_stderr)
     except BrokenPipeError:
-        nowhere = open(os.devnull, "w")  # noqa: SIM115
+        null_device = open(os.devnull, "w")  # noqa: SIM115
         if to_stderr:
-            sys.stderr = nowhere
+            sys.stderr = null_device
         else:
-            sys.stdout = nowhere
+            sys.stdout = null_device
 
 
 def print_findings(findings: Iterable[Finding]) -> None:
-    """Print findings to stderr, one a line."""
+    """Print findings to stderr, one on each line."""
     for finding in findings:
         print_error(str(finding))
 
 
 def format_table(headers: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Return columns set apart by two spaces."""
+    """Return a table whose columns are separated by two spaces."""
     cells = [list(headers), *([format_value(value) for value in row] for row in rows)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(headers))]
     lines = []
@@ -69,7 +70,7 @@
 
 
 def format_document(value: dict[str, Any], *, depth: int = 0) -> str:
-    """Return nested values by name, and lists of tables as tables."""
+    """Return the values as indented ``name: value`` lines, with lists of objects as tables."""
     lines = []
     margin = INDENT * depth
     for name, inner in value.items():
@@ -84,7 +85,7 @@
 
 
 def format_value(value: object) -> str:
-    """Return a value on one line."""
+    """Return a value formatted on one line."""
     if value is None or value in ({}, [], ()):
         return "-"
     if isinstance(value, bool):
@@ -97,7 +98,7 @@
 
 
 def replace_control_characters(text: str) -> str:
-    """Replace control characters: names come from others and could drive the terminal."""
+    """Replace control characters: names set by others could contain terminal commands."""
     return "".join(char if char.isprintable() or char == "\n" else "?" for char in text)
 
 
--- a/chivetrack/cli/profile.py
+++ b/chivetrack/cli/profile.py
@@ -1,4 +1,4 @@
-"""Where the server, the key and the authorities come from: flags, environment, a profile."""
+"""Connection settings from flags, environment variables and profiles."""
 
 import os
 import stat
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Connection:
-    """How to reach the resource API, and as whom."""
+    """Address of the resource API, credentials and timeout."""
 
     server: str = ""
     key: str = field(default="", repr=False)
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Flags:
-    """What the command line itself says; empty where it says nothing."""
+    """Values of the command-line options; empty for options that were not given."""
 
     server: str = ""
     key: str = field(default="", repr=False)
@@ -40,24 +40,24 @@
 
 
 def get_profile_path(environment: Mapping[str, str] = os.environ) -> Path:
-    """Return where profiles are kept."""
-    named = environment.get(const.ENV_PROFILE_FILE)
-    return Path(named) if named else Path(typer.get_app_dir("chivetrack")) / "profiles.toml"
+    """Return the path of the file with profiles."""
+    path = environment.get(const.ENV_PROFILE_FILE)
+    return Path(path) if path else Path(typer.get_app_dir("chivetrack")) / "profiles.toml"
 
 
 def resolve_connection(
     flags: Flags, environment: Mapping[str, str] = os.environ
 ) -> Result[Connection, Findings]:
-    """Merge flags over environment over profile."""
+    """Merge the sources: flags take precedence over the environment, then the profile."""
     profile = _read_profile(flags, environment)
     if profile.is_error():
         return Error(profile.error)
-    kept = profile.ok
-    server = flags.server or environment.get(const.ENV_SERVER, "") or kept.get("server", "")
-    key = (flags.key or environment.get(const.ENV_KEY, "") or kept.get("key", "")).strip()
+    values = profile.ok
+    server = flags.server or environment.get(const.ENV_SERVER, "") or values.get("server", "")
+    key = (flags.key or environment.get(const.ENV_KEY, "") or values.get("key", "")).strip()
     findings = Findings()
     if not (key.isascii() and key.isprintable()):
-        findings.add("the key", "holds characters that no key has")
+        findings.add("the key", "contains characters that are not allowed in a key")
     if not server:
         findings.add("--server", "is missing", hint=f"or set {const.ENV_SERVER}, or use a profile")
     elif not server.startswith(("http://", "https://")):
@@ -68,9 +68,9 @@
         Connection(
             server=server.rstrip("/"),
             key=key,
-            ca=flags.ca or environment.get(const.ENV_CA, "") or kept.get("ca", ""),
-            certificate=kept.get("certificate", ""),
-            certificate_key=kept.get("certificate_key", ""),
+            ca=flags.ca or environment.get(const.ENV_CA, "") or values.get("ca", ""),
+            certificate=values.get("certificate", ""),
+            certificate_key=values.get("certificate_key", ""),
             timeout_s=flags.timeout_s,
         )
     )
@@ -79,12 +79,12 @@
 def _read_profile(
     flags: Flags, environment: Mapping[str, str]
 ) -> Result[Mapping[str, str], Findings]:
-    wanted = flags.profile or environment.get(const.ENV_PROFILE, "")
+    requested = flags.profile or environment.get(const.ENV_PROFILE, "")
     path = get_profile_path(environment)
     findings = Findings()
     if not path.exists():
-        if wanted:
-            findings.add(str(path), f"is not there, so there is no profile {wanted!r}")
+        if requested:
+            findings.add(str(path), f"is not there, so there is no profile {requested!r}")
             return Error(findings)
         return Ok({})
     try:
@@ -92,17 +92,17 @@
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         findings.add(str(path), f"cannot be read: {error}")
         return Error(findings)
-    return _select_profile(path, profiles, wanted)
+    return _select_profile(path, profiles, requested)
 
 
 def _select_profile(
-    path: Path, profiles: Mapping[str, object], wanted: str
+    path: Path, profiles: Mapping[str, object], requested: str
 ) -> Result[Mapping[str, str], Findings]:
     findings = Findings()
-    name = wanted or const.DEFAULT_PROFILE
+    name = requested or const.DEFAULT_PROFILE
     content = profiles.get(name)
     if not isinstance(content, dict):
-        if wanted:
+        if requested:
             findings.add(f"{path} {name}", "is not a profile", hint=suggest_name(name, profiles))
             return Error(findings)
         return Ok({})
@@ -113,5 +113,7 @@
         elif not isinstance(value, str):
             findings.add(f"{path} {name}.{key}", "must be a text")
     if content.get("key") and path.stat().st_mode & (stat.S_IRWXG | stat.S_IRWXO):
-        findings.add(str(path), "holds a key and others may read it", hint=f"run: chmod 600 {path}")
+        findings.add(
+            str(path), "contains a key and is readable by others", hint=f"run: chmod 600 {path}"
+        )
     return Error(findings) if len(findings) else Ok(content)
--- a/chivetrack/cli/session.py
+++ b/chivetrack/cli/session.py
@@ -1,4 +1,4 @@
-"""What every command shares: options, the client, and how a failure ends a command."""
+"""Shared by all commands: options, creation of the client, and exit on failure."""
 
 from dataclasses import dataclass
 from typing import Annotated, NoReturn, TypeVar
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Session:
-    """One call of the command."""
+    """One invocation of the command line."""
 
     flags: Flags
 
     def open_client(self) -> Client:
-        """Return a client, or end the command when it is not said where to connect."""
+        """Return a client, or exit if the connection settings are missing or invalid."""
         result = resolve_connection(self.flags)
         if result.is_error():
             exit_with_findings(result.error, code=ExitCode.USAGE)
@@ -46,20 +46,20 @@
 
 
 def get_client(context: typer.Context) -> Client:
-    """Return the client of a command."""
+    """Return a client for the session of the command."""
     session = context.find_object(Session)
     assert session is not None
     return session.open_client()
 
 
 def exit_with_findings(findings: Findings, *, code: ExitCode = ExitCode.FINDINGS) -> NoReturn:
-    """Print findings and end the command."""
+    """Print findings and exit."""
     print_findings(findings)
     raise typer.Exit(code)
 
 
 def exit_with_failure(failure: Failure) -> NoReturn:
-    """Print what is known about a failed request and end the command."""
+    """Print what is known about a failed request and exit with the matching code."""
     report_failure(failure)
     raise typer.Exit(failure.exit_code)
 
@@ -71,7 +71,7 @@
 
 
 def get_or_exit(result: Result[ValueT, Failure]) -> ValueT:
-    """Return the value, or end the command with what is known about the failure."""
+    """Return the value, or print the failure and exit with the matching code."""
     if result.is_error():
         exit_with_failure(result.error)
     return result.ok
--- a/chivetrack/cli/trust.py
+++ b/chivetrack/cli/trust.py
@@ -1,4 +1,4 @@
-"""Whom the command line trusts over TLS, and the certificate that it shows."""
+"""TLS context of the command line: trusted authorities and the client certificate."""
 
 import ssl
 
@@ -9,10 +9,10 @@
 
 
 def create_context(connection: Connection) -> Result[ssl.SSLContext, Findings]:
-    """Load the files of a connection.
+    """Create the TLS context of a connection from its files.
 
-    Before the first request, since the client would report a file that cannot be read
-    as a TLS error, which reads as "the outcome is unknown".
+    The files are loaded before the first request. Otherwise the client would report a file
+    that cannot be read as a TLS error, which means that the outcome is unknown.
     """
     findings = Findings()
     context = ssl.create_default_context()
--- a/tests/cli/case.py
+++ b/tests/cli/case.py
@@ -1,4 +1,4 @@
-"""Runs commands in this process against the stand-in."""
+"""Base class of tests that run commands in this process against a stand-in server."""
 
 import contextlib
 import functools
@@ -28,7 +28,7 @@
 
 
 class Clock:
-    """Time that passes only while somebody sleeps, who may wake late."""
+    """A clock that advances only during sleeps; each sleep takes ``wake_delay_s`` longer."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -40,7 +40,7 @@
     def sleep(self, seconds: float) -> None:
         self.now += seconds + self.wake_delay_s
         if self.now > MAX_COMMAND_S:
-            raise RuntimeError("the command does not end")
+            raise RuntimeError("the command did not end within the time limit")
 
 
 class CliCase(unittest.TestCase):
--- a/tests/cli/stand_in.py
+++ b/tests/cli/stand_in.py
@@ -1,4 +1,4 @@
-"""A small resource API for tests of the command line, with faults on order."""
+"""A small resource API for tests of the command line, which can inject faults."""
 
 import io
 import json
@@ -20,7 +20,7 @@
 
 
 class Fault(Enum):
-    """What happens to the next request."""
+    """A fault that is injected into the next request."""
 
     NONE = auto()
     LOSE_REQUEST = auto()
--- a/tests/cli/test_apply.py
+++ b/tests/cli/test_apply.py
@@ -1,4 +1,4 @@
-"""Writes by the command line: accepted, refused or unknown, and never made twice."""
+"""Writes by the command line: accepted, refused or unknown, and never applied twice."""
 
 import json
 import ssl
@@ -18,7 +18,7 @@
         super().setUp()
         self.file = self.write("w1.json", WORKSPACE)
 
-    def test_creates_then_leaves_then_replaces(self) -> None:
+    def test_creates_then_reports_unchanged_then_replaces(self) -> None:
         self.assertIn(
             "accepted: created, revision 11", self.run_command("apply", "-f", self.file).out
         )
@@ -28,7 +28,7 @@
         self.assertIn("accepted: replaced, revision 12", result.out)
         self.assertEqual(self.server.resources["workspace", "w1"]["spec"], {"weight": 2})
 
-    def test_status_is_not_sent_back(self) -> None:
+    def test_status_is_not_sent(self) -> None:
         file = self.write("x.json", {**WORKSPACE, "status": {"inForce": 9}})
         for _ in range(2):
             self.assertEqual(self.run_command("apply", "-f", file).code, ExitCode.OK)
@@ -43,12 +43,12 @@
                 result = self.run_command("apply", "-f", self.write("x.json", document))
                 self.assertEqual(result.code, code, result)
 
-    def test_lost_answer_is_asked_for_again_with_the_same_request_id(self) -> None:
-        """One change is made once, and the operator sees that it was accepted.
+    def test_lost_answer_is_retried_with_the_same_request_id(self) -> None:
+        """Guards against a change that is made twice or reported as a conflict with itself.
 
-        The server makes the change and the connection is lost before, or in the midst
-        of, the answer. The command sends again; with a new id the server would make a
-        second change, or refuse the first one's double as a conflict.
+        The connection is lost before the server handles the request, before its answer or
+        during its answer. The command sends the request again. With a new request id the
+        server would make a second change, or refuse the repetition as a conflict.
         """
         for fault in (Fault.LOSE_REQUEST, Fault.LOSE_ANSWER, Fault.CUT_ANSWER):
             with self.subTest(fault=fault):
@@ -64,11 +64,12 @@
                 self.assertEqual(self.server.revision, before + 1)
 
     def test_outcome_stays_unknown_after_a_lost_answer(self) -> None:
-        """ "Refused" and "unreachable" promise that nothing happened.
+        """Guards against reporting a change that was made as refused or unreachable.
 
-        The first attempt makes the change and its answer is lost; the second is turned
-        away without looking at the request. Reported as the second's refusal, the
-        operator would take a change that happened for one that did not.
+        "Refused" and "unreachable" mean that nothing happened. The first attempt makes the
+        change and its answer is lost; the second is refused before the request is examined.
+        If the command reported that refusal, the operator would believe that the change was
+        not made.
         """
         table = [
             (401, write_error("bad_key", "unknown key")),
@@ -87,7 +88,7 @@
                 self.assertIn("w1 unknown", result.out)
                 self.assertIn("request id", result.err)
 
-    def test_final_answer_after_a_lost_one_counts(self) -> None:
+    def test_final_answer_after_a_lost_answer_is_reported(self) -> None:
         self.server.faults.extend(
             (Fault.NONE, Fault.LOSE_REQUEST, (409, write_error("conflict", "came first")))
         )
@@ -106,17 +107,17 @@
             (301, "moved", ExitCode.REFUSED, "refused"),
             (200, "<html>a login page</html>", ExitCode.UNKNOWN, "unknown"),
         ]
-        for status, body, code, word in table:
+        for status, body, code, outcome_name in table:
             with self.subTest(status=status, body=body):
                 self.server.faults.clear()
                 self.server.faults.extend((Fault.NONE, *[(status, body)] * 500))
                 result = self.run_command("apply", "-f", self.file, "-o", "json")
                 self.assertEqual(result.code, code, result)
                 (outcome,) = json.loads(result.out)["outcomes"]
-                self.assertEqual(outcome["outcome"], word)
+                self.assertEqual(outcome["outcome"], outcome_name)
         self.assertEqual(self.server.resources, {})
 
-    def test_worst_outcome_of_several_is_the_exit_code(self) -> None:
+    def test_exit_code_is_that_of_the_worst_outcome(self) -> None:
         documents = [{**WORKSPACE, "metadata": {"name": f"w{n}"}} for n in range(3)]
         self.server.faults.extend(
             (Fault.NONE, Fault.NONE, Fault.NONE, (403, write_error("forbidden", "no")))
@@ -126,12 +127,12 @@
         self.assertEqual(result.out.count("accepted: created"), 2)
         self.assertIn("workspace/w1 refused", result.out)
 
-    def test_reader_that_has_gone_away_does_not_break_off(self) -> None:
-        """All changes of a file are made, also when nobody reads the outcomes.
+    def test_closed_output_does_not_end_the_command(self) -> None:
+        """Guards against changes that are skipped because the output cannot be written.
 
-        The output goes to a program that ends after the first line (``| head -1``). The
-        next line cannot be written; a command that ended there would leave the rest of
-        the changes undone, with the exit code of a refusal.
+        The output goes to a program that ends after the first line (``| head -1``), so the
+        next line cannot be written. A command that ended there would not make the remaining
+        changes and would exit with the code of a refusal.
         """
         documents = [{**WORKSPACE, "metadata": {"name": f"w{n}"}} for n in range(3)]
         file = self.write("x.json", {"items": documents})
@@ -148,16 +149,17 @@
             self.assertIn(part, result.err)
         self.assertEqual(self.server.requests, [])
 
-    def test_refusal_with_a_time_is_tried_again(self) -> None:
+    def test_refusal_with_retry_after_is_retried(self) -> None:
         busy = (503, write_error("no_leader", "no leader", retry_after_s=0.5))
         self.server.faults.extend((Fault.NONE, busy, busy))
         self.assertEqual(self.run_command("apply", "-f", self.file).code, ExitCode.OK)
 
-    def test_server_that_dies_under_tls_leaves_the_outcome_unknown(self) -> None:
-        """A TLS error in the midst of an answer is not "nothing happened".
+    def test_server_crash_under_tls_leaves_the_outcome_unknown(self) -> None:
+        """Guards against reading a TLS error during an answer as "nothing happened".
 
-        An instance is killed after it took the request; under TLS this shows as a TLS
-        error, of the same class as an untrusted certificate, which is sure to come before.
+        An instance is killed after it received the request, which causes a TLS error. An
+        untrusted certificate causes an error of the same class, but always before the
+        request is sent.
         """
         table = [
             (ssl.SSLEOFError("EOF"), ExitCode.UNKNOWN),
@@ -176,7 +178,7 @@
 
 
 class UnreachableTest(CliCase):
-    def test_nobody_listens(self) -> None:
+    def test_server_that_does_not_listen(self) -> None:
         file = self.write("w1.json", WORKSPACE)
         self.environment["CHIVETRACK_SERVER"] = "http://127.0.0.1:1"
         for arguments in (("apply", "-f", file), ("get", "workspace"), ("delete", "w", "x")):
@@ -185,11 +187,12 @@
                 self.assertEqual(result.code, ExitCode.UNREACHABLE, result)
                 self.assertIn("cannot be reached", result.err)
 
-    def test_sleep_that_ends_after_the_time_is_up(self) -> None:
-        """A busy machine wakes the command late; there is no time left for the attempt.
+    def test_sleep_that_ends_after_the_deadline(self) -> None:
+        """Guards against a negative timeout for an attempt after a late wake-up.
 
-        A connection with a time limit below zero is a fault of the program to the client
-        library: exit code 70 where "unreachable" was known.
+        On a busy machine a sleep ends after the deadline, so no time is left for the next
+        attempt. The HTTP library raises an error for a negative timeout, and the command
+        would exit with 70 although the server is known to be unreachable.
         """
         self.environment["CHIVETRACK_SERVER"] = "http://127.0.0.1:1"
         self.clock.wake_delay_s = 60.0
@@ -201,6 +204,6 @@
         self.assertEqual(result.err.count("trying for up to 9 s"), 1)
         self.assertLess(self.clock.now, 9)
 
-    def test_fault_of_the_program_is_not_a_refusal(self) -> None:
+    def test_uncaught_exception_is_not_a_refusal(self) -> None:
         with mock.patch("chivetrack.cli.client.Client.read", side_effect=RuntimeError):
             self.assertEqual(self.run_command("get", "workspace").code, ExitCode.FAULT)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The other commands against the stand-in, and those that need no fleet."""
+"""All commands but apply and watch, against the stand-in server or without a fleet."""
 
 import io
 import json
@@ -26,13 +26,13 @@
             metadata = {"name": f"w{number}", "labels": {"hall": "tanta"}}
             self.server.store({"kind": "workspace", "metadata": metadata, "spec": {"n": number}})
 
-    def test_list_takes_all_pages(self) -> None:
+    def test_list_reads_all_pages(self) -> None:
         self.server.page = 2
         result = self.run_command("get", "workspace")
         self.assertEqual(result.out.count("hall=tanta"), 5)
         self.assertEqual(self.server.count("GET"), 3)
 
-    def test_json_of_one_can_be_applied_again(self) -> None:
+    def test_json_of_a_resource_can_be_applied_again(self) -> None:
         result = self.run_command("get", "workspace", "w1", "-o", "json")
         document = json.loads(result.out)
         document["spec"] = {"n": 9}
@@ -50,13 +50,13 @@
         self.server.faults.append(Fault.LOSE_ANSWER)
         self.assertEqual(self.run_command("delete", "workspace", "w3").code, ExitCode.OK)
 
-    def test_reads_go_on_after_lost_answers(self) -> None:
+    def test_reads_are_retried_after_lost_answers(self) -> None:
         for fault in (Fault.LOSE_REQUEST, Fault.CUT_ANSWER, (502, "bad gateway")):
             with self.subTest(fault=fault):
                 self.server.faults.append(fault)
                 self.assertEqual(self.run_command("get", "workspace").code, ExitCode.OK)
 
-    def test_names_cannot_drive_the_terminal_or_leave_the_path(self) -> None:
+    def test_names_are_escaped_in_the_terminal_and_in_paths(self) -> None:
         metadata = {"name": "x\x1b[2Jy\x07\x9b2J", "labels": {}}
         self.server.store({"kind": "workspace", "metadata": metadata, "spec": {}})
         self.assertIn("x?[2Jy??2J", self.run_command("get", "workspace").out)
@@ -91,16 +91,16 @@
 
 class ReplicaTest(CliCase):
     def test_replace_needs_a_new_id(self) -> None:
-        """A replica with an empty disk never comes back under its old id.
+        """Guards against a replica with an empty disk that rejoins under its old id.
 
-        Its votes were on the lost disk: it could vote twice in one term, two leaders
-        could be elected, and an accepted change could be lost.
+        Its votes were stored on the lost disk. It could vote twice in one term, so two
+        leaders could be elected and an accepted change could be lost.
         """
         result = self.run_command("replica", "replace", "r1", "r1")
         self.assertEqual(result.code, ExitCode.USAGE)
         self.assertEqual(self.server.requests, [])
 
-    def test_replace_goes_on_where_it_was_broken_off(self) -> None:
+    def test_interrupted_replace_can_be_repeated(self) -> None:
         self.server.documents["replicas/r1"] = {}
         self.server.faults.extend((Fault.NONE, (403, write_error("no", "no"))))
         result = self.run_command("replica", "replace", "r1", "r4")
@@ -146,23 +146,23 @@
             str(self.file),
         )
 
-    def test_folder_that_is_in_use_is_not_overwritten(self) -> None:
-        """An operator names the folder of a replica that still has its state."""
+    def test_folder_with_data_is_not_overwritten(self) -> None:
+        """Guards against a restore into the folder of a replica that still has its state."""
         self.run_command("backup", str(self.file))
         self.assertEqual(self.restore().code, ExitCode.OK)
         self.assertEqual(self.restore().code, ExitCode.FINDINGS)
 
-    def test_answer_that_was_cut_short_never_becomes_a_backup(self) -> None:
+    def test_truncated_answer_is_not_written_as_a_backup(self) -> None:
         self.server.faults.extend([Fault.CUT_ANSWER] * 500)
         result = self.run_command("backup", str(self.file))
         self.assertEqual(result.code, ExitCode.UNREACHABLE)
         self.assertEqual(list(self.folder.iterdir()), [])
 
     def test_damaged_backup_is_not_restored(self) -> None:
-        """A copy that was cut short or altered never becomes the state of the fleet."""
+        """Guards against a truncated or altered copy that becomes the state of the fleet."""
         self.run_command("backup", str(self.file))
-        whole = self.file.read_bytes()
-        for content in (whole[:-1], b"", whole.replace(b"s", b"x", 1)):
+        complete = self.file.read_bytes()
+        for content in (complete[:-1], b"", complete.replace(b"s", b"x", 1)):
             with self.subTest(content=content[:9]):
                 self.file.write_bytes(content)
                 self.assertEqual(self.restore().code, ExitCode.FINDINGS)
@@ -231,7 +231,7 @@
         self.assertEqual(result.code, ExitCode.OK, result)
         return self.server.keys[0]
 
-    def test_flags_go_before_environment_before_profile(self) -> None:
+    def test_precedence_of_flags_environment_and_profile(self) -> None:
         del self.environment["CHIVETRACK_SERVER"]
         self.write_profiles(
             f'[default]\nserver = "{self.server.url}"\nkey = "a"\n'
@@ -245,7 +245,7 @@
         self.environment["CHIVETRACK_KEY"] = "from-a-file\n"
         self.assertEqual(self.find_key(), "Bearer from-a-file")
 
-    def test_key_that_cannot_be_sent_is_wrong_usage(self) -> None:
+    def test_key_that_cannot_be_sent_is_a_usage_error(self) -> None:
         for key in ("a\r\nX-Other: b", "schlüssel"):
             self.environment["CHIVETRACK_KEY"] = key
             result = self.run_command("get", "workspace")
@@ -266,7 +266,7 @@
                 for part in parts:
                     self.assertIn(part, result.err)
 
-    def test_key_that_others_may_read_is_refused(self) -> None:
+    def test_profile_with_a_key_readable_by_others_is_refused(self) -> None:
         self.write_profiles('[default]\nkey = "secret"\n')
         os.chmod(self.profiles, 0o644)
         result = self.run_command("get", "workspace")
@@ -274,7 +274,7 @@
         self.assertIn("chmod 600", result.err)
         self.assertNotIn("secret", result.err)
 
-    def test_server_is_named(self) -> None:
+    def test_missing_or_incomplete_server_is_a_usage_error(self) -> None:
         for server in ("", "10.0.0.1:8081"):
             self.environment["CHIVETRACK_SERVER"] = server
             self.assertEqual(self.run_command("get", "workspace").code, ExitCode.USAGE)
--- a/tests/cli/test_tls.py
+++ b/tests/cli/test_tls.py
@@ -1,4 +1,4 @@
-"""The command line over TLS: whom it trusts, and how it shows who it is."""
+"""The command line over TLS: trusted authorities and client certificates."""
 
 import os
 import tempfile
@@ -33,7 +33,7 @@
             with self.subTest(code=code):
                 self.assertEqual(self.run_against(files, "--ca", ca), code)
 
-    def test_certificate_of_a_profile_is_shown(self) -> None:
+    def test_certificate_of_a_profile_is_presented(self) -> None:
         ca = str(self.files.ca_file)
         self.assertEqual(self.run_against(self.files, "--ca", ca), ExitCode.UNREACHABLE)
         profile = self.write(
@@ -44,7 +44,7 @@
         os.chmod(profile, 0o600)
         self.assertEqual(self.run_against(self.files), ExitCode.OK)
 
-    def test_files_that_cannot_be_read_are_wrong_usage(self) -> None:
+    def test_unreadable_files_are_a_usage_error(self) -> None:
         for ca in ("/nonexistent", self.write("garbage.pem", "garbage")):
             with self.subTest(ca=ca):
                 self.assertEqual(self.run_against(self.files, "--ca", ca), ExitCode.USAGE)
--- a/tests/cli/test_watch.py
+++ b/tests/cli/test_watch.py
@@ -1,4 +1,4 @@
-"""Watching: nothing is missed or printed twice across lost connections."""
+"""The watch command: no change is missed or printed twice across lost connections."""
 
 import json
 
@@ -31,11 +31,11 @@
         self.assertEqual(self.watch(1, "--revision", "5"), [6])
         self.assertEqual(self.list_starts(), ["10", "5"])
 
-    def test_goes_on_after_the_last_whole_line(self) -> None:
-        """An operator's script sees each change once, whatever happens to connections.
+    def test_resumes_after_the_last_complete_line(self) -> None:
+        """Guards against changes that a script misses or sees twice after a lost connection.
 
-        The first stream ends in the midst of a line; the next repeats what was sent
-        before and goes on; a bookmark moves the point from which the third begins.
+        The first stream ends within a line. The second repeats earlier changes before new
+        ones, and its bookmark moves the revision from which the third stream begins.
         """
         self.server.streams.extend(
             [
@@ -47,7 +47,7 @@
         self.assertEqual(self.watch(3), [11, 12, 21])
         self.assertEqual(self.list_starts(), ["10", "11", "20"])
 
-    def test_line_that_comes_in_pieces_is_one_event(self) -> None:
+    def test_line_received_in_several_pieces_is_one_event(self) -> None:
         line = write_event(11)
         self.server.streams.append([line[:5], line[5:50], line[50:] + write_event(12)])
         self.assertEqual(self.watch(2), [11, 12])
@@ -62,7 +62,7 @@
         self.assertEqual(result.out, "11  replaced  workspace/w11\n")
         self.assertIn("no leader", result.err)
 
-    def test_missed_changes_are_said(self) -> None:
+    def test_missed_changes_are_reported(self) -> None:
         self.server.streams.extend([[write_event(12)]])
         self.server.faults.append((410, write_error("compacted", "no longer kept")))
         result = self.run_command("watch", "workspace", "--revision", "3", "--count", "1")
@@ -74,7 +74,7 @@
         result = self.run_command("watch", "workspace", "--revision", "3")
         self.assertEqual(result.code, ExitCode.REFUSED)
 
-    def test_line_that_is_not_an_event_opens_it_again(self) -> None:
+    def test_line_that_is_not_an_event_reopens_the_watch(self) -> None:
         self.server.streams.extend([[b"<html>\n", write_event(11)], [write_event(12)]])
         result = self.run_command("watch", "workspace", "--revision", "10", "--count", "1")
         self.assertEqual(result.out, "12  replaced  workspace/w12\n")
