--- a/chivetrack/cli/commands/local.py
+++ b/chivetrack/cli/commands/local.py
@@ -47,7 +47,7 @@
 def show_new_key(output: OutputOption = Output.TABLE) -> None:
     """Make a key: give the key to its holder and put the hash into settings or resources.
 
-    The key is shown this once and kept nowhere.
+    The key is shown only once and is not stored.
     """
     key = make_key()
     key_hash = hash_key(key)
@@ -61,7 +61,7 @@
 def show_hash() -> None:
     """Read a key from stdin and print its hash.
 
-    From stdin, since other users of the machine can see what stands on a command line.
+    The key is not an argument, since other users of the machine can see command lines.
     """
     if sys.stdin.isatty():
         print_error("Type the key and press Enter.")
--- a/chivetrack/cli/commands/watch.py
+++ b/chivetrack/cli/commands/watch.py
@@ -45,8 +45,8 @@
     """Print the changes of a kind as they happen, until Ctrl-C.
 
     A lost connection is opened again after the last change that was printed, so none is
-    missed or printed twice. When the server no longer holds the changes in between, this
-    is said, and the watch goes on from now.
+    missed or printed twice. When the server no longer has the changes in between, a message
+    says so, and the watch continues with the changes from now on.
     """
     client = get_client(context)
     start = find_revision(client, kind) if revision < 0 else revision
--- a/chivetrack/helpers/keys.py
+++ b/chivetrack/helpers/keys.py
@@ -54,7 +54,7 @@
     """The keys that one listener accepts."""
 
     def __init__(self, *, holders: Iterable[KeyHolder]) -> None:
-        """Initialize with the holders; a holder may have several keys."""
+        """Initialize with the holders; several keys may be valid at the same time."""
         self._holders = tuple(holders)
 
     def __len__(self) -> int:
