--- a/chivetrack/cli/client.py
+++ b/chivetrack/cli/client.py
@@ -69,7 +69,7 @@
         self._connection = connection
         self._clock = clock
         self._sleep = sleep
-        self._chance = rng or random.Random()
+        self._rng = rng or random.Random()
         self._notify = notify
         self._pool = urllib3.PoolManager(retries=False, ssl_context=context)
 
@@ -111,7 +111,7 @@
                 lost_answer = failure
             wait = failure.retry_after_s
             if wait is None:
-                wait = backoff * self._chance.uniform(0.5, 1.0)
+                wait = backoff * self._rng.uniform(0.5, 1.0)
             if not _should_retry(failure) or self._clock() + wait >= deadline:
                 return Error(_resolve_failure(failure, lost_answer, request))
             if not is_notified and self._clock() - started >= const.NOTIFY_AFTER_S:
