--- a/chivetrack/cli/commands/apply.py
+++ b/chivetrack/cli/commands/apply.py
@@ -1,4 +1,4 @@
-"""Creating and replacing resources from files."""
+"""Command that creates and replaces resources from files."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -10,14 +10,14 @@
 from chivetrack.cli.client import Client, Request, join_path
 from chivetrack.cli.const import ExitCode
 from chivetrack.cli.documents import read_resources
-from chivetrack.cli.models import Document, Failure, Resource, find_worst
+from chivetrack.cli.models import Document, Failure, Resource, get_worst_exit_code
 from chivetrack.cli.output import Output, print_json, print_line
 from chivetrack.cli.session import OutputOption, exit_with_findings, get_client, report_failure
 from chivetrack.helpers.finding import Findings
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Applied:
+class AppliedChange:
     """An accepted change."""
 
     change: str
@@ -55,11 +55,15 @@
             _print_outcome(resource, result)
     if output is Output.JSON:
         print_json({"outcomes": reports})
-    raise typer.Exit(find_worst(codes))
+    raise typer.Exit(get_worst_exit_code(codes))
 
 
-def apply_resource(client: Client, resource: Resource) -> Result[Applied, Failure]:
-    """Create a resource, or replace the revision it names or the one that is there."""
+def apply_resource(client: Client, resource: Resource) -> Result[AppliedChange, Failure]:
+    """Create a resource or replace the existing one.
+
+    If the resource names a revision, the replacement succeeds only if that revision is
+    current; otherwise the revision just read is replaced.
+    """
     if resource.revision is not None:
         return _replace(client, resource)
     found = client.read(join_path(resource.kind, resource.name))
@@ -69,30 +73,30 @@
         return Error(found.error)
     current = Resource(found.ok)
     if current.spec == resource.spec and current.labels == resource.labels:
-        return Ok(Applied(change="unchanged", revision=current.revision))
+        return Ok(AppliedChange(change="unchanged", revision=current.revision))
     if current.revision is None:
         return _replace(client, resource)
     return _replace(client, resource.set_revision(current.revision))
 
 
-def _create(client: Client, resource: Resource) -> Result[Applied, Failure]:
+def _create(client: Client, resource: Resource) -> Result[AppliedChange, Failure]:
     request = Request(
-        method="POST", path=join_path(resource.kind), document=resource.write_wanted()
+        method="POST", path=join_path(resource.kind), document=resource.make_desired_document()
     )
-    return client.send(request).map(lambda answer: _note("created", answer))
+    return client.send(request).map(lambda answer: _make_applied("created", answer))
 
 
-def _replace(client: Client, resource: Resource) -> Result[Applied, Failure]:
+def _replace(client: Client, resource: Resource) -> Result[AppliedChange, Failure]:
     path = join_path(resource.kind, resource.name)
-    request = Request(method="PUT", path=path, document=resource.write_wanted())
-    return client.send(request).map(lambda answer: _note("replaced", answer))
+    request = Request(method="PUT", path=path, document=resource.make_desired_document())
+    return client.send(request).map(lambda answer: _make_applied("replaced", answer))
 
 
-def _note(change: str, answer: Document) -> Applied:
-    return Applied(change=change, revision=Resource(answer).revision)
+def _make_applied(change: str, answer: Document) -> AppliedChange:
+    return AppliedChange(change=change, revision=Resource(answer).revision)
 
 
-def _print_outcome(resource: Resource, result: Result[Applied, Failure]) -> None:
+def _print_outcome(resource: Resource, result: Result[AppliedChange, Failure]) -> None:
     name = f"{resource.kind}/{resource.name}"
     if result.is_ok():
         applied = result.ok
@@ -103,7 +107,7 @@
     report_failure(result.error)
 
 
-def _write_report(resource: Resource, result: Result[Applied, Failure]) -> Document:
+def _write_report(resource: Resource, result: Result[AppliedChange, Failure]) -> Document:
     report: Document = {"kind": resource.kind, "name": resource.name}
     if result.is_ok():
         applied = result.ok
--- a/chivetrack/cli/commands/replicas.py
+++ b/chivetrack/cli/commands/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas that hold the durable state."""
+"""Commands that add, remove and replace the replicas that hold the durable state."""
 
 from typing import Annotated
 
@@ -8,7 +8,7 @@
 from chivetrack.cli.client import Client, Request, join_path
 from chivetrack.cli.const import ExitCode
 from chivetrack.cli.output import print_error, print_line
-from chivetrack.cli.session import exit_with_failure, get_client, take
+from chivetrack.cli.session import exit_with_failure, get_client, get_or_exit
 
 REPLICAS = "replicas"
 
@@ -24,7 +24,7 @@
 
 @replica_app.command("add")
 def add_replica(context: typer.Context, id: IdArgument) -> None:
-    """Add a replica; it learns the state first and votes once it has caught up.
+    """Add a replica; it receives the state first and votes once it has caught up.
 
     An instance with an empty data folder makes a new id and logs it. `chivetrack status`
     shows how far the replica is.
@@ -35,7 +35,7 @@
 @replica_app.command("remove")
 def remove_replica(context: typer.Context, id: IdArgument) -> None:
     """Remove a replica for good; its id must not be used again."""
-    take(get_client(context).send(Request(method="DELETE", path=join_path(REPLICAS, id))))
+    get_or_exit(get_client(context).send(Request(method="DELETE", path=join_path(REPLICAS, id))))
     print_line(f"replica {id} accepted: removed")
 
 
@@ -51,7 +51,7 @@
     `chivetrack status` shows that the new one votes.
     """
     if lost == id:
-        # The lost disk held the votes that the replica gave. Under its old id it could
+        # The lost disk stored the votes of the replica. Under its old id, the replica could
         # vote a second time in the same term, and two leaders could be elected.
         print_error("The successor needs a new id: a replica with an empty disk may vote twice.")
         raise typer.Exit(ExitCode.USAGE)
--- a/chivetrack/cli/commands/story.py
+++ b/chivetrack/cli/commands/story.py
@@ -1,4 +1,4 @@
-"""What happened to a request, from the logs of routers."""
+"""Command that reconstructs from event logs what happened to a request."""
 
 import sys
 from pathlib import Path
@@ -10,7 +10,7 @@
 from chivetrack.cli.const import ExitCode
 from chivetrack.cli.output import Output, print_error, print_json, print_line
 from chivetrack.cli.session import OutputOption
-from chivetrack.components.stories.story import Story, format_event, read_events, tell_story
+from chivetrack.components.stories.story import RequestStory, build_story, format_event, read_events
 
 
 @app.command("story")
@@ -21,26 +21,26 @@
     ] = None,
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """Tell from event lines what happened to a request; the last line names the cause.
+    """Show from event lines what happened to a request; the last line names the cause.
 
-    The lines may be of several instances and in any order.
+    The lines may come from several instances and be in any order.
     """
     lines: list[str] = []
     for file in files or ():
         lines += file.read_text(errors="replace").splitlines()
     if not files:
         lines = sys.stdin.read().splitlines()
-    story = tell_story(request, read_events(lines))
+    story = build_story(request, read_events(lines))
     if story is None:
         print_error(f"no line names the request {request!r}")
         raise typer.Exit(ExitCode.FINDINGS)
     if output is Output.JSON:
         print_json({"request": request, "events": story.events, "cause": story.cause})
         return
-    _print(story)
+    _print_story(story)
 
 
-def _print(story: Story) -> None:
+def _print_story(story: RequestStory) -> None:
     events = sorted([*story.context, *story.events], key=lambda one: float(one.get("at", 0.0)))
     for event in events:
         mark = " " if event in story.context else "*"
--- a/chivetrack/cli/deployment.py
+++ b/chivetrack/cli/deployment.py
@@ -19,10 +19,10 @@
         help="Control address of a replica, host:port; may be given several times.",
     ),
 ]
-TimeoutOption = Annotated[float, typer.Option(min=0.1, help="Seconds to go on trying.")]
+TimeoutOption = Annotated[float, typer.Option(min=0.1, help="Seconds to keep retrying.")]
 
 
-def take(result: Result[ValueT, Fault]) -> ValueT:
+def get_or_exit(result: Result[ValueT, Fault]) -> ValueT:
     """Return the value, or print the fault and exit with the matching code."""
     if result.is_ok():
         return result.ok
--- a/chivetrack/components/caller_api/gateway.py
+++ b/chivetrack/components/caller_api/gateway.py
@@ -147,7 +147,7 @@
             answer = self._execute_effects(pending)
             stays_open = isinstance(answer.body, RelayBody)
             if answer.fault is not None:
-                pending.hop.fail(answer.fault.code)
+                pending.hop.mark_failed(answer.fault.code)
             return answer
         except BaseException:
             self._post(CallerGone(request_id=request_id))
@@ -236,7 +236,7 @@
         result = self._client.send(make_upstream_request(effect, hop))
         if result.is_error():
             failure = result.error
-            hop.fail(failure.outcome.value)
+            hop.mark_failed(failure.outcome.value)
             self._post(
                 AttemptFailed(
                     request_id=effect.request_id,
--- a/chivetrack/components/configuration/acknowledgements.py
+++ b/chivetrack/components/configuration/acknowledgements.py
@@ -1,4 +1,4 @@
-"""What each router has applied, and on how many a revision is in force."""
+"""Tracks which revision each router has applied."""
 
 from bisect import bisect_left
 from collections.abc import Iterable, Sequence
@@ -6,17 +6,17 @@
 
 from chivetrack.components.configuration import const
 from chivetrack.components.configuration.messages import RouterAck
-from chivetrack.components.configuration.models import InForce, MissingRouter
+from chivetrack.components.configuration.models import MissingRouter, RolloutStatus
 from chivetrack.const import MILLISECONDS_PER_SECOND
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Acknowledged:
-    """The last that was heard of a router."""
+class RouterState:
+    """The latest acknowledgement of a router."""
 
     incarnation: int
     revision: int
-    heard_at: float
+    last_seen_at: float
 
 
 @dataclass(slots=True, kw_only=True)
@@ -27,78 +27,80 @@
 
 
 class Acknowledgements:
-    """Collects acknowledgements, on a relay for its routers, on the leader for all."""
+    """Collects acknowledgements: on a relay of its routers, on the leader of all routers."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._routers: dict[str, Acknowledged] = {}
+        """Start without acknowledgements."""
+        self._routers: dict[str, RouterState] = {}
         self._commits: list[_Commit] = []
-        self._has_news = False
+        self._has_changes = False
 
-    def take(self, acks: Iterable[RouterAck], *, now: float) -> None:
-        """Take acknowledgements; late and doubled ones do no harm."""
+    def record_acks(self, acks: Iterable[RouterAck], *, now: float) -> None:
+        """Record acknowledgements; late and duplicate ones have no effect."""
         for ack in acks:
             known = self._routers.get(ack.router)
-            heard_at = now - ack.age_ms / MILLISECONDS_PER_SECOND
+            last_seen_at = now - ack.age_ms / MILLISECONDS_PER_SECOND
             if known is not None:
-                # A router that restarted starts from nothing: what its former run
-                # had applied is no longer in force there.
+                # A restarted router begins with an empty state: the revision that its
+                # previous incarnation applied is no longer active there.
                 if ack.incarnation < known.incarnation:
                     continue
                 if ack.incarnation == known.incarnation and ack.revision < known.revision:
                     continue
-                heard_at = max(heard_at, known.heard_at)
+                last_seen_at = max(last_seen_at, known.last_seen_at)
             if known is None or known.revision != ack.revision:
-                self._has_news = True
-            self._routers[ack.router] = Acknowledged(
-                incarnation=ack.incarnation, revision=ack.revision, heard_at=heard_at
+                self._has_changes = True
+            self._routers[ack.router] = RouterState(
+                incarnation=ack.incarnation, revision=ack.revision, last_seen_at=last_seen_at
             )
 
-    def take_news(self) -> bool:
-        """Tell once whether some router has acknowledged another revision."""
-        has_news = self._has_news
-        self._has_news = False
-        return has_news
+    def pop_changed(self) -> bool:
+        """Return whether a router acknowledged another revision since the last call."""
+        has_changes = self._has_changes
+        self._has_changes = False
+        return has_changes
 
-    def forget_silent(self, now: float) -> None:
-        """Drop routers that have not been heard of for long."""
+    def expire_silent(self, now: float) -> None:
+        """Remove routers that have not acknowledged within ``ACKNOWLEDGEMENT_TTL_S``."""
         silent = [
             router
             for router, known in self._routers.items()
-            if now - known.heard_at > const.ACKNOWLEDGEMENT_KEPT_S
+            if now - known.last_seen_at > const.ACKNOWLEDGEMENT_TTL_S
         ]
         for router in silent:
             del self._routers[router]
 
     def list_acks(self, *, now: float) -> Sequence[RouterAck]:
-        """Return all, to pass them on."""
+        """Return the latest acknowledgement of each router, with its age, to relay them."""
         return [
             RouterAck(
                 router,
                 known.incarnation,
                 known.revision,
-                int((now - known.heard_at) * MILLISECONDS_PER_SECOND),
+                int((now - known.last_seen_at) * MILLISECONDS_PER_SECOND),
             )
             for router, known in self._routers.items()
         ]
 
-    def note_commit(self, revision: int, *, now: float) -> None:
-        """Remember when a revision was committed, for the time to in force."""
+    def record_commit(self, revision: int, *, now: float) -> None:
+        """Record when a revision was committed, to measure how long its rollout takes."""
         if self._commits and revision <= self._commits[-1].revision:
             return
         self._commits.append(_Commit(revision=revision, committed_at=now))
-        if len(self._commits) > const.COMMITS_KEPT:
-            del self._commits[: const.COMMITS_KEPT // 10]
+        if len(self._commits) > const.MAX_KEPT_COMMITS:
+            del self._commits[: const.MAX_KEPT_COMMITS // 10]
 
-    def compute_in_force(self, revision: int, expected: Iterable[str], *, now: float) -> InForce:
-        """Compare what the expected routers have applied with a revision."""
+    def compute_rollout_status(
+        self, revision: int, expected: Iterable[str], *, now: float
+    ) -> RolloutStatus:
+        """Return which of the expected routers have applied a revision."""
         routers = list(expected)
         missing = [
-            self._describe(router, now)
+            self._make_missing(router, now)
             for router in routers
             if router not in self._routers or self._routers[router].revision < revision
         ]
-        return InForce(
+        return RolloutStatus(
             revision=revision,
             expected=len(routers),
             applied=len(routers) - len(missing),
@@ -106,14 +108,16 @@
             elapsed_s=self._measure_elapsed(revision, is_complete=not missing, now=now),
         )
 
-    def _describe(self, router: str, now: float) -> MissingRouter:
+    def _make_missing(self, router: str, now: float) -> MissingRouter:
         known = self._routers.get(router)
         if known is None:
             return MissingRouter(router=router, revision=0, silent_s=None)
-        return MissingRouter(router=router, revision=known.revision, silent_s=now - known.heard_at)
+        return MissingRouter(
+            router=router, revision=known.revision, silent_s=now - known.last_seen_at
+        )
 
     def _measure_elapsed(self, revision: int, *, is_complete: bool, now: float) -> float | None:
-        # The commit that contains the revision is the first one not below it.
+        # The first commit at or above the revision contains it.
         index = bisect_left(self._commits, revision, key=lambda commit: commit.revision)
         if index == len(self._commits):
             return None
--- a/chivetrack/components/drains/controller.py
+++ b/chivetrack/components/drains/controller.py
@@ -82,7 +82,7 @@
         changed = [write for write in writes if write is not None]
         for write in changed:
             self._last_write_at[write.name] = now
-        return Plan(actions=tuple(changed), look_again_at=now + RECONCILE_INTERVAL_S)
+        return Plan(actions=tuple(changed), reconcile_again_at=now + RECONCILE_INTERVAL_S)
 
     def _advance_drains(
         self,
--- a/chivetrack/components/fleet/leader.py
+++ b/chivetrack/components/fleet/leader.py
@@ -1,7 +1,7 @@
 """Gossips which instance leads the log, and up to which revision."""
 
 from chivetrack.components.configuration.configuration import Configuration
-from chivetrack.components.configuration.models import RevisionHeard
+from chivetrack.components.configuration.models import RevisionReported
 from chivetrack.components.fleet.models import TOPIC_LEADER, LeaderRecord, LeadershipStatus
 from chivetrack.components.gossip.gossip import Gossip
 from chivetrack.components.gossip.models import Urgency, ValueUpdate
@@ -29,7 +29,7 @@
         self._own: LeaderRecord | None = None
         self._published: LeaderRecord | None = None
         self._term = 0
-        self._pending_revisions: list[RevisionHeard] = []
+        self._pending_revisions: list[RevisionReported] = []
         gossip.subscribe(TOPIC_LEADER, self._handle_update)
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
@@ -74,4 +74,6 @@
             return
         self._term = record.term
         self._proposals.record_leader_hint(update.origin)
-        self._pending_revisions.append(RevisionHeard(peer=update.origin, revision=record.revision))
+        self._pending_revisions.append(
+            RevisionReported(peer=update.origin, revision=record.revision)
+        )
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -31,9 +31,9 @@
     PUSH_DELAY_S,
     STOP_CALLS_TIMEOUT_S,
 )
-from chivetrack.daemon.fleet.desk import ControlHandler
 from chivetrack.daemon.fleet.documents import DocumentHandler
 from chivetrack.daemon.fleet.gauges import Gauge
+from chivetrack.daemon.fleet.handler import ControlHandler
 from chivetrack.daemon.fleet.log_host import LogHost
 from chivetrack.daemon.fleet.metrics import Metrics, open_metrics_server
 from chivetrack.daemon.fleet.peering import TrafficLog, list_seed_peers, make_transport, send_all
@@ -134,7 +134,9 @@
         self._pending_orders: set[bytes] = set()
         self._gate = CallGate(
             application=build_control_app(
-                desk=self._control_handler, unpack=unpack_document, note_bad=self._log_rejected
+                handler=self._control_handler,
+                unpack=unpack_document,
+                report_invalid=self._log_rejected,
             )
         )
         self._control = HttpServer(
--- a/chivetrack/daemon/management.py
+++ b/chivetrack/daemon/management.py
@@ -95,7 +95,7 @@
         """Return where the newest revision is in force; only the leader has all reports."""
         instances = self._router.membership.list_instances()
         expected = [each.instance_id for each in instances if each.status in _LIVE_STATUSES]
-        report = self._router.configuration.compute_in_force(expected, now=now)
+        report = self._router.configuration.compute_rollout_status(expected, now=now)
         return {
             "as_seen_by": self._instance_id,
             "revision": report.revision,
--- a/chivetrack/helpers/sections/places.py
+++ b/chivetrack/helpers/sections/line_index.py
@@ -1,4 +1,7 @@
-"""Where each key of a TOML text stands; the standard reader keeps no places."""
+"""Index of the lines on which the keys of a TOML text stand.
+
+``tomllib`` does not report line numbers.
+"""
 
 import tomllib
 from collections.abc import Iterator
@@ -15,29 +18,29 @@
     text: str
 
 
-class Places:
-    """Finds the line of a key path; a path that is not there gets its nearest parent's."""
+class LineIndex:
+    """Finds the line of a key path; a missing path gets the line of its nearest parent."""
 
     def __init__(self, *, text: str) -> None:
-        """Read the lines of a text that ``tomllib`` accepts."""
+        """Index the lines of a text that ``tomllib`` accepts."""
         self._lines: dict[KeyPath, int] = {}
         prefix: KeyPath = ()
         for statement in _split_statements(text):
             content = tomllib.loads(statement.text)
             if statement.text.lstrip().startswith("["):
-                prefix = self._enter_header(content, statement.line)
+                prefix = self._index_header(content, statement.line)
             else:
-                self._enter_values(prefix, content, statement.line)
+                self._index_values(prefix, content, statement.line)
 
     def find_line(self, path: KeyPath) -> int | None:
-        """Return the line of a key path, counted from 1."""
+        """Return the line of a key path, counted from 1; ``None`` without any parent."""
         for length in range(len(path), 0, -1):
             line = self._lines.get(path[:length])
             if line is not None:
                 return line
         return None
 
-    def _enter_header(self, content: dict[str, object], line: int) -> KeyPath:
+    def _index_header(self, content: dict[str, object], line: int) -> KeyPath:
         path: KeyPath = ()
         value: object = content
         while isinstance(value, dict) and value:
@@ -47,7 +50,11 @@
         return path
 
     def _resolve(self, path: KeyPath, *, is_new: bool) -> KeyPath:
-        """Add the index of the element of an array of tables that a header means."""
+        """Append the element's index to a path that names an array of tables.
+
+        ``is_new`` means that the header starts a new element; otherwise the header refers
+        to the last one.
+        """
         count = 0
         while (*path, count) in self._lines:
             count += 1
@@ -55,7 +62,7 @@
             return (*path, count)
         return (*path, count - 1) if count else path
 
-    def _enter_values(self, path: KeyPath, value: object, line: int) -> None:
+    def _index_values(self, path: KeyPath, value: object, line: int) -> None:
         items: list[tuple[str | int, object]] = []
         if isinstance(value, dict):
             items = list(value.items())
@@ -63,11 +70,11 @@
             items = list(enumerate(value))
         for name, inner in items:
             self._lines.setdefault((*path, name), line)
-            self._enter_values((*path, name), inner, line)
+            self._index_values((*path, name), inner, line)
 
 
 def _split_statements(text: str) -> Iterator[_Statement]:
-    """Cut a text into the shortest runs of lines that are TOML by themselves."""
+    """Split a text into the shortest runs of lines that are valid TOML on their own."""
     pending: list[str] = []
     start = 1
     for number, line in enumerate(text.replace("\r\n", "\n").split("\n"), start=1):
@@ -75,13 +82,13 @@
             start = number
         pending.append(line)
         statement = "\n".join(pending)
-        if _is_whole(statement):
+        if _is_complete(statement):
             pending = []
             if statement.strip() and not statement.lstrip().startswith("#"):
                 yield _Statement(start, statement)
 
 
-def _is_whole(text: str) -> bool:
+def _is_complete(text: str) -> bool:
     try:
         tomllib.loads(text)
     except tomllib.TOMLDecodeError:
--- a/chivetrack/helpers/sections/reader.py
+++ b/chivetrack/helpers/sections/reader.py
@@ -1,4 +1,4 @@
-"""Checks a settings text against models of pydantic; all findings are reported together."""
+"""Reader for settings texts described by pydantic models; reports all findings together."""
 
 from collections.abc import Callable, Iterator, Mapping
 from typing import Any, Generic, TypeVar, get_args
@@ -9,11 +9,11 @@
 
 from chivetrack.helpers.finding import Findings
 from chivetrack.helpers.sections.base import Section
-from chivetrack.helpers.sections.places import KeyPath
+from chivetrack.helpers.sections.line_index import KeyPath
 from chivetrack.helpers.sections.text import Problem, Report, read_document
 
 SettingsT = TypeVar("SettingsT", bound=BaseModel)
-_NO_MEANINGS: Mapping[str, str] = {}
+_NO_PATTERN_MESSAGES: Mapping[str, str] = {}
 
 
 def parse_sections(
@@ -22,35 +22,36 @@
     source: str,
     model: type[SettingsT],
     check: Callable[[dict[str, Section]], Iterator[Problem]],
-    meanings: Mapping[str, str] = _NO_MEANINGS,
+    pattern_messages: Mapping[str, str] = _NO_PATTERN_MESSAGES,
 ) -> Result[SettingsT, Findings]:
-    """Check a text against a model of sections, and then what reads more than one of them.
+    """Validate a text against a model of sections, then run the checks across sections.
 
-    ``meanings`` says in words what the patterns of the model ask for.
+    ``pattern_messages`` maps a pattern of the model to the message for a value that does
+    not match it.
     """
     return read_document(text, source=source).bind(
         lambda document: _Reader(
-            report=Report(source=source, text=text), model=model, meanings=meanings
+            report=Report(source=source, text=text), model=model, pattern_messages=pattern_messages
         ).read(document, check)
     )
 
 
 class _Reader(Generic[SettingsT]):
-    """Checks one document section by section, so that one fault hides no other."""
+    """Validates a document section by section, so that one fault does not hide others."""
 
     def __init__(
-        self, *, report: Report, model: type[SettingsT], meanings: Mapping[str, str]
+        self, *, report: Report, model: type[SettingsT], pattern_messages: Mapping[str, str]
     ) -> None:
         self._report = report
         self._model = model
-        self._meanings = meanings
+        self._pattern_messages = pattern_messages
 
     def read(
         self,
         document: dict[str, Any],
         check: Callable[[dict[str, Section]], Iterator[Problem]],
     ) -> Result[SettingsT, Findings]:
-        """Return the settings, or what is wrong."""
+        """Return the settings, or all findings."""
         for name in document:
             if name not in self._model.model_fields:
                 self._report.add_unknown((name,), self._model.model_fields)
@@ -80,13 +81,16 @@
         if detail["type"] == "missing":
             self._report.add(path, "is missing")
             return
-        self._report.add(path, self._tidy_message(detail))
+        self._report.add(path, self._format_message(detail))
 
-    def _tidy_message(self, detail: ErrorDetails) -> str:
-        """Say it in words, without the library's opening; the place already names the value."""
+    def _format_message(self, detail: ErrorDetails) -> str:
+        """Return the message of an error without the library's prefix.
+
+        The finding's place already names the value.
+        """
         pattern = str(detail.get("ctx", {}).get("pattern"))
-        if pattern in self._meanings:
-            return self._meanings[pattern]
+        if pattern in self._pattern_messages:
+            return self._pattern_messages[pattern]
         text = detail["msg"].removeprefix("Value error, ").replace("Input should be", "must be")
         return text[:1].lower() + text[1:]
 
--- a/chivetrack/platform/control_api.py
+++ b/chivetrack/platform/control_api.py
@@ -1,4 +1,4 @@
-"""The HTTP calls that operators and endpoints make."""
+"""HTTP API of the control listener, for operators and endpoints."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,165 +21,174 @@
 from chivetrack.platform.configuration import read_document, render_findings
 from chivetrack.platform.paths import PATH_QUARANTINE, PATH_ZONES
 
-# Not the platform's: only a replica of ours sends operators to it.
+# Not part of the platform's API: only redirects sent by replicas contain this parameter.
 _QUERY_VERSION = "version"
 _JSON = {"Content-Type": "application/json"}
 _MAX_ERROR_TEXT = 300
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Elsewhere:
-    """Another instance has to be asked; ``address`` is its ``host:port``.
+class RedirectTo:
+    """The sender must repeat the request at another instance.
 
-    With ``min_version`` it hands out its document if that is this new.
+    ``address`` is the ``host:port`` of that instance. If ``min_version`` is set, that
+    instance returns its document only if the document has at least this version.
     """
 
     address: str
     min_version: int = 0
 
 
-class ControlDesk(Protocol):
-    """What a replica does for operators and endpoints."""
+class ControlRequestHandler(Protocol):
+    """Handler of a replica for the requests of operators and endpoints."""
 
-    def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
+    def put(self, document: Document, body: bytes) -> Result[int, Fault | RedirectTo]:
         """Commit a document and return the version in force."""
         ...
 
-    def read(self) -> Result[StoredDocument, Fault | Elsewhere]:
-        """Return the newest document for sure."""
+    def read(self) -> Result[StoredDocument, Fault | RedirectTo]:
+        """Return the newest document, confirmed by a quorum."""
         ...
 
-    def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | Elsewhere]:
-        """Commit that a zone is evacuated, or taken back; return the order's revision."""
+    def order_evacuation(self, zone: str, *, is_evacuated: bool) -> Result[int, Fault | RedirectTo]:
+        """Commit the evacuation of a zone, or its withdrawal; return the order's revision."""
         ...
 
-    def read_evacuations(self) -> Result[Evacuations, Fault | Elsewhere]:
-        """Return the zone orders in force for sure."""
+    def read_evacuations(self) -> Result[Evacuations, Fault | RedirectTo]:
+        """Return the zone orders in force, confirmed by a quorum."""
         ...
 
-    def release_request(self, fingerprint: bytes) -> Result[int, Fault | Elsewhere]:
+    def release_request(self, fingerprint: bytes) -> Result[int, Fault | RedirectTo]:
         """Commit the release of a quarantined request and return the quarantine's revision."""
         ...
 
-    def read_quarantine(self) -> Result[Quarantine, Fault | Elsewhere]:
+    def read_quarantine(self) -> Result[Quarantine, Fault | RedirectTo]:
         """Return the quarantine, confirmed by a quorum."""
         ...
 
     def announce(self, record: EndpointRecord) -> Result[None, Fault]:
-        """Take an endpoint's statement."""
+        """Handle an endpoint's heartbeat."""
         ...
 
     def leave(self, endpoint_id: str, born: int | None) -> Result[None, Fault]:
-        """Take an endpoint's departure."""
+        """Handle an endpoint's departure; ``born`` is its start time in Unix milliseconds."""
         ...
 
 
 def build_control_app(
-    *, desk: ControlDesk, unpack: Callable[[bytes], bytes], note_bad: Callable[[str, str], None]
+    *,
+    handler: ControlRequestHandler,
+    unpack: Callable[[bytes], bytes],
+    report_invalid: Callable[[str, str], None],
 ) -> Bottle:
-    """Return the application of the control listener."""
+    """Return the application of the control listener.
+
+    ``unpack`` decompresses a stored document. ``report_invalid`` is called with the kind of
+    an invalid body and what is wrong with it.
+    """
     app = make_app()
-    _add_configuration_calls(app, desk, unpack, note_bad)
-    _add_zone_calls(app, desk)
-    _add_quarantine_calls(app, desk)
-    _add_endpoint_calls(app, desk, note_bad)
+    _add_configuration_calls(app, handler, unpack, report_invalid)
+    _add_zone_calls(app, handler)
+    _add_quarantine_calls(app, handler)
+    _add_endpoint_calls(app, handler, report_invalid)
     return app
 
 
 def _add_configuration_calls(
     app: Bottle,
-    desk: ControlDesk,
+    handler: ControlRequestHandler,
     unpack: Callable[[bytes], bytes],
-    note_bad: Callable[[str, str], None],
+    report_invalid: Callable[[str, str], None],
 ) -> None:
     def put_config() -> HTTPResponse:
         body = request.environ["wsgi.input"].read()
         read = read_document(body)
         if read.is_error():
-            note_bad("configuration", "; ".join(str(one) for one in read.error)[:500])
-            return _answer(400, render_findings(read.error))
-        outcome = desk.put(read.ok, body)
+            report_invalid("configuration", "; ".join(str(one) for one in read.error)[:500])
+            return _make_response(400, render_findings(read.error))
+        outcome = handler.put(read.ok, body)
         if outcome.is_ok():
-            return _answer(200, {"version": outcome.ok})
-        return _refuse(outcome.error, "/config")
+            return _make_response(200, {"version": outcome.ok})
+        return _make_refusal(outcome.error, "/config")
 
     def get_config() -> HTTPResponse:
-        outcome = desk.read()
+        outcome = handler.read()
         if outcome.is_error():
-            return _refuse(outcome.error, "/config")
+            return _make_refusal(outcome.error, "/config")
         return HTTPResponse(body=unpack(outcome.ok.payload), status=200, headers=_JSON)
 
     app.route("/config", "PUT", put_config)
     app.route("/config", "GET", get_config)
 
 
-def _add_zone_calls(app: Bottle, desk: ControlDesk) -> None:
+def _add_zone_calls(app: Bottle, handler: ControlRequestHandler) -> None:
     def order_zone(zone: str) -> HTTPResponse:
         if request.environ["wsgi.input"].read(1):
-            return _answer(400, {"error": "body", "message": "this call takes no body"})
+            return _make_response(400, {"error": "body", "message": "this call takes no body"})
         if has_left(request.environ.get(ENVIRON_SOCKET)):
-            # It has sent the order elsewhere since, and perhaps withdrawn it.
-            return _answer(503, {"error": "operator_left"})
+            # The operator has closed the connection. It may have sent the order to another
+            # replica since then, and even withdrawn it, so a late order must not be committed.
+            return _make_response(503, {"error": "operator_left"})
         is_evacuated = request.method == "POST"
-        outcome = desk.order_evacuation(zone, is_evacuated=is_evacuated)
+        outcome = handler.order_evacuation(zone, is_evacuated=is_evacuated)
         if outcome.is_ok():
-            return _answer(200, {"revision": outcome.ok})
-        return _refuse(outcome.error, f"{PATH_ZONES}/{quote(zone, safe='')}")
+            return _make_response(200, {"revision": outcome.ok})
+        return _make_refusal(outcome.error, f"{PATH_ZONES}/{quote(zone, safe='')}")
 
     def get_zones() -> HTTPResponse:
-        outcome = desk.read_evacuations()
+        outcome = handler.read_evacuations()
         if outcome.is_error():
-            return _refuse(outcome.error, PATH_ZONES)
-        return _answer(200, {"zones": [one.describe() for one in outcome.ok.zones]})
+            return _make_refusal(outcome.error, PATH_ZONES)
+        return _make_response(200, {"zones": [one.describe() for one in outcome.ok.zones]})
 
     app.route(f"{PATH_ZONES}/<zone>", ["POST", "DELETE"], order_zone)
     app.route(PATH_ZONES, "GET", get_zones)
 
 
-def _add_quarantine_calls(app: Bottle, desk: ControlDesk) -> None:
+def _add_quarantine_calls(app: Bottle, handler: ControlRequestHandler) -> None:
     def release(fingerprint: str) -> HTTPResponse:
         try:
             decoded = bytes.fromhex(fingerprint)
         except ValueError:
             message = f"{fingerprint!r} is no fingerprint"
-            return _answer(400, {"error": "fingerprint", "message": message})
-        outcome = desk.release_request(decoded)
+            return _make_response(400, {"error": "fingerprint", "message": message})
+        outcome = handler.release_request(decoded)
         if outcome.is_ok():
-            return _answer(200, {"revision": outcome.ok})
-        return _refuse(outcome.error, f"{PATH_QUARANTINE}/{fingerprint}")
+            return _make_response(200, {"revision": outcome.ok})
+        return _make_refusal(outcome.error, f"{PATH_QUARANTINE}/{fingerprint}")
 
     def get_quarantine() -> HTTPResponse:
-        outcome = desk.read_quarantine()
+        outcome = handler.read_quarantine()
         if outcome.is_error():
-            return _refuse(outcome.error, PATH_QUARANTINE)
-        return _answer(200, {"requests": [one.describe() for one in outcome.ok.requests]})
+            return _make_refusal(outcome.error, PATH_QUARANTINE)
+        return _make_response(200, {"requests": [one.describe() for one in outcome.ok.requests]})
 
     app.route(f"{PATH_QUARANTINE}/<fingerprint>", "DELETE", release)
     app.route(PATH_QUARANTINE, "GET", get_quarantine)
 
 
 def _add_endpoint_calls(
-    app: Bottle, desk: ControlDesk, note_bad: Callable[[str, str], None]
+    app: Bottle, handler: ControlRequestHandler, report_invalid: Callable[[str, str], None]
 ) -> None:
     def put_endpoint(endpoint_id: str) -> HTTPResponse:
         record = read_heartbeat(endpoint_id, request.environ["wsgi.input"].read())
         if record.is_error():
-            note_bad("heartbeat", record.error)
-            return _answer(400, {"error": record.error})
-        outcome = desk.announce(record.ok)
-        return _answer(200, {}) if outcome.is_ok() else _refuse(outcome.error, "")
+            report_invalid("heartbeat", record.error)
+            return _make_response(400, {"error": record.error})
+        outcome = handler.announce(record.ok)
+        return _make_response(200, {}) if outcome.is_ok() else _make_refusal(outcome.error, "")
 
     def delete_endpoint(endpoint_id: str) -> HTTPResponse:
         born = read_departure(request.environ["wsgi.input"].read())
-        outcome = desk.leave(endpoint_id, born)
-        return _answer(200, {}) if outcome.is_ok() else _refuse(outcome.error, "")
+        outcome = handler.leave(endpoint_id, born)
+        return _make_response(200, {}) if outcome.is_ok() else _make_refusal(outcome.error, "")
 
     app.route("/instances/<endpoint_id>", "PUT", put_endpoint)
     app.route("/instances/<endpoint_id>", "DELETE", delete_endpoint)
 
 
 def make_app() -> Bottle:
-    """Return an application whose own errors are short and in JSON."""
+    """Return an application that renders its errors as short JSON documents."""
     app = Bottle()
 
     def render_error(error: HTTPError) -> bytes:
@@ -194,24 +203,27 @@
 
 
 def add_document_route(app: Bottle, find_body: Callable[[int], bytes | None]) -> None:
-    """Let a router hand out its document to operators whom a replica has sent on."""
+    """Add the call by which a router serves its document to operators redirected to it.
+
+    ``find_body`` returns the document if it has at least the given version.
+    """
 
     def get_config() -> HTTPResponse:
-        asked = request.query.get(_QUERY_VERSION, "")
-        body = find_body(int(asked)) if asked.isdigit() else None
+        min_version = request.query.get(_QUERY_VERSION, "")
+        body = find_body(int(min_version)) if min_version.isdigit() else None
         if body is None:
-            return _answer(503, {"error": "behind"})
+            return _make_response(503, {"error": "behind"})
         return HTTPResponse(body=body, status=200, headers=_JSON)
 
     app.route("/config", "GET", get_config)
 
 
-def _answer(status: int, document: object) -> HTTPResponse:
+def _make_response(status: int, document: object) -> HTTPResponse:
     return HTTPResponse(body=msgspec.json.encode(document), status=status, headers=_JSON)
 
 
-def _refuse(refusal: Fault | Elsewhere, path: str) -> HTTPResponse:
-    if isinstance(refusal, Elsewhere):
+def _make_refusal(refusal: Fault | RedirectTo, path: str) -> HTTPResponse:
+    if isinstance(refusal, RedirectTo):
         query = f"?{_QUERY_VERSION}={refusal.min_version}" if refusal.min_version else ""
         headers = {**_JSON, "Location": f"http://{refusal.address}{path}{query}"}
         return HTTPResponse(body=b"{}", status=307, headers=headers)
--- a/chivetrack/platform/headers.py
+++ b/chivetrack/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers: what each one is called and which side may set it."""
+"""Headers of the platform: their names, their decoders and which side may set them."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from email.message import Message
@@ -17,23 +17,24 @@
 HEADER_EXPECTED_ENDPOINT = "X-Chivetrack-Expect-Instance"
 HEADER_PRIORITY = "X-Chivetrack-Request-Priority"
 HEADER_MODEL = "X-Chivetrack-Model"
-HEADER_TOKENS = "X-Chivetrack-Token-Counts"
-HEADER_PARTS = "X-Chivetrack-Prompt-Prefix"
-HEADER_LENGTH = "X-Chivetrack-Length-Hint"
-HEADER_FETCH = "Kv-Fetch"
+HEADER_TOKEN_COUNTS = "X-Chivetrack-Token-Counts"
+HEADER_PROMPT_PARTS = "X-Chivetrack-Prompt-Prefix"
+HEADER_LENGTH_HINT = "X-Chivetrack-Length-Hint"
+HEADER_FETCH_FROM = "Kv-Fetch"
 HEADER_LAST_EVENT = "Last-Event-Id"
 HEADER_SEAL = "X-Chivetrack-Server-Seal"
 HEADER_DID_NOT_RUN = "X-Chivetrack-Not-Executed"
 HEADER_LOAD = "X-Chivetrack-Server-Load"
-HEADER_COLD = "X-Chivetrack-Cold-Ms"
+HEADER_COLD_MS = "X-Chivetrack-Cold-Ms"
 HEADER_LEAVING = "Server-Leaving"
 
-STATUS_OTHER_INSTANCE = 421
+STATUS_MISDIRECTED = 421
 STATUS_UNAVAILABLE = 503
 
-# Of one connection only, or set anew by this router. A hold, a pin or a continuation that
-# a caller names is not its to ask for: an endpoint would refuse the request for it.
-_NOT_PASSED_ON = frozenset(
+# Hop-by-hop headers, headers that the router sets itself, and headers that ask for a hold, a
+# pin or a continuation. Callers may not ask for a hold, a pin or a continuation: an endpoint
+# would refuse the request because of it.
+_NOT_FORWARDED_HEADERS = frozenset(
     name.lower()
     for name in (
         "Connection",
@@ -60,12 +61,12 @@
         "X-Chivetrack-Kv-From",
         "X-Chivetrack-Kv-Fetch",
         "Kv-From",
-        HEADER_FETCH,
+        HEADER_FETCH_FROM,
         "Kv-Backup",
         "Wait-Ms",
     )
 )
-_NOT_PASSED_BACK = frozenset(
+_NOT_RETURNED_HEADERS = frozenset(
     ("connection", "keep-alive", "transfer-encoding", "content-length", "upgrade", "trailer", "te")
 )
 
@@ -73,18 +74,18 @@
 
 
 def read_request_facts(headers: Mapping[str, str]) -> RequestFacts:
-    """Decode a caller's headers (names in lower case); what can't be read counts as absent."""
-    prompt_tokens, max_output = _read_counts(headers.get(HEADER_TOKENS.lower(), ""))
+    """Decode a caller's headers (names in lower case); malformed values count as absent."""
+    prompt_tokens, max_output = _read_counts(headers.get(HEADER_TOKEN_COUNTS.lower(), ""))
     wait_ms = _read_number(headers.get(HEADER_DEADLINE.lower(), ""))
     return RequestFacts(
         request_id=headers.get(HEADER_ATTEMPT.lower(), ""),
         key=headers.get(HEADER_KEY.lower(), ""),
         wait_s=None if wait_ms is None else wait_ms / 1000.0,
         model=headers.get(HEADER_MODEL.lower(), ""),
-        parts=tuple(_read_parts(headers.get(HEADER_PARTS.lower(), ""))),
+        parts=tuple(_read_parts(headers.get(HEADER_PROMPT_PARTS.lower(), ""))),
         prompt_tokens=prompt_tokens,
         max_output_tokens=max_output,
-        expected_tokens=int(_read_number(headers.get(HEADER_LENGTH.lower(), "")) or 0),
+        expected_tokens=int(_read_number(headers.get(HEADER_LENGTH_HINT.lower(), "")) or 0),
         last_event_id=headers.get(HEADER_LAST_EVENT.lower(), ""),
     )
 
@@ -94,39 +95,42 @@
     *,
     endpoint_id: str,
     workspace: str,
-    left_s: float,
+    remaining_s: float,
     last_event_id: str,
     priority: int | None,
     fetch_from: str = "",
 ) -> list[tuple[str, str]]:
-    """Return the headers for an endpoint: the caller's own ones and those that we set.
+    """Return the headers of a request to an endpoint: forwarded ones and the router's own.
 
-    ``left_s`` is the time that is left of the caller's and the route's, in seconds;
-    ``fetch_from`` is the address of an engine that has parts of the prompt cached.
+    ``remaining_s`` is the time left for the request, which the caller's deadline and the
+    route's timeout bound, in seconds. ``fetch_from`` is the address of an engine that has
+    parts of the prompt cached.
     """
-    passed = [(name, value) for name, value in lines if name.lower() not in _NOT_PASSED_ON]
-    passed.append((HEADER_DEADLINE, str(max(1, int(left_s * 1000)))))
-    passed.append((HEADER_EXPECTED_ENDPOINT, endpoint_id))
+    forwarded = [
+        (name, value) for name, value in lines if name.lower() not in _NOT_FORWARDED_HEADERS
+    ]
+    forwarded.append((HEADER_DEADLINE, str(max(1, int(remaining_s * 1000)))))
+    forwarded.append((HEADER_EXPECTED_ENDPOINT, endpoint_id))
     if workspace:
-        passed.append((HEADER_WORKSPACE, workspace))
+        forwarded.append((HEADER_WORKSPACE, workspace))
     if last_event_id:
-        passed.append((HEADER_LAST_EVENT, last_event_id))
+        forwarded.append((HEADER_LAST_EVENT, last_event_id))
     if fetch_from:
-        passed.append((HEADER_FETCH, fetch_from))
+        forwarded.append((HEADER_FETCH_FROM, fetch_from))
     if priority is not None:
-        passed.append((HEADER_PRIORITY, str(priority)))
-    return passed
+        forwarded.append((HEADER_PRIORITY, str(priority)))
+    return forwarded
 
 
 def read_answer_facts(status: int, headers: Message) -> AnswerFacts:
-    """Decode the head of an endpoint's answer (names in any case)."""
+    """Decode the status and the headers (names in any case) of an endpoint's answer."""
     retry_after = _read_number(headers.get("Retry-After", ""))
-    other = status == STATUS_OTHER_INSTANCE
+    is_misdirected = status == STATUS_MISDIRECTED
     return AnswerFacts(
         request_id=headers.get(HEADER_ATTEMPT),
         is_sealed=HEADER_SEAL in headers,
-        did_not_run=HEADER_DID_NOT_RUN in headers or other,
-        is_other_instance=other,
+        did_not_run=HEADER_DID_NOT_RUN in headers or is_misdirected,
+        is_other_instance=is_misdirected,
         is_encoded="Content-Encoding" in headers,
         closes="close" in headers.get("Connection", "").lower(),
         keep_alive_s=_read_keep_alive(headers.get("Keep-Alive", "")),
@@ -134,13 +138,13 @@
         retry_after_s=retry_after,
         pause_s=(retry_after or 0.0) if status == STATUS_UNAVAILABLE else 0.0,
         is_leaving=headers.get(HEADER_LEAVING, "").strip() == "1",
-        cold_s=(_read_number(headers.get(HEADER_COLD, "")) or 0.0) / 1000.0,
+        cold_s=(_read_number(headers.get(HEADER_COLD_MS, "")) or 0.0) / 1000.0,
     )
 
 
 def list_answer_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return what of an endpoint's headers goes back to the caller."""
-    return [(name, value) for name, value in headers if name.lower() not in _NOT_PASSED_BACK]
+    """Return those of an endpoint's headers that are forwarded to the caller."""
+    return [(name, value) for name, value in headers if name.lower() not in _NOT_RETURNED_HEADERS]
 
 
 def _read_counts(text: str) -> tuple[int, int]:
--- a/tests/cli/case.py
+++ b/tests/cli/case.py
@@ -1,4 +1,4 @@
-"""Runs commands in this process against the stand-in."""
+"""Base class of tests that run commands in this process against a stand-in server."""
 
 import contextlib
 import functools
@@ -17,30 +17,30 @@
 from chivetrack.cli.client import Client
 from tests.cli.stand_in import open_stand_in
 
-ENDLESS_S = 600.0
+MAX_COMMAND_S = 600.0
 
 
 @dataclass(frozen=True)
-class Ended:
+class CommandResult:
     code: int
     out: str
     err: str
 
 
 class Clock:
-    """Time that passes only while somebody sleeps, who may wake late."""
+    """A clock that advances only during sleeps; each sleep takes ``wake_delay_s`` longer."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.late = 0.0
+        self.wake_delay_s = 0.0
 
     def read(self) -> float:
         return self.now
 
     def sleep(self, seconds: float) -> None:
-        self.now += seconds + self.late
-        if self.now > ENDLESS_S:
-            raise RuntimeError("the command does not end")
+        self.now += seconds + self.wake_delay_s
+        if self.now > MAX_COMMAND_S:
+            raise RuntimeError("the command did not end within the time limit")
 
 
 class CliCase(unittest.TestCase):
@@ -55,11 +55,11 @@
         }
         self.clock = Clock()
         client = functools.partial(
-            Client, clock=self.clock.read, sleep=self.clock.sleep, chance=random.Random(1)
+            Client, clock=self.clock.read, sleep=self.clock.sleep, rng=random.Random(1)
         )
         stack.enter_context(mock.patch("chivetrack.cli.session.Client", client))
 
-    def run_command(self, *arguments: str) -> Ended:
+    def run_command(self, *arguments: str) -> CommandResult:
         out, err = io.StringIO(), io.StringIO()
         with (
             mock.patch.dict("os.environ", self.environment, clear=True),
@@ -67,7 +67,7 @@
             contextlib.redirect_stderr(err),
         ):
             code = run(list(arguments))
-        return Ended(code, out.getvalue(), err.getvalue())
+        return CommandResult(code, out.getvalue(), err.getvalue())
 
     def write(self, name: str, content: Any) -> str:
         path = self.folder / name
--- a/tests/helpers/tls_under_gevent.py
+++ b/tests/helpers/tls_under_gevent.py
@@ -1,8 +1,8 @@
-"""A program for the tests: TLS listeners under gevent, before and after a reload.
+"""Test program: TLS listeners under gevent, before and after a reload.
 
-Runs as its own process, since it patches the standard library for gevent. Prints
-``served`` when HTTP and gRPC answered with the old and then with the new certificate,
-a silent client held up nobody, and a broken pair changed nothing.
+It runs in its own process, since it patches the standard library for gevent. It prints
+``served`` if HTTP and gRPC answered with the old and then with the new certificate, silent
+clients blocked no request, and a mismatched pair was not loaded.
 """
 
 import gevent.monkey
@@ -25,7 +25,7 @@
 from chivetrack.proto import peer_pb2, peer_pb2_grpc  # noqa: E402
 from tests.helpers.certificates import Authority, write_files  # noqa: E402
 
-HANG_S = 30.0
+HANG_TIMEOUT_S = 30.0
 
 
 class _Server(TlsServerMixin, WSGIServer):
@@ -45,7 +45,7 @@
 
 
 def call_both(tls: Tls, http_port: int, grpc_port: int) -> None:
-    """Ask both listeners once, each over a connection of its own."""
+    """Send one request to each listener, over a new connection."""
     pool = urllib3.PoolManager(ssl_context=tls.client_context, retries=False)
     assert pool.request("GET", f"https://127.0.0.1:{http_port}/").data == b"ok"
     pool.clear()
@@ -53,13 +53,13 @@
     credentials = tls.create_grpc_channel_credentials()
     with grpc.secure_channel(f"127.0.0.1:{grpc_port}", credentials, options) as channel:
         batches = iter([peer_pb2.Batch()])
-        peer_pb2_grpc.PeerStub(channel).Deliver(batches, timeout=HANG_S)
+        peer_pb2_grpc.PeerStub(channel).Deliver(batches, timeout=HANG_TIMEOUT_S)
 
 
 def main() -> None:
     """Serve, replace the files, serve again."""
     grpc_gevent.init_gevent()
-    with gevent.Timeout(HANG_S), tempfile.TemporaryDirectory() as name:
+    with gevent.Timeout(HANG_TIMEOUT_S), tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         first, second = Authority("first"), Authority("second")
         files = write_files(folder, first.issue(), first.pem)
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform: good, odd and broken ones, and what the sender gets."""
+"""Message bodies of the platform: decoding of valid and invalid ones, and the responses."""
 
 import json
 import unittest
@@ -17,7 +17,7 @@
 from chivetrack.exceptions import Fault
 from chivetrack.platform.announcements import read_departure, read_heartbeat
 from chivetrack.platform.configuration import read_document
-from chivetrack.platform.control_api import Elsewhere, add_document_route, build_control_app
+from chivetrack.platform.control_api import RedirectTo, add_document_route, build_control_app
 
 ROUTE = {
     "name": "r",
@@ -61,18 +61,18 @@
 
 
 def make_config(**changes: Any) -> bytes:
-    whole = {
+    document = {
         "version": 7,
         "routes": [ROUTE],
         "services": SERVICES,
         "limits": {"maxHeaderBytes": 16384, "idleTimeoutMs": 15000},
         "tenants": [{"name": "t", "apiKeys": ["k"], "priority": 1}],
     }
-    return json.dumps({**whole, **changes}).encode()
+    return json.dumps({**document, **changes}).encode()
 
 
 class ConfigurationTest(unittest.TestCase):
-    def test_good_document(self) -> None:
+    def test_valid_document(self) -> None:
         document = read_document(make_config(unknown={"field": 1})).ok
         (route,) = document.routes
         self.assertIs(route.kind, RouteKind.STREAM)
@@ -110,18 +110,18 @@
             with self.subTest(name):
                 self.assertTrue(read_document(body).is_error())
 
-    def test_kind_that_is_not_known_may_not_be_repeated(self) -> None:
+    def test_unknown_kind_is_not_retried(self) -> None:
         document = read_document(make_config(routes=[{**ROUTE, "kind": "new"}])).ok
         self.assertFalse(document.routes[0].is_repeatable)
 
 
 class HeartbeatTest(unittest.TestCase):
-    def test_good_heartbeat(self) -> None:
+    def test_valid_heartbeat(self) -> None:
         record = read_heartbeat("i-1", json.dumps(BEAT).encode()).ok
         self.assertEqual((record.born, record.sequence, record.cold_s), (1790732696017, 4, 1.5))
         self.assertIs(record.state, EndpointState.READY)
 
-    def test_heartbeats_of_another_writer(self) -> None:
+    def test_invalid_heartbeats(self) -> None:
         missing = [{k: v for k, v in BEAT.items() if k != name} for name in ("service", "state")]
         bodies = [
             b"",
@@ -144,17 +144,17 @@
         self.assertEqual(read_departure(b'{"born": 5}'), 5)
 
 
-class Desk:
-    """A replica that answers as it is told to."""
+class StubHandler:
+    """A replica's handler that returns the preset ``outcome``."""
 
     def __init__(self) -> None:
-        self.outcome: Result[Any, Fault | Elsewhere] = Ok(7)
+        self.outcome: Result[Any, Fault | RedirectTo] = Ok(7)
         self.records: list[EndpointRecord] = []
 
-    def put(self, document: Document, body: bytes) -> Result[int, Fault | Elsewhere]:
+    def put(self, document: Document, body: bytes) -> Result[int, Fault | RedirectTo]:
         return self.outcome
 
-    def read(self) -> Result[StoredDocument, Fault | Elsewhere]:
+    def read(self) -> Result[StoredDocument, Fault | RedirectTo]:
         if self.outcome.is_error():
             return self.outcome
         return Ok(StoredDocument(version=7, payload=zlib.compress(make_config())))
@@ -169,12 +169,12 @@
 
 class ControlApiTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = Desk()
+        self.handler = StubHandler()
         self.bad: list[str] = []
         app = build_control_app(
-            desk=self.desk,
+            handler=self.handler,
             unpack=zlib.decompress,
-            note_bad=lambda what, detail: self.bad.append(what),
+            report_invalid=lambda what, detail: self.bad.append(what),
         )
         self.server = WSGIServer(("127.0.0.1", 0), app, log=None)
         self.server.start()
@@ -182,52 +182,55 @@
         self.http = urllib3.PoolManager(retries=False)
         self.pool = ThreadPool(1)
 
-    def ask(self, method: str, path: str, body: bytes | None = None) -> Any:
+    def send_request(self, method: str, path: str, body: bytes | None = None) -> Any:
         url = f"http://127.0.0.1:{self.server.server_port}{path}"
         return self.pool.apply(lambda: self.http.request(method, url, body=body, redirect=False))
 
     def test_configuration(self) -> None:
-        answer = self.ask("PUT", "/config", make_config())
+        answer = self.send_request("PUT", "/config", make_config())
         self.assertEqual((answer.status, json.loads(answer.data)), (200, {"version": 7}))
-        answer = self.ask("GET", "/config")
+        answer = self.send_request("GET", "/config")
         self.assertEqual(json.loads(answer.data), json.loads(make_config()))
-        answer = self.ask("PUT", "/config", b"{")
+        answer = self.send_request("PUT", "/config", b"{")
         self.assertEqual(answer.status, 400)
         self.assertEqual(self.bad, ["configuration"])
         self.assertIn("errors", json.loads(answer.data))
 
     def test_refusals(self) -> None:
-        self.desk.outcome = Error(Elsewhere(address="10.0.0.4:8080"))
+        self.handler.outcome = Error(RedirectTo(address="10.0.0.4:8080"))
         for method, body in (("PUT", make_config()), ("GET", None)):
-            answer = self.ask(method, "/config", body)
+            answer = self.send_request(method, "/config", body)
             self.assertEqual(answer.status, 307)
             self.assertEqual(answer.headers["Location"], "http://10.0.0.4:8080/config")
         fault = Fault(code="no_leader", message="no", status=503, retry_after_s=0.3)
-        self.desk.outcome = Error(fault)
-        answer = self.ask("GET", "/config")
+        self.handler.outcome = Error(fault)
+        answer = self.send_request("GET", "/config")
         self.assertEqual((answer.status, answer.headers["Retry-After"]), (503, "0.3"))
-        self.assertEqual(self.ask("DELETE", "/instances/i-1").status, 503)
+        self.assertEqual(self.send_request("DELETE", "/instances/i-1").status, 503)
 
-    def test_large_document_at_a_router(self) -> None:
-        """A replica sends the operator on; the router must have the version, or say 503."""
-        self.desk.outcome = Error(Elsewhere(address="10.0.0.9:8220", min_version=7))
-        answer = self.ask("GET", "/config")
+    def test_document_is_read_from_a_router(self) -> None:
+        """A replica redirects the operator to a router, which serves that version or newer.
+
+        A router that has only an older version answers 503.
+        """
+        self.handler.outcome = Error(RedirectTo(address="10.0.0.9:8220", min_version=7))
+        answer = self.send_request("GET", "/config")
         self.assertEqual(answer.headers["Location"], "http://10.0.0.9:8220/config?version=7")
         app = Bottle()
         add_document_route(app, lambda version: b"{}" if version <= 7 else None)
         self.server.application = app
-        answer = self.ask("GET", "/config?version=7")
+        answer = self.send_request("GET", "/config?version=7")
         self.assertEqual((answer.status, answer.data), (200, b"{}"))
         for query in ("?version=8", "?version=x", ""):
-            self.assertEqual(self.ask("GET", "/config" + query).status, 503)
+            self.assertEqual(self.send_request("GET", "/config" + query).status, 503)
 
     def test_endpoints(self) -> None:
-        answer = self.ask("PUT", "/instances/i-1", json.dumps(BEAT).encode())
+        answer = self.send_request("PUT", "/instances/i-1", json.dumps(BEAT).encode())
         self.assertEqual(answer.status, 200)
-        self.assertEqual(self.desk.records[0].endpoint_id, "i-1")
-        self.assertEqual(self.ask("PUT", "/instances/i-1", b"x").status, 400)
+        self.assertEqual(self.handler.records[0].endpoint_id, "i-1")
+        self.assertEqual(self.send_request("PUT", "/instances/i-1", b"x").status, 400)
         self.assertEqual(self.bad, ["heartbeat"])
-        self.assertEqual(self.ask("DELETE", "/instances/i-1").status, 200)
+        self.assertEqual(self.send_request("DELETE", "/instances/i-1").status, 200)
 
 
 if __name__ == "__main__":
