--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -241,7 +241,7 @@
         url = f"http://{member.host}:{RESOURCE_PORT}{path}"
         return self._http.request(method, url, headers=headers, body=body)
 
-    def play(self, member: Member, mode: str, *, count: int = 1, **details: float) -> None:
+    def inject_fault(self, member: Member, mode: str, *, count: int = 1, **details: float) -> None:
         """Have a stand-in play a fault on its next requests; see ``Faults``."""
         body = json.dumps({"mode": mode, "count": count, **details})
         self.request("POST", member, "/standin/faults", body=body)
--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -84,14 +84,14 @@
     def serves_plain(cls, router: Member) -> bool:
         return call(cls.fleet, router, "GET", f"/services/{PLAIN_SERVICE}/warm").status == 200
 
-    def play(self, mode: str, **details: float) -> None:
+    def inject_fault(self, mode: str, **details: float) -> None:
         """Have both engines play a fault until ``tearDown``."""
         for engine in self.engines:
-            self.fleet.play(engine, mode, count=1000, **details)
+            self.fleet.inject_fault(engine, mode, count=1000, **details)
 
     def tearDown(self) -> None:
         for member in (*self.engines, self.service):
-            self.fleet.play(member, "", count=0)
+            self.fleet.inject_fault(member, "", count=0)
 
     def find_seen(self, chat_id: str) -> list[dict[str, Any]]:
         """Return what the engines saw of one chat."""
@@ -125,7 +125,7 @@
         ]
         for mode, ran in table:
             with self.subTest(mode):
-                self.play(mode)
+                self.inject_fault(mode)
                 reply = chat(self.fleet, self.routers[0], mode, stream=False, X_Idempotent="false")
                 self.assertIn(reply.status, (502, 503), reply.body)
                 self.assertEqual(reply.error["ran"], ran)
@@ -142,7 +142,7 @@
     def test_retry_hides_one_broken_answer(self) -> None:
         """An engine loses a whole answer; the chat may run twice, so another engine does it."""
         for engine in self.engines:
-            self.fleet.play(engine, "cut", count=1)
+            self.fleet.inject_fault(engine, "cut", count=1)
         replies = [chat(self.fleet, self.routers[1], "t", stream=False) for _ in range(4)]
         good = [reply for reply in replies if reply.status == 200]
         self.assertGreaterEqual(len(good), 3)
@@ -159,7 +159,7 @@
         policy_stall = {"cut": 0.0, "truncate": 0.0, "stall": 60.0}
         for mode, delay_s in policy_stall.items():
             with self.subTest(mode):
-                self.play(mode, after_chunks=3, delay_s=delay_s)
+                self.inject_fault(mode, after_chunks=3, delay_s=delay_s)
                 connection = http.client.HTTPConnection(self.routers[0].address, timeout=60)
                 headers = {
                     "Authorization": f"Bearer {CALLER_KEY}",
@@ -185,7 +185,7 @@
 
         The late one is told "deadline, may have run"; the others get their own.
         """
-        self.play("late", delay_s=1.0)
+        self.inject_fault("late", delay_s=1.0)
         late = chat(self.fleet, self.routers[0], "late", stream=False, X_Request_Timeout_Ms="200")
         self.assert_typed(late, 504, "deadline_exceeded", "maybe")
         self.tearDown()
@@ -198,7 +198,7 @@
 
         Read by the next caller it would be another caller's words.
         """
-        self.play("double")
+        self.inject_fault("double")
         for number in range(6):
             reply = chat(self.fleet, self.routers[2], f"copy {number}", stream=False)
             self.assertEqual(reply.status, 200)
@@ -241,7 +241,7 @@
         Its caller must see that the answer is not whole; every router then serves
         chats at the engine that is left.
         """
-        self.play("stall", delay_s=60.0)
+        self.inject_fault("stall", delay_s=60.0)
         connection = http.client.HTTPConnection(self.routers[0].address, timeout=60)
         self.addCleanup(connection.close)
         headers = {"Authorization": f"Bearer {CALLER_KEY}"}
@@ -449,7 +449,7 @@
 
     def test_no_endpoint_says_when_to_come_back(self) -> None:
         """All engines refuse; the caller is told that nothing ran and when to try again."""
-        self.play("refuse")
+        self.inject_fault("refuse")
         reply = self.chat(X_Idempotent="false")
         self.assertEqual(reply.error["ran"], "no")
         self.assertGreaterEqual(int(reply.headers["retry-after"]), 1)
@@ -472,7 +472,7 @@
         send it on. The first caller is answered before the log has the outcome, so a
         quick resend may hear "in progress" first.
         """
-        self.fleet.play(self.service, "die")
+        self.fleet.inject_fault(self.service, "die")
         first = self.quote(self.routers[0], Idempotency_Key="quote-a")
         self.assertEqual(first.error["ran"], "maybe")
         for router in self.routers[1:]:
@@ -482,7 +482,7 @@
 
     def test_call_without_a_key_is_not_sent_twice(self) -> None:
         """A POST without a key dies in the service; the caller alone may decide to resend."""
-        self.fleet.play(self.service, "die")
+        self.fleet.inject_fault(self.service, "die")
         reply = self.quote(self.routers[0], X_Chat_Id="quote-b")
         self.assertEqual((reply.status, reply.error["ran"]), (502, "maybe"))
         self.assertEqual(self.count_runs("quote-b"), 1)
--- a/tests/system/test_stop_graceful.py
+++ b/tests/system/test_stop_graceful.py
@@ -91,7 +91,7 @@
         """An operator has no time to wait; the log says what was cut."""
         fleet = self.open(deadline_s=60.0, token_ms=5, balancer=False)
         leaving = fleet.members["entry-2"]
-        fleet.play(fleet.members["engine-1"], "stall", delay_s=60.0)
+        fleet.inject_fault(fleet.members["engine-1"], "stall", delay_s=60.0)
         stream = self.begin_stream(leaving)
         leaving.send(signal.SIGTERM)
         wait_until(lambda: "settling" in leaving.read_log(), "the stop has begun")
@@ -102,7 +102,7 @@
         """A stream runs longer than the stop may take; the caller sees a cut answer."""
         fleet = self.open(deadline_s=2.0, token_ms=5, balancer=False)
         leaving = fleet.members["entry-2"]
-        fleet.play(fleet.members["engine-1"], "stall", delay_s=60.0)
+        fleet.inject_fault(fleet.members["engine-1"], "stall", delay_s=60.0)
         stream = self.begin_stream(leaving)
         leaving.send(signal.SIGTERM)
         self.assert_cut(leaving, stream)
