--- a/tests/system/crashing.py
+++ b/tests/system/crashing.py
@@ -14,7 +14,7 @@
 HEARTBEAT_S = 0.5
 
 
-class _Lifetime(Endpoint):
+class _Incarnation(Endpoint):
     """One lifetime of the endpoint's process; a crash closes all its connections."""
 
     allow_reuse_address = True
@@ -48,7 +48,7 @@
 
 
 class _Handler(EndpointHandler):
-    server: _Lifetime
+    server: _Incarnation
 
     def _serve(self, body: bytes) -> None:
         if self.headers.get("X-Chivetrack-Expect-Instance") != self.server.name:
@@ -81,11 +81,11 @@
 
     def _start(self) -> None:
         self._starts += 1
-        self._lifetime: _Lifetime | None = _Lifetime(
+        self._lifetime: _Incarnation | None = _Incarnation(
             host=self._host, name=f"i-{self._number}-{self._starts}", service="portal", owner=self
         )
 
-    def run(self, lifetime: _Lifetime, body: bytes) -> None:
+    def run(self, lifetime: _Incarnation, body: bytes) -> None:
         """Record the run of a request; crash if its body is in ``crash_bodies``."""
         with self._lock:
             self.runs.append((time.monotonic(), body))
@@ -96,7 +96,7 @@
         threading.Thread(target=self._replace, args=(lifetime,), daemon=True).start()
         time.sleep(0.1)
 
-    def _replace(self, lifetime: _Lifetime) -> None:
+    def _replace(self, lifetime: _Incarnation) -> None:
         lifetime.crash()
         lifetime.shutdown()
         is_stopped = self._stopped.wait(RESTART_DELAY_S)
