--- a/tests/system/crashing.py
+++ b/tests/system/crashing.py
@@ -85,34 +85,34 @@
             host=self._host, name=f"i-{self._number}-{self._starts}", service="portal", owner=self
         )
 
-    def run(self, lifetime: _Incarnation, body: bytes) -> None:
+    def run(self, incarnation: _Incarnation, body: bytes) -> None:
         """Record the run of a request; crash if its body is in ``crash_bodies``."""
         with self._lock:
             self.runs.append((time.monotonic(), body))
-            if body not in self.crash_bodies or self._lifetime is not lifetime:
+            if body not in self.crash_bodies or self._lifetime is not incarnation:
                 return
             self._lifetime = None
             self.crashes.append(time.monotonic())
-        threading.Thread(target=self._replace, args=(lifetime,), daemon=True).start()
+        threading.Thread(target=self._replace, args=(incarnation,), daemon=True).start()
         time.sleep(0.1)
 
-    def _replace(self, lifetime: _Incarnation) -> None:
-        lifetime.crash()
-        lifetime.shutdown()
+    def _replace(self, incarnation: _Incarnation) -> None:
+        incarnation.crash()
+        incarnation.shutdown()
         is_stopped = self._stopped.wait(RESTART_DELAY_S)
-        if lifetime.retained_listener is not None:
-            lifetime.retained_listener.close()
+        if incarnation.retained_listener is not None:
+            incarnation.retained_listener.close()
         if not is_stopped:
             self._start()
 
     def _announce(self) -> None:
         while not self._stopped.wait(HEARTBEAT_S):
-            lifetime = self._lifetime
-            if lifetime is None:
+            incarnation = self._lifetime
+            if incarnation is None:
                 continue
-            heartbeat = lifetime.make_heartbeat()
+            heartbeat = incarnation.make_heartbeat()
             for name in self._deployment.list_names("p"):
-                path = f"/instances/{lifetime.name}"
+                path = f"/instances/{incarnation.name}"
                 if self._deployment.control("PUT", name, path, heartbeat)[0] == 200:
                     break
 
