--- a/tests/system/crashing.py
+++ b/tests/system/crashing.py
@@ -81,7 +81,7 @@
 
     def _start(self) -> None:
         self._starts += 1
-        self._lifetime: _Incarnation | None = _Incarnation(
+        self._incarnation: _Incarnation | None = _Incarnation(
             host=self._host, name=f"i-{self._number}-{self._starts}", service="portal", owner=self
         )
 
@@ -89,9 +89,9 @@
         """Record the run of a request; crash if its body is in ``crash_bodies``."""
         with self._lock:
             self.runs.append((time.monotonic(), body))
-            if body not in self.crash_bodies or self._lifetime is not incarnation:
+            if body not in self.crash_bodies or self._incarnation is not incarnation:
                 return
-            self._lifetime = None
+            self._incarnation = None
             self.crashes.append(time.monotonic())
         threading.Thread(target=self._replace, args=(incarnation,), daemon=True).start()
         time.sleep(0.1)
@@ -107,7 +107,7 @@
 
     def _announce(self) -> None:
         while not self._stopped.wait(HEARTBEAT_S):
-            incarnation = self._lifetime
+            incarnation = self._incarnation
             if incarnation is None:
                 continue
             heartbeat = incarnation.make_heartbeat()
@@ -119,9 +119,9 @@
     def stop(self) -> None:
         """Stop the current lifetime and its heartbeats."""
         self._stopped.set()
-        if self._lifetime is not None:
-            self._lifetime.shutdown()
-            self._lifetime.server_close()
+        if self._incarnation is not None:
+            self._incarnation.shutdown()
+            self._incarnation.server_close()
 
 
 @contextmanager
