--- a/standins/link.py
+++ b/standins/link.py
@@ -88,7 +88,7 @@
     return False
 
 
-def get_taken(cuts: Path) -> Path:
+def get_applied_path(cuts: Path) -> Path:
     """Return the file into which a link writes the cuts that it has taken."""
     return cuts.with_suffix(".taken")
 
@@ -115,7 +115,7 @@
             if text != self._text:
                 self._text = text
                 self._cut = frozenset(text.split())
-                get_taken(self._cuts).write_text(text)
+                get_applied_path(self._cuts).write_text(text)
             gevent.sleep(READ_EVERY_S)
 
     def _handle(self, source: socket.socket, address: tuple[str, int]) -> None:
--- a/tests/system/fleets.py
+++ b/tests/system/fleets.py
@@ -14,7 +14,7 @@
 import urllib3
 
 from standins.fleet import PEER_PORT, RESOURCE_PORT, Fleet, InstancePlan, Member
-from standins.link import get_taken
+from standins.link import get_applied_path
 
 LINK_PORT = 18092
 WAIT_S = 30.0
@@ -86,7 +86,7 @@
         for name, text in cuts.items():
             self._write_cuts(name, text)
         for name, text in cuts.items():
-            taken = get_taken(self.get_cuts(name))
+            taken = get_applied_path(self.get_cuts(name))
             wait_for(partial(_holds, taken, text), "cut not taken")
 
     def _write_cuts(self, name: str, text: str) -> None:
