--- a/tests/system/test_stop.py
+++ b/tests/system/test_stop.py
@@ -39,7 +39,7 @@
             deployment.wait_served(name)
         return deployment, endpoint
 
-    def call_soon(self, deployment: Deployment, **headers: str) -> threading.Thread:
+    def start_call(self, deployment: Deployment, **headers: str) -> threading.Thread:
         """Start a request that waits for a long time, and return its thread."""
         headers.setdefault("X_Chivetrack_Deadline_Ms", str(LONG_TIMEOUT_MS))
         caller = threading.Thread(target=lambda: deployment.call("r1", **headers))
@@ -60,7 +60,7 @@
         """Guards against a request that is cut by the exit and has no line of its end."""
         deployment, endpoint = self.open(stop_within_s=2.0)
         endpoint.work_s = 6.0
-        caller = self.call_soon(deployment, X_Chivetrack_Attempt_Id="cut-1")
+        caller = self.start_call(deployment, X_Chivetrack_Attempt_Id="cut-1")
         time.sleep(0.3)
         started_at = time.monotonic()
         deployment.begin_stop("r1").wait(timeout=20)
@@ -76,10 +76,10 @@
         """Guards against answers that break off at the exit although that was foreseeable."""
         deployment, endpoint = self.open(stop_within_s=3.0)
         endpoint.work_s = 1.0
-        callers = [self.call_soon(deployment) for _ in range(30)]
+        callers = [self.start_call(deployment) for _ in range(30)]
         for caller in callers:
             caller.join()
-        self.call_soon(deployment)
+        self.start_call(deployment)
         time.sleep(0.3)
         self.addCleanup(deployment.begin_stop("r1").wait)
         time.sleep(1.0)
@@ -96,7 +96,7 @@
         """Return a router that has got SIGTERM with a request in flight to its end."""
         deployment, endpoint = self.open(stop_within_s=8.0)
         endpoint.work_s = 9.0
-        self.call_soon(deployment)
+        self.start_call(deployment)
         time.sleep(0.3)
         self.addCleanup(deployment.begin_stop("r1").wait)
         endpoint.work_s = 0.0
