--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -269,7 +269,7 @@
 
     token_ms = "1000"
 
-    def leave(self, chat_id: str, *, stream: bool) -> None:
+    def send_and_disconnect(self, chat_id: str, *, stream: bool) -> None:
         connection = http.client.HTTPConnection(self.routers[0].address, timeout=30)
         headers = {"Authorization": f"Bearer {CALLER_KEY}", "X-Chat-Id": chat_id}
         connection.request("POST", CHAT_PATH, make_chat("x", stream=stream), headers)
@@ -289,7 +289,7 @@
 
         Else it would go on for minutes and hold a place that others need.
         """
-        self.leave("left-streaming", stream=True)
+        self.send_and_disconnect("left-streaming", stream=True)
         wait_until(lambda: self.find_seen("left-streaming")[0]["cancelled"], "cancelled")
         wait_until(lambda: self.count_in_flight() == 0, "no engine works on")
 
@@ -299,7 +299,7 @@
         A router that only waits writes nothing that could fail, so only watching the
         connection shows it.
         """
-        self.leave("left-waiting", stream=False)
+        self.send_and_disconnect("left-waiting", stream=False)
         router = self.routers[0]
         url = f"http://{router.host}:18083/metrics"
 
