--- a/tests/system/fleets.py
+++ b/tests/system/fleets.py
@@ -25,7 +25,7 @@
     """A condition did not come true in time."""
 
 
-def _holds(path: Path, text: str) -> bool:
+def _has_content(path: Path, text: str) -> bool:
     return path.exists() and path.read_text() == text
 
 
@@ -87,7 +87,7 @@
             self._write_cuts(name, text)
         for name, text in cuts.items():
             taken = get_applied_path(self.get_cuts(name))
-            wait_for(partial(_holds, taken, text), "cut not taken")
+            wait_for(partial(_has_content, taken, text), "cut not taken")
 
     def _write_cuts(self, name: str, text: str) -> None:
         aside = self.get_cuts(name).with_suffix(".new")
