--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -72,9 +72,9 @@
         for port in (CALLER_PORT, RESOURCE_PORT, TELEMETRY_PORT):
             with self.subTest(port=port), self.assertRaises(urllib3.exceptions.HTTPError):
                 plain.request("GET", f"http://{hosts[0]}:{port}/readyz")
-        self.check_stranger(hosts[0])
+        self.assert_peer_without_certificate_is_refused(hosts[0])
 
-    def check_stranger(self, host: str) -> None:
+    def assert_peer_without_certificate_is_refused(self, host: str) -> None:
         context = ssl.create_default_context(cafile=str(self.ca_file))
         context.set_alpn_protocols(["h2"])
         with self.assertRaises((ssl.SSLError, OSError)):
