--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -78,9 +78,9 @@
         context = ssl.create_default_context(cafile=str(self.ca_file))
         context.set_alpn_protocols(["h2"])
         with self.assertRaises((ssl.SSLError, OSError)):
-            self.talk_without_certificate(host, context)
+            self.connect_without_certificate(host, context)
 
-    def talk_without_certificate(self, host: str, context: ssl.SSLContext) -> None:
+    def connect_without_certificate(self, host: str, context: ssl.SSLContext) -> None:
         with (
             socket.create_connection((host, PEER_PORT), timeout=5.0) as raw,
             context.wrap_socket(raw, server_hostname=host) as connection,
