--- a/tests/system/test_drain.py
+++ b/tests/system/test_drain.py
@@ -52,7 +52,7 @@
         self.assertIn("must remain", waiting["reason"])
         self.assertEqual(operator.send("DELETE", "entry-2", "drain/d2").status, 200)
         self.assertEqual(operator.send("DELETE", "entry-2", "drain/d1").status, 200)
-        wait_for(lambda: self.gets_work(fleet, before), "the engine gets no work again")
+        wait_for(lambda: self.receives_requests(fleet, before), "the engine gets no work again")
 
     def drain(self, operator: Operator, name: str, endpoint: str):
         spec = {"target": {"kind": "endpoint", "name": endpoint}, "floor": 0.6}
@@ -81,7 +81,7 @@
             started.append((thread, results))
         return started
 
-    def gets_work(self, fleet: Fleet, before: int) -> bool:
+    def receives_requests(self, fleet: Fleet, before: int) -> bool:
         member = fleet.members["entry-1"]
 
         def run(number: int) -> None:
