--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -108,7 +108,7 @@
 class EngineFaultTest(PathCase):
     """The fleet's answers when engines answer wrongly."""
 
-    def make_whole(self, chat_id: str, text: str) -> str:
+    def make_full_text(self, chat_id: str, text: str) -> str:
         return "".join(f"{chat_id}/{text}/{number} " for number in range(TOKENS))
 
     def test_whole_answers_that_are_wrong(self) -> None:
@@ -147,7 +147,7 @@
         good = [reply for reply in replies if reply.status == 200]
         self.assertGreaterEqual(len(good), 3)
         for reply in good:
-            self.assertEqual(reply.text, self.make_whole(reply.text.split("/")[0], "t"))
+            self.assertEqual(reply.text, self.make_full_text(reply.text.split("/")[0], "t"))
 
     def test_streams_that_end_early_are_seen_as_cut(self) -> None:
         """An engine dies, loses its end mark or falls silent after three tokens.
