--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -98,7 +98,7 @@
         seen = [entry for engine in self.engines for entry in self.fleet.read_seen(engine)]
         return [entry for entry in seen if entry["chat"] == chat_id]
 
-    def assert_typed(self, reply: Reply, status: int, code: str, ran: str) -> None:
+    def assert_typed_error(self, reply: Reply, status: int, code: str, ran: str) -> None:
         self.assertEqual(reply.status, status, reply.body)
         self.assertEqual(reply.headers["content-type"], "application/json")
         self.assertEqual((reply.error["code"], reply.error["ran"]), (code, ran))
@@ -187,7 +187,7 @@
         """
         self.inject_fault("late", delay_s=1.0)
         late = chat(self.fleet, self.routers[0], "late", stream=False, X_Request_Timeout_Ms="200")
-        self.assert_typed(late, 504, "deadline_exceeded", "maybe")
+        self.assert_typed_error(late, 504, "deadline_exceeded", "maybe")
         self.tearDown()
         for number in range(8):
             reply = chat(self.fleet, self.routers[0], f"next {number}", stream=False)
@@ -437,7 +437,7 @@
         ]
         for name, send, status, code in table:
             with self.subTest(name):
-                self.assert_typed(send(), status, code, "no")
+                self.assert_typed_error(send(), status, code, "no")
         self.assertEqual(chat(self.fleet, router, "after all").status, 200)
         self.assertNotIn("Traceback", router.read_log())
 
@@ -477,7 +477,7 @@
         self.assertEqual(first.error["ran"], "maybe")
         for router in self.routers[1:]:
             again = self.wait_ended(router, "quote-a")
-            self.assert_typed(again, again.status, "outcome_unknown", "maybe")
+            self.assert_typed_error(again, again.status, "outcome_unknown", "maybe")
         self.assertEqual(self.count_runs("quote-a"), 1)
 
     def test_call_without_a_key_is_not_sent_twice(self) -> None:
@@ -494,7 +494,7 @@
             again = self.quote(router, Idempotency_Key=key)
             if again.error["code"] != "in_progress":
                 return again
-            self.assert_typed(again, 409, "in_progress", "maybe")
+            self.assert_typed_error(again, 409, "in_progress", "maybe")
             self.assertIn("retry-after", again.headers)
             return None
 
