--- a/tests/system/test_stop.py
+++ b/tests/system/test_stop.py
@@ -19,7 +19,7 @@
 from tests.system.deployment import open_endpoint as open_endpoint_of
 from tests.system.fleets import wait_for
 
-LONG_TIMEOUT_MS = 15_000
+ROUTE_TIMEOUT_MS = 15_000
 HEADERS = {"Host": "one.example", "X-Chivetrack-Key": "key"}
 
 
@@ -32,7 +32,7 @@
         deployment.start_all()
         endpoint = self.enterContext(open_endpoint_of(deployment, 1))
         config = make_config(3)
-        config["routes"][0]["timeoutMs"] = LONG_TIMEOUT_MS
+        config["routes"][0]["timeoutMs"] = ROUTE_TIMEOUT_MS
         deployment.put(config)
         deployment.announce(endpoint)
         for name in deployment.list_names("r"):
@@ -41,7 +41,7 @@
 
     def start_call(self, deployment: Deployment, **headers: str) -> threading.Thread:
         """Start a request that waits for a long time, and return its thread."""
-        headers.setdefault("X_Chivetrack_Deadline_Ms", str(LONG_TIMEOUT_MS))
+        headers.setdefault("X_Chivetrack_Deadline_Ms", str(ROUTE_TIMEOUT_MS))
         caller = threading.Thread(target=lambda: deployment.call("r1", **headers))
         caller.start()
         self.addCleanup(caller.join)
