--- a/tests/system/test_drain.py
+++ b/tests/system/test_drain.py
@@ -14,7 +14,7 @@
 ENGINES = ("engine-1", "engine-2", "engine-3")
 DRAINED = "engine-1"
 # What a router that is told by its relay may take, and more on a busy machine.
-SETTLE_S = 5.0
+DRAIN_PROPAGATION_S = 5.0
 
 
 class DrainTest(unittest.TestCase):
@@ -38,7 +38,7 @@
         self.assertEqual(self.drain(operator, "d1", DRAINED).status, 201)
         wait_for(lambda: self.get_phase(operator, "d1") in ("active", "done"), "not active")
         self.assertEqual(self.drain(operator, "d2", "engine-2").status, 201)
-        time.sleep(SETTLE_S)
+        time.sleep(DRAIN_PROPAGATION_S)
         before = self.count_seen(fleet, DRAINED)
         others = self.start_streams(fleet)
         for thread, results in (*streams, *others):
