--- a/tests/system/test_deployment.py
+++ b/tests/system/test_deployment.py
@@ -141,7 +141,7 @@
             deployment.call("r1")
         return len(endpoint.seen) - before
 
-    def test_order_outlives_the_loss_of_every_process_and_of_two_disks(self) -> None:
+    def test_evacuation_survives_loss_of_all_processes_and_two_disks(self) -> None:
         """A zone is evacuated; right after the acknowledgement all processes die.
 
         Two replicas come back with empty disks. No router may send anything to the zone,
