--- a/tests/system/test_deployment.py
+++ b/tests/system/test_deployment.py
@@ -190,7 +190,7 @@
         read: dict[str, Any] = json.loads(output.getvalue())
         return read
 
-    def test_orders_that_name_nothing_to_evacuate(self) -> None:
+    def test_invalid_evacuation_requests_are_rejected(self) -> None:
         """An unknown zone, a body or a wrong path is the operator's mistake.
 
         It has to be told which, in JSON; an answer that asks it to come again would have it
