--- a/tests/system/test_deployment.py
+++ b/tests/system/test_deployment.py
@@ -212,7 +212,7 @@
 
 
 class ColdEndpointTest(DeploymentCase):
-    def test_cold_endpoint_gets_what_it_bears_and_nothing_is_refused(self) -> None:
+    def test_cold_endpoint_is_rate_limited_and_nothing_is_refused(self) -> None:
         """One of two endpoints comes back cold and idle, and three routers are busy.
 
         Together they may send it ten requests a second; in any one and at the start some
