--- a/tests/system/test_log_failures.py
+++ b/tests/system/test_log_failures.py
@@ -42,7 +42,7 @@
 
 
 class KilledLeaderTest(FleetCase):
-    def test_accepted_writes_outlive_a_killed_leader(self) -> None:
+    def test_accepted_writes_survive_a_killed_leader(self) -> None:
         """Operators write through all instances while the leader is killed.
 
         A write that was accepted must be there afterwards; one that was refused as
