--- a/tests/system/test_log_failures.py
+++ b/tests/system/test_log_failures.py
@@ -88,7 +88,7 @@
 
 
 class FrozenLeaderTest(FleetCase):
-    def test_frozen_leader_neither_answers_nor_takes_back(self) -> None:
+    def test_frozen_leader_serves_no_stale_read_and_keeps_its_revision(self) -> None:
         """The leader hangs for longer than an election, and wakes up.
 
         Meanwhile another one leads and a change is accepted. The woken one still
