--- a/tests/system/test_log_failures.py
+++ b/tests/system/test_log_failures.py
@@ -116,7 +116,7 @@
 
 
 class CutLeaderTest(FleetCase):
-    def test_leader_on_the_lesser_side_of_a_silent_cut(self) -> None:
+    def test_leader_in_the_minority_of_a_silent_partition(self) -> None:
         """Bytes from and to the leader vanish; its connections stay up.
 
         It can't know. Writes through it must not be accepted, reads through it must
