--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -180,7 +180,7 @@
                 self.tearDown()
                 self.assert_serves()
 
-    def test_late_answer_reaches_nobody(self) -> None:
+    def test_late_answer_is_discarded(self) -> None:
         """Engines answer after the deadline, while other callers use the same routers.
 
         The late one is told "deadline, may have run"; the others get their own.
