--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -193,7 +193,7 @@
             reply = chat(self.fleet, self.routers[0], f"next {number}", stream=False)
             self.assertIn(f"/next {number}/0 ", reply.text)
 
-    def test_doubled_answer_reaches_nobody_else(self) -> None:
+    def test_duplicate_answer_is_not_sent_to_the_next_caller(self) -> None:
         """An engine sends an answer twice; the second copy waits on the connection.
 
         Read by the next caller it would be another caller's words.
