--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -204,7 +204,7 @@
             self.assertEqual(reply.status, 200)
             self.assertIn(f"/copy {number}/0 ", reply.text)
 
-    def test_many_callers_on_kept_connections(self) -> None:
+    def test_many_callers_on_persistent_connections(self) -> None:
         """Callers keep their connections and interleave streams, whole answers and cancels.
 
         Every answer names its request, so one foreign byte shows.
