--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -235,7 +235,7 @@
 class EngineKilledTest(PathCase):
     """An engine's process is killed while it streams."""
 
-    def test_its_caller_sees_a_cut_and_others_are_served(self) -> None:
+    def test_caller_sees_truncation_and_other_requests_are_served(self) -> None:
         """An engine is killed after three tokens of an answer.
 
         Its caller must see that the answer is not whole; every router then serves
