--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -293,7 +293,7 @@
         wait_until(lambda: self.find_seen("left-streaming")[0]["cancelled"], "cancelled")
         wait_until(lambda: self.count_in_flight() == 0, "no engine works on")
 
-    def test_the_router_forgets_a_caller_that_left_while_waiting(self) -> None:
+    def test_the_router_abandons_a_request_whose_caller_left_while_waiting(self) -> None:
         """A caller leaves while the engine still works on its whole answer.
 
         A router that only waits writes nothing that could fail, so only watching the
