--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -447,7 +447,7 @@
     def call(self, path: str, value: Any, **options: Any) -> Reply:
         return call(self.fleet, self.routers[0], "POST", path, value, **options)
 
-    def test_no_endpoint_says_when_to_come_back(self) -> None:
+    def test_refusal_by_all_engines_returns_retry_after(self) -> None:
         """All engines refuse; the caller is told that nothing ran and when to try again."""
         self.inject_fault("refuse")
         reply = self.chat(X_Idempotent="false")
