--- a/tests/system/test_deployment.py
+++ b/tests/system/test_deployment.py
@@ -337,7 +337,7 @@
         self.assertGreater(float(response.headers["Retry-After"]), 3.0)
         self.assertEqual(len(endpoint.seen), before)
 
-    def test_stop_cuts_nothing(self) -> None:
+    def test_stop_completes_requests_in_flight(self) -> None:
         """A router gets SIGTERM while requests are in flight and more come.
 
         It says that it is not ready, serves what comes while the balancer still sends,
