--- a/tests/system/test_stop_graceful.py
+++ b/tests/system/test_stop_graceful.py
@@ -87,7 +87,7 @@
         self.assertEqual(leaving.process.wait(30), 1)
         self.assertIn("Stopped with 1 requests cut off", leaving.read_log())
 
-    def test_second_signal_ends_it(self) -> None:
+    def test_second_signal_ends_the_process(self) -> None:
         """An operator has no time to wait; the log says what was cut."""
         fleet = self.open(deadline_s=60.0, token_ms=5, balancer=False)
         leaving = fleet.members["entry-2"]
