--- a/tests/system/test_stop_graceful.py
+++ b/tests/system/test_stop_graceful.py
@@ -98,7 +98,7 @@
         leaving.send(signal.SIGTERM)
         self.assert_cut(leaving, stream)
 
-    def test_the_deadline_ends_it(self) -> None:
+    def test_stop_deadline_ends_the_process(self) -> None:
         """A stream runs longer than the stop may take; the caller sees a cut answer."""
         fleet = self.open(deadline_s=2.0, token_ms=5, balancer=False)
         leaving = fleet.members["entry-2"]
