--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -49,7 +49,7 @@
         except urllib3.exceptions.HTTPError:
             return False
 
-    def test_everything_works_encrypted_and_nothing_in_plain_text(self) -> None:
+    def test_listeners_accept_tls_and_reject_plain_text(self) -> None:
         """Instances meet, found the log and serve operators over TLS only.
 
         Ready means that gossip, log and configuration went over mutual TLS. A client
