--- a/tests/system/deployment.py
+++ b/tests/system/deployment.py
@@ -209,7 +209,7 @@
                 events.append(json.loads(line))
         return events
 
-    def ask(self, method: str, url: str, **options: Any) -> tuple[int, bytes]:
+    def send_request(self, method: str, url: str, **options: Any) -> tuple[int, bytes]:
         """Send a request; status 0 stands for no answer."""
         try:
             response = self.http.request(method, url, redirect=False, **options)
@@ -279,7 +279,7 @@
             **given,
         }
         url = f"http://{self.get_host(router)}:{CALLER_PORT}{path}"
-        return self.ask("POST", url, body=body, headers=lines)
+        return self.send_request("POST", url, body=body, headers=lines)
 
     def wait_served(self, router: str, path: str = "/a/x") -> None:
         """Wait until a router serves a path."""
--- a/tests/system/test_deployment.py
+++ b/tests/system/test_deployment.py
@@ -52,8 +52,10 @@
         self.assertEqual(headers["X-Chivetrack-Expect-Instance"], "i-1")
         self.assertNotIn("X-Chivetrack-Key", headers)
         self.assertLessEqual(int(headers["X-Chivetrack-Deadline-Ms"]), 3000)
-        self.assertEqual(deployment.ask("GET", f"http://{host}:{READY_PORT}/ready")[0], 200)
-        status, text = deployment.ask("GET", f"http://{host}:{METRICS_PORT}/metrics")
+        self.assertEqual(
+            deployment.send_request("GET", f"http://{host}:{READY_PORT}/ready")[0], 200
+        )
+        status, text = deployment.send_request("GET", f"http://{host}:{METRICS_PORT}/metrics")
         self.assertEqual(status, 200)
         self.assertIn(b"chivetrack_router_requests", text)
 
@@ -174,7 +176,7 @@
             ("p2", b"chivetrack_replica_evacuated_since_seconds"),
         ):
             url = f"http://{deployment.get_host(name)}:{METRICS_PORT}/metrics"
-            self.assertRegex(deployment.ask("GET", url)[1], gauge + rb" [1-9]")
+            self.assertRegex(deployment.send_request("GET", url)[1], gauge + rb" [1-9]")
         order("withdraw", "z1")
         wait_for(lambda: self.count_seen(near, deployment, 2) > 0, "the zone stays empty")
 
@@ -362,7 +364,7 @@
         stopper.start()
         time.sleep(0.3)
         url = f"http://{deployment.get_host('r1')}:{READY_PORT}/ready"
-        self.assertEqual(deployment.ask("GET", url)[0], 503)
+        self.assertEqual(deployment.send_request("GET", url)[0], 503)
         for caller in callers[2:]:
             caller.start()
         for caller in callers:
--- a/tests/system/test_stop.py
+++ b/tests/system/test_stop.py
@@ -165,7 +165,7 @@
         body = json.dumps(make_config(4))
         answers: list[int] = []
         caller = threading.Thread(
-            target=lambda: answers.append(deployment.ask("PUT", url, body=body)[0])
+            target=lambda: answers.append(deployment.send_request("PUT", url, body=body)[0])
         )
         caller.start()
         time.sleep(0.2)
