--- a/tests/system/crashing.py
+++ b/tests/system/crashing.py
@@ -15,7 +15,7 @@
 
 
 class _Incarnation(Endpoint):
-    """One lifetime of the endpoint's process; a crash closes all its connections."""
+    """One incarnation of the endpoint's process; a crash closes all its connections."""
 
     allow_reuse_address = True
 
@@ -65,7 +65,7 @@
     """One address whose process restarts with a new id after each crash."""
 
     def __init__(self, deployment: Deployment, number: int, *, keeps_port_open: bool) -> None:
-        """Start the first lifetime and announce it."""
+        """Start the first incarnation and send its heartbeats."""
         self.keeps_port_open = keeps_port_open
         self.crash_bodies: set[bytes] = set()
         self.runs: list[tuple[float, bytes]] = []
@@ -117,7 +117,7 @@
                     break
 
     def stop(self) -> None:
-        """Stop the current lifetime and its heartbeats."""
+        """Stop the current incarnation and its heartbeats."""
         self._stopped.set()
         if self._incarnation is not None:
             self._incarnation.shutdown()
@@ -136,5 +136,5 @@
     try:
         yield endpoints
     finally:
-        for one in endpoints:
-            one.stop()
+        for endpoint in endpoints:
+            endpoint.stop()
--- a/tests/system/deployment.py
+++ b/tests/system/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment as processes: replicas, routers, and an endpoint inside the test."""
+"""Runs replicas and routers as processes, with endpoints inside the test process."""
 
 import contextlib
 import http.server
@@ -28,7 +28,7 @@
 
 
 class Endpoint(http.server.ThreadingHTTPServer):
-    """A plain service that seals its answers and remembers what it was asked."""
+    """A plain service that adds the server seal to its answers and records its requests."""
 
     daemon_threads = True
 
@@ -52,7 +52,7 @@
         """Suppress tracebacks: tests break connections on purpose."""
 
     def make_heartbeat(self, state: str = "ready") -> dict[str, Any]:
-        """Return the next word of this endpoint about itself."""
+        """Return the next heartbeat of this endpoint, with an incremented sequence number."""
         self.sequence += 1
         return {
             "service": self.service,
@@ -68,7 +68,7 @@
 
 
 class EndpointHandler(http.server.BaseHTTPRequestHandler):
-    """Answers with the name of the endpoint."""
+    """Answers every request with the name of the endpoint."""
 
     protocol_version = "HTTP/1.1"
     server: Endpoint
@@ -107,12 +107,12 @@
         self.end_headers()
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Write nothing."""
+        """Suppress the access log."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Deployment:
-    """Processes on addresses of the loopback network, each with the same ports."""
+    """Processes that each have their own loopback address and use the same ports."""
 
     folder: Path
     network: str
@@ -136,7 +136,7 @@
         return [f"{kind}{number}" for number in range(1, count + 1)]
 
     def start(self, name: str) -> None:
-        """Start a process."""
+        """Write the settings file of a process and start the process."""
         settings = self.folder / f"{name}.toml"
         settings.write_text(self._make_settings(name))
         log = (self.folder / f"{name}.log").open("ab")
@@ -149,7 +149,7 @@
 
     def _make_settings(self, name: str) -> str:
         host = self.get_host(name)
-        seeds = [f"{self.get_host(one)}:{CONTROL_PORT}" for one in self.list_names("p")[:3]]
+        seeds = [f"{self.get_host(seed)}:{CONTROL_PORT}" for seed in self.list_names("p")[:3]]
         is_replica = name[0] == "p"
         role = "replica" if is_replica else "router"
         lines = ["[process]", f'name = "{name}"', f'role = "{role}"']
@@ -172,37 +172,37 @@
         return "\n".join(lines) + "\n"
 
     def start_all(self) -> None:
-        """Start all processes and wait until a leader takes configuration."""
+        """Start all processes without waiting until they are ready."""
         for name in [*self.list_names("p"), *self.list_names("r")]:
             self.start(name)
 
     def kill(self, name: str) -> None:
-        """Kill a process without a word."""
+        """Send SIGKILL to a process and wait until it has exited."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
 
     def wipe(self, name: str) -> None:
-        """Delete the disk of a replica that does not run."""
+        """Delete the data folder of a stopped replica."""
         shutil.rmtree(self.folder / f"{name}-data")
 
     def stop(self, name: str) -> int:
-        """Stop a process by SIGTERM and return its exit code."""
+        """Stop a process with SIGTERM and return its exit code."""
         return self.begin_stop(name).wait(timeout=20)
 
     def begin_stop(self, name: str) -> subprocess.Popen[bytes]:
-        """Send SIGTERM to a process and return it."""
+        """Send SIGTERM to a process and return the process without waiting for its exit."""
         process = self.processes.pop(name)
         process.send_signal(signal.SIGTERM)
         return process
 
     def stop_all(self) -> None:
-        """Kill what is left."""
+        """Kill all processes that still run."""
         for name in list(self.processes):
             self.kill(name)
 
     def read_events(self, name: str) -> list[dict[str, Any]]:
-        """Return the event lines of a process."""
+        """Return the events that a process has logged; lines that are not JSON are skipped."""
         events = []
         for line in (self.folder / f"{name}.log").read_text().splitlines():
             with contextlib.suppress(ValueError):
@@ -210,7 +210,7 @@
         return events
 
     def send_request(self, method: str, url: str, **options: Any) -> tuple[int, bytes]:
-        """Send a request; status 0 stands for no answer."""
+        """Send an HTTP request and return status and body; status 0 means no answer."""
         try:
             response = self.http.request(method, url, redirect=False, **options)
         except urllib3.exceptions.HTTPError:
@@ -218,7 +218,7 @@
         return (response.status, response.data)
 
     def control(self, method: str, name: str, path: str, document: Any = None) -> tuple[int, bytes]:
-        """Call a replica; a redirect is followed once."""
+        """Send a request to a replica's control listener and follow at most one redirect."""
         body = None if document is None else json.dumps(document)
         url = f"http://{self.get_host(name)}:{CONTROL_PORT}{path}"
         try:
@@ -232,7 +232,7 @@
         return (response.status, response.data)
 
     def put(self, document: dict[str, Any]) -> str:
-        """Send a configuration to one replica after the other; return who took it."""
+        """Send a configuration to the replicas in turn; return which one accepted it."""
 
         def attempt() -> str:
             for name in self.list_names("p"):
@@ -240,10 +240,10 @@
                     return name
             return ""
 
-        return str(wait_for(attempt, "nobody takes the configuration"))
+        return str(wait_for(attempt, "no replica accepted the configuration"))
 
     def read(self) -> int:
-        """Return the version that the replicas hold for sure."""
+        """Return the committed configuration version, as read through a replica."""
 
         def attempt() -> int:
             for name in self.list_names("p"):
@@ -252,24 +252,25 @@
                     return int(json.loads(data)["version"])
             return 0
 
-        return int(wait_for(attempt, "nobody reads the configuration"))
+        return int(wait_for(attempt, "no replica returned the configuration"))
 
     def announce(self, endpoint: Endpoint, state: str = "ready") -> None:
-        """Have a replica acknowledge an endpoint's word."""
+        """Send heartbeats of an endpoint until a replica acknowledges one."""
         path = f"/instances/{endpoint.name}"
 
         def attempt() -> bool:
-            beat = endpoint.make_heartbeat(state)
+            heartbeat = endpoint.make_heartbeat(state)
             return any(
-                self.control("PUT", name, path, beat)[0] == 200 for name in self.list_names("p")
+                self.control("PUT", name, path, heartbeat)[0] == 200
+                for name in self.list_names("p")
             )
 
-        wait_for(attempt, "nobody acknowledges the endpoint")
+        wait_for(attempt, "no replica acknowledged the heartbeat")
 
     def call(
         self, router: str, path: str = "/a/x", *, body: bytes = b"body", **headers: str
     ) -> tuple[int, bytes]:
-        """Send a caller's request."""
+        """Send a caller's request to a router; underscores in header names become dashes."""
         given = {key.replace("_", "-"): value for key, value in headers.items()}
         lines = {
             "Host": "one.example",
@@ -282,7 +283,7 @@
         return self.send_request("POST", url, body=body, headers=lines)
 
     def wait_served(self, router: str, path: str = "/a/x") -> None:
-        """Wait until a router serves a path."""
+        """Wait until a router answers a path with status 200."""
         wait_for(lambda: self.call(router, path)[0] == 200, f"{router} does not serve {path}")
 
 
@@ -311,7 +312,7 @@
 
 @contextmanager
 def open_deployment(*, replicas: int = 3, routers: int = 2) -> Iterator[Deployment]:
-    """Give a deployment on addresses of its own."""
+    """Open a deployment with its own loopback addresses; kill its processes at the end."""
     network = f"127.{random.randrange(20, 200)}.{random.randrange(1, 250)}"
     with TemporaryDirectory(prefix="chivetrack-") as folder:
         deployment = Deployment(
@@ -327,7 +328,7 @@
 def open_endpoint(
     deployment: Deployment, number: int, service: str = "portal"
 ) -> Iterator[Endpoint]:
-    """Give an endpoint inside the test."""
+    """Open an endpoint inside the test process and close it at the end."""
     host = f"{deployment.network}.{200 + number}"
     endpoint = Endpoint(host=host, name=f"i-{number}", service=service)
     try:
--- a/tests/system/fleets.py
+++ b/tests/system/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets for the process tests: replicas, links that can be cut, operators."""
+"""Fleets for the system tests: instances, links that can be cut, and an operator client."""
 
 import json
 import shutil
@@ -22,7 +22,7 @@
 
 
 class NotReachedError(AssertionError):
-    """A condition did not come true in time."""
+    """A condition was not met within its time limit."""
 
 
 def _has_content(path: Path, text: str) -> bool:
@@ -30,12 +30,12 @@
 
 
 def wait_for(condition: Callable[[], Any], what: str, *, within_s: float = WAIT_S) -> Any:
-    """Wait until a condition returns something true, and return that."""
+    """Wait until a condition returns a truthy value, and return that value."""
     deadline = time.monotonic() + within_s
     while time.monotonic() < deadline:
-        found = condition()
-        if found:
-            return found
+        value = condition()
+        if value:
+            return value
         time.sleep(POLL_S)
     raise NotReachedError(what)
 
@@ -47,7 +47,7 @@
     extra: dict[str, dict[str, Any]] = field(default_factory=dict)
 
     def make_settings(self, plan: InstancePlan) -> str:
-        """Add the address of the link to the settings."""
+        """Return the settings with the peer addresses replaced by those of the links."""
         text = Fleet.make_settings(self, plan)
         for other in self.plans:
             text = text.replace(f"{other.host}:{PEER_PORT}", f"{other.host}:{LINK_PORT}")
@@ -57,7 +57,7 @@
         return text.replace(own, f"{real}\n{advertised}", 1)
 
     def start_links(self) -> None:
-        """Start a link before each planned instance."""
+        """Start a link process in front of the peer port of each planned instance."""
         for plan in self.plans:
             command = ["-m", "standins", "link", "--listen", f"{plan.host}:{LINK_PORT}"]
             command += ["--target", f"{plan.host}:{PEER_PORT}"]
@@ -65,39 +65,39 @@
             self.start_announced(f"link-{plan.name}", command)
 
     def get_cuts(self, name: str) -> Path:
-        """Return the file of cuts of the link before an instance."""
+        """Return the path of the file that controls the cuts of an instance's link."""
         return self.folder / f"{name}.cuts"
 
     def cut(self, name: str) -> None:
-        """Cut an instance off from all others, without a sign."""
+        """Drop all traffic between an instance and the others; connections stay open."""
         pid = self.members[name].process.pid
         self._set_cuts({plan.name: str(pid) for plan in self.plans} | {name: "*"})
 
     def heal(self) -> None:
-        """Take all cuts back."""
+        """Remove all cuts."""
         self._set_cuts({plan.name: "" for plan in self.plans})
 
     def _set_cuts(self, cuts: dict[str, str]) -> None:
-        """Write the cuts and wait until every link has taken them.
+        """Write the cuts and wait until every link has applied them.
 
-        A link reads its file each 50 ms. A write that a test sends in that time passes a
-        link that is still open, and its acceptance looks like a broken promise.
+        A link reads its file every 50 ms. A write that a test sends before that passes the
+        uncut link and is accepted, which the test would take for a fault of the fleet.
         """
         for name, text in cuts.items():
             self._write_cuts(name, text)
         for name, text in cuts.items():
-            taken = get_applied_path(self.get_cuts(name))
-            wait_for(partial(_has_content, taken, text), "cut not taken")
+            applied = get_applied_path(self.get_cuts(name))
+            wait_for(partial(_has_content, applied, text), "cut not applied")
 
     def _write_cuts(self, name: str, text: str) -> None:
-        aside = self.get_cuts(name).with_suffix(".new")
-        aside.write_text(text)
-        aside.replace(self.get_cuts(name))
+        temporary = self.get_cuts(name).with_suffix(".new")
+        temporary.write_text(text)
+        temporary.replace(self.get_cuts(name))
 
 
 @contextmanager
 def open_linked_fleet(*, instances: int, replicas: int = 3) -> Iterator[LinkedFleet]:
-    """Give a running fleet with links."""
+    """Open a running fleet whose instances are connected through links."""
     with TemporaryDirectory(prefix="chivetrack-") as folder:
         fleet = LinkedFleet(folder=Path(folder))
         try:
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Answer:
-    """What an operator got; status 0 stands for no answer at all."""
+    """The answer to an operator's request; status 0 means no answer."""
 
     status: int
     document: dict[str, Any]
@@ -123,15 +123,15 @@
 
 
 class Operator:
-    """Writes and reads resources through an instance."""
+    """Client that writes and reads resources through a chosen instance."""
 
     def __init__(self, *, fleet: Fleet, timeout_s: float = 20.0) -> None:
-        """Take the fleet."""
+        """Initialize the client; each request times out after ``timeout_s`` seconds."""
         self._fleet = fleet
         self._http = urllib3.PoolManager(retries=False, timeout=timeout_s)
 
     def send(self, method: str, name: str, path: str, value: Any = None, **headers: str) -> Answer:
-        """Send a request through an instance; underscores in header names are dashes."""
+        """Send a request through an instance; underscores in header names become dashes."""
         given = {key.replace("_", "-"): text for key, text in headers.items()}
         given["Authorization"] = f"Bearer {self._fleet.operator_key}"
         member = self._fleet.members[name]
@@ -145,7 +145,7 @@
         return Answer(status=response.status, document=document)
 
     def read_bytes(self, name: str, path: str) -> bytes:
-        """Read an answer that is not JSON."""
+        """Return the body of an answer that is not JSON."""
         given = {"Authorization": f"Bearer {self._fleet.operator_key}"}
         url = f"http://{self._fleet.members[name].host}:{RESOURCE_PORT}/api/v1/{path}"
         return self._http.request("GET", url, headers=given).data
@@ -155,7 +155,7 @@
         return self.send("POST", through, "workspace", make_workspace(name, priority), **headers)
 
     def replace(self, through: str, name: str, priority: int, revision: int) -> Answer:
-        """Replace a workspace as of a revision."""
+        """Replace a workspace if ``revision`` is still its current revision."""
         value = make_workspace(name, priority)
         value["metadata"]["revision"] = revision
         return self.send("PUT", through, f"workspace/{name}", value)
@@ -169,17 +169,17 @@
         return self.send("GET", through, "status").document
 
     def find_leader(self, *, among: list[str] | None = None) -> str:
-        """Wait until an instance names a leader, and return it."""
+        """Wait until an instance reports that it leads, and return its name."""
         names = among or [plan.name for plan in self._fleet.plans]
 
-        def look() -> str:
+        def find() -> str:
             for name in names:
                 log = self.get_status(name).get("log", {})
                 if log.get("role") == "leader":
                     return str(log["leader"])
             return ""
 
-        return str(wait_for(look, "no leader"))
+        return str(wait_for(find, "no leader"))
 
 
 def make_workspace(name: str, priority: int) -> dict[str, Any]:
@@ -188,5 +188,5 @@
 
 
 def delete_folder(fleet: Fleet, member: Member) -> None:
-    """Delete a replica's data folder, as a lost disk does."""
+    """Delete a replica's data folder to simulate a lost disk."""
     shutil.rmtree(fleet.folder / member.name)
--- a/tests/system/test_deployment.py
+++ b/tests/system/test_deployment.py
@@ -1,4 +1,4 @@
-"""Routers and replicas as processes: founding, losses, drains and stops."""
+"""System tests of routers and replicas: serving, losses, evacuation, drains and stops."""
 
 import contextlib
 import io
@@ -79,11 +79,11 @@
 
 class LossTest(DeploymentCase):
     def test_two_of_five_disks_are_lost_while_the_others_restart(self) -> None:
-        """Right after a configuration was acknowledged everything dies, two disks are gone.
+        """Guards against losing an acknowledged configuration with two of five disks.
 
-        The two come back as strangers with empty disks. Nobody is there to add them. What
-        was acknowledged is read back, and the two vote again, so that two others may be
-        lost next.
+        All replicas are killed right after the acknowledgement. Two restart with empty disks
+        as unknown peers, and no operator adds them. The configuration must be readable, and
+        both must vote again, so that the loss of two other disks is tolerated next.
         """
         deployment = self.open(replicas=5, routers=0)
         deployment.put(make_config(7))
@@ -97,7 +97,8 @@
             deployment.start(name)
         self.assertEqual(deployment.read(), 7)
         wait_for(
-            lambda: self.count_promoted(deployment, restarted_at) >= 2, "the lost two do not vote"
+            lambda: self.count_promoted(deployment, restarted_at) >= 2,
+            "the replicas with empty disks do not vote",
         )
         for name in ("p1", "p3"):
             deployment.kill(name)
@@ -106,9 +107,9 @@
         deployment.put(make_config(8))
 
     def count_promoted(self, deployment: Deployment, since: float) -> int:
-        """Return how many replicas were let vote since a time.
+        """Return how many promotions of replicas to voters were logged after ``since``.
 
-        Earlier lines do not count: a killed process loses those of its last moment.
+        Earlier lines are not counted: a killed process loses the lines that it wrote last.
         """
         count = 0
         for name in deployment.list_names("p"):
@@ -144,10 +145,11 @@
         return len(endpoint.seen) - before
 
     def test_evacuation_survives_loss_of_all_processes_and_two_disks(self) -> None:
-        """A zone is evacuated; right after the acknowledgement all processes die.
+        """Guards against losing an acknowledged evacuation order.
 
-        Two replicas come back with empty disks. No router may send anything to the zone,
-        and the order has to be read back, until it is withdrawn.
+        All processes are killed right after the acknowledgement, and two replicas restart
+        with empty disks. Until the order is withdrawn, no router may send requests to the
+        zone, and the order must be listed.
         """
         deployment = self.open(replicas=5, routers=1)
         near, far = (self.open_endpoint(deployment, number) for number in (1, 2))
@@ -178,7 +180,10 @@
             url = f"http://{deployment.get_host(name)}:{METRICS_PORT}/metrics"
             self.assertRegex(deployment.send_request("GET", url)[1], gauge + rb" [1-9]")
         order("withdraw", "z1")
-        wait_for(lambda: self.count_seen(near, deployment, 2) > 0, "the zone stays empty")
+        wait_for(
+            lambda: self.count_seen(near, deployment, 2) > 0,
+            "the zone receives no request after the withdrawal",
+        )
 
     def run_command(self, deployment: Deployment, *words: str) -> dict[str, Any]:
         replicas = [
@@ -189,14 +194,14 @@
         with contextlib.redirect_stdout(output):
             code = run([*words, *replicas, "-o", "json"])
         self.assertEqual(code, 0, output.getvalue())
-        read: dict[str, Any] = json.loads(output.getvalue())
-        return read
+        document: dict[str, Any] = json.loads(output.getvalue())
+        return document
 
     def test_invalid_evacuation_requests_are_rejected(self) -> None:
-        """An unknown zone, a body or a wrong path is the operator's mistake.
+        """Guards against retryable answers to invalid evacuation requests.
 
-        It has to be told which, in JSON; an answer that asks it to come again would have it
-        resend the same mistake.
+        An unknown zone, a body or a wrong path is the operator's mistake. The answer names
+        the mistake in JSON; an answer that asks for a retry would make the client resend it.
         """
         deployment = self.open(replicas=3, routers=1)
         deployment.put(make_config(3))
@@ -215,10 +220,11 @@
 
 class ColdEndpointTest(DeploymentCase):
     def test_cold_endpoint_is_rate_limited_and_nothing_is_refused(self) -> None:
-        """One of two endpoints comes back cold and idle, and three routers are busy.
+        """Guards against overloading a cold endpoint.
 
-        Together they may send it ten requests a second; in any one and at the start some
-        more. The rest goes to the warm one.
+        One of two endpoints restarts cold and idle while three routers are busy. Together
+        they may send it ten requests per second, plus a small burst at the start and within
+        any single second. All other requests go to the warm endpoint.
         """
         deployment = self.open(routers=3)
         warm, cold = (self.open_endpoint(deployment, number) for number in (1, 2))
@@ -242,10 +248,10 @@
             threading.Thread(target=call, args=(router,))
             for router in deployment.list_names("r") * 3
         ]
-        for one in callers:
-            one.start()
-        for one in callers:
-            one.join()
+        for caller in callers:
+            caller.start()
+        for caller in callers:
+            caller.join()
         self.assertEqual(set(statuses), {200})
         self.assertGreater(len(statuses), 150)
         self.assertLessEqual(len(cold.seen), 2 * 15 + 5)
@@ -254,9 +260,10 @@
 
 class LeavingTest(DeploymentCase):
     def test_acknowledged_drain_reaches_every_router(self) -> None:
-        """An endpoint says that it drains, to one replica; the word is acknowledged.
+        """Guards against requests to an endpoint whose drain was acknowledged.
 
-        From two seconds later on, no router sends it anything. The other endpoint gets all.
+        The endpoint reports ``draining`` to one replica. Two seconds after the
+        acknowledgement no router may send it requests; the other endpoint gets all of them.
         """
         deployment = self.open(routers=2)
         leaving = self.open_endpoint(deployment, 1)
@@ -340,10 +347,11 @@
         self.assertEqual(len(endpoint.seen), before)
 
     def test_stop_completes_requests_in_flight(self) -> None:
-        """A router gets SIGTERM while requests are in flight and more come.
+        """Guards against cut or refused requests while a router stops.
 
-        It says that it is not ready, serves what comes while the balancer still sends,
-        finishes, and exits with 0 well before it would be killed.
+        The router gets SIGTERM with requests in flight. It reports that it is not ready,
+        serves requests that the load balancer still sends, completes all of them, and exits
+        with 0 before it would be killed.
         """
         deployment = self.open(routers=1)
         endpoint = self.open_endpoint(deployment, 1)
--- a/tests/system/test_drain.py
+++ b/tests/system/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned drain over processes: no new work on any router, nothing cut, and back again."""
+"""System test of a planned drain: no new requests, no cut streams, and the end of the drain."""
 
 import contextlib
 import threading
@@ -13,17 +13,19 @@
 
 ENGINES = ("engine-1", "engine-2", "engine-3")
 DRAINED = "engine-1"
-# What a router that is told by its relay may take, and more on a busy machine.
+# Maximum time until a router has received a drain through its relay, with a margin for a
+# busy machine.
 DRAIN_PROPAGATION_S = 5.0
 
 
 class DrainTest(unittest.TestCase):
     def test_drained_engine_gets_no_new_work_and_cuts_nothing(self) -> None:
-        """An operator drains an engine while callers send chats through every router.
+        """Guards against requests to a drained engine and against cut streams.
 
-        Within seconds no router sends it anything new; a stream that runs there
-        ends whole. A second drain that would break the floor waits and says why.
-        Once the first is deleted, the engine gets work again.
+        An operator drains an engine while callers send chats through every router. Within
+        ``DRAIN_PROPAGATION_S`` no router sends it new requests, and its running streams
+        complete. A second drain that would leave too few engines waits and reports the
+        reason. After the first drain is deleted, the engine receives requests again.
         """
         fleet = self.enterContext(open_fleet())
         fleet.plan_instances(3)
@@ -43,7 +45,7 @@
         others = self.start_streams(fleet)
         for thread, results in (*streams, *others):
             thread.join()
-            self.assertEqual([each.status for each in results], [200])
+            self.assertEqual([reply.status for reply in results], [200])
             self.assertTrue(results[0].body.endswith(b"data: [DONE]\n\n"))
         self.assertEqual(self.count_seen(fleet, DRAINED), before)
         waiting = operator.send("GET", "entry-1", "drain/d2").document["status"]
@@ -52,7 +54,10 @@
         self.assertIn("must remain", waiting["reason"])
         self.assertEqual(operator.send("DELETE", "entry-2", "drain/d2").status, 200)
         self.assertEqual(operator.send("DELETE", "entry-2", "drain/d1").status, 200)
-        wait_for(lambda: self.receives_requests(fleet, before), "the engine gets no work again")
+        wait_for(
+            lambda: self.receives_requests(fleet, before),
+            "the engine receives no request after the drain",
+        )
 
     def drain(self, operator: Operator, name: str, endpoint: str):
         spec = {"target": {"kind": "endpoint", "name": endpoint}, "floor": 0.6}
@@ -85,7 +90,7 @@
         member = fleet.members["entry-1"]
 
         def run(number: int) -> None:
-            # The fleet may end before these streams do.
+            # The fleet may be stopped before these streams complete.
             with contextlib.suppress(urllib3.exceptions.HTTPError):
                 chat(fleet, member, "again", chat_id=f"x{number}")
 
--- a/tests/system/test_founding.py
+++ b/tests/system/test_founding.py
@@ -1,4 +1,4 @@
-"""A deployment whose replicas are killed while it is being founded."""
+"""System test of a deployment whose replicas are killed during the bootstrap of its log."""
 
 import unittest
 
@@ -7,10 +7,11 @@
 
 class KilledFoundingTest(unittest.TestCase):
     def test_kills_in_the_first_second(self) -> None:
-        """One, two or all replicas are killed while the log is being founded, some repeatedly.
+        """Guards against a bootstrap that never completes after replicas were killed.
 
-        They come back without the word that the deployment starts, one at times with an
-        empty disk. Every replica must acknowledge a configuration some seconds later.
+        One, two or all replicas are killed during the bootstrap, some repeatedly. They
+        restart without ``is_first_start``, in some runs one with an empty disk. Every replica
+        must acknowledge a configuration some seconds later.
         """
         for seed in range(1, 13):
             with self.subTest(seed=seed):
--- a/tests/system/test_log_failures.py
+++ b/tests/system/test_log_failures.py
@@ -1,4 +1,4 @@
-"""The durable state as processes: kills, freezes, cuts, lost disks, races of operators."""
+"""System tests of the replicated log: kills, freezes, partitions, lost disks, write races."""
 
 import json
 import socket
@@ -43,11 +43,11 @@
 
 class KilledLeaderTest(FleetCase):
     def test_accepted_writes_survive_a_killed_leader(self) -> None:
-        """Operators write through all instances while the leader is killed.
+        """Guards against lost writes and against refused writes that were executed.
 
-        A write that was accepted must be there afterwards; one that was refused as
-        not happened must not. The others may be either. The killed process comes
-        back and has everything too.
+        Operators write through the followers while the leader is killed. Accepted writes
+        must exist afterwards, also at the restarted process; writes refused with
+        ``ran: no`` must not exist. Other writes may have either outcome.
         """
         fleet, operator = self.open()
         leader = operator.find_leader()
@@ -89,11 +89,11 @@
 
 class FrozenLeaderTest(FleetCase):
     def test_frozen_leader_serves_no_stale_read_and_keeps_its_revision(self) -> None:
-        """The leader hangs for longer than an election, and wakes up.
+        """Guards against stale reads through a former leader.
 
-        Meanwhile another one leads and a change is accepted. The woken one still
-        believes that it leads; through it nobody may read the old state, and its
-        revision must not go back.
+        The leader is frozen for longer than an election, and another replica is elected and
+        accepts a change. When the former leader resumes, it assumes that it still leads; it
+        must not serve the old state, and its revision must not decrease.
         """
         fleet, operator = self.open()
         leader = operator.find_leader()
@@ -105,7 +105,7 @@
         second = operator.replace(others[0], "hakata", 2, first.revision)
         self.assertEqual(second.status, 200)
         fleet.members[leader].thaw()
-        seen = wait_for(lambda: self.read(operator, leader), "the woken one does not read")
+        seen = wait_for(lambda: self.read(operator, leader), "the resumed leader serves no read")
         self.assertEqual(seen, 2)
         status = operator.get_status(leader)
         self.assertGreaterEqual(status["configuration"]["revision"], 0)
@@ -117,11 +117,12 @@
 
 class CutLeaderTest(FleetCase):
     def test_leader_in_the_minority_of_a_silent_partition(self) -> None:
-        """Bytes from and to the leader vanish; its connections stay up.
+        """Guards against accepted writes and stale reads in the minority of a partition.
 
-        It can't know. Writes through it must not be accepted, reads through it must
-        not show the old state, and the other side goes on. After the cut heals, its
-        router applies what was accepted and never the older revision.
+        Bytes from and to the leader are dropped while its connections stay open, so it
+        detects no error. Writes through it must not be accepted, reads through it must not
+        return the old state, and the majority accepts writes. After the partition heals, the
+        former leader serves the accepted revision and not the older one.
         """
         fleet, operator = self.open_linked(5)
         leader = operator.find_leader()
@@ -148,11 +149,11 @@
 
 class LostDiskTest(FleetCase):
     def test_second_loss_right_after_a_repair(self) -> None:
-        """A replica loses its disk, is replaced, and then another one is killed.
+        """Guards against data loss when a replica fails right after another was replaced.
 
-        The emptied folder comes back as a stranger: it does not vote until it was
-        added and has caught up. After that the other loss must cost nothing that was
-        accepted, and changes must go on.
+        A replica that restarts with an empty folder is an unknown peer: it votes only after
+        it was added and has caught up. When another replica is killed after that, no accepted
+        write may be lost, and new writes must be accepted.
         """
         fleet, operator = self.open()
         leader = operator.find_leader()
@@ -166,7 +167,7 @@
         delete_folder(fleet, member)
         self.restart(fleet, victim)
         log = fleet.members[victim]
-        wait_for(lambda: "is not a member" in log.read_log(), "no stranger")
+        wait_for(lambda: "is not a member" in log.read_log(), "the replica is still a member")
         new_id = log.read_log().rpartition("replica add ")[2].split()[0]
         self.assertNotEqual(new_id, old_id)
         removed = operator.send("DELETE", leader, f"replicas/{old_id}")
@@ -181,7 +182,8 @@
 
     def find_replica(self, operator: Operator, through: str, instance: str) -> str:
         members = operator.get_status(through)["log"]["members"]
-        (found,) = [one["replica"] for one in members if one["replica"].startswith(instance)]
+        replicas = [member["replica"] for member in members]
+        (found,) = [replica for replica in replicas if replica.startswith(instance)]
         return str(found)
 
     def votes(self, operator: Operator, through: str, replica_id: str) -> bool:
@@ -191,10 +193,11 @@
 
 class DamagedDiskTest(FleetCase):
     def test_flipped_byte_stops_the_replica_and_names_the_place(self) -> None:
-        """A byte in the middle of a replica's log is wrong after a restart.
+        """Guards against a replica that starts on a corrupted log.
 
-        Started on it, the replica would vote and answer from a state that never was.
-        It stops, its log names file and offset, and the other two go on.
+        One byte in the middle of the log is flipped before a restart. With it the replica
+        would vote and answer from a state that was never committed. The replica must stop
+        and log the file and offset; the other two must accept writes.
         """
         fleet, operator = self.open()
         leader = operator.find_leader()
@@ -217,10 +220,11 @@
 
 class LostMajorityTest(FleetCase):
     def test_backup_of_a_running_fleet_starts_a_new_log(self) -> None:
-        """All replicas are lost for good; an operator has a backup of the day before.
+        """Guards against a backup from which no fleet can be restored.
 
-        The folder made from it holds everything that was accepted up to the backup.
-        Its replica is the only voter, leads at once, and lets others in.
+        All replicas are lost permanently and an operator has a backup. The folder restored
+        from it holds everything that was accepted up to the backup. Its replica is the only
+        voter, becomes leader at once, and accepts new replicas.
         """
         fleet, operator = self.open()
         operator.find_leader()
@@ -235,10 +239,10 @@
         identity = Identity(replica_id, "entry-1")
         restore_backup(backup, folder=fleet.folder / "entry-1", identity=identity)
         self.restart(fleet, "entry-1")
-        wait_for(lambda: operator.get("entry-1", "w4").status == 200, "nothing restored")
+        wait_for(lambda: operator.get("entry-1", "w4").status == 200, "the backup is not restored")
         self.restart(fleet, "entry-2")
         log = fleet.members["entry-2"]
-        wait_for(lambda: "is not a member" in log.read_log(), "no stranger")
+        wait_for(lambda: "is not a member" in log.read_log(), "the replica is still a member")
         new_id = log.read_log().rpartition("replica add ")[2].split()[0]
         self.assertEqual(operator.send("POST", "entry-1", "replicas", {"id": new_id}).status, 202)
         fleet.wait_ready("entry-2")
@@ -248,11 +252,12 @@
 
 class RacingOperatorsTest(FleetCase):
     def test_equal_revisions_and_resends(self) -> None:
-        """Two operators replace the same revision at once; a third loses its answer.
+        """Guards against lost updates and against resent requests that run twice.
 
-        Exactly one of the two wins and the other is shown the winner. The third
-        sends its request again, through another instance, and gets the first outcome;
-        the same request id with another body is refused.
+        When two operators replace the same revision at once, exactly one succeeds and the
+        other gets a conflict with the current revision. A third operator loses its answer
+        and resends the request through another instance: it gets the first outcome, and the
+        same request id with another body is refused.
         """
         fleet, operator = self.open()
         first = operator.create("entry-1", "hakata", 1)
--- a/tests/system/test_many_instances.py
+++ b/tests/system/test_many_instances.py
@@ -1,4 +1,4 @@
-"""More instances than the libraries' defaults were made for."""
+"""System test of a fleet with more instances than default thread pool sizes allow."""
 
 import unittest
 
@@ -9,11 +9,11 @@
 
 class ManyInstancesTest(unittest.TestCase):
     def test_a_dozen_instances_become_ready(self) -> None:
-        """A fleet of twelve starts; callers find none of them ready, for ever.
+        """Guards against an exhausted thread pool that keeps every instance from being ready.
 
-        Each instance has a stream open to each of the others, and each stream waits
-        in a thread of a pool of ten. With all taken, no vote and no configuration
-        arrives any more. The pool has to be larger than the number of streams.
+        Each instance has a stream open to each of the others, and each stream blocks one
+        thread of a pool. With ten threads and eleven streams no votes and no configuration
+        arrive, so the pool must be larger than the number of streams.
         """
         fleet = self.enterContext(open_fleet())
         fleet.plan_instances(INSTANCES)
--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -1,4 +1,4 @@
-"""The whole path as processes: each caller gets its own whole answer, or a typed error."""
+"""System tests of the request path: a caller gets its own complete answer or a typed error."""
 
 import http.client
 import json
@@ -32,7 +32,7 @@
 
 
 def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Return when a condition holds; fail when it does not in time."""
+    """Wait until a condition holds; fail after ``WAIT_LIMIT_S`` seconds."""
     deadline = time.monotonic() + WAIT_LIMIT_S
     while not condition():
         if time.monotonic() > deadline:
@@ -85,7 +85,7 @@
         return call(cls.fleet, router, "GET", f"/services/{PLAIN_SERVICE}/warm").status == 200
 
     def inject_fault(self, mode: str, **details: float) -> None:
-        """Have both engines play a fault until ``tearDown``."""
+        """Inject a fault into both engines until ``tearDown``."""
         for engine in self.engines:
             self.fleet.inject_fault(engine, mode, count=1000, **details)
 
@@ -94,7 +94,7 @@
             self.fleet.inject_fault(member, "", count=0)
 
     def find_seen(self, chat_id: str) -> list[dict[str, Any]]:
-        """Return what the engines saw of one chat."""
+        """Return the requests of one chat that the engines have received."""
         seen = [entry for engine in self.engines for entry in self.fleet.read_seen(engine)]
         return [entry for entry in seen if entry["chat"] == chat_id]
 
@@ -106,16 +106,17 @@
 
 
 class EngineFaultTest(PathCase):
-    """The fleet's answers when engines answer wrongly."""
+    """Tests of the answers that callers get when engines answer incorrectly."""
 
     def make_full_text(self, chat_id: str, text: str) -> str:
         return "".join(f"{chat_id}/{text}/{number} " for number in range(TOKENS))
 
     def test_whole_answers_that_are_wrong(self) -> None:
-        """Engines cut, mix up, refuse or lose whole answers; the caller must not send twice.
+        """Guards against incorrect answers that reach the caller.
 
-        Nothing of a wrong answer may reach the caller. It learns what is known: a
-        refusal did not run, everything else may have.
+        Engines cut, mix up, refuse or lose non-streamed answers to a request that is not
+        idempotent. The error tells whether the request ran: a refused one did not run, every
+        other one may have run.
         """
         table = [
             ("cut", "maybe"),
@@ -137,10 +138,10 @@
         def serves() -> bool:
             return all(chat(self.fleet, m, "x", stream=False).status == 200 for m in self.routers)
 
-        wait_until(serves, "every router serves again")
+        wait_until(serves, "every router serves requests again")
 
     def test_retry_hides_one_broken_answer(self) -> None:
-        """An engine loses a whole answer; the chat may run twice, so another engine does it."""
+        """Guards against an error for a chat that may be retried at another engine."""
         for engine in self.engines:
             self.fleet.inject_fault(engine, "cut", count=1)
         replies = [chat(self.fleet, self.routers[1], "t", stream=False) for _ in range(4)]
@@ -150,11 +151,11 @@
             self.assertEqual(reply.text, self.make_full_text(reply.text.split("/")[0], "t"))
 
     def test_streams_that_end_early_are_seen_as_cut(self) -> None:
-        """An engine dies, loses its end mark or falls silent after three tokens.
+        """Guards against truncated streams that look complete.
 
-        The bytes passed on can't be taken back. The caller must see that they are
-        not all: a last event with the error, and a broken connection; ended cleanly
-        half a report would look whole.
+        An engine dies, omits its end mark or stalls after three tokens. The forwarded bytes
+        cannot be recalled, so the router sends a last event with the error and breaks the
+        connection.
         """
         policy_stall = {"cut": 0.0, "truncate": 0.0, "stall": 60.0}
         for mode, delay_s in policy_stall.items():
@@ -181,9 +182,10 @@
                 self.assert_serves()
 
     def test_late_answer_is_discarded(self) -> None:
-        """Engines answer after the deadline, while other callers use the same routers.
+        """Guards against answers after the deadline that reach another caller.
 
-        The late one is told "deadline, may have run"; the others get their own.
+        The caller of the late request gets ``deadline_exceeded`` with ``ran: maybe``; other
+        callers of the same router get their own answers.
         """
         self.inject_fault("late", delay_s=1.0)
         late = chat(self.fleet, self.routers[0], "late", stream=False, X_Request_Timeout_Ms="200")
@@ -194,9 +196,10 @@
             self.assertIn(f"/next {number}/0 ", reply.text)
 
     def test_duplicate_answer_is_not_sent_to_the_next_caller(self) -> None:
-        """An engine sends an answer twice; the second copy waits on the connection.
+        """Guards against reading a duplicate answer as that of the next request.
 
-        Read by the next caller it would be another caller's words.
+        The engine sends each answer twice, so the second copy is buffered on the idle
+        connection when the next request uses it.
         """
         self.inject_fault("double")
         for number in range(6):
@@ -205,9 +208,10 @@
             self.assertIn(f"/copy {number}/0 ", reply.text)
 
     def test_many_callers_on_persistent_connections(self) -> None:
-        """Callers keep their connections and interleave streams, whole answers and cancels.
+        """Guards against answers that are mixed up between concurrent callers.
 
-        Every answer names its request, so one foreign byte shows.
+        Callers reuse their connections for streams, non-streamed answers and cancels. Every
+        token names its request, so bytes of another answer are detected.
         """
 
         def run(number: int) -> None:
@@ -233,13 +237,13 @@
 
 
 class EngineKilledTest(PathCase):
-    """An engine's process is killed while it streams."""
+    """Test of an engine whose process is killed while it streams."""
 
     def test_caller_sees_truncation_and_other_requests_are_served(self) -> None:
-        """An engine is killed after three tokens of an answer.
+        """Guards against a truncated answer that looks complete after an engine was killed.
 
-        Its caller must see that the answer is not whole; every router then serves
-        chats at the engine that is left.
+        The engine is killed after three tokens. Its caller must get an error event and a
+        broken connection; every router then serves chats at the remaining engine.
         """
         self.inject_fault("stall", delay_s=60.0)
         connection = http.client.HTTPConnection(self.routers[0].address, timeout=60)
@@ -265,7 +269,7 @@
 
 
 class CallerLeavesTest(PathCase):
-    """A caller closes its connection before its answer is whole."""
+    """Tests of callers that close the connection before their answer is complete."""
 
     token_ms = "1000"
 
@@ -275,7 +279,7 @@
         connection.request("POST", CHAT_PATH, make_chat("x", stream=stream), headers)
         if stream:
             connection.getresponse().read1(10)
-        wait_until(lambda: bool(self.find_seen(chat_id)), "the engine has the request")
+        wait_until(lambda: bool(self.find_seen(chat_id)), "the engine has received the request")
         connection.close()
 
     def count_in_flight(self) -> int:
@@ -285,19 +289,21 @@
         )
 
     def test_the_engine_stops_working_for_a_caller_that_left(self) -> None:
-        """A caller leaves while it streams; the engine's stream must be cancelled.
+        """Guards against streams that continue after their caller has disconnected.
 
-        Else it would go on for minutes and hold a place that others need.
+        Such a stream would run for minutes and occupy a slot that other requests need.
         """
         self.send_and_disconnect("left-streaming", stream=True)
-        wait_until(lambda: self.find_seen("left-streaming")[0]["cancelled"], "cancelled")
-        wait_until(lambda: self.count_in_flight() == 0, "no engine works on")
+        wait_until(
+            lambda: self.find_seen("left-streaming")[0]["cancelled"], "the stream is cancelled"
+        )
+        wait_until(lambda: self.count_in_flight() == 0, "no engine has a request in flight")
 
     def test_the_router_abandons_a_request_whose_caller_left_while_waiting(self) -> None:
-        """A caller leaves while the engine still works on its whole answer.
+        """Guards against requests that stay in flight after their caller has disconnected.
 
-        A router that only waits writes nothing that could fail, so only watching the
-        connection shows it.
+        While a router waits for a non-streamed answer, it writes nothing to the caller that
+        could fail, so it must watch the connection to detect the disconnect.
         """
         self.send_and_disconnect("left-waiting", stream=False)
         router = self.routers[0]
@@ -313,10 +319,10 @@
 
 
 class TypedErrorTest(PathCase):
-    """Every refusal over real HTTP: a typed error, never HTML, a traceback or a hang."""
+    """Tests that refused requests get a typed error, not HTML, a traceback or a hang."""
 
     def send_raw(self, *parts: bytes) -> Reply:
-        """Send raw bytes and read the answer to its end."""
+        """Send raw bytes on a new connection and return the complete answer."""
         host, _, port = self.routers[0].address.rpartition(":")
         with socket.create_connection((host, int(port)), timeout=30) as connection:
             for part in parts:
@@ -448,7 +454,7 @@
         return call(self.fleet, self.routers[0], "POST", path, value, **options)
 
     def test_refusal_by_all_engines_returns_retry_after(self) -> None:
-        """All engines refuse; the caller is told that nothing ran and when to try again."""
+        """Guards against a refusal that omits ``ran: no`` or the time of the next attempt."""
         self.inject_fault("refuse")
         reply = self.chat(X_Idempotent="false")
         self.assertEqual(reply.error["ran"], "no")
@@ -457,7 +463,7 @@
 
 
 class AtMostOnceTest(PathCase):
-    """What must not run twice, with an engine that dies after it has read the request."""
+    """Tests of calls that must not run twice when a service dies after reading them."""
 
     def count_runs(self, key: str) -> int:
         return sum(
@@ -466,11 +472,12 @@
         )
 
     def test_keyed_call_whose_outcome_is_unknown_is_never_run_again(self) -> None:
-        """A service reads a keyed quote and dies; the caller sends it again elsewhere.
+        """Guards against a second run of a call with an idempotency key.
 
-        Nobody knows whether the quote was made. Every router must say so and none may
-        send it on. The first caller is answered before the log has the outcome, so a
-        quick resend may hear "in progress" first.
+        The service dies after it has read the call, so whether the call ran is unknown. When
+        the caller resends it through other routers, each must answer ``outcome_unknown`` and
+        must not forward it. The first caller is answered before the log holds the outcome,
+        so a quick resend may get ``in_progress`` first.
         """
         self.fleet.inject_fault(self.service, "die")
         first = self.quote(self.routers[0], Idempotency_Key="quote-a")
@@ -481,14 +488,14 @@
         self.assertEqual(self.count_runs("quote-a"), 1)
 
     def test_call_without_a_key_is_not_sent_twice(self) -> None:
-        """A POST without a key dies in the service; the caller alone may decide to resend."""
+        """Guards against retrying a POST without a key; only its caller may resend it."""
         self.fleet.inject_fault(self.service, "die")
         reply = self.quote(self.routers[0], X_Chat_Id="quote-b")
         self.assertEqual((reply.status, reply.error["ran"]), (502, "maybe"))
         self.assertEqual(self.count_runs("quote-b"), 1)
 
     def wait_ended(self, router: Member, key: str) -> Reply:
-        """Send a call again while it is said to be in progress, each time with that said."""
+        """Resend a call until its answer is no longer ``in_progress``; return that answer."""
 
         def send() -> Reply | None:
             again = self.quote(router, Idempotency_Key=key)
@@ -498,7 +505,7 @@
             self.assertIn("retry-after", again.headers)
             return None
 
-        ended: Reply = wait_for(send, "the outcome was never recorded")
+        ended: Reply = wait_for(send, "the call is still in progress")
         return ended
 
     def quote(self, router: Member, **headers: str) -> Reply:
--- a/tests/system/test_quarantine.py
+++ b/tests/system/test_quarantine.py
@@ -25,8 +25,8 @@
         )
         for router in deployment.list_names("r"):
             deployment.wait_served(router)
-        for one in opened:
-            one.crash_bodies.add(POISON)
+        for endpoint in opened:
+            endpoint.crash_bodies.add(POISON)
         return deployment, opened
 
     def repeat_poison(self, deployment: Deployment, until: float) -> list[int]:
@@ -39,11 +39,11 @@
         return statuses
 
     def list_poison_runs(self, endpoints: list[CrashingEndpoint]) -> list[float]:
-        return sorted(at for one in endpoints for at, body in one.runs if body == POISON)
+        return sorted(at for endpoint in endpoints for at, body in endpoint.runs if body == POISON)
 
     def count_late_runs(self, endpoints: list[CrashingEndpoint]) -> int:
         """Return the number of runs later than ``PROPAGATION_S`` after the third crash."""
-        crashes = sorted(at for one in endpoints for at in one.crashes)
+        crashes = sorted(at for endpoint in endpoints for at in endpoint.crashes)
         self.assertGreaterEqual(len(crashes), 3)
         return sum(at > crashes[2] + PROPAGATION_S for at in self.list_poison_runs(endpoints))
 
@@ -72,7 +72,7 @@
             self.repeat_poison(deployment, time.monotonic() + 0.1)
             status, data = deployment.control("GET", "p1", path)
             return (
-                [one["fingerprint"] for one in json.loads(data)["requests"]]
+                [entry["fingerprint"] for entry in json.loads(data)["requests"]]
                 if status == 200
                 else []
             )
@@ -90,8 +90,8 @@
         for router in deployment.list_names("r"):
             self.assertEqual(deployment.call(router, body=POISON)[0], 500)
         self.assertEqual(len(self.list_poison_runs(endpoints)), before)
-        for one in endpoints:
-            one.crash_bodies.clear()
+        for endpoint in endpoints:
+            endpoint.crash_bodies.clear()
         status, _ = deployment.control("DELETE", "p2", f"{path}/{fingerprint}")
         self.assertEqual(status, 200)
         for router in deployment.list_names("r"):
--- a/tests/system/test_stop.py
+++ b/tests/system/test_stop.py
@@ -1,4 +1,4 @@
-"""The stop of a deployed router: what it still takes, and what becomes of it."""
+"""System tests of the stop of a router: which requests it still accepts and how they end."""
 
 import http.client
 import json
@@ -40,7 +40,7 @@
         return deployment, endpoint
 
     def start_call(self, deployment: Deployment, **headers: str) -> threading.Thread:
-        """Start a request that waits for a long time, and return its thread."""
+        """Start a request in a thread, with a deadline of ``ROUTE_TIMEOUT_MS``."""
         headers.setdefault("X_Chivetrack_Deadline_Ms", str(ROUTE_TIMEOUT_MS))
         caller = threading.Thread(target=lambda: deployment.call("r1", **headers))
         caller.start()
@@ -51,13 +51,15 @@
     def find_events(deployment: Deployment, event: str, request: str) -> list[dict[str, Any]]:
         events = deployment.read_events("r1")
         return [
-            one for one in events if one.get("event") == event and one.get("request") == request
+            entry
+            for entry in events
+            if entry.get("event") == event and entry.get("request") == request
         ]
 
 
 class CutRequestTest(StopCase):
     def test_request_cut_by_the_exit_has_its_end_logged(self) -> None:
-        """Guards against a request that is cut by the exit and has no line of its end."""
+        """Guards against a request that is cut by the exit without a ``request_ended`` event."""
         deployment, endpoint = self.open(stop_within_s=2.0)
         endpoint.work_s = 6.0
         caller = self.start_call(deployment, X_Chivetrack_Attempt_Id="cut-1")
@@ -73,7 +75,7 @@
 
 class ForeseeableCutTest(StopCase):
     def test_answer_that_takes_longer_than_the_exit_is_not_begun(self) -> None:
-        """Guards against answers that break off at the exit although that was foreseeable."""
+        """Guards against accepting a request that the exit will foreseeably cut."""
         deployment, endpoint = self.open(stop_within_s=3.0)
         endpoint.work_s = 1.0
         callers = [self.start_call(deployment) for _ in range(30)]
@@ -93,7 +95,7 @@
 
 class LateRequestTest(StopCase):
     def open_stopping(self) -> tuple[Deployment, Endpoint]:
-        """Return a router that has got SIGTERM with a request in flight to its end."""
+        """Return a deployment whose router stops while a request stays in flight until its exit."""
         deployment, endpoint = self.open(stop_within_s=8.0)
         endpoint.work_s = 9.0
         self.start_call(deployment)
@@ -103,7 +105,7 @@
         return deployment, endpoint
 
     def test_connection_after_the_window_is_answered_at_once(self) -> None:
-        """Guards against connections that nobody accepts until the process exits."""
+        """Guards against connections that are not accepted until the process exits."""
         deployment, endpoint = self.open_stopping()
         time.sleep(4.0)
         before = len(endpoint.seen)
@@ -117,7 +119,7 @@
         self.assertEqual(len(endpoint.seen), before)
 
     def test_request_that_ends_before_the_exit_is_served_after_the_window(self) -> None:
-        """Guards against refusing what its own timeout ends before the exit."""
+        """Guards against refusing a request whose own timeout ends before the exit."""
         deployment, _ = self.open_stopping()
         time.sleep(4.0)
         self.assertEqual(deployment.call("r1", X_Chivetrack_Deadline_Ms="1500")[0], 200)
@@ -153,7 +155,7 @@
 
 class ReplicaStopTest(unittest.TestCase):
     def test_call_in_progress_gets_its_answer(self) -> None:
-        """Guards against a change whose operator never learns what became of it."""
+        """Guards against a change whose operator gets no answer when the replica stops."""
         deployment = self.enterContext(open_deployment(replicas=3, routers=0))
         deployment.start_all()
         deployment.put(make_config(3))
@@ -175,18 +177,18 @@
 
     @staticmethod
     def find_leader(deployment: Deployment) -> str:
-        """Return the replica that has last become the leader, by its lines."""
+        """Return the replica with the latest ``leader_changed`` event as leader."""
 
         def find() -> str:
             led_at = {
-                one["at"]: name
+                event["at"]: name
                 for name in deployment.list_names("p")
-                for one in deployment.read_events(name)
-                if one.get("event") == "leader_changed" and one["role"] == "leader"
+                for event in deployment.read_events(name)
+                if event.get("event") == "leader_changed" and event["role"] == "leader"
             }
             return led_at[max(led_at)] if led_at else ""
 
-        return str(wait_for(find, "no replica says that it leads"))
+        return str(wait_for(find, "no replica has logged that it leads"))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_stop_graceful.py
+++ b/tests/system/test_stop_graceful.py
@@ -1,4 +1,4 @@
-"""The stop of a router as a process: what is in flight is finished, or said to be cut."""
+"""System tests of graceful and forced stops: requests complete, or are logged as cut off."""
 
 import http.client
 import signal
@@ -16,7 +16,7 @@
 
 
 class StopCase(unittest.TestCase):
-    """Starts a fleet behind the stand-in balancer for one test."""
+    """Starts a fleet with one engine, optionally behind the stand-in load balancer."""
 
     def open(self, *, deadline_s: float, token_ms: int, balancer: bool) -> Fleet:
         stack = ExitStack()
@@ -35,7 +35,7 @@
         return fleet
 
     def begin_stream(self, member: Member) -> http.client.HTTPResponse:
-        """Return a stream whose first bytes have come."""
+        """Start a stream and return it after its first bytes have arrived."""
         connection = http.client.HTTPConnection(member.address, timeout=60)
         headers = {"Authorization": f"Bearer {CALLER_KEY}"}
         connection.request("POST", CHAT_PATH, make_chat("s", stream=True), headers)
@@ -49,25 +49,26 @@
 
 class GracefulStopTest(StopCase):
     def test_nothing_is_cut_and_new_requests_are_served(self) -> None:
-        """A router is stopped while the balancer still sends to it and streams run.
+        """Guards against refused callers and cut streams while a router stops.
 
-        The balancer learns late that it is not ready. Closing the listener at once
-        would refuse callers in those moments; ending the process would cut streams.
+        The load balancer detects with a delay that the router is not ready. Closing the
+        listener at once would refuse callers during that delay; ending the process at once
+        would cut running streams.
         """
         fleet = self.open(deadline_s=30.0, token_ms=100, balancer=True)
         balancer = fleet.members["balancer"]
         streams = [self.begin_stream(balancer) for _ in range(STREAMS)]
         leaving = fleet.members["entry-2"]
-        kept = http.client.HTTPConnection(leaving.address, timeout=60)
-        self.addCleanup(kept.close)
+        persistent = http.client.HTTPConnection(leaving.address, timeout=60)
+        self.addCleanup(persistent.close)
         headers = {"Authorization": f"Bearer {CALLER_KEY}"}
-        kept.request("POST", CHAT_PATH, make_chat("k", stream=True), headers)
-        kept.getresponse().read()
+        persistent.request("POST", CHAT_PATH, make_chat("k", stream=True), headers)
+        persistent.getresponse().read()
         leaving.send(signal.SIGTERM)
         wait_until(lambda: "settling" in leaving.read_log(), "the stop has begun")
         self.assertEqual(fleet.request("GET", leaving, "/readyz").status, 503)
-        kept.request("POST", CHAT_PATH, make_chat("late", stream=True), headers)
-        late = kept.getresponse()
+        persistent.request("POST", CHAT_PATH, make_chat("late", stream=True), headers)
+        late = persistent.getresponse()
         self.assertEqual((late.status, late.headers["Connection"]), (200, "close"))
         with ThreadPoolExecutor(STREAMS) as workers:
             more = list(workers.map(lambda n: chat(fleet, balancer, f"n{n}"), range(STREAMS)))
@@ -88,7 +89,7 @@
         self.assertIn("Stopped with 1 requests cut off", leaving.read_log())
 
     def test_second_signal_ends_the_process(self) -> None:
-        """An operator has no time to wait; the log says what was cut."""
+        """Guards against a second signal that is ignored and cut requests that are not logged."""
         fleet = self.open(deadline_s=60.0, token_ms=5, balancer=False)
         leaving = fleet.members["entry-2"]
         fleet.inject_fault(fleet.members["engine-1"], "stall", delay_s=60.0)
@@ -99,7 +100,7 @@
         self.assert_cut(leaving, stream)
 
     def test_stop_deadline_ends_the_process(self) -> None:
-        """A stream runs longer than the stop may take; the caller sees a cut answer."""
+        """Guards against a stop that waits longer than its deadline for a stream."""
         fleet = self.open(deadline_s=2.0, token_ms=5, balancer=False)
         leaving = fleet.members["entry-2"]
         fleet.inject_fault(fleet.members["engine-1"], "stall", delay_s=60.0)
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -1,4 +1,4 @@
-"""A fleet whose every listener is encrypted."""
+"""System test of a fleet whose listeners all use TLS."""
 
 import json
 import socket
@@ -50,10 +50,10 @@
             return False
 
     def test_listeners_accept_tls_and_reject_plain_text(self) -> None:
-        """Instances meet, found the log and serve operators over TLS only.
+        """Guards against a listener that fails with TLS or accepts plain text.
 
-        Ready means that gossip, log and configuration went over mutual TLS. A client
-        without TLS, or a peer without a certificate of the fleet, gets nowhere.
+        A ready instance has exchanged gossip, log and configuration over mutual TLS. A client
+        without TLS and a peer without a certificate of the fleet must be refused.
         """
         fleet = self.open()
         hosts = [plan.host for plan in fleet.plans]
