--- a/standins/link.py
+++ b/standins/link.py
@@ -16,7 +16,7 @@
 import typer
 from gevent.server import StreamServer
 
-from standins.const import PUMP_SIZE
+from standins.const import RECEIVE_BUFFER_BYTES
 
 READ_EVERY_S = 0.05
 TABLE_READS = 20
@@ -135,7 +135,7 @@
 
     def _pump(self, source: socket.socket, sink: socket.socket, inode: str) -> None:
         try:
-            while data := source.recv(PUMP_SIZE):
+            while data := source.recv(RECEIVE_BUFFER_BYTES):
                 if not self._is_cut(inode):
                     sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -11,7 +11,7 @@
 import urllib3
 from gevent.server import StreamServer
 
-from standins.const import PROBE_INTERVAL_S, PUMP_SIZE
+from standins.const import PROBE_INTERVAL_S, RECEIVE_BUFFER_BYTES
 
 READY_PATH = "/readyz"
 
@@ -63,7 +63,7 @@
 
     def _pump(self, source: socket.socket, sink: socket.socket) -> None:
         try:
-            while data := source.recv(PUMP_SIZE):
+            while data := source.recv(RECEIVE_BUFFER_BYTES):
                 if not self.cut:
                     sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
