--- a/standins/crowd.py
+++ b/standins/crowd.py
@@ -10,7 +10,7 @@
 from standins.announcer import Announcer
 from standins.models import EndpointIdentity
 
-ANNOUNCE_EVERY_S = 3.0
+ANNOUNCE_INTERVAL_S = 3.0
 LEASE_S = 10.0
 ZONES = ("fukuoka-hall", "kumamoto-hall", "kitakyushu-hall")
 
@@ -35,7 +35,7 @@
     first = number % len(targets)
     turned = targets[first:] + targets[:first]
     return Announcer(
-        targets=turned, make_announcement=make_announcement, interval_s=ANNOUNCE_EVERY_S
+        targets=turned, make_announcement=make_announcement, interval_s=ANNOUNCE_INTERVAL_S
     )
 
 
@@ -47,7 +47,7 @@
     loops = []
     for number in range(count):
         announcer = make_announcer(number, announce_to)
-        delay_s = ANNOUNCE_EVERY_S * number / count
+        delay_s = ANNOUNCE_INTERVAL_S * number / count
         loops.append(gevent.spawn_later(delay_s, announcer.run))
     gevent.signal_handler(signal.SIGTERM, gevent.killall, loops, block=False)
     print("ready crowd", flush=True)
