--- a/standins/link.py
+++ b/standins/link.py
@@ -18,7 +18,7 @@
 
 from standins.const import RECEIVE_BUFFER_BYTES
 
-READ_EVERY_S = 0.05
+CUTS_POLL_INTERVAL_S = 0.05
 TABLE_READS = 20
 READ_AGAIN_S = 0.005
 # gRPC opens sockets that speak both versions of IP where the machine has both; those to an
@@ -116,7 +116,7 @@
                 self._text = text
                 self._cut = frozenset(text.split())
                 get_applied_path(self._cuts).write_text(text)
-            gevent.sleep(READ_EVERY_S)
+            gevent.sleep(CUTS_POLL_INTERVAL_S)
 
     def _handle(self, source: socket.socket, address: tuple[str, int]) -> None:
         host, _, port = self._target.rpartition(":")
