--- a/standins/link.py
+++ b/standins/link.py
@@ -20,7 +20,7 @@
 
 CUTS_POLL_INTERVAL_S = 0.05
 TABLE_READS = 20
-READ_AGAIN_S = 0.005
+TABLE_RETRY_DELAY_S = 0.005
 # gRPC opens sockets that speak both versions of IP where the machine has both; those to an
 # IPv4 address stand in the second table, with the address behind this prefix.
 TCP_TABLES = ((Path("/proc/net/tcp"), ""), (Path("/proc/net/tcp6"), "0000000000000000FFFF0000"))
@@ -53,7 +53,7 @@
             inode = _read_inode(table, wanted)
             if inode:
                 return inode
-        gevent.sleep(READ_AGAIN_S)
+        gevent.sleep(TABLE_RETRY_DELAY_S)
     return ""
 
 
