--- a/standins/link.py
+++ b/standins/link.py
@@ -19,7 +19,7 @@
 from standins.const import RECEIVE_BUFFER_BYTES
 
 CUTS_POLL_INTERVAL_S = 0.05
-TABLE_READS = 20
+MAX_TABLE_READS = 20
 TABLE_RETRY_DELAY_S = 0.005
 # gRPC opens sockets that speak both versions of IP where the machine has both; those to an
 # IPv4 address stand in the second table, with the address behind this prefix.
@@ -47,7 +47,7 @@
     table out in pieces, and a socket that others move past meanwhile is left out; so it
     is read again before a connection counts as unknown.
     """
-    for _ in range(TABLE_READS):
+    for _ in range(MAX_TABLE_READS):
         for table, prefix in TCP_TABLES:
             wanted = [prefix + _format_end(source), prefix + _format_end(target)]
             inode = _read_inode(table, wanted)
