--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -21,7 +21,7 @@
 RESOURCE_PORT = 18081
 PEER_PORT = 18082
 TELEMETRY_PORT = 18083
-START_LIMIT_S = 15.0
+START_TIMEOUT_S = 15.0
 STOP_LIMIT_S = 30.0
 POLL_S = 0.05
 HOSTS_PER_FLEET = 64
@@ -187,7 +187,7 @@
         return member
 
     def _wait_line(self, member: Member, prefix: str) -> str:
-        deadline = time.monotonic() + START_LIMIT_S
+        deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline:
             for line in member.read_log().splitlines():
                 if line.startswith(prefix):
@@ -211,7 +211,7 @@
     def wait_ready(self, name: str) -> None:
         """Wait until an instance says that it is ready."""
         member = self.members[name]
-        deadline = time.monotonic() + START_LIMIT_S
+        deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline:
             if member.process.poll() is not None:
                 break
