--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -22,7 +22,7 @@
     HEADER_DID_NOT_RUN,
     HEADER_REQUEST_ID,
     LEASE_S,
-    STOP_LIMIT_S,
+    STOP_TIMEOUT_S,
 )
 from standins.models import EndpointIdentity, Faults, SeenRequest
 
@@ -296,7 +296,7 @@
     stop.wait()
     announcer.state = "leaving"
     announcer.announce()
-    deadline = time.monotonic() + STOP_LIMIT_S
+    deadline = time.monotonic() + STOP_TIMEOUT_S
     gevent.sleep(LEASE_S)
     while endpoint.in_flight and time.monotonic() < deadline:
         gevent.sleep(0.05)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -22,7 +22,7 @@
 PEER_PORT = 18082
 TELEMETRY_PORT = 18083
 START_TIMEOUT_S = 15.0
-STOP_LIMIT_S = 30.0
+STOP_TIMEOUT_S = 30.0
 POLL_S = 0.05
 HOSTS_PER_FLEET = 64
 
@@ -68,7 +68,7 @@
     def stop(self) -> int:
         """Ask for a graceful stop and return the exit code."""
         self.send(signal.SIGTERM)
-        return self.process.wait(STOP_LIMIT_S)
+        return self.process.wait(STOP_TIMEOUT_S)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -261,7 +261,7 @@
             member.send(signal.SIGTERM)
         for member in running:
             try:
-                codes[member.name] = member.process.wait(STOP_LIMIT_S)
+                codes[member.name] = member.process.wait(STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 member.kill()
                 codes[member.name] = -signal.SIGKILL
