--- a/standins/demo.py
+++ b/standins/demo.py
@@ -16,7 +16,7 @@
 ENGINE_SERVICE = "valuation"
 PLAIN_SERVICE = "claims"
 CHAT_PATH = "/v1/chat/completions"
-ROUTED_LIMIT_S = 15.0
+ROUTED_TIMEOUT_S = 15.0
 POLL_S = 0.05
 # Between two requests of a chat: longer than the routers' counts lag, as a person is.
 PAUSE_S = 1.0
@@ -107,7 +107,7 @@
 
 def apply_workspace(fleet: Fleet) -> None:
     """Create the workspace through the resource API; tried until there is a leader."""
-    deadline = time.monotonic() + ROUTED_LIMIT_S
+    deadline = time.monotonic() + ROUTED_TIMEOUT_S
     member = fleet.members[fleet.plans[0].name]
     while time.monotonic() < deadline:
         response = fleet.manage("POST", member, "/api/v1/workspace", make_workspace())
@@ -119,7 +119,7 @@
 
 def wait_routed(fleet: Fleet, *, engines: int = 1) -> None:
     """Wait until every router serves chats."""
-    deadline = time.monotonic() + ROUTED_LIMIT_S
+    deadline = time.monotonic() + ROUTED_TIMEOUT_S
     for plan in fleet.plans:
         member = fleet.members[plan.name]
         while (reply := chat(fleet, member, "warm up")).status != 200:
