--- a/standins/demo.py
+++ b/standins/demo.py
@@ -19,7 +19,7 @@
 ROUTED_TIMEOUT_S = 15.0
 POLL_S = 0.05
 # Between two requests of a chat: longer than the routers' counts lag, as a person is.
-PAUSE_S = 1.0
+CHAT_INTERVAL_S = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -153,7 +153,7 @@
             member = fleet.members[plan.name]
             reply = chat(fleet, member, "appraise this", chat_id=chat_id)
             show(f"{chat_id} via {plan.name}", reply, find_reason(fleet, member, reply))
-            time.sleep(PAUSE_S)
+            time.sleep(CHAT_INTERVAL_S)
             served.add(reply.served_by)
         same = same and len(served) == 1
     return same
