--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -89,7 +89,7 @@
         command = ["-m", "standins", "crowd", "--count", str(count)]
         for plan in fleet.plans:
             command += ["--announce-to", f"http://{plan.host}:{CALLER_PORT}"]
-        fleet.start_announced("crowd", command)
+        fleet.start_and_wait_ready("crowd", command)
         return measure(fleet, f"3 instances, {count} endpoints")
 
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -171,16 +171,16 @@
         command += ["--listen", f"{self._make_host()}:0", *options]
         for target in targets:
             command += ["--announce-to", target]
-        return self.start_announced(name, command)
+        return self.start_and_wait_ready(name, command)
 
     def start_balancer(self) -> Member:
         """Start the stand-in of the platform's balancer."""
         command = ["-m", "standins", "balancer", "--listen", f"{self._make_host()}:0"]
         for plan in self.plans:
             command += ["--target", f"{plan.host}:{CALLER_PORT}"]
-        return self.start_announced("balancer", command)
+        return self.start_and_wait_ready("balancer", command)
 
-    def start_announced(self, name: str, command: list[str]) -> Member:
+    def start_and_wait_ready(self, name: str, command: list[str]) -> Member:
         """Start a stand-in and wait until it says that it is ready."""
         member = self._start(name, command, address="")
         member.address = self._wait_line(member, "ready ")
--- a/tests/system/fleets.py
+++ b/tests/system/fleets.py
@@ -62,7 +62,7 @@
             command = ["-m", "standins", "link", "--listen", f"{plan.host}:{LINK_PORT}"]
             command += ["--target", f"{plan.host}:{PEER_PORT}"]
             command += ["--cuts", str(self.get_cuts(plan.name))]
-            self.start_announced(f"link-{plan.name}", command)
+            self.start_and_wait_ready(f"link-{plan.name}", command)
 
     def get_cuts(self, name: str) -> Path:
         """Return the path of the file that controls the cuts of an instance's link."""
