--- a/standins/link.py
+++ b/standins/link.py
@@ -34,7 +34,7 @@
     if not inode:
         return 0
     for pid in pids:
-        if _owns(pid, f"socket:[{inode}]"):
+        if _has_socket(pid, f"socket:[{inode}]"):
             return pid
     return 0
 
@@ -73,7 +73,7 @@
     return f"{number:08X}:{end[1]:04X}"
 
 
-def _owns(pid: int, name: str) -> bool:
+def _has_socket(pid: int, name: str) -> bool:
     folder = Path(f"/proc/{pid}/fd")
     try:
         links = list(folder.iterdir())
