--- a/standins/link.py
+++ b/standins/link.py
@@ -49,7 +49,7 @@
     """
     for _ in range(MAX_TABLE_READS):
         for table, prefix in TCP_TABLES:
-            wanted = [prefix + _format_end(source), prefix + _format_end(target)]
+            wanted = [prefix + _format_address(source), prefix + _format_address(target)]
             inode = _read_inode(table, wanted)
             if inode:
                 return inode
@@ -67,7 +67,7 @@
     return ""
 
 
-def _format_end(end: Endpoint) -> str:
+def _format_address(end: Endpoint) -> str:
     """Write an address as the kernel's table does: hexadecimal, in its own byte order."""
     number = int.from_bytes(socket.inet_aton(end[0]), sys.byteorder)
     return f"{number:08X}:{end[1]:04X}"
