--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -90,7 +90,7 @@
         self.faults = msgspec.convert(msgspec.json.decode(request.body.read()), Faults)
         return HTTPResponse(status=204)
 
-    def _note(self, *, chat: str, ran: bool = True) -> SeenRequest:
+    def _record(self, *, chat: str, ran: bool = True) -> SeenRequest:
         seen = SeenRequest(
             request_id=request.get_header(HEADER_REQUEST_ID, ""),
             chat=chat,
@@ -105,16 +105,16 @@
 
     def _play_early_fault(self, fault: str, chat: str) -> HTTPResponse | None:
         if fault == "refuse":
-            self._note(chat=chat, ran=False)
+            self._record(chat=chat, ran=False)
             headers = {HEADER_DID_NOT_RUN: "true", "Retry-After": "1"}
             return HTTPResponse(status=503, headers=headers)
         if fault == "late":
             gevent.sleep(self.faults.delay_s)
         if fault == "error":
-            self._note(chat=chat)
+            self._record(chat=chat)
             return _answer_json({"error": "played"}, "", status=500)
         if fault == "die":
-            self._note(chat=chat)
+            self._record(chat=chat)
             raise CutError
         return None
 
@@ -124,7 +124,7 @@
         early = self._play_early_fault(fault, chat)
         if early is not None:
             return early
-        seen = self._note(chat=chat)
+        seen = self._record(chat=chat)
         seen.finished = True
         answer = {
             "endpoint": self.identity.endpoint_id,
@@ -142,7 +142,7 @@
         early = self._play_early_fault(fault, chat)
         if early is not None:
             return early
-        seen = self._note(chat=chat)
+        seen = self._record(chat=chat)
         seen.cached = self._cache.use(chat)
         text = str(body["messages"][-1].get("content", ""))
         if not body.get("stream"):
