--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -27,7 +27,7 @@
 from standins.models import EndpointIdentity, Faults, SeenRequest
 
 
-class PromptHandler(WSGIHandler):
+class NoDelayHandler(WSGIHandler):
     """Sends each write at once.
 
     The library writes head and body one by one. With the system's delay of small
@@ -281,7 +281,7 @@
         endpoint.build(),
         log=None,
         error_log=None,
-        handler_class=PromptHandler,
+        handler_class=NoDelayHandler,
     )
     server.start()
     address = f"{host}:{server.server_port}"
