--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -173,7 +173,7 @@
             response.headers["Content-Length"] = str(len(response.body) + 10)
             response.headers["Connection"] = "close"
         if fault == "double":
-            response.body += _make_raw_answer(response)
+            response.body += _format_raw_answer(response)
         return response
 
     def make_token(self, seen: SeenRequest, text: str, number: int) -> str:
@@ -242,7 +242,7 @@
     return "another-request" if fault == "wrong_id" else given
 
 
-def _make_raw_answer(response: HTTPResponse) -> bytes:
+def _format_raw_answer(response: HTTPResponse) -> bytes:
     lines = ["HTTP/1.1 200 OK", *(f"{name}: {value}" for name, value in response.headerlist)]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + response.body
 
