--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -103,7 +103,7 @@
         self.seen.append(seen)
         return seen
 
-    def _play_early_fault(self, fault: str, chat: str) -> HTTPResponse | None:
+    def _inject_early_fault(self, fault: str, chat: str) -> HTTPResponse | None:
         if fault == "refuse":
             self._record(chat=chat, ran=False)
             headers = {HEADER_DID_NOT_RUN: "true", "Retry-After": "1"}
@@ -121,7 +121,7 @@
     def _serve_call(self, path: str) -> HTTPResponse:
         chat = request.get_header("X-Chat-Id", "")
         fault = self.faults.take()
-        early = self._play_early_fault(fault, chat)
+        early = self._inject_early_fault(fault, chat)
         if early is not None:
             return early
         seen = self._record(chat=chat)
@@ -139,7 +139,7 @@
         body = msgspec.json.decode(request.body.read())
         chat = request.get_header("X-Chat-Id", "")
         fault = self.faults.take()
-        early = self._play_early_fault(fault, chat)
+        early = self._inject_early_fault(fault, chat)
         if early is not None:
             return early
         seen = self._record(chat=chat)
