--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -146,12 +146,12 @@
         seen.cached = self._cache.use(chat)
         text = str(body["messages"][-1].get("content", ""))
         if not body.get("stream"):
-            return self._answer_whole(seen, text, fault)
+            return self._answer_unstreamed(seen, text, fault)
         headers = {"Content-Type": "text/event-stream", HEADER_REQUEST_ID: _echo_id(fault)}
         stream = TokenStream(endpoint=self, seen=seen, text=text, fault=fault, count=self._tokens)
         return HTTPResponse(body=stream, status=200, headers=headers)
 
-    def _answer_whole(self, seen: SeenRequest, text: str, fault: str) -> HTTPResponse:
+    def _answer_unstreamed(self, seen: SeenRequest, text: str, fault: str) -> HTTPResponse:
         self.in_flight += 1
         try:
             gevent.sleep(self._tokens * self._token_s)
