--- a/standins/relay.py
+++ b/standins/relay.py
@@ -68,11 +68,11 @@
                     sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
-            _shut(sink)
-            _shut(source)
+            _shut_down(sink)
+            _shut_down(source)
 
 
-def _shut(side: socket.socket) -> None:
+def _shut_down(side: socket.socket) -> None:
     try:
         side.shutdown(socket.SHUT_RDWR)
     except OSError:
