--- a/tests/standins/test_endpoint.py
+++ b/tests/standins/test_endpoint.py
@@ -10,7 +10,7 @@
 CHATS = 128
 
 
-def ask(fleet: Fleet, engine: Member, number: int) -> tuple[int, str, str]:
+def send_chat(fleet: Fleet, engine: Member, number: int) -> tuple[int, str, str]:
     """Send one chat; return its status, the id echoed and the answer's text."""
     value = {"model": "m", "messages": [{"role": "user", "content": f"text {number}"}]}
     headers = {"X-Request-Id": f"r{number}", "X-Chat-Id": f"chat {number}"}
@@ -34,7 +34,7 @@
         with open_fleet() as fleet:
             engine = fleet.start_endpoint("engine-1", "--tokens", "1", "--token-ms", "5")
             with ThreadPoolExecutor(CALLERS) as workers:
-                answers = list(workers.map(lambda n: ask(fleet, engine, n), range(CHATS)))
+                answers = list(workers.map(lambda n: send_chat(fleet, engine, n), range(CHATS)))
             log = engine.read_log()
         for number, answer in enumerate(answers):
             self.assertEqual(answer, (200, f"r{number}", f"chat {number}/text {number}/0 "))
