--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -120,7 +120,7 @@
 
     def _serve_call(self, path: str) -> HTTPResponse:
         chat = request.get_header("X-Chat-Id", "")
-        fault = self.faults.take()
+        fault = self.faults.pop_next()
         early = self._inject_early_fault(fault, chat)
         if early is not None:
             return early
@@ -138,7 +138,7 @@
     def _serve_chat(self) -> HTTPResponse:
         body = msgspec.json.decode(request.body.read())
         chat = request.get_header("X-Chat-Id", "")
-        fault = self.faults.take()
+        fault = self.faults.pop_next()
         early = self._inject_early_fault(fault, chat)
         if early is not None:
             return early
--- a/standins/models.py
+++ b/standins/models.py
@@ -21,7 +21,7 @@
     after_chunks: int = 3
     delay_s: float = 1.0
 
-    def take(self) -> str:
+    def pop_next(self) -> str:
         """Return the fault for one request, and count it."""
         if self.count <= 0:
             return ""
