--- a/standins/link.py
+++ b/standins/link.py
@@ -26,7 +26,7 @@
 TCP_TABLES = ((Path("/proc/net/tcp"), ""), (Path("/proc/net/tcp6"), "0000000000000000FFFF0000"))
 
 
-Endpoint = tuple[str, int]
+SocketAddress = tuple[str, int]
 
 
 def find_owner(inode: str, pids: list[int]) -> int:
@@ -39,7 +39,7 @@
     return 0
 
 
-def find_inode(source: Endpoint, target: Endpoint) -> str:
+def find_inode(source: SocketAddress, target: SocketAddress) -> str:
     """Return the inode of the socket that connects source to target, empty if there is none.
 
     Both ends count: two processes may connect from the same local port to different
@@ -67,7 +67,7 @@
     return ""
 
 
-def _format_address(end: Endpoint) -> str:
+def _format_address(end: SocketAddress) -> str:
     """Write an address as the kernel's table does: hexadecimal, in its own byte order."""
     number = int.from_bytes(socket.inet_aton(end[0]), sys.byteorder)
     return f"{number:08X}:{end[1]:04X}"
