--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems around the fleet; not part of the shipped package."""
+"""Stand-ins for the systems that a fleet works with; not part of the shipped package."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,8 +1,8 @@
-"""The programs of the stand-ins: ``python -m standins endpoint|balancer|link|crowd``."""
+"""Command line of the stand-ins: ``python -m standins endpoint|balancer|link|crowd``."""
 
-# Before every other import: bottle keeps the current request in a thread-local. Made
-# before the patch, that is one for all greenlets, and under concurrency a request reads
-# the body and the id of another.
+# Patching must precede every other import. bottle keeps the current request in a thread-local;
+# if that is created before the patch, all greenlets share it, and a request reads the body and
+# id of a concurrent request.
 from gevent import monkey
 
 monkey.patch_all()
--- a/standins/announcer.py
+++ b/standins/announcer.py
@@ -1,4 +1,4 @@
-"""Announces a stand-in endpoint again and again, so that its lease does not run out."""
+"""Announces a stand-in endpoint periodically, so that its lease does not expire."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class Announcer:
-    """Posts announcements to the first of ``targets`` that takes them, turn by turn."""
+    """Posts announcements to ``targets`` in turn until one of them accepts."""
 
     def __init__(
         self,
@@ -25,7 +25,11 @@
         key: str = "",
         interval_s: float = ANNOUNCE_INTERVAL_S,
     ) -> None:
-        """Take ``http://host:port`` targets and the maker of announcements by state."""
+        """Initialize the announcer.
+
+        ``targets`` are URLs of the form ``http://host:port``; ``make_announcement`` returns
+        the announcement for a state such as ``ready`` or ``leaving``.
+        """
         self._targets = list(targets)
         self._make_announcement = make_announcement
         self._headers = {"Content-Type": "application/json"}
@@ -38,14 +42,14 @@
         self.state = "ready"
 
     def run(self) -> None:
-        """Announce until killed."""
+        """Announce every ``interval_s`` seconds until the greenlet is killed."""
         while True:
             if not self.paused:
                 self.announce()
             gevent.sleep(self._interval_s)
 
     def announce(self) -> bool:
-        """Announce once; return whether a target took it."""
+        """Announce once; return whether a target accepted the announcement."""
         body = msgspec.json.encode(self._make_announcement(self.state))
         for _ in self._targets:
             target = self._targets[self._next % len(self._targets)]
--- a/standins/crowd.py
+++ b/standins/crowd.py
@@ -1,4 +1,4 @@
-"""Many endpoints that only announce themselves, in one process."""
+"""Runs many endpoints that only announce themselves in one process."""
 
 import signal
 import time
@@ -16,7 +16,7 @@
 
 
 def make_announcer(number: int, targets: list[str]) -> Announcer:
-    """Return the announcer of one endpoint that nobody can connect to."""
+    """Return the announcer of one endpoint that accepts no connections."""
     identity = EndpointIdentity(
         endpoint_id=f"crowd-{number}",
         incarnation=time.time_ns() // 1_000_000,
@@ -33,9 +33,9 @@
         return identity.make_announcement(address=address, state=state, lease_s=LEASE_S)
 
     first = number % len(targets)
-    turned = targets[first:] + targets[:first]
+    rotated = targets[first:] + targets[:first]
     return Announcer(
-        targets=turned, make_announcement=make_announcement, interval_s=ANNOUNCE_INTERVAL_S
+        targets=rotated, make_announcement=make_announcement, interval_s=ANNOUNCE_INTERVAL_S
     )
 
 
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a local fleet, real requests, where each went and why."""
+"""The demonstration: sends requests through a local fleet and prints where each was placed."""
 
 import json
 import time
@@ -18,13 +18,14 @@
 CHAT_PATH = "/v1/chat/completions"
 ROUTED_TIMEOUT_S = 15.0
 POLL_S = 0.05
-# Between two requests of a chat: longer than the routers' counts lag, as a person is.
+# Time between two requests of a chat, as from a human user. It is longer than the delay with
+# which routers learn of each other's load counts.
 CHAT_INTERVAL_S = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Reply:
-    """What a caller received."""
+    """The answer that a caller received."""
 
     status: int
     headers: dict[str, str]
@@ -32,7 +33,7 @@
 
     @property
     def text(self) -> str:
-        """Return the content of a chat answer, streamed or whole."""
+        """Return the content of a chat answer, whether or not it was streamed."""
         if not self.headers.get("content-type", "").startswith("text/event-stream"):
             return str(json.loads(self.body)["choices"][0]["message"]["content"])
         lines = [line[6:] for line in self.body.decode().splitlines() if line.startswith("data: ")]
@@ -46,12 +47,12 @@
 
     @property
     def cached(self) -> bool:
-        """Return whether the engine had the chat's context."""
+        """Return whether the engine had the chat's context cached."""
         return b'"cached":true' in self.body
 
     @property
     def error(self) -> dict[str, Any]:
-        """Return the error of a refusal."""
+        """Return the error object of a refused request."""
         error: dict[str, Any] = json.loads(self.body)["error"]
         return error
 
@@ -106,7 +107,7 @@
 
 
 def apply_workspace(fleet: Fleet) -> None:
-    """Create the workspace through the resource API; tried until there is a leader."""
+    """Create the workspace through the resource API, retrying until a leader accepts it."""
     deadline = time.monotonic() + ROUTED_TIMEOUT_S
     member = fleet.members[fleet.plans[0].name]
     while time.monotonic() < deadline:
@@ -118,7 +119,7 @@
 
 
 def wait_routed(fleet: Fleet, *, engines: int = 1) -> None:
-    """Wait until every router serves chats."""
+    """Wait until every router answers a chat with status 200."""
     deadline = time.monotonic() + ROUTED_TIMEOUT_S
     for plan in fleet.plans:
         member = fleet.members[plan.name]
@@ -129,14 +130,14 @@
 
 
 def find_reason(fleet: Fleet, member: Member, reply: Reply) -> str:
-    """Return why a request went where it went, in the router's words."""
+    """Return the reason that the router gives for the placement of a request."""
     request_id = reply.headers.get("x-request-id", "")
     response = fleet.manage("GET", member, f"/api/v1/explain/request/{request_id}")
     return str(response.json()["placement"]["reason"]) if response.status == 200 else ""
 
 
 def show(title: str, reply: Reply, reason: str = "") -> None:
-    """Print one answer in a line, and why it went there."""
+    """Print one line with an answer and the reason for its placement."""
     if reply.status != 200:
         print(f"{title:<30} {reply.status} {reply.error['code']}, ran: {reply.error['ran']}")
         return
@@ -145,7 +146,7 @@
 
 
 def send_chats(fleet: Fleet) -> bool:
-    """Send chats through every router; return whether each came back to its engine."""
+    """Send each chat through every router; return whether one engine served all its requests."""
     same = True
     for chat_id in ("dossier-1", "dossier-2", "dossier-3"):
         served: set[str] = set()
@@ -160,7 +161,7 @@
 
 
 def send_refusals(fleet: Fleet) -> None:
-    """Send requests that are to be refused, and print how."""
+    """Send invalid requests and print how they are refused."""
     member = fleet.members[fleet.plans[0].name]
     show("wrong key", call(fleet, member, "POST", CHAT_PATH, {}, key="wrong"))
     show("unknown workspace", chat(fleet, member, "x", X_Workspace="nobody"))
@@ -170,7 +171,7 @@
 
 
 def send_plain(fleet: Fleet) -> None:
-    """Send a call to the plain service, twice with one idempotency key."""
+    """Send a call with one idempotency key to the plain service twice."""
     first, second = (fleet.members[plan.name] for plan in fleet.plans[:2])
     path = f"/services/{PLAIN_SERVICE}/quotes"
     for title, member in (("quote", first), ("the same quote again", second)):
@@ -180,7 +181,7 @@
 
 
 def explain(fleet: Fleet, request_id: str) -> None:
-    """Print why a request went where it went."""
+    """Print the explanation of a request's placement."""
     member = fleet.members[fleet.plans[0].name]
     response = fleet.manage("GET", member, f"/api/v1/explain/request/{request_id}")
     if response.status == 200:
@@ -188,7 +189,10 @@
 
 
 def run(*, keep: bool, instances: int) -> int:
-    """Run the demonstration; return 0 when all went as it should."""
+    """Run the demonstration.
+
+    Returns 0 if every chat stayed at its engine and every process exited with 0.
+    """
     with open_fleet() as fleet:
         fleet.plan_instances(instances)
         fleet.start_instances()
@@ -225,7 +229,7 @@
 
 
 def main(
-    keep: Annotated[bool, typer.Option(help="Leave the fleet up until Ctrl-C.")] = False,
+    keep: Annotated[bool, typer.Option(help="Keep the fleet running until Ctrl-C.")] = False,
     instances: Annotated[int, typer.Option(help="Instances to start, 3 or more.")] = 3,
 ) -> None:
     """Start a local fleet, send requests through it and stop it."""
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in endpoint: a model engine or a plain service, as a process of its own."""
+"""A stand-in endpoint that simulates a model engine or a plain service in its own process."""
 
 import signal
 import socket
@@ -28,19 +28,19 @@
 
 
 class NoDelayHandler(WSGIHandler):
-    """Sends each write at once.
+    """Request handler that sets TCP_NODELAY, so that each write is sent at once.
 
-    The library writes head and body one by one. With the system's delay of small
-    packets the body waits up to 40 ms for the other side's acknowledgement.
+    pywsgi writes head and body separately. With Nagle's algorithm the body would wait up to
+    40 ms for the peer's acknowledgement of the head.
     """
 
     def handle(self) -> None:
-        """Serve a connection."""
+        """Disable Nagle's algorithm and serve the connection."""
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().handle()
 
     def handle_error(self, t: Any, v: Any, tb: Any) -> None:
-        """Close without a word when a death is played."""
+        """Close the connection without an answer for an injected crash."""
         if isinstance(v, CutError):
             self.close_connection = True
             return
@@ -48,11 +48,11 @@
 
 
 class CutError(Exception):
-    """Ends an answer in the middle, as a dying engine does."""
+    """Aborts an answer to simulate an engine that crashes."""
 
 
 class StandInEndpoint:
-    """Serves chat completions and plain calls, and keeps a record of what it ran."""
+    """Serves chat completions and plain calls, and records the requests that it receives."""
 
     def __init__(
         self,
@@ -63,7 +63,11 @@
         cache_chats: int,
         end: Callable[[], None],
     ) -> None:
-        """Take what it is and how fast it answers; ``end`` ends the process at once."""
+        """Initialize the endpoint.
+
+        An answer has ``tokens`` tokens, each of which takes ``token_ms`` milliseconds; the
+        prefix cache holds ``cache_chats`` chats. ``end`` requests the end of the process.
+        """
         self.identity = identity
         self.faults = Faults()
         self.seen: list[SeenRequest] = []
@@ -75,7 +79,7 @@
         self._end = end
 
     def build(self) -> Bottle:
-        """Return the application."""
+        """Return the WSGI application."""
         app = Bottle(catchall=False)
         app.route("/v1/chat/completions", "POST", self._serve_chat)
         app.route("/standin/seen", "GET", self._show_seen)
@@ -177,16 +181,16 @@
         return response
 
     def make_token(self, seen: SeenRequest, text: str, number: int) -> str:
-        """Return a token that names its request, so that a mix-up shows."""
+        """Return a token that names its request, so that tests can detect mixed-up answers."""
         return f"{seen.chat}/{text}/{number} "
 
     def wait_token(self) -> None:
-        """Wait as long as a token takes."""
+        """Wait for the time of one token."""
         gevent.sleep(self._token_s)
 
 
 class TokenStream:
-    """The chunks of one streamed answer; closing it early is a cancel."""
+    """The chunks of one streamed answer; closing it before its end counts as a cancel."""
 
     def __init__(
         self, *, endpoint: StandInEndpoint, seen: SeenRequest, text: str, fault: str, count: int
@@ -205,7 +209,7 @@
         return next(self._chunks)
 
     def close(self) -> None:
-        """Take note of the end; not finished means cancelled."""
+        """Count the stream as ended, and as cancelled if it was not finished."""
         if not self._open:
             return
         self._open = False
@@ -266,7 +270,7 @@
     cache_chats: int,
     key: str,
 ) -> None:
-    """Serve until SIGTERM; then announce the leave and finish what is in flight."""
+    """Serve until SIGTERM; then announce ``leaving`` and complete the requests in flight."""
     stop = Event()
     endpoint = StandInEndpoint(
         identity=identity,
@@ -311,16 +315,20 @@
     ] = None,
     listen: Annotated[str, typer.Option(help="host:port; port 0 chooses one.")] = "127.0.0.1:0",
     kind: Annotated[str, typer.Option(help="engine or service.")] = "engine",
-    service: Annotated[str, typer.Option(help="Service that it belongs to.")] = "valuation",
-    model: Annotated[list[str] | None, typer.Option(help="Models that it serves.")] = None,
+    service: Annotated[
+        str, typer.Option(help="Service that the endpoint belongs to.")
+    ] = "valuation",
+    model: Annotated[
+        list[str] | None, typer.Option(help="Models that the endpoint serves.")
+    ] = None,
     region: Annotated[str, typer.Option(help="Region.")] = "kyushu",
     zone: Annotated[str, typer.Option(help="Availability zone.")] = "fukuoka-hall",
     capacity: Annotated[int, typer.Option(help="Requests served at once.")] = 16,
     tokens: Annotated[int, typer.Option(help="Tokens of each answer.")] = DEFAULT_TOKENS,
-    token_ms: Annotated[float, typer.Option(help="Time a token takes.")] = DEFAULT_TOKEN_MS,
+    token_ms: Annotated[float, typer.Option(help="Time per token in ms.")] = DEFAULT_TOKEN_MS,
     cache_chats: Annotated[int, typer.Option(help="Chats in the cache.")] = DEFAULT_CACHE_CHATS,
-    incarnation: Annotated[int, typer.Option(help="0: the current time.")] = 0,
-    key: Annotated[str, typer.Option(help="Announcer's key.")] = "",
+    incarnation: Annotated[int, typer.Option(help="Incarnation; 0: the current time in ms.")] = 0,
+    key: Annotated[str, typer.Option(help="Key for the announcements.")] = "",
 ) -> None:
     """Run a stand-in endpoint."""
     identity = EndpointIdentity(
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A local fleet as separate processes, for the demonstration, the tests and the benchmarks."""
+"""Runs a local fleet as separate processes for the demonstration, tests and benchmarks."""
 
 import json
 import os
@@ -28,7 +28,7 @@
 
 
 class FleetError(Exception):
-    """A process of the fleet did not do what was asked in time."""
+    """A process of the fleet did not reach the requested state in time."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -43,7 +43,7 @@
     frozen: bool = False
 
     def read_log(self) -> str:
-        """Return what the process has written so far."""
+        """Return everything that the process has logged so far."""
         return self.log.read_text(errors="replace")
 
     def send(self, number: int) -> None:
@@ -51,29 +51,29 @@
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process without warning."""
+        """Send SIGKILL to the process and wait until it has exited."""
         self.process.kill()
         self.process.wait()
 
     def freeze(self) -> None:
-        """Stop the process as if its machine hung."""
+        """Suspend the process with SIGSTOP to simulate a machine that hangs."""
         self.send(signal.SIGSTOP)
         self.frozen = True
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         self.send(signal.SIGCONT)
         self.frozen = False
 
     def stop(self) -> int:
-        """Ask for a graceful stop and return the exit code."""
+        """Stop the process gracefully and return its exit code."""
         self.send(signal.SIGTERM)
         return self.process.wait(STOP_TIMEOUT_S)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstancePlan:
-    """One instance to start."""
+    """Name, availability zone, address and role of an instance to start."""
 
     name: str
     zone: str
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Fleet:
-    """Starts instances and endpoints; each fleet has loopback addresses of its own."""
+    """Starts instances and endpoints; each fleet uses its own loopback addresses."""
 
     folder: Path
     settings: dict[str, dict[str, Any]] = field(default_factory=dict)
@@ -96,15 +96,15 @@
     _next_host: int = 1
 
     def _make_host(self) -> str:
-        # The process id gives each fleet a network of its own under 127.0.0.0/8, so
-        # fleets that run at the same time never meet.
+        # The network under 127.0.0.0/8 is derived from the process id, so that fleets that run
+        # at the same time use different addresses.
         number = os.getpid()
         host = f"127.{10 + (number >> 8) % 200}.{number % 256}.{self._next_host}"
         self._next_host += 1
         return host
 
     def plan_instances(self, count: int, *, replicas: int = 3) -> None:
-        """Decide names, zones and addresses of the instances."""
+        """Assign names, zones and addresses to ``count`` instances."""
         for number in range(count):
             plan = InstancePlan(
                 name=f"entry-{number + 1}",
@@ -174,14 +174,14 @@
         return self.start_and_wait_ready(name, command)
 
     def start_balancer(self) -> Member:
-        """Start the stand-in of the platform's balancer."""
+        """Start the stand-in for the platform's load balancer."""
         command = ["-m", "standins", "balancer", "--listen", f"{self._make_host()}:0"]
         for plan in self.plans:
             command += ["--target", f"{plan.host}:{CALLER_PORT}"]
         return self.start_and_wait_ready("balancer", command)
 
     def start_and_wait_ready(self, name: str, command: list[str]) -> Member:
-        """Start a stand-in and wait until it says that it is ready."""
+        """Start a stand-in and wait until it prints its ``ready`` line."""
         member = self._start(name, command, address="")
         member.address = self._wait_line(member, "ready ")
         return member
@@ -209,7 +209,7 @@
         return member
 
     def wait_ready(self, name: str) -> None:
-        """Wait until an instance says that it is ready."""
+        """Wait until the readiness check of an instance succeeds."""
         member = self.members[name]
         deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline:
@@ -242,7 +242,7 @@
         return self._http.request(method, url, headers=headers, body=body)
 
     def inject_fault(self, member: Member, mode: str, *, count: int = 1, **details: float) -> None:
-        """Have a stand-in play a fault on its next requests; see ``Faults``."""
+        """Inject a fault into the next ``count`` requests of a stand-in; see ``Faults``."""
         body = json.dumps({"mode": mode, "count": count, **details})
         self.request("POST", member, "/standin/faults", body=body)
 
@@ -268,7 +268,7 @@
         return codes
 
     def kill(self) -> None:
-        """End whatever still runs."""
+        """Kill all processes that still run."""
         for member in self.members.values():
             if member.process.poll() is None:
                 member.kill()
@@ -282,7 +282,7 @@
 
 @contextmanager
 def open_fleet() -> Iterator[Fleet]:
-    """Give a fleet with a folder of its own; whatever still runs at the end is killed."""
+    """Open a fleet in a temporary folder; kill its remaining processes at the end."""
     with TemporaryDirectory(prefix="chivetrack-") as folder:
         fleet = Fleet(folder=Path(folder))
         try:
--- a/standins/link.py
+++ b/standins/link.py
@@ -1,8 +1,8 @@
-"""A link between instances that can be cut without a sign, as a process of its own.
+"""A proxy for the peer port of one instance that can drop bytes to simulate a partition.
 
-It stands before one instance's peer port. The file given by ``--cuts`` names process
-ids, one a line: bytes from and to those processes are swallowed while the connections
-stay up. A ``*`` swallows everything.
+It runs in its own process. The file given by ``--cuts`` lists process ids, one per line:
+bytes from and to those processes are dropped while their connections stay open. A ``*``
+drops all bytes.
 """
 
 import os
@@ -21,8 +21,8 @@
 CUTS_POLL_INTERVAL_S = 0.05
 MAX_TABLE_READS = 20
 TABLE_RETRY_DELAY_S = 0.005
-# gRPC opens sockets that speak both versions of IP where the machine has both; those to an
-# IPv4 address stand in the second table, with the address behind this prefix.
+# gRPC opens dual-stack sockets where the machine supports IPv6. Their connections to IPv4
+# addresses are listed in the tcp6 table, with this prefix before the address.
 TCP_TABLES = ((Path("/proc/net/tcp"), ""), (Path("/proc/net/tcp6"), "0000000000000000FFFF0000"))
 
 
@@ -30,7 +30,7 @@
 
 
 def find_owner(inode: str, pids: list[int]) -> int:
-    """Return which of the processes owns the socket with an inode, or 0."""
+    """Return the id of the process in ``pids`` that owns the socket ``inode``, or 0."""
     if not inode:
         return 0
     for pid in pids:
@@ -40,12 +40,12 @@
 
 
 def find_inode(source: SocketAddress, target: SocketAddress) -> str:
-    """Return the inode of the socket that connects source to target, empty if there is none.
+    """Return the inode of the socket that connects source to target, or an empty string.
 
-    Both ends count: two processes may connect from the same local port to different
-    targets at once, and the port alone would name either of them. The kernel gives its
-    table out in pieces, and a socket that others move past meanwhile is left out; so it
-    is read again before a connection counts as unknown.
+    Both ends are compared: two processes may connect from the same local port to different
+    targets at once, so the port alone is ambiguous. The kernel returns its table in pieces
+    and omits a socket whose position changes between two of them, so the table is read up to
+    ``MAX_TABLE_READS`` times before a connection counts as unknown.
     """
     for _ in range(MAX_TABLE_READS):
         for table, prefix in TCP_TABLES:
@@ -68,7 +68,7 @@
 
 
 def _format_address(end: SocketAddress) -> str:
-    """Write an address as the kernel's table does: hexadecimal, in its own byte order."""
+    """Format an address as in the kernel's table: hexadecimal, in the machine's byte order."""
     number = int.from_bytes(socket.inet_aton(end[0]), sys.byteorder)
     return f"{number:08X}:{end[1]:04X}"
 
@@ -89,15 +89,15 @@
 
 
 def get_applied_path(cuts: Path) -> Path:
-    """Return the file into which a link writes the cuts that it has taken."""
+    """Return the path of the file to which a link writes the cuts that it has applied."""
     return cuts.with_suffix(".taken")
 
 
 class Link:
-    """Pipes connections to one instance and swallows what is cut."""
+    """Forwards connections to one instance and drops the bytes of cut processes."""
 
     def __init__(self, *, listen: str, target: str, cuts: Path) -> None:
-        """Bind the listener."""
+        """Create the server; ``listen`` and ``target`` have the form ``host:port``."""
         host, _, port = listen.rpartition(":")
         self._target = target
         self._cuts = cuts
@@ -106,7 +106,7 @@
         self.server = StreamServer((host, int(port)), self._handle)
 
     def watch(self) -> None:
-        """Read the file of cuts again and again."""
+        """Poll the file of cuts and apply its changes until the greenlet is killed."""
         while True:
             try:
                 text = self._cuts.read_text()
@@ -127,9 +127,9 @@
             return
         sink.settimeout(None)
         inode = find_inode((address[0], address[1]), source.getsockname()[:2])
-        other = gevent.spawn(self._pump, sink, source, inode)
+        reverse = gevent.spawn(self._pump, sink, source, inode)
         self._pump(source, sink, inode)
-        other.join()
+        reverse.join()
         source.close()
         sink.close()
 
@@ -154,7 +154,7 @@
 def main(
     listen: Annotated[str, typer.Option(help="host:port.")],
     target: Annotated[str, typer.Option(help="host:port of the instance.")],
-    cuts: Annotated[Path, typer.Option(help="File with the process ids that are cut.")],
+    cuts: Annotated[Path, typer.Option(help="File with the ids of the processes to cut off.")],
 ) -> None:
     """Run a link until SIGTERM."""
     link = Link(listen=listen, target=target, cuts=cuts)
--- a/standins/models.py
+++ b/standins/models.py
@@ -1,4 +1,4 @@
-"""What the stand-ins are told and what they tell."""
+"""Data that the stand-ins receive, record and announce."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -6,14 +6,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Faults:
-    """Faults that a stand-in plays; each applies to the next ``count`` requests.
+    """A fault that a stand-in injects into its next ``count`` requests.
 
-    ``mode`` is one of: ``cut`` (the connection dies in mid-answer), ``truncate``
-    (a stream that ends cleanly without its end mark), ``stall`` (silent after some
-    chunks), ``wrong_id`` (echoes another request's id), ``refuse`` (503, did not
-    run), ``die`` (closes without an answer after reading the request), ``late``
-    (waits ``delay_s`` before it answers), ``error`` (status 500), ``double`` (sends a
-    whole answer a second time on the connection).
+    ``mode`` is one of: ``cut`` (breaks the connection within the answer), ``truncate``
+    (ends a stream cleanly without its end mark), ``stall`` (pauses a stream for ``delay_s``
+    after ``after_chunks`` chunks), ``wrong_id`` (echoes another request's id), ``refuse``
+    (status 503, the request did not run), ``die`` (closes the connection without an answer
+    after reading the request), ``late`` (waits ``delay_s`` before it answers), ``error``
+    (status 500), ``double`` (sends a non-streamed answer twice on the connection).
     """
 
     mode: str = ""
@@ -22,7 +22,7 @@
     delay_s: float = 1.0
 
     def pop_next(self) -> str:
-        """Return the fault for one request, and count it."""
+        """Return the fault for the next request, or an empty string, and decrement ``count``."""
         if self.count <= 0:
             return ""
         self.count -= 1
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class SeenRequest:
-    """One request that a stand-in received, for tests to look at."""
+    """One request that a stand-in received, as ``/standin/seen`` returns it."""
 
     request_id: str
     chat: str
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class EndpointIdentity:
-    """Who a stand-in announces itself to be."""
+    """The identity and properties that a stand-in endpoint announces."""
 
     endpoint_id: str
     incarnation: int
@@ -59,7 +59,7 @@
     models: list[str] = field(default_factory=list)
 
     def make_announcement(self, *, address: str, state: str, lease_s: float) -> dict[str, Any]:
-        """Return the announcement as JSON would have it."""
+        """Return the announcement as a JSON object."""
         return {
             "id": self.endpoint_id,
             "incarnation": self.incarnation,
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay: the platform's balancer, or a link that can be cut without a sign."""
+"""A TCP relay, and the stand-in for the platform's load balancer that uses it."""
 
 import itertools
 import signal
@@ -17,14 +17,14 @@
 
 
 class Relay:
-    """Pipes connections to one of ``targets``; ``cut`` swallows bytes and keeps them open.
+    """Forwards each connection to the target that ``choose_target`` returns.
 
-    A silent cut looks like this to both sides: connections stay up, writes succeed,
-    and nothing ever arrives.
+    While ``cut`` is set, all bytes are dropped and the connections stay open. To both sides
+    this looks like a network partition: writes succeed, but nothing arrives.
     """
 
     def __init__(self, *, listen: str, choose_target: Callable[[], str | None]) -> None:
-        """Bind the listener."""
+        """Create the server; ``listen`` has the form ``host:port``."""
         host, _, port = listen.rpartition(":")
         self._choose_target = choose_target
         self._server = StreamServer((host, int(port)), self._handle)
@@ -32,15 +32,15 @@
 
     @property
     def address(self) -> str:
-        """Return where the relay listens."""
+        """Return the ``host:port`` at which the relay listens."""
         return f"{self._server.server_host}:{self._server.server_port}"
 
     def start(self) -> None:
-        """Begin to relay."""
+        """Start to accept connections."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop relaying."""
+        """Stop accepting connections."""
         self._server.stop(timeout=0)
 
     def _handle(self, caller: socket.socket, address: tuple[str, int]) -> None:
@@ -55,9 +55,9 @@
             caller.close()
             return
         backend.settimeout(None)
-        other = gevent.spawn(self._pump, backend, caller)
+        reverse = gevent.spawn(self._pump, backend, caller)
         self._pump(caller, backend)
-        other.join()
+        reverse.join()
         caller.close()
         backend.close()
 
@@ -80,10 +80,10 @@
 
 
 class Balancer:
-    """The platform's balancer: connections in turn to the instances that are ready."""
+    """Load balancer that distributes connections round-robin to the ready instances."""
 
     def __init__(self, *, listen: str, targets: list[str]) -> None:
-        """Take the ``host:port`` of the entry instances."""
+        """Create the balancer; ``targets`` are the ``host:port`` of the entry instances."""
         self._targets = targets
         self._ready: list[str] = []
         self._turn = itertools.count()
@@ -96,7 +96,7 @@
         return self._ready[next(self._turn) % len(self._ready)]
 
     def probe(self) -> None:
-        """Ask each instance whether it is ready."""
+        """Query the readiness of each instance."""
         self._ready = [target for target in self._targets if self._is_ready(target)]
 
     def _is_ready(self, target: str) -> bool:
@@ -107,7 +107,7 @@
         return response.status == 200
 
     def run(self) -> None:
-        """Probe until killed."""
+        """Probe every ``PROBE_INTERVAL_S`` seconds until the greenlet is killed."""
         while True:
             self.probe()
             gevent.sleep(PROBE_INTERVAL_S)
@@ -117,7 +117,7 @@
     target: Annotated[list[str], typer.Option(help="host:port of an entry instance.")],
     listen: Annotated[str, typer.Option(help="host:port; port 0 chooses one.")] = "127.0.0.1:0",
 ) -> None:
-    """Run a stand-in of the platform's balancer."""
+    """Run a stand-in for the platform's load balancer."""
     balancer = Balancer(listen=listen, targets=target)
     balancer.probe()
     balancer.relay.start()
--- a/tests/standins/test_endpoint.py
+++ b/tests/standins/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The stand-in engine as a process: many callers at once, each its own answer."""
+"""Tests of the stand-in engine with many concurrent callers."""
 
 import json
 import unittest
@@ -11,7 +11,7 @@
 
 
 def send_chat(fleet: Fleet, engine: Member, number: int) -> tuple[int, str, str]:
-    """Send one chat; return its status, the id echoed and the answer's text."""
+    """Send one chat; return the status, the echoed request id and the answer's text."""
     value = {"model": "m", "messages": [{"role": "user", "content": f"text {number}"}]}
     headers = {"X-Request-Id": f"r{number}", "X-Chat-Id": f"chat {number}"}
     response = fleet.request(
@@ -25,11 +25,11 @@
 
 class ConcurrentCallersTest(unittest.TestCase):
     def test_each_answer_names_its_own_request(self) -> None:
-        """Many callers ask the stand-in at once while each answer takes a while.
+        """Guards against concurrent requests that share their body and id.
 
-        Patched after bottle was imported, it read body and id of whichever request
-        came last: callers saw HTML errors and waits of half a minute, and a router
-        refused every answer with a wrong id.
+        When gevent patched the process after bottle was imported, a request read body and id
+        of the latest request: callers got HTML errors and waited for half a minute, and a
+        router refused every answer with a wrong id.
         """
         with open_fleet() as fleet:
             engine = fleet.start_endpoint("engine-1", "--tokens", "1", "--token-ms", "5")
--- a/tests/standins/test_link.py
+++ b/tests/standins/test_link.py
@@ -1,4 +1,4 @@
-"""Which process a connection belongs to, where ports alone are not enough."""
+"""Tests of finding the process that owns a connection."""
 
 import os
 import socket
@@ -9,11 +9,10 @@
 
 class FindOwnerTest(unittest.TestCase):
     def test_same_local_port_to_two_targets(self) -> None:
-        """A cut instance went on committing: its writes were accepted behind the cut.
+        """Guards against forwarding bytes of a cut instance, whose writes were then accepted.
 
-        Two connections leave from one local port to two targets, which the kernel allows.
-        Looked up by the port alone, the first line of its table named another process, so
-        bytes of the cut instance went through.
+        The kernel allows two connections from one local port to two targets. A lookup by the
+        port alone found the line of another process, so the link did not drop the bytes.
         """
         targets = [self.listen("127.0.0.1"), self.listen("127.0.0.2")]
         first = self.connect(targets[0], ("127.0.0.1", 0))
@@ -29,17 +28,18 @@
         self.assertEqual(find_owner("", [os.getpid()]), 0)
 
     def test_socket_that_speaks_both_versions_of_ip(self) -> None:
-        """The cut instance's gRPC connects through a socket of IPv6 to an IPv4 address.
+        """Guards against missing a connection through a dual-stack socket to an IPv4 address.
 
-        Such a connection stands in another table of the kernel. Not found, it had no
-        owner, so nothing of it was cut, and the instance went on committing.
+        gRPC opens such sockets, and the kernel lists them in its IPv6 table. A connection that
+        is not found has no owner, so its bytes were not dropped and the cut instance continued
+        to commit writes.
         """
         target = self.listen("127.0.0.1")
         try:
             connection = self.enterContext(socket.socket(socket.AF_INET6))
             connection.connect((f"::ffff:{target[0]}", target[1]))
         except OSError:
-            # A machine without IPv6 opens no such sockets, so there is nothing to find.
+            # A machine without IPv6 cannot open such a socket, so there is nothing to test.
             return
         source = ("127.0.0.1", connection.getsockname()[1])
         inode = find_inode(source, target)
--- a/tests/system/test_log_failures.py
+++ b/tests/system/test_log_failures.py
@@ -182,8 +182,9 @@
 
     def find_replica(self, operator: Operator, through: str, instance: str) -> str:
         members = operator.get_status(through)["log"]["members"]
-        replicas = [member["replica"] for member in members]
-        (found,) = [replica for replica in replicas if replica.startswith(instance)]
+        (found,) = [
+            member["replica"] for member in members if member["replica"].startswith(instance)
+        ]
         return str(found)
 
     def votes(self, operator: Operator, through: str, replica_id: str) -> bool:
