--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -11,7 +11,7 @@
 from benchmarks.fleet.world import World
 
 
-def play_one(deployment: Deployment, policy: str, seed: int) -> Figures:
+def simulate_deployment(deployment: Deployment, policy: str, seed: int) -> Figures:
     """Play one deployment under one policy."""
     return measure(World(deployment=deployment, policy=POLICIES[policy](), seed=seed).play())
 
@@ -39,7 +39,7 @@
     print(HEADING)
     with ProcessPoolExecutor(max_workers=jobs) as pool:
         runs = {
-            name: [pool.submit(play_one, case, name, seed) for case, seed in cases]
+            name: [pool.submit(simulate_deployment, case, name, seed) for case, seed in cases]
             for name in names
         }
         for name, futures in runs.items():
