--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -13,7 +13,7 @@
 
 def simulate_deployment(deployment: Deployment, policy: str, seed: int) -> Figures:
     """Play one deployment under one policy."""
-    return measure(World(deployment=deployment, policy=POLICIES[policy](), seed=seed).play())
+    return measure(World(deployment=deployment, policy=POLICIES[policy](), seed=seed).simulate())
 
 
 def main(
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -127,7 +127,7 @@
     def _at(self, when: float, do: Callable[[float], None]) -> None:
         heapq.heappush(self._events, (when, next(self._numbers), do))
 
-    def play(self) -> Result:
+    def simulate(self) -> Result:
         """Play the whole run."""
         deployment = self._deployment
         for trouble in deployment.troubles:
--- a/tests/benchmarks/test_fleet.py
+++ b/tests/benchmarks/test_fleet.py
@@ -9,20 +9,20 @@
 from benchmarks.fleet.world import World
 
 
-def play(deployment: Deployment, policy: str, seed: int = 1) -> Figures:
+def simulate(deployment: Deployment, policy: str, seed: int = 1) -> Figures:
     world = World(deployment=deployment, policy=POLICIES[policy](), seed=seed)
-    return measure(world.play())
+    return measure(world.simulate())
 
 
 class FleetModelTest(unittest.TestCase):
     def test_same_seed_same_figures(self) -> None:
         deployment = replace(draw_deployment(3), seconds=5.0)
-        self.assertEqual(play(deployment, "deployed"), play(deployment, "deployed"))
+        self.assertEqual(simulate(deployment, "deployed"), simulate(deployment, "deployed"))
 
     def test_every_request_has_an_end(self) -> None:
         deployment = replace(make_boards(seed=2, requests_per_s=50.0), seconds=10.0)
         world = World(deployment=deployment, policy=POLICIES["deployed"](), seed=2)
-        result = world.play()
+        result = world.simulate()
         ends = len(result.outcomes)
         self.assertGreater(ends, 350)
         self.assertLess(measure(result).unserved, 0.01)
@@ -38,7 +38,7 @@
         for name, runs in figures.items():
             for seed in (1, 2):
                 deployment = replace(make_boards(seed=seed, requests_per_s=150.0), seconds=20.0)
-                runs.append(play(deployment, name, seed))
+                runs.append(simulate(deployment, name, seed))
         deployed = average(figures["deployed"])
         wide = average(figures["wide-bound"])
         self.assertLess(deployed.over, 0.01)
