--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -20,7 +20,7 @@
 from chivetrack.components.traffic.requests import PromptPart, RequestFacts
 
 # Routers tell each other their counts this often, and hear of it so much later.
-NEWS_EVERY_MS = 300.0
+EXCHANGE_INTERVAL_MS = 300.0
 NEWS_LAG_MS = 150.0
 # A crashed engine is still believed to be there for so long.
 NOTICE_MS = 600.0
@@ -137,7 +137,7 @@
         for index, at_s in enumerate(deployment.joins_at_s):
             number = len(deployment.speeds) + index
             self._at(at_s * 1000, partial(self._join, number))
-        self._at(NEWS_EVERY_MS, self._exchange)
+        self._at(EXCHANGE_INTERVAL_MS, self._exchange)
         self._at(0.0, self._arrive)
         while self._events:
             now, _, do = heapq.heappop(self._events)
@@ -326,7 +326,7 @@
     def _exchange(self, now: float) -> None:
         if now > (self._deployment.seconds + EXCHANGES_FOR_S) * 1000:
             return
-        self._at(now + NEWS_EVERY_MS, self._exchange)
+        self._at(now + EXCHANGE_INTERVAL_MS, self._exchange)
         in_flight = [one.in_flight for one in self._engines.values() if one.is_up]
         mean = sum(in_flight) / len(in_flight)
         if mean >= 1:
