--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -21,7 +21,7 @@
 
 # Routers tell each other their counts this often, and hear of it so much later.
 EXCHANGE_INTERVAL_MS = 300.0
-NEWS_LAG_MS = 150.0
+EXCHANGE_DELAY_MS = 150.0
 # A crashed engine is still believed to be there for so long.
 NOTICE_MS = 600.0
 ZONE_MS = 0.9
@@ -335,7 +335,7 @@
         for router in self._routers:
             self._placements.record(router.placement.pop_placements(now / 1000), now=now / 1000)
         sums = _add_up(told)
-        lag = 0.0 if self._is_oracle else NEWS_LAG_MS
+        lag = 0.0 if self._is_oracle else EXCHANGE_DELAY_MS
         for number, router in enumerate(self._routers):
             others = _subtract(sums, told[number])
             news, router.told_change = self._placements.list_after(
