--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -23,7 +23,7 @@
 EXCHANGE_INTERVAL_MS = 300.0
 EXCHANGE_DELAY_MS = 150.0
 # A crashed engine is still believed to be there for so long.
-NOTICE_MS = 600.0
+CRASH_DETECTION_MS = 600.0
 ZONE_MS = 0.9
 # Routers share them evenly; what each passes on to its own is limited.
 REPLICAS = 5
@@ -219,7 +219,7 @@
         candidates, sources = [], []
         for name, record in self._records.items():
             gone_at = self._gone_at.get(name)
-            if gone_at is not None and now - gone_at > NOTICE_MS:
+            if gone_at is not None and now - gone_at > CRASH_DETECTION_MS:
                 continue
             sources.append(Source(record=record))
             if name not in request.tried:
