--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -24,7 +24,7 @@
 EXCHANGE_DELAY_MS = 150.0
 # A crashed engine is still believed to be there for so long.
 CRASH_DETECTION_MS = 600.0
-ZONE_MS = 0.9
+NETWORK_DELAY_MS = 0.9
 # Routers share them evenly; what each passes on to its own is limited.
 REPLICAS = 5
 EXCHANGES_FOR_S = 1.5
@@ -194,7 +194,7 @@
         )
         engine = self._engines[record.endpoint_id]
         if not engine.is_up:
-            self._at(now + 2 * ZONE_MS, lambda at: self._retry(request, at))
+            self._at(now + 2 * NETWORK_DELAY_MS, lambda at: self._retry(request, at))
             return
         known = max(
             one.count_cached(request.facts.shared_parts)
@@ -206,7 +206,7 @@
         delay = engine.take(request.job, known_elsewhere=known, fetch_from=source)
         self._jobs[record.endpoint_id].append(request)
         name = record.endpoint_id
-        self._at(now + ZONE_MS + delay, lambda at: self._enqueue(name, request, at))
+        self._at(now + NETWORK_DELAY_MS + delay, lambda at: self._enqueue(name, request, at))
         if not request.tried - {name}:
             self._at(request.came_at + request.kind.timeout_ms, lambda at: self._time_out(request))
 
@@ -293,7 +293,7 @@
                 request.placed = None
                 if is_complete and request.outcome is None:
                     assert request.job.first_at is not None
-                    self._end(request, request.job.first_at - request.came_at + ZONE_MS)
+                    self._end(request, request.job.first_at - request.came_at + NETWORK_DELAY_MS)
             if not is_over:
                 left.append(request)
         self._jobs[name] = left
