--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -27,7 +27,7 @@
 NETWORK_DELAY_MS = 0.9
 # Routers share them evenly; what each passes on to its own is limited.
 REPLICAS = 5
-EXCHANGES_FOR_S = 1.5
+EXCHANGE_TAIL_S = 1.5
 
 
 @dataclass(slots=True, kw_only=True)
@@ -324,7 +324,7 @@
     # What routers tell each other
 
     def _exchange(self, now: float) -> None:
-        if now > (self._deployment.seconds + EXCHANGES_FOR_S) * 1000:
+        if now > (self._deployment.seconds + EXCHANGE_TAIL_S) * 1000:
             return
         self._at(now + EXCHANGE_INTERVAL_MS, self._exchange)
         in_flight = [one.in_flight for one in self._engines.values() if one.is_up]
