--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -90,7 +90,7 @@
         )
         self._placements = Placements()
         close = max(1, deployment.routers // REPLICAS)
-        self._news_limit = max(1, PLACEMENTS_PER_ROUND // close)
+        self._max_placements_per_exchange = max(1, PLACEMENTS_PER_ROUND // close)
         self._service = Service(name="llm", engine=profile)
         self._is_oracle = policy.is_oracle
         self._routers = [
@@ -339,7 +339,7 @@
         for number, router in enumerate(self._routers):
             others = _subtract(sums, told[number])
             news, router.told_change = self._placements.list_after(
-                router.told_change, now=now / 1000, limit=self._news_limit
+                router.told_change, now=now / 1000, limit=self._max_placements_per_exchange
             )
             self._at(now + lag, partial(self._hear, router, others, news))
 
