--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -54,7 +54,7 @@
 class _Router:
     zone: str
     placement: Placement
-    told_change: int = 0
+    last_change: int = 0
 
 
 @dataclass(slots=True, kw_only=True)
@@ -338,8 +338,8 @@
         lag = 0.0 if self._is_oracle else EXCHANGE_DELAY_MS
         for number, router in enumerate(self._routers):
             others = _subtract(sums, told[number])
-            news, router.told_change = self._placements.list_after(
-                router.told_change, now=now / 1000, limit=self._max_placements_per_exchange
+            news, router.last_change = self._placements.list_after(
+                router.last_change, now=now / 1000, limit=self._max_placements_per_exchange
             )
             self._at(now + lag, partial(self._hear, router, others, news))
 
