--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -341,9 +341,9 @@
             news, router.last_change = self._placements.list_after(
                 router.last_change, now=now / 1000, limit=self._max_placements_per_exchange
             )
-            self._at(now + lag, partial(self._hear, router, others, news))
+            self._at(now + lag, partial(self._handle_updates, router, others, news))
 
-    def _hear(
+    def _handle_updates(
         self, router: _Router, loads: list[EndpointLoad], news: Sequence[PlacedPart], now: float
     ) -> None:
         capacity = self._deployment.engine.memory_tokens
