--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -132,7 +132,7 @@
         deployment = self._deployment
         for trouble in deployment.troubles:
             name = f"e{trouble.engine}"
-            self._at(trouble.at_s * 1000, partial(self._harm, name, trouble.factor))
+            self._at(trouble.at_s * 1000, partial(self._start_fault, name, trouble.factor))
             self._at((trouble.at_s + trouble.for_s) * 1000, partial(self._mend, name))
         for index, at_s in enumerate(deployment.joins_at_s):
             number = len(deployment.speeds) + index
@@ -300,7 +300,7 @@
         if self._engines[name].in_flight:
             self._step(name, now)
 
-    def _harm(self, name: str, factor: float, now: float) -> None:
+    def _start_fault(self, name: str, factor: float, now: float) -> None:
         if factor:
             self._engines[name].slowness = factor
             return
