--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -133,7 +133,7 @@
         for trouble in deployment.troubles:
             name = f"e{trouble.engine}"
             self._at(trouble.at_s * 1000, partial(self._start_fault, name, trouble.factor))
-            self._at((trouble.at_s + trouble.for_s) * 1000, partial(self._mend, name))
+            self._at((trouble.at_s + trouble.for_s) * 1000, partial(self._end_fault, name))
         for index, at_s in enumerate(deployment.joins_at_s):
             number = len(deployment.speeds) + index
             self._at(at_s * 1000, partial(self._join, number))
@@ -310,7 +310,7 @@
         for request in lost:
             self._retry(request, now)
 
-    def _mend(self, name: str, now: float) -> None:
+    def _end_fault(self, name: str, now: float) -> None:
         engine = self._engines[name]
         engine.slowness = 1.0
         if engine.is_up:
