--- a/benchmarks/fleet/deployment.py
+++ b/benchmarks/fleet/deployment.py
@@ -68,7 +68,7 @@
     kinds: tuple[RequestKind, ...]
     requests_per_s: float
     burst: float = 1.0
-    troubles: tuple[EngineFault, ...] = ()
+    engine_faults: tuple[EngineFault, ...] = ()
     joins_at_s: tuple[float, ...] = ()
     seconds: float = 40.0
 
@@ -102,7 +102,7 @@
         kinds=kinds,
         requests_per_s=requests_per_s,
         burst=burst,
-        troubles=(EngineFault(at_s=12.0, for_s=2.0, engine=1, factor=0.0),),
+        engine_faults=(EngineFault(at_s=12.0, for_s=2.0, engine=1, factor=0.0),),
         joins_at_s=(18.0, 20.0, 22.0),
     )
 
@@ -137,7 +137,7 @@
         kinds=kinds,
         requests_per_s=requests_per_s,
         burst=burst,
-        troubles=tuple(
+        engine_faults=tuple(
             EngineFault(at_s=6.0, for_s=2.0, engine=number, factor=0.0)
             for number in range(0, 45, 4)
         ),
@@ -172,7 +172,7 @@
         kinds=kinds,
         requests_per_s=load * engines / work_ms * 1000,
         burst=random.choice((1.0, 1.0, 2.0, 3.5)),
-        troubles=(
+        engine_faults=(
             EngineFault(at_s=8.0, for_s=6.0, engine=0, factor=random.choice((0.0, 4.0, 8.0))),
             EngineFault(at_s=20.0, for_s=3.0, engine=1, factor=0.0),
         ),
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -130,7 +130,7 @@
     def simulate(self) -> Result:
         """Play the whole run."""
         deployment = self._deployment
-        for trouble in deployment.troubles:
+        for trouble in deployment.engine_faults:
             name = f"e{trouble.engine}"
             self._at(trouble.at_s * 1000, partial(self._start_fault, name, trouble.factor))
             self._at((trouble.at_s + trouble.for_s) * 1000, partial(self._end_fault, name))
