--- a/benchmarks/fleet/deployment.py
+++ b/benchmarks/fleet/deployment.py
@@ -51,7 +51,7 @@
     """An engine is slow by a factor, or gone (factor 0), for some seconds."""
 
     at_s: float
-    for_s: float
+    duration_s: float
     engine: int
     factor: float
 
@@ -102,7 +102,7 @@
         kinds=kinds,
         requests_per_s=requests_per_s,
         burst=burst,
-        engine_faults=(EngineFault(at_s=12.0, for_s=2.0, engine=1, factor=0.0),),
+        engine_faults=(EngineFault(at_s=12.0, duration_s=2.0, engine=1, factor=0.0),),
         joins_at_s=(18.0, 20.0, 22.0),
     )
 
@@ -138,7 +138,7 @@
         requests_per_s=requests_per_s,
         burst=burst,
         engine_faults=tuple(
-            EngineFault(at_s=6.0, for_s=2.0, engine=number, factor=0.0)
+            EngineFault(at_s=6.0, duration_s=2.0, engine=number, factor=0.0)
             for number in range(0, 45, 4)
         ),
         joins_at_s=(14.0, 15.0, 16.0, 17.0),
@@ -173,8 +173,8 @@
         requests_per_s=load * engines / work_ms * 1000,
         burst=random.choice((1.0, 1.0, 2.0, 3.5)),
         engine_faults=(
-            EngineFault(at_s=8.0, for_s=6.0, engine=0, factor=random.choice((0.0, 4.0, 8.0))),
-            EngineFault(at_s=20.0, for_s=3.0, engine=1, factor=0.0),
+            EngineFault(at_s=8.0, duration_s=6.0, engine=0, factor=random.choice((0.0, 4.0, 8.0))),
+            EngineFault(at_s=20.0, duration_s=3.0, engine=1, factor=0.0),
         ),
         joins_at_s=(15.0,),
         seconds=30.0,
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -133,7 +133,7 @@
         for fault in deployment.engine_faults:
             name = f"e{fault.engine}"
             self._at(fault.at_s * 1000, partial(self._start_fault, name, fault.factor))
-            self._at((fault.at_s + fault.for_s) * 1000, partial(self._end_fault, name))
+            self._at((fault.at_s + fault.duration_s) * 1000, partial(self._end_fault, name))
         for index, at_s in enumerate(deployment.joins_at_s):
             number = len(deployment.speeds) + index
             self._at(at_s * 1000, partial(self._join, number))
