--- a/benchmarks/fleet/deployment.py
+++ b/benchmarks/fleet/deployment.py
@@ -39,7 +39,7 @@
     subjects: int
     own_tokens: int
     answer_tokens: int
-    aim_ms: float
+    target_ms: float
     timeout_ms: float
     worth: float
     late_worth: float
@@ -79,17 +79,17 @@
     kinds = (
         RequestKind(
             name="summary", share=0.384, common_tokens=2520, commons=4, subject_tokens=6100,
-            subjects=83, own_tokens=580, answer_tokens=52, aim_ms=500, timeout_ms=4000,
+            subjects=83, own_tokens=580, answer_tokens=52, target_ms=500, timeout_ms=4000,
             worth=4.1, late_worth=1.2, priority=0,
         ),
         RequestKind(
             name="digest", share=0.413, common_tokens=341, commons=40, subject_tokens=1700,
-            subjects=90, own_tokens=360, answer_tokens=23, aim_ms=1000, timeout_ms=3000,
+            subjects=90, own_tokens=360, answer_tokens=23, target_ms=1000, timeout_ms=3000,
             worth=1.1, late_worth=0.33, priority=1,
         ),
         RequestKind(
             name="chatter", share=0.203, common_tokens=103, commons=40, subject_tokens=500,
-            subjects=44, own_tokens=110, answer_tokens=280, aim_ms=1200, timeout_ms=12000,
+            subjects=44, own_tokens=110, answer_tokens=280, target_ms=1200, timeout_ms=12000,
             worth=0.7, late_worth=0.21, priority=2,
         ),
     )  # fmt: skip
@@ -113,17 +113,17 @@
     kinds = (
         RequestKind(
             name="report", share=0.26, common_tokens=512, commons=1, subject_tokens=10_000,
-            subjects=314, own_tokens=1300, answer_tokens=380, aim_ms=800, timeout_ms=12_000,
+            subjects=314, own_tokens=1300, answer_tokens=380, target_ms=800, timeout_ms=12_000,
             worth=3.9, late_worth=1.2, priority=1,
         ),
         RequestKind(
             name="question", share=0.30, common_tokens=119, commons=39, subject_tokens=580,
-            subjects=357, own_tokens=130, answer_tokens=290, aim_ms=300, timeout_ms=10_000,
+            subjects=357, own_tokens=130, answer_tokens=290, target_ms=300, timeout_ms=10_000,
             worth=2.3, late_worth=0.68, priority=0,
         ),
         RequestKind(
             name="tag", share=0.44, common_tokens=341, commons=15, subject_tokens=1700,
-            subjects=352, own_tokens=360, answer_tokens=22, aim_ms=400, timeout_ms=2500,
+            subjects=352, own_tokens=360, answer_tokens=22, target_ms=400, timeout_ms=2500,
             worth=0.37, late_worth=0.11, priority=2,
         ),
     )  # fmt: skip
@@ -186,7 +186,7 @@
     own = round(random.uniform(80, 1200))
     read_ms = (subject + own) / engine.read_tokens_per_ms
     answer = round(random.choice((20, 60, 250)) * random.uniform(0.7, 1.3))
-    aim_ms = random.choice((400.0, 1000.0)) + 2 * read_ms
+    target_ms = random.choice((400.0, 1000.0)) + 2 * read_ms
     answer_ms = answer * (engine.step_ms + 8 * engine.step_ms_per_request)
     return RequestKind(
         name=f"kind-{number}",
@@ -197,8 +197,8 @@
         subjects=random.choice((30, 80, 200)),
         own_tokens=own,
         answer_tokens=answer,
-        aim_ms=aim_ms,
-        timeout_ms=aim_ms * 4 + answer_ms * 3,
+        target_ms=target_ms,
+        timeout_ms=target_ms * 4 + answer_ms * 3,
         worth=random.choice((0.5, 1.0, 4.0)),
         late_worth=0.3,
         priority=number,
--- a/benchmarks/fleet/report.py
+++ b/benchmarks/fleet/report.py
@@ -32,7 +32,7 @@
             unserved += 1
             continue
         times.append(one.first_ms)
-        is_late = one.first_ms > one.kind.aim_ms
+        is_late = one.first_ms > one.kind.target_ms
         late += is_late
         earned += one.kind.late_worth if is_late else one.kind.worth
     count = len(result.outcomes)
