--- a/benchmarks/fleet/deployment.py
+++ b/benchmarks/fleet/deployment.py
@@ -34,7 +34,7 @@
     name: str
     share: float
     common_tokens: int
-    commons: int
+    common_parts: int
     subject_tokens: int
     subjects: int
     own_tokens: int
@@ -78,17 +78,17 @@
     random = Random(seed)
     kinds = (
         RequestKind(
-            name="summary", share=0.384, common_tokens=2520, commons=4, subject_tokens=6100,
+            name="summary", share=0.384, common_tokens=2520, common_parts=4, subject_tokens=6100,
             subjects=83, own_tokens=580, answer_tokens=52, target_ms=500, timeout_ms=4000,
             worth=4.1, late_worth=1.2, priority=0,
         ),
         RequestKind(
-            name="digest", share=0.413, common_tokens=341, commons=40, subject_tokens=1700,
+            name="digest", share=0.413, common_tokens=341, common_parts=40, subject_tokens=1700,
             subjects=90, own_tokens=360, answer_tokens=23, target_ms=1000, timeout_ms=3000,
             worth=1.1, late_worth=0.33, priority=1,
         ),
         RequestKind(
-            name="chatter", share=0.203, common_tokens=103, commons=40, subject_tokens=500,
+            name="chatter", share=0.203, common_tokens=103, common_parts=40, subject_tokens=500,
             subjects=44, own_tokens=110, answer_tokens=280, target_ms=1200, timeout_ms=12000,
             worth=0.7, late_worth=0.21, priority=2,
         ),
@@ -112,17 +112,17 @@
     random = Random(seed)
     kinds = (
         RequestKind(
-            name="report", share=0.26, common_tokens=512, commons=1, subject_tokens=10_000,
+            name="report", share=0.26, common_tokens=512, common_parts=1, subject_tokens=10_000,
             subjects=314, own_tokens=1300, answer_tokens=380, target_ms=800, timeout_ms=12_000,
             worth=3.9, late_worth=1.2, priority=1,
         ),
         RequestKind(
-            name="question", share=0.30, common_tokens=119, commons=39, subject_tokens=580,
+            name="question", share=0.30, common_tokens=119, common_parts=39, subject_tokens=580,
             subjects=357, own_tokens=130, answer_tokens=290, target_ms=300, timeout_ms=10_000,
             worth=2.3, late_worth=0.68, priority=0,
         ),
         RequestKind(
-            name="tag", share=0.44, common_tokens=341, commons=15, subject_tokens=1700,
+            name="tag", share=0.44, common_tokens=341, common_parts=15, subject_tokens=1700,
             subjects=352, own_tokens=360, answer_tokens=22, target_ms=400, timeout_ms=2500,
             worth=0.37, late_worth=0.11, priority=2,
         ),
@@ -192,7 +192,7 @@
         name=f"kind-{number}",
         share=random.uniform(0.3, 1.0),
         common_tokens=random.choice((100, 500, 2000)),
-        commons=random.choice((4, 40)),
+        common_parts=random.choice((4, 40)),
         subject_tokens=subject,
         subjects=random.choice((30, 80, 200)),
         own_tokens=own,
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -163,7 +163,7 @@
         number = next(self._numbers)
         subject = random.randrange(kind.subjects)
         parts = (
-            PromptPart(f"{kind.name}-c{subject % kind.commons}", kind.common_tokens),
+            PromptPart(f"{kind.name}-c{subject % kind.common_parts}", kind.common_tokens),
             PromptPart(f"{kind.name}-s{subject}", kind.subject_tokens),
             PromptPart(f"o{number}", max(1, round(kind.own_tokens * random.uniform(0.5, 1.5)))),
         )
