--- a/benchmarks/fleet/engine.py
+++ b/benchmarks/fleet/engine.py
@@ -21,7 +21,7 @@
     first_at: float | None = None
     ended_at: float | None = None
     cut: bool = False
-    gave_up: bool = False
+    abandoned: bool = False
 
 
 @dataclass(slots=True, kw_only=True)
@@ -137,10 +137,10 @@
 
     def _drop_left(self) -> None:
         for queue in (self._waiting, self._reading):
-            left = [job for job in queue if job.gave_up]
+            left = [job for job in queue if job.abandoned]
             for job in left:
                 queue.remove(job)
-        self._running = [job for job in self._running if not job.gave_up]
+        self._running = [job for job in self._running if not job.abandoned]
 
     def crash(self) -> list[Job]:
         """Lose all requests and the cache; return the requests."""
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -235,7 +235,7 @@
 
     def _time_out(self, request: _Request) -> None:
         if request.outcome is None:
-            request.job.gave_up = True
+            request.job.abandoned = True
             self._end(request, None)
 
     def _retry(self, request: _Request, now: float) -> None:
@@ -285,7 +285,7 @@
             placement = request.router.placement
             if request.placed is not None and request.job.first_at is not None:
                 placement.record_first_event(request.placed, now=now / 1000)
-            is_over = request.job.ended_at is not None or request.job.gave_up
+            is_over = request.job.ended_at is not None or request.job.abandoned
             if is_over and request.placed is not None:
                 is_complete = request.job.ended_at is not None
                 request.placed.is_complete = is_complete
