--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -63,7 +63,7 @@
     facts: RequestFacts
     job: Job
     router: _Router
-    came_at: float
+    arrived_at: float
     tried: set[str] = field(default_factory=set)
     placed: Placed | None = None
     outcome: Outcome | None = None
@@ -178,7 +178,7 @@
             number=number,
         )
         router = random.choice(self._routers)
-        return _Request(kind=kind, facts=facts, job=job, router=router, came_at=now)
+        return _Request(kind=kind, facts=facts, job=job, router=router, arrived_at=now)
 
     def _start(self, request: _Request, now: float) -> None:
         choice = self._choose(request, now)
@@ -208,7 +208,9 @@
         name = record.endpoint_id
         self._at(now + NETWORK_DELAY_MS + delay, lambda at: self._enqueue(name, request, at))
         if not request.tried - {name}:
-            self._at(request.came_at + request.kind.timeout_ms, lambda at: self._time_out(request))
+            self._at(
+                request.arrived_at + request.kind.timeout_ms, lambda at: self._time_out(request)
+            )
 
     def _note_over(self, engine: Engine) -> None:
         """Count a request that reaches an engine over twice the mean and three."""
@@ -293,7 +295,7 @@
                 request.placed = None
                 if is_complete and request.outcome is None:
                     assert request.job.first_at is not None
-                    self._end(request, request.job.first_at - request.came_at + NETWORK_DELAY_MS)
+                    self._end(request, request.job.first_at - request.arrived_at + NETWORK_DELAY_MS)
             if not is_over:
                 left.append(request)
         self._jobs[name] = left
