--- a/benchmarks/fleet/engine.py
+++ b/benchmarks/fleet/engine.py
@@ -64,7 +64,7 @@
             tokens += part.tokens
         return tokens
 
-    def take(self, job: Job, *, known_elsewhere: int, fetch_from: "Engine | None") -> float:
+    def admit(self, job: Job, *, known_elsewhere: int, fetch_from: "Engine | None") -> float:
         """Admit a request; return by how many ms a transfer delays it.
 
         ``known_elsewhere``: how many of its shared tokens some engine has cached.
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -203,7 +203,7 @@
         )
         self._note_over(engine)
         source = self._engines.get(choice.fetch_from)
-        delay = engine.take(request.job, known_elsewhere=known, fetch_from=source)
+        delay = engine.admit(request.job, known_elsewhere=known, fetch_from=source)
         self._jobs[record.endpoint_id].append(request)
         name = record.endpoint_id
         self._at(now + NETWORK_DELAY_MS + delay, lambda at: self._enqueue(name, request, at))
