--- a/benchmarks/fleet/engine.py
+++ b/benchmarks/fleet/engine.py
@@ -83,10 +83,10 @@
         self._totals.read_again += max(0, again)
         self._totals.read += job.to_read
         for part in job.parts:
-            self._keep(part)
+            self._cache_part(part)
         return delay_ms
 
-    def _keep(self, part: PromptPart) -> None:
+    def _cache_part(self, part: PromptPart) -> None:
         if part.part_id in self._cache:
             self._cache.move_to_end(part.part_id)
             return
