--- a/benchmarks/fleet/engine.py
+++ b/benchmarks/fleet/engine.py
@@ -107,7 +107,7 @@
         """Play one step and return its length in ms."""
         while self._waiting and len(self._reading) + len(self._running) < self.kind.batch:
             self._reading.append(self._waiting.popleft())
-        self._drop_left()
+        self._remove_abandoned()
         chunk = float(self.kind.chunk_tokens)
         read = 0.0
         ready: list[Job] = []
@@ -135,7 +135,7 @@
         self._running = [job for job in self._running if job.ended_at is None] + ready
         return length
 
-    def _drop_left(self) -> None:
+    def _remove_abandoned(self) -> None:
         for queue in (self._waiting, self._reading):
             left = [job for job in queue if job.abandoned]
             for job in left:
