--- a/benchmarks/fleet/deployment.py
+++ b/benchmarks/fleet/deployment.py
@@ -17,7 +17,7 @@
     batch: int = 64
     step_ms: float = 3.1
     step_ms_per_request: float = 0.1
-    read_tokens_per_ms: float = 57.0
+    prefill_tokens_per_ms: float = 57.0
     chunk_tokens: int = 2048
     memory_tokens: int = 400_000
     fetch_setup_ms: float = 5.3
@@ -155,7 +155,7 @@
         batch=random.choice((16, 32, 64)),
         step_ms=random.uniform(2.5, 9.0) * scale,
         step_ms_per_request=random.uniform(0.05, 0.25) * scale,
-        read_tokens_per_ms=random.uniform(40.0, 70.0) / scale,
+        prefill_tokens_per_ms=random.uniform(40.0, 70.0) / scale,
         memory_tokens=random.choice((150_000, 300_000, 500_000)),
         fetch_tokens_per_ms=random.uniform(200.0, 900.0),
     )
@@ -184,7 +184,7 @@
 def _draw_kind(random: Random, number: int, engine: EngineKind) -> RequestKind:
     subject = round(random.choice((300, 1500, 6000, 10_000)) * random.uniform(0.7, 1.3))
     own = round(random.uniform(80, 1200))
-    read_ms = (subject + own) / engine.read_tokens_per_ms
+    read_ms = (subject + own) / engine.prefill_tokens_per_ms
     answer = round(random.choice((20, 60, 250)) * random.uniform(0.7, 1.3))
     target_ms = random.choice((400.0, 1000.0)) + 2 * read_ms
     answer_ms = answer * (engine.step_ms + 8 * engine.step_ms_per_request)
@@ -207,5 +207,5 @@
 
 def _count_work(kind: RequestKind, engine: EngineKind) -> float:
     """Return about how long a request keeps an engine, in ms, with a warm cache."""
-    read_ms = (kind.own_tokens + 0.1 * kind.subject_tokens) / engine.read_tokens_per_ms
+    read_ms = (kind.own_tokens + 0.1 * kind.subject_tokens) / engine.prefill_tokens_per_ms
     return read_ms + kind.answer_tokens * (engine.step_ms / 8 + engine.step_ms_per_request)
--- a/benchmarks/fleet/engine.py
+++ b/benchmarks/fleet/engine.py
@@ -122,7 +122,7 @@
             ready.append(self._reading.popleft())
         count = len(self._running)
         length = self.kind.step_ms + count * self.kind.step_ms_per_request
-        length += read / self.kind.read_tokens_per_ms
+        length += read / self.kind.prefill_tokens_per_ms
         length *= self.speed * self.slowness
         end = now + length
         for job in self._running:
