--- a/benchmarks/fleet/engine.py
+++ b/benchmarks/fleet/engine.py
@@ -16,7 +16,7 @@
     answer_tokens: int
     priority: int
     number: int
-    to_read: float = 0.0
+    prefill_tokens: float = 0.0
     produced: int = 0
     first_at: float | None = None
     ended_at: float | None = None
@@ -77,11 +77,11 @@
             if moved:
                 delay_ms = self.kind.fetch_setup_ms + moved / self.kind.fetch_tokens_per_ms
         self._totals.moved += moved
-        job.to_read = max(1.0, job.prompt_tokens - cached - moved)
+        job.prefill_tokens = max(1.0, job.prompt_tokens - cached - moved)
         shared = sum(part.tokens for part in job.parts[:-1])
         again = min(known_elsewhere, shared) - cached - moved
         self._totals.read_again += max(0, again)
-        self._totals.read += job.to_read
+        self._totals.read += job.prefill_tokens
         for part in job.parts:
             self._cache_part(part)
         return delay_ms
@@ -113,11 +113,11 @@
         ready: list[Job] = []
         while self._reading and chunk > 0:
             job = self._reading[0]
-            part = min(chunk, job.to_read)
-            job.to_read -= part
+            part = min(chunk, job.prefill_tokens)
+            job.prefill_tokens -= part
             chunk -= part
             read += part
-            if job.to_read > 0:
+            if job.prefill_tokens > 0:
                 break
             ready.append(self._reading.popleft())
         count = len(self._running)
