--- a/benchmarks/fleet/engine.py
+++ b/benchmarks/fleet/engine.py
@@ -47,13 +47,13 @@
         self._cache: OrderedDict[str, int] = OrderedDict()
         self._cached_tokens = 0
         self._waiting: deque[Job] = deque()
-        self._reading: deque[Job] = deque()
+        self._prefilling: deque[Job] = deque()
         self._running: list[Job] = []
 
     @property
     def in_flight(self) -> int:
         """Return how many requests are here."""
-        return len(self._waiting) + len(self._reading) + len(self._running)
+        return len(self._waiting) + len(self._prefilling) + len(self._running)
 
     def count_cached(self, parts: tuple[PromptPart, ...]) -> int:
         """Return how many tokens at the beginning of a prompt are cached."""
@@ -105,21 +105,21 @@
 
     def step(self, now: float) -> float:
         """Play one step and return its length in ms."""
-        while self._waiting and len(self._reading) + len(self._running) < self.kind.batch:
-            self._reading.append(self._waiting.popleft())
+        while self._waiting and len(self._prefilling) + len(self._running) < self.kind.batch:
+            self._prefilling.append(self._waiting.popleft())
         self._remove_abandoned()
         chunk = float(self.kind.chunk_tokens)
         read = 0.0
         ready: list[Job] = []
-        while self._reading and chunk > 0:
-            job = self._reading[0]
+        while self._prefilling and chunk > 0:
+            job = self._prefilling[0]
             part = min(chunk, job.prefill_tokens)
             job.prefill_tokens -= part
             chunk -= part
             read += part
             if job.prefill_tokens > 0:
                 break
-            ready.append(self._reading.popleft())
+            ready.append(self._prefilling.popleft())
         count = len(self._running)
         length = self.kind.step_ms + count * self.kind.step_ms_per_request
         length += read / self.kind.prefill_tokens_per_ms
@@ -136,7 +136,7 @@
         return length
 
     def _remove_abandoned(self) -> None:
-        for queue in (self._waiting, self._reading):
+        for queue in (self._waiting, self._prefilling):
             left = [job for job in queue if job.abandoned]
             for job in left:
                 queue.remove(job)
@@ -144,9 +144,9 @@
 
     def crash(self) -> list[Job]:
         """Lose all requests and the cache; return the requests."""
-        lost = [*self._waiting, *self._reading, *self._running]
+        lost = [*self._waiting, *self._prefilling, *self._running]
         self._waiting.clear()
-        self._reading.clear()
+        self._prefilling.clear()
         self._running = []
         self._cache.clear()
         self._cached_tokens = 0
