--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -201,7 +201,7 @@
             for one in self._engines.values()
             if one.is_up
         )
-        self._note_over(engine)
+        self._record_over_bound(engine)
         source = self._engines.get(choice.fetch_from)
         delay = engine.admit(request.job, known_elsewhere=known, fetch_from=source)
         self._jobs[record.endpoint_id].append(request)
@@ -212,7 +212,7 @@
                 request.arrived_at + request.kind.timeout_ms, lambda at: self._time_out(request)
             )
 
-    def _note_over(self, engine: Engine) -> None:
+    def _record_over_bound(self, engine: Engine) -> None:
         """Count a request that reaches an engine over twice the mean and three."""
         up = [one.in_flight for one in self._engines.values() if one.is_up]
         self.result.over += engine.in_flight + 1 > 2 * (sum(up) + 1) / len(up) + 3
