--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -124,7 +124,7 @@
     def _join(self, number: int, now: float) -> None:
         self._add_engine(number, 1.0)
 
-    def _at(self, when: float, do: Callable[[float], None]) -> None:
+    def _schedule(self, when: float, do: Callable[[float], None]) -> None:
         heapq.heappush(self._events, (when, next(self._numbers), do))
 
     def simulate(self) -> Result:
@@ -132,13 +132,13 @@
         deployment = self._deployment
         for fault in deployment.engine_faults:
             name = f"e{fault.engine}"
-            self._at(fault.at_s * 1000, partial(self._start_fault, name, fault.factor))
-            self._at((fault.at_s + fault.duration_s) * 1000, partial(self._end_fault, name))
+            self._schedule(fault.at_s * 1000, partial(self._start_fault, name, fault.factor))
+            self._schedule((fault.at_s + fault.duration_s) * 1000, partial(self._end_fault, name))
         for index, at_s in enumerate(deployment.joins_at_s):
             number = len(deployment.speeds) + index
-            self._at(at_s * 1000, partial(self._join, number))
-        self._at(EXCHANGE_INTERVAL_MS, self._exchange)
-        self._at(0.0, self._arrive)
+            self._schedule(at_s * 1000, partial(self._join, number))
+        self._schedule(EXCHANGE_INTERVAL_MS, self._exchange)
+        self._schedule(0.0, self._arrive)
         while self._events:
             now, _, do = heapq.heappop(self._events)
             do(now)
@@ -152,7 +152,7 @@
             return
         third = deployment.seconds * 1000 / 3
         rate = deployment.requests_per_s * (deployment.burst if third < now < 1.6 * third else 1.0)
-        self._at(now + self._random.expovariate(rate) * 1000, self._arrive)
+        self._schedule(now + self._random.expovariate(rate) * 1000, self._arrive)
         kind = self._random.choices(
             deployment.kinds, weights=[one.share for one in deployment.kinds]
         )[0]
@@ -194,7 +194,7 @@
         )
         engine = self._engines[record.endpoint_id]
         if not engine.is_up:
-            self._at(now + 2 * NETWORK_DELAY_MS, lambda at: self._retry(request, at))
+            self._schedule(now + 2 * NETWORK_DELAY_MS, lambda at: self._retry(request, at))
             return
         known = max(
             one.count_cached(request.facts.shared_parts)
@@ -206,9 +206,9 @@
         delay = engine.admit(request.job, known_elsewhere=known, fetch_from=source)
         self._jobs[record.endpoint_id].append(request)
         name = record.endpoint_id
-        self._at(now + NETWORK_DELAY_MS + delay, lambda at: self._enqueue(name, request, at))
+        self._schedule(now + NETWORK_DELAY_MS + delay, lambda at: self._enqueue(name, request, at))
         if not request.tried - {name}:
-            self._at(
+            self._schedule(
                 request.arrived_at + request.kind.timeout_ms, lambda at: self._time_out(request)
             )
 
@@ -279,7 +279,7 @@
             return
         end = now + engine.step(now)
         engine.free_at = end
-        self._at(end, lambda at: self._after_step(name, at))
+        self._schedule(end, lambda at: self._after_step(name, at))
 
     def _after_step(self, name: str, now: float) -> None:
         left = []
@@ -328,7 +328,7 @@
     def _exchange(self, now: float) -> None:
         if now > (self._deployment.seconds + EXCHANGE_TAIL_S) * 1000:
             return
-        self._at(now + EXCHANGE_INTERVAL_MS, self._exchange)
+        self._schedule(now + EXCHANGE_INTERVAL_MS, self._exchange)
         in_flight = [one.in_flight for one in self._engines.values() if one.is_up]
         mean = sum(in_flight) / len(in_flight)
         if mean >= 1:
@@ -343,7 +343,7 @@
             news, router.last_change = self._placements.list_after(
                 router.last_change, now=now / 1000, limit=self._max_placements_per_exchange
             )
-            self._at(now + lag, partial(self._handle_updates, router, others, news))
+            self._schedule(now + lag, partial(self._handle_updates, router, others, news))
 
     def _handle_updates(
         self, router: _Router, loads: list[EndpointLoad], news: Sequence[PlacedPart], now: float
