--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -124,8 +124,8 @@
     def _join(self, number: int, now: float) -> None:
         self._add_engine(number, 1.0)
 
-    def _schedule(self, when: float, do: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._numbers), do))
+    def _schedule(self, when: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (when, next(self._numbers), action))
 
     def simulate(self) -> Result:
         """Play the whole run."""
@@ -140,8 +140,8 @@
         self._schedule(EXCHANGE_INTERVAL_MS, self._exchange)
         self._schedule(0.0, self._arrive)
         while self._events:
-            now, _, do = heapq.heappop(self._events)
-            do(now)
+            now, _, action = heapq.heappop(self._events)
+            action(now)
         return self.result
 
     # Callers
