--- a/benchmarks/fleet/deployment.py
+++ b/benchmarks/fleet/deployment.py
@@ -161,7 +161,7 @@
     )
     kinds = tuple(_draw_kind(random, number, engine) for number in range(random.randint(2, 4)))
     total = sum(kind.share for kind in kinds)
-    work_ms = sum(kind.share / total * _count_work(kind, engine) for kind in kinds)
+    work_ms = sum(kind.share / total * _estimate_work_ms(kind, engine) for kind in kinds)
     load = random.uniform(0.15, 0.6)
     return Deployment(
         name=f"drawn-{seed}",
@@ -205,7 +205,7 @@
     )
 
 
-def _count_work(kind: RequestKind, engine: EngineKind) -> float:
+def _estimate_work_ms(kind: RequestKind, engine: EngineKind) -> float:
     """Return about how long a request keeps an engine, in ms, with a warm cache."""
     read_ms = (kind.own_tokens + 0.1 * kind.subject_tokens) / engine.prefill_tokens_per_ms
     return read_ms + kind.answer_tokens * (engine.step_ms / 8 + engine.step_ms_per_request)
