--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -336,7 +336,7 @@
         told = [list(one.placement.list_own()) for one in self._routers]
         for router in self._routers:
             self._placements.record(router.placement.pop_placements(now / 1000), now=now / 1000)
-        sums = _add_up(told)
+        sums = _sum_loads(told)
         lag = 0.0 if self._is_oracle else EXCHANGE_DELAY_MS
         for number, router in enumerate(self._routers):
             others = _subtract(sums, told[number])
@@ -353,7 +353,7 @@
         router.placement.handle_placements(news, now=now / 1000, capacity=capacity)
 
 
-def _add_up(told: list[list[EndpointLoad]]) -> dict[str, tuple[int, int]]:
+def _sum_loads(told: list[list[EndpointLoad]]) -> dict[str, tuple[int, int]]:
     sums: dict[str, tuple[int, int]] = {}
     for loads in told:
         for load in loads:
