--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -339,7 +339,7 @@
         sums = _sum_loads(told)
         lag = 0.0 if self._is_oracle else EXCHANGE_DELAY_MS
         for number, router in enumerate(self._routers):
-            others = _subtract(sums, told[number])
+            others = _subtract_own_load(sums, told[number])
             news, router.last_change = self._placements.list_after(
                 router.last_change, now=now / 1000, limit=self._max_placements_per_exchange
             )
@@ -362,7 +362,9 @@
     return sums
 
 
-def _subtract(sums: dict[str, tuple[int, int]], own: list[EndpointLoad]) -> list[EndpointLoad]:
+def _subtract_own_load(
+    sums: dict[str, tuple[int, int]], own: list[EndpointLoad]
+) -> list[EndpointLoad]:
     mine = {load.endpoint_id: load for load in own}
     others = []
     for name, (running, tokens) in sums.items():
