--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -333,13 +333,13 @@
         mean = sum(in_flight) / len(in_flight)
         if mean >= 1:
             self.result.skews.append(max(in_flight) / mean)
-        told = [list(one.placement.list_own()) for one in self._routers]
+        reported_loads = [list(one.placement.list_own()) for one in self._routers]
         for router in self._routers:
             self._placements.record(router.placement.pop_placements(now / 1000), now=now / 1000)
-        sums = _sum_loads(told)
+        sums = _sum_loads(reported_loads)
         lag = 0.0 if self._is_oracle else EXCHANGE_DELAY_MS
         for number, router in enumerate(self._routers):
-            others = _subtract_own_load(sums, told[number])
+            others = _subtract_own_load(sums, reported_loads[number])
             news, router.last_change = self._placements.list_after(
                 router.last_change, now=now / 1000, limit=self._max_placements_per_exchange
             )
@@ -353,9 +353,9 @@
         router.placement.handle_placements(news, now=now / 1000, capacity=capacity)
 
 
-def _sum_loads(told: list[list[EndpointLoad]]) -> dict[str, tuple[int, int]]:
+def _sum_loads(reported_loads: list[list[EndpointLoad]]) -> dict[str, tuple[int, int]]:
     sums: dict[str, tuple[int, int]] = {}
-    for loads in told:
+    for loads in reported_loads:
         for load in loads:
             running, tokens = sums.get(load.endpoint_id, (0, 0))
             sums[load.endpoint_id] = (running + load.running, tokens + load.tokens)
