--- a/benchmarks/fleet/report.py
+++ b/benchmarks/fleet/report.py
@@ -24,7 +24,7 @@
 
 def measure(result: Result) -> Figures:
     """Return the figures of one run."""
-    owed = sum(one.kind.worth for one in result.outcomes)
+    total_worth = sum(one.kind.worth for one in result.outcomes)
     earned = late = unserved = 0.0
     times = []
     for one in result.outcomes:
@@ -39,7 +39,7 @@
     times.sort()
     skews = sorted(result.skews) or [1.0]
     return Figures(
-        worth=earned / owed,
+        worth=earned / total_worth,
         late=late / count,
         unserved=unserved / count,
         first_p50=times[len(times) // 2],
