--- a/benchmarks/fleet/report.py
+++ b/benchmarks/fleet/report.py
@@ -25,7 +25,7 @@
 def measure(result: Result) -> Figures:
     """Return the figures of one run."""
     total_worth = sum(one.kind.worth for one in result.outcomes)
-    earned = late = unserved = 0.0
+    achieved_worth = late = unserved = 0.0
     times = []
     for one in result.outcomes:
         if one.first_ms is None:
@@ -34,12 +34,12 @@
         times.append(one.first_ms)
         is_late = one.first_ms > one.kind.target_ms
         late += is_late
-        earned += one.kind.late_worth if is_late else one.kind.worth
+        achieved_worth += one.kind.late_worth if is_late else one.kind.worth
     count = len(result.outcomes)
     times.sort()
     skews = sorted(result.skews) or [1.0]
     return Figures(
-        worth=earned / total_worth,
+        worth=achieved_worth / total_worth,
         late=late / count,
         unserved=unserved / count,
         first_p50=times[len(times) // 2],
