--- a/tests/benchmarks/test_fleet.py
+++ b/tests/benchmarks/test_fleet.py
@@ -27,7 +27,7 @@
         self.assertGreater(ends, 350)
         self.assertLess(measure(result).unserved, 0.01)
 
-    def test_bound_is_kept_with_late_counts(self) -> None:
+    def test_load_bound_holds_with_delayed_counts(self) -> None:
         """Nine routers, nine engines, a third of the engines' capacity in use.
 
         Each router knows the others' counts half a second late, so the bound that it keeps
