--- a/tests/benchmarks/test_fleet.py
+++ b/tests/benchmarks/test_fleet.py
@@ -19,7 +19,7 @@
         deployment = replace(draw_deployment(3), seconds=5.0)
         self.assertEqual(simulate(deployment, "deployed"), simulate(deployment, "deployed"))
 
-    def test_every_request_has_an_end(self) -> None:
+    def test_every_request_has_an_outcome(self) -> None:
         deployment = replace(make_boards(seed=2, requests_per_s=50.0), seconds=10.0)
         world = World(deployment=deployment, policy=POLICIES["deployed"](), seed=2)
         result = world.simulate()
