--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -1,4 +1,4 @@
-"""Compare placement policies on modelled deployments: ``python -m benchmarks.fleet``."""
+"""Compare placement policies on simulated deployments: ``python -m benchmarks.fleet``."""
 
 from concurrent.futures import ProcessPoolExecutor
 from typing import Annotated
@@ -12,16 +12,16 @@
 
 
 def simulate_deployment(deployment: Deployment, policy: str, seed: int) -> Figures:
-    """Play one deployment under one policy."""
+    """Simulate one deployment under one policy and return its figures."""
     return measure(World(deployment=deployment, policy=POLICIES[policy](), seed=seed).simulate())
 
 
 def main(
     policy: Annotated[list[str] | None, typer.Option(help="Policies; default all.")] = None,
-    drawn: Annotated[int, typer.Option(help="How many drawn deployments.")] = 0,
-    seeds: Annotated[int, typer.Option(help="How many seeds of the given deployment.")] = 3,
-    burst: Annotated[float, typer.Option(help="Times the load in a fifth of a run.")] = 1.0,
-    load: Annotated[float, typer.Option(help="Requests a second.")] = 72.0,
+    drawn: Annotated[int, typer.Option(help="Number of random deployments.")] = 0,
+    seeds: Annotated[int, typer.Option(help="Number of seeds of the fixed deployment.")] = 3,
+    burst: Annotated[float, typer.Option(help="Load factor in a fifth of a run.")] = 1.0,
+    load: Annotated[float, typer.Option(help="Requests per second.")] = 72.0,
     many: Annotated[bool, typer.Option(help="Hundreds of routers instead of nine.")] = False,
     jobs: Annotated[int, typer.Option(help="Processes to use.")] = 3,
 ) -> None:
@@ -43,7 +43,7 @@
             for name in names
         }
         for name, futures in runs.items():
-            print(format_row(name, average([one.result() for one in futures])), flush=True)
+            print(format_row(name, average([future.result() for future in futures])), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/deployment.py
+++ b/benchmarks/fleet/deployment.py
@@ -1,4 +1,4 @@
-"""Deployments to play: engines, routers, kinds of request; drawn at random or given."""
+"""Fixed and random deployments to simulate: engines, routers and kinds of requests."""
 
 from dataclasses import dataclass
 from random import Random
@@ -8,10 +8,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineKind:
-    """How an engine works; times in milliseconds.
+    """Speed and limits of an engine; times are in milliseconds.
 
-    A step takes ``step_ms`` and ``step_ms_per_request`` for each running request, and gives
-    each a token; ``chunk_tokens`` of waiting prompts are read beside it.
+    A step takes ``step_ms`` plus ``step_ms_per_request`` for each running request and
+    produces one token for each of them. In the same step up to ``chunk_tokens`` tokens of
+    waiting prompts are prefilled.
     """
 
     batch: int = 64
@@ -26,9 +27,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestKind:
-    """A route as its callers use it; ``share`` is of all requests.
+    """The requests of one route; ``share`` is its share of all requests.
 
-    A prompt has a part that few prompts share, one of its subject, and one of its own.
+    A prompt consists of a part that is common to many subjects, a part of its subject, and a
+    part of its own. An answer counts as ``worth`` if its first token arrives within
+    ``target_ms``, and as ``late_worth`` if it arrives later.
     """
 
     name: str
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineFault:
-    """An engine is slow by a factor, or gone (factor 0), for some seconds."""
+    """A period in which an engine is slower by ``factor``, or down if ``factor`` is 0."""
 
     at_s: float
     duration_s: float
@@ -58,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Deployment:
-    """One deployment and the load of a run."""
+    """One deployment, its load and its faults in a run of ``seconds`` seconds."""
 
     name: str
     routers: int
@@ -108,7 +111,7 @@
 
 
 def make_many(*, seed: int, requests_per_s: float = 310.0, burst: float = 1.0) -> Deployment:
-    """Return a deployment of hundreds of routers, each of which sees two requests a second."""
+    """Return a deployment of hundreds of routers with about two requests per second each."""
     random = Random(seed)
     kinds = (
         RequestKind(
@@ -147,7 +150,7 @@
 
 
 def draw_deployment(seed: int) -> Deployment:
-    """Draw sizes, speeds, routes and troubles at random."""
+    """Return a deployment with random sizes, speeds, routes and faults."""
     random = Random(seed)
     engines = random.choice((4, 6, 9, 14, 24))
     scale = random.choice((0.33, 0.6, 1.0, 1.7, 3.0))
@@ -206,6 +209,6 @@
 
 
 def _estimate_work_ms(kind: RequestKind, engine: EngineKind) -> float:
-    """Return about how long a request keeps an engine, in ms, with a warm cache."""
+    """Return the estimated time in ms that a request uses an engine with a warm cache."""
     read_ms = (kind.own_tokens + 0.1 * kind.subject_tokens) / engine.prefill_tokens_per_ms
     return read_ms + kind.answer_tokens * (engine.step_ms / 8 + engine.step_ms_per_request)
--- a/benchmarks/fleet/engine.py
+++ b/benchmarks/fleet/engine.py
@@ -1,4 +1,4 @@
-"""A model engine: batched steps, chunked reading, a cache that evicts, transfers."""
+"""Model of an engine: batched steps, chunked prefill, an LRU prefix cache and transfers."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Job:
-    """One request at an engine; times in ms of the run."""
+    """One request at an engine; times are in ms since the start of the run."""
 
     parts: tuple[PromptPart, ...]
     prompt_tokens: int
@@ -26,7 +26,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Totals:
-    """Tokens that engines read, read though another engine had them, and moved."""
+    """Numbers of prompt tokens over all engines.
+
+    ``read`` were prefilled, ``read_again`` were prefilled although another engine had them
+    cached, and ``moved`` were transferred between engines.
+    """
 
     read: float = 0.0
     read_again: float = 0.0
@@ -34,10 +38,10 @@
 
 
 class Engine:
-    """Plays one engine in steps; ``slowness`` multiplies every time."""
+    """Simulates one engine in steps; ``speed`` and ``slowness`` multiply every step time."""
 
     def __init__(self, *, kind: EngineKind, speed: float, totals: Totals) -> None:
-        """Start idle with an empty cache."""
+        """Initialize an idle engine with an empty cache."""
         self.kind = kind
         self.speed = speed
         self.slowness = 1.0
@@ -52,11 +56,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests are here."""
+        """Return the number of requests that are waiting, prefilling or running."""
         return len(self._waiting) + len(self._prefilling) + len(self._running)
 
     def count_cached(self, parts: tuple[PromptPart, ...]) -> int:
-        """Return how many tokens at the beginning of a prompt are cached."""
+        """Return the number of tokens in the cached prefix of a prompt."""
         tokens = 0
         for part in parts:
             if part.part_id not in self._cache:
@@ -65,9 +69,9 @@
         return tokens
 
     def admit(self, job: Job, *, known_elsewhere: int, fetch_from: "Engine | None") -> float:
-        """Admit a request; return by how many ms a transfer delays it.
+        """Admit a request; return the delay in ms that a transfer causes.
 
-        ``known_elsewhere``: how many of its shared tokens some engine has cached.
+        ``known_elsewhere`` is the number of its shared tokens that some engine has cached.
         """
         cached = self.count_cached(job.parts)
         delay_ms = 0.0
@@ -97,14 +101,14 @@
             self._cached_tokens -= tokens
 
     def enqueue(self, job: Job) -> None:
-        """Let a request wait for a place in the batch; urgent ones go first."""
+        """Queue a request for a place in the batch, in order of priority."""
         index = len(self._waiting)
         while index and self._waiting[index - 1].priority > job.priority:
             index -= 1
         self._waiting.insert(index, job)
 
     def step(self, now: float) -> float:
-        """Play one step and return its length in ms."""
+        """Simulate one step and return its duration in ms."""
         while self._waiting and len(self._prefilling) + len(self._running) < self.kind.batch:
             self._prefilling.append(self._waiting.popleft())
         self._remove_abandoned()
@@ -137,13 +141,13 @@
 
     def _remove_abandoned(self) -> None:
         for queue in (self._waiting, self._prefilling):
-            left = [job for job in queue if job.abandoned]
-            for job in left:
+            abandoned = [job for job in queue if job.abandoned]
+            for job in abandoned:
                 queue.remove(job)
         self._running = [job for job in self._running if not job.abandoned]
 
     def crash(self) -> list[Job]:
-        """Lose all requests and the cache; return the requests."""
+        """Stop the engine, drop its requests and its cache, and return the requests."""
         lost = [*self._waiting, *self._prefilling, *self._running]
         self._waiting.clear()
         self._prefilling.clear()
--- a/benchmarks/fleet/report.py
+++ b/benchmarks/fleet/report.py
@@ -1,4 +1,4 @@
-"""What a run was worth to its callers, as figures and as a table."""
+"""Figures of a run and their table."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,7 +8,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Figures:
-    """Shares of worth and requests, tokens per request, times in ms."""
+    """Figures of one run or their mean over several runs.
+
+    ``worth`` is the achieved share of the total worth; ``late``, ``unserved``, ``other_zone``
+    and ``over`` are shares of requests; ``first_p50`` and ``first_p99`` are times to the first
+    token in ms; ``read_again`` and ``moved`` are tokens per request; ``skew_p99`` is the 99th
+    percentile of the highest load of an engine relative to the mean.
+    """
 
     worth: float
     late: float
@@ -24,17 +30,17 @@
 
 def measure(result: Result) -> Figures:
     """Return the figures of one run."""
-    total_worth = sum(one.kind.worth for one in result.outcomes)
+    total_worth = sum(outcome.kind.worth for outcome in result.outcomes)
     achieved_worth = late = unserved = 0.0
     times = []
-    for one in result.outcomes:
-        if one.first_ms is None:
+    for outcome in result.outcomes:
+        if outcome.first_ms is None:
             unserved += 1
             continue
-        times.append(one.first_ms)
-        is_late = one.first_ms > one.kind.target_ms
+        times.append(outcome.first_ms)
+        is_late = outcome.first_ms > outcome.kind.target_ms
         late += is_late
-        achieved_worth += one.kind.late_worth if is_late else one.kind.worth
+        achieved_worth += outcome.kind.late_worth if is_late else outcome.kind.worth
     count = len(result.outcomes)
     times.sort()
     skews = sorted(result.skews) or [1.0]
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -1,4 +1,4 @@
-"""Plays a deployment: callers, routers with the real decision objects, engines."""
+"""Simulates a deployment: callers, routers with the real placement component, and engines."""
 
 import heapq
 from collections.abc import Callable, Sequence
@@ -19,20 +19,24 @@
 from chivetrack.components.traffic.models import EngineProfile, Service
 from chivetrack.components.traffic.requests import PromptPart, RequestFacts
 
-# Routers tell each other their counts this often, and hear of it so much later.
+# Routers exchange their load counts at this interval; an update arrives after this delay.
 EXCHANGE_INTERVAL_MS = 300.0
 EXCHANGE_DELAY_MS = 150.0
-# A crashed engine is still believed to be there for so long.
+# Time for which routers still list a crashed engine.
 CRASH_DETECTION_MS = 600.0
 NETWORK_DELAY_MS = 0.9
-# Routers share them evenly; what each passes on to its own is limited.
+# Routers are assigned evenly to the replicas; each replica relays a limited number of
+# placements per round to its routers.
 REPLICAS = 5
 EXCHANGE_TAIL_S = 1.5
 
 
 @dataclass(slots=True, kw_only=True)
 class Outcome:
-    """How one request ended; ``first_ms`` is ``None`` if it was never served."""
+    """The outcome of a request.
+
+    ``first_ms`` is the time to the first token, or ``None`` if the request was not served.
+    """
 
     kind: RequestKind
     first_ms: float | None
@@ -40,7 +44,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Result:
-    """What a run measured."""
+    """Measurements of a run.
+
+    ``placed`` counts placements, ``other_zone`` those in another zone, and ``over`` those above
+    the load bound. ``skews`` samples the highest load of an engine relative to the mean.
+    """
 
     outcomes: list[Outcome] = field(default_factory=list)
     totals: Totals = field(default_factory=Totals)
@@ -70,10 +78,10 @@
 
 
 class World:
-    """One run of one policy on one deployment."""
+    """Discrete-event simulation of one policy on one deployment."""
 
     def __init__(self, *, deployment: Deployment, policy: Policy, seed: int) -> None:
-        """Build routers and engines; nothing happens before ``play``."""
+        """Build routers and engines; ``simulate`` starts the run."""
         self._deployment = deployment
         self._random = Random(seed)
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
@@ -89,8 +97,8 @@
             can_fetch=True,
         )
         self._placements = Placements()
-        close = max(1, deployment.routers // REPLICAS)
-        self._max_placements_per_exchange = max(1, PLACEMENTS_PER_ROUND // close)
+        routers_per_replica = max(1, deployment.routers // REPLICAS)
+        self._max_placements_per_exchange = max(1, PLACEMENTS_PER_ROUND // routers_per_replica)
         self._service = Service(name="llm", engine=profile)
         self._is_oracle = policy.is_oracle
         self._routers = [
@@ -128,7 +136,7 @@
         heapq.heappush(self._events, (when, next(self._numbers), action))
 
     def simulate(self) -> Result:
-        """Play the whole run."""
+        """Run the simulation to its end and return the measurements."""
         deployment = self._deployment
         for fault in deployment.engine_faults:
             name = f"e{fault.engine}"
@@ -154,7 +162,7 @@
         rate = deployment.requests_per_s * (deployment.burst if third < now < 1.6 * third else 1.0)
         self._schedule(now + self._random.expovariate(rate) * 1000, self._arrive)
         kind = self._random.choices(
-            deployment.kinds, weights=[one.share for one in deployment.kinds]
+            deployment.kinds, weights=[kind.share for kind in deployment.kinds]
         )[0]
         self._start(self._make_request(kind, now), now)
 
@@ -197,9 +205,9 @@
             self._schedule(now + 2 * NETWORK_DELAY_MS, lambda at: self._retry(request, at))
             return
         known = max(
-            one.count_cached(request.facts.shared_parts)
-            for one in self._engines.values()
-            if one.is_up
+            other.count_cached(request.facts.shared_parts)
+            for other in self._engines.values()
+            if other.is_up
         )
         self._record_over_bound(engine)
         source = self._engines.get(choice.fetch_from)
@@ -213,9 +221,9 @@
             )
 
     def _record_over_bound(self, engine: Engine) -> None:
-        """Count a request that reaches an engine over twice the mean and three."""
-        up = [one.in_flight for one in self._engines.values() if one.is_up]
-        self.result.over += engine.in_flight + 1 > 2 * (sum(up) + 1) / len(up) + 3
+        """Count a request that raises the load of an engine above twice the mean plus three."""
+        loads = [other.in_flight for other in self._engines.values() if other.is_up]
+        self.result.over += engine.in_flight + 1 > 2 * (sum(loads) + 1) / len(loads) + 3
 
     def _choose(self, request: _Request, now: float) -> Choice | None:
         candidates, sources = [], []
@@ -249,13 +257,13 @@
         if len(request.tried) >= 2:
             self._end(request, None)
             return
-        old = request.job
+        previous = request.job
         request.job = Job(
-            parts=old.parts,
-            prompt_tokens=old.prompt_tokens,
-            answer_tokens=old.answer_tokens,
-            priority=old.priority,
-            number=old.number,
+            parts=previous.parts,
+            prompt_tokens=previous.prompt_tokens,
+            answer_tokens=previous.answer_tokens,
+            priority=previous.priority,
+            number=previous.number,
         )
         self._start(request, now)
 
@@ -282,7 +290,7 @@
         self._schedule(end, lambda at: self._after_step(name, at))
 
     def _after_step(self, name: str, now: float) -> None:
-        left = []
+        remaining = []
         for request in self._jobs[name]:
             placement = request.router.placement
             if request.placed is not None and request.job.first_at is not None:
@@ -297,8 +305,8 @@
                     assert request.job.first_at is not None
                     self._end(request, request.job.first_at - request.arrived_at + NETWORK_DELAY_MS)
             if not is_over:
-                left.append(request)
-        self._jobs[name] = left
+                remaining.append(request)
+        self._jobs[name] = remaining
         if self._engines[name].in_flight:
             self._step(name, now)
 
@@ -323,34 +331,38 @@
         for router in self._routers:
             router.placement.forget(name)
 
-    # What routers tell each other
+    # Exchange between routers
 
     def _exchange(self, now: float) -> None:
         if now > (self._deployment.seconds + EXCHANGE_TAIL_S) * 1000:
             return
         self._schedule(now + EXCHANGE_INTERVAL_MS, self._exchange)
-        in_flight = [one.in_flight for one in self._engines.values() if one.is_up]
+        in_flight = [engine.in_flight for engine in self._engines.values() if engine.is_up]
         mean = sum(in_flight) / len(in_flight)
         if mean >= 1:
             self.result.skews.append(max(in_flight) / mean)
-        reported_loads = [list(one.placement.list_own()) for one in self._routers]
+        reported_loads = [list(router.placement.list_own()) for router in self._routers]
         for router in self._routers:
             self._placements.record(router.placement.pop_placements(now / 1000), now=now / 1000)
         sums = _sum_loads(reported_loads)
-        lag = 0.0 if self._is_oracle else EXCHANGE_DELAY_MS
+        delay = 0.0 if self._is_oracle else EXCHANGE_DELAY_MS
         for number, router in enumerate(self._routers):
             others = _subtract_own_load(sums, reported_loads[number])
-            news, router.last_change = self._placements.list_after(
+            placements, router.last_change = self._placements.list_after(
                 router.last_change, now=now / 1000, limit=self._max_placements_per_exchange
             )
-            self._schedule(now + lag, partial(self._handle_updates, router, others, news))
+            self._schedule(now + delay, partial(self._handle_updates, router, others, placements))
 
     def _handle_updates(
-        self, router: _Router, loads: list[EndpointLoad], news: Sequence[PlacedPart], now: float
+        self,
+        router: _Router,
+        loads: list[EndpointLoad],
+        placements: Sequence[PlacedPart],
+        now: float,
     ) -> None:
         capacity = self._deployment.engine.memory_tokens
         router.placement.handle_other_loads(loads, now=now / 1000)
-        router.placement.handle_placements(news, now=now / 1000, capacity=capacity)
+        router.placement.handle_placements(placements, now=now / 1000, capacity=capacity)
 
 
 def _sum_loads(reported_loads: list[list[EndpointLoad]]) -> dict[str, tuple[int, int]]:
@@ -365,10 +377,10 @@
 def _subtract_own_load(
     sums: dict[str, tuple[int, int]], own: list[EndpointLoad]
 ) -> list[EndpointLoad]:
-    mine = {load.endpoint_id: load for load in own}
+    own_loads = {load.endpoint_id: load for load in own}
     others = []
     for name, (running, tokens) in sums.items():
-        load = mine.get(name)
+        load = own_loads.get(name)
         others.append(
             EndpointLoad(
                 endpoint_id=name,
--- a/tests/benchmarks/test_fleet.py
+++ b/tests/benchmarks/test_fleet.py
@@ -1,4 +1,4 @@
-"""The model of a fleet, and the loads that decided between policies."""
+"""Tests of the fleet simulation and of the load bound that it shows."""
 
 import unittest
 from dataclasses import replace
@@ -28,11 +28,12 @@
         self.assertLess(measure(result).unserved, 0.01)
 
     def test_load_bound_holds_with_delayed_counts(self) -> None:
-        """Nine routers, nine engines, a third of the engines' capacity in use.
+        """Guards against a load bound of routers that is too wide for delayed counts.
 
-        Each router knows the others' counts half a second late, so the bound that it keeps
-        has to lie below the one that is promised, twice the mean and three. A wider one
-        moves fewer prompts, and sends twice as many requests over the promise.
+        Nine routers send to nine engines at a third of their capacity. A router gets the
+        others' counts about half a second late, so its own bound must be lower than the
+        documented one of twice the mean plus three. A wider bound moves fewer prompts and
+        sends twice as many requests above the documented bound.
         """
         figures: dict[str, list[Figures]] = {"deployed": [], "wide-bound": []}
         for name, runs in figures.items():
