--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -105,7 +105,7 @@
     """The placer and load book; subclasses switch what routers hear."""
 
     exchanges_counts = True
-    hears_events = True
+    receives_cache_events = True
     hears_reports = True
 
     def __init__(self, *, world: World) -> None:
@@ -198,7 +198,7 @@
 
     def cache(self, engine: FakeEngine, key: str, evicted: list[str]) -> None:
         """Deliver cache events to each router, late and partly lost."""
-        if not self.hears_events or len(self.world.engines) > MAX_EVENT_ENGINES:
+        if not self.receives_cache_events or len(self.world.engines) > MAX_EVENT_ENGINES:
             return
         world = self.world
         incarnation, at = engine.incarnation, world.now
@@ -246,7 +246,7 @@
 
     name = "previous"
     exchanges_counts = False
-    hears_events = False
+    receives_cache_events = False
 
 
 @POLICIES.register("counts")
@@ -254,7 +254,7 @@
     """The placer with counts exchanged, without cache events."""
 
     name = "counts"
-    hears_events = False
+    receives_cache_events = False
 
 
 @POLICIES.register("this")
