--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -106,14 +106,14 @@
 
     exchanges_counts = True
     receives_cache_events = True
-    hears_reports = True
+    receives_load_reports = True
 
     def __init__(self, *, world: World) -> None:
         """Make the routers and subscribe them."""
         super().__init__(world=world)
         count = world.options.fleet.routers
         self.routers = [FakeRouter(number=number, world=world) for number in range(count)]
-        if self.hears_reports:
+        if self.receives_load_reports:
             subscribe_reports(world, count, self._report)
         if self.exchanges_counts:
             for router in self.routers:
--- a/benchmarks/placement/slots.py
+++ b/benchmarks/placement/slots.py
@@ -25,7 +25,7 @@
 
     name = "slots"
     exchanges_counts = False
-    hears_reports = False
+    receives_load_reports = False
 
     def __init__(self, *, world: World) -> None:
         """Give each router a slot placer and a summary to send."""
