--- a/benchmarks/placement/slots.py
+++ b/benchmarks/placement/slots.py
@@ -12,7 +12,7 @@
 from benchmarks.placement.fleet import FakeRouter, FleetPolicy, make_demand
 from benchmarks.placement.models import Request
 from benchmarks.placement.policies import POLICIES
-from benchmarks.placement.world import Chosen, World
+from benchmarks.placement.world import OnChosen, World
 from chivetrack.components.load.models import LoadSummary
 from chivetrack.components.routing.slots import Placed, SlotPlacer
 from chivetrack.core import Effect, MessageReceived, SendMessage, TimeReached, WakeAt
@@ -32,7 +32,7 @@
         super().__init__(world=world)
         names = [router.router_id for router in self.routers]
         self._numbers = {name: number for number, name in enumerate(names)}
-        self._waiting: dict[str, Chosen] = {}
+        self._waiting: dict[str, OnChosen] = {}
         self._serial = 0
         self._slots = [
             SlotPlacer(
@@ -49,7 +49,7 @@
             first = world.random.uniform(0.0, interval)
             world.call_every(interval, partial(self._summarise, number), first=first)
 
-    def choose(self, request: Request, excluded: frozenset[str], done: Chosen) -> None:
+    def choose(self, request: Request, excluded: frozenset[str], done: OnChosen) -> None:
         """Ask the slot placer of the request's router."""
         self._serial += 1
         name = f"{request.number}/{self._serial}"
--- a/benchmarks/placement/world.py
+++ b/benchmarks/placement/world.py
@@ -19,7 +19,7 @@
 from chivetrack.components.routing.models import DEFAULT_LOAD_BOUND
 
 Action = Callable[[], None]
-Chosen = Callable[[str | None], None]
+OnChosen = Callable[[str | None], None]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -98,7 +98,7 @@
         """Return the engine for a request."""
         raise NotImplementedError
 
-    def choose(self, request: Request, excluded: frozenset[str], done: Chosen) -> None:
+    def choose(self, request: Request, excluded: frozenset[str], done: OnChosen) -> None:
         """Call ``done`` with the engine, now or a little later."""
         done(self.place(request, excluded))
 
