--- a/benchmarks/placement/slots.py
+++ b/benchmarks/placement/slots.py
@@ -56,7 +56,7 @@
         self._waiting[name] = done
         slots = self._slots[request.router]
         effects = slots.place(name, make_demand(request, excluded), now=self.world.now)
-        self._carry_out(request.router, effects)
+        self._execute_effects(request.router, effects)
 
     def start(self, request: Request, engine_id: str) -> None:
         """Do nothing: the slot placer counted the request."""
@@ -68,9 +68,9 @@
     def finish(self, request: Request, engine_id: str) -> None:
         """Count the request as over."""
         effects = self._slots[request.router].finish(engine_id, now=self.world.now)
-        self._carry_out(request.router, effects)
+        self._execute_effects(request.router, effects)
 
-    def _carry_out(self, router: int, effects: list[Effect]) -> None:
+    def _execute_effects(self, router: int, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, Placed):
                 endpoint = effect.placement.endpoint
@@ -83,7 +83,7 @@
 
     def _wake(self, router: int) -> None:
         slots = self._slots[router]
-        self._carry_out(router, slots.handle(TimeReached(), now=self.world.now))
+        self._execute_effects(router, slots.handle(TimeReached(), now=self.world.now))
 
     def _send(self, source: int, target: int, message: Message) -> None:
         size = len(pack(message)) + MESSAGE_OVERHEAD_BYTES
@@ -93,7 +93,7 @@
 
     def _deliver(self, source: int, target: int, message: Message) -> None:
         event = MessageReceived(source=self.routers[source].router_id, message=message)
-        self._carry_out(target, self._slots[target].handle(event, now=self.world.now))
+        self._execute_effects(target, self._slots[target].handle(event, now=self.world.now))
 
     def _summarise(self, router: int) -> None:
         summary: LoadSummary = self._slots[router].collect_summary(self.world.now)
@@ -112,4 +112,4 @@
         effects = self._slots[number].set_view(
             router_ids=list(self._numbers), endpoint_ids=names, now=self.world.now
         )
-        self._carry_out(number, effects)
+        self._execute_effects(number, effects)
