--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -196,7 +196,7 @@
             self.world.result.messages += sent > 0
             self.world.result.received_bytes += received
 
-    def cache(self, engine: FakeEngine, key: str, evicted: list[str]) -> None:
+    def handle_cache_change(self, engine: FakeEngine, key: str, evicted: list[str]) -> None:
         """Deliver cache events to each router, late and partly lost."""
         if not self.receives_cache_events or len(self.world.engines) > MAX_EVENT_ENGINES:
             return
--- a/benchmarks/placement/world.py
+++ b/benchmarks/placement/world.py
@@ -111,7 +111,7 @@
     def finish(self, request: Request, engine_id: str) -> None:
         """Hear that a request is over."""
 
-    def cache(self, engine: FakeEngine, key: str, evicted: list[str]) -> None:
+    def handle_cache_change(self, engine: FakeEngine, key: str, evicted: list[str]) -> None:
         """Hear what an engine cached and evicted, to be delivered as events."""
 
     def change_view(self, engine: FakeEngine) -> None:
@@ -168,7 +168,7 @@
         world, result = self._world, self._world.result
         engine.in_flight += 1
         reused, evicted = engine.run(request.key, request.prompt_tokens, request.answer_tokens)
-        self._policy.cache(engine, request.key, evicted)
+        self._policy.handle_cache_change(engine, request.key, evicted)
         result.placed += 1
         if world.now >= world.options.warm_up_s:
             result.prompt_tokens += request.prompt_tokens
