--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -213,7 +213,7 @@
                 partial(_apply_events, router.hints, kept, engine.engine_id, incarnation, at),
             )
 
-    def change_view(self, engine: FakeEngine) -> None:
+    def handle_engine_change(self, engine: FakeEngine) -> None:
         """Tell each router after seconds."""
         for router in self.routers:
             delay = self.world.random.uniform(*VIEW_DELAY_S)
--- a/benchmarks/placement/policies.py
+++ b/benchmarks/placement/policies.py
@@ -24,7 +24,7 @@
         super().__init__(world=world)
         self.views = [sorted(world.engines) for _ in range(world.options.fleet.routers)]
 
-    def change_view(self, engine: FakeEngine) -> None:
+    def handle_engine_change(self, engine: FakeEngine) -> None:
         for router in range(len(self.views)):
             delay = self.world.random.uniform(*VIEW_DELAY_S)
             self.world.call_at(self.world.now + delay, partial(self._apply, router, engine))
--- a/benchmarks/placement/world.py
+++ b/benchmarks/placement/world.py
@@ -114,7 +114,7 @@
     def handle_cache_change(self, engine: FakeEngine, key: str, evicted: list[str]) -> None:
         """Hear what an engine cached and evicted, to be delivered as events."""
 
-    def change_view(self, engine: FakeEngine) -> None:
+    def handle_engine_change(self, engine: FakeEngine) -> None:
         """Hear that an engine is gone or back."""
 
 
@@ -212,4 +212,4 @@
         else:
             engine = world.random.choice(world.list_alive())
             self._fail(engine)
-        self._policy.change_view(engine)
+        self._policy.handle_engine_change(engine)
