--- a/benchmarks/placement/engines.py
+++ b/benchmarks/placement/engines.py
@@ -13,21 +13,21 @@
         self.alive = True
         self.in_flight = 0
         self._cache_tokens = cache_tokens
-        self._held: OrderedDict[str, int] = OrderedDict()
+        self._cached: OrderedDict[str, int] = OrderedDict()
         self._total = 0
 
     def count_cached(self, key: str) -> int:
         """Return how many tokens of a key's context are cached."""
-        return self._held.get(key, 0)
+        return self._cached.get(key, 0)
 
     def run(self, key: str, prompt_tokens: int, answer_tokens: int) -> tuple[int, list[str]]:
         """Take a request; return the tokens reused and the keys evicted."""
-        held = self._held.pop(key, 0)
-        self._held[key] = prompt_tokens + answer_tokens
-        self._total += self._held[key] - held
+        held = self._cached.pop(key, 0)
+        self._cached[key] = prompt_tokens + answer_tokens
+        self._total += self._cached[key] - held
         evicted = []
-        while self._total > self._cache_tokens and len(self._held) > 1:
-            old, size = self._held.popitem(last=False)
+        while self._total > self._cache_tokens and len(self._cached) > 1:
+            old, size = self._cached.popitem(last=False)
             self._total -= size
             evicted.append(old)
         return min(held, prompt_tokens), evicted
@@ -36,7 +36,7 @@
         """Lose all requests and the cache."""
         self.alive = False
         self.in_flight = 0
-        self._held.clear()
+        self._cached.clear()
         self._total = 0
 
     def restart(self) -> None:
