--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -258,7 +258,7 @@
 
 
 @POLICIES.register("this")
-class This(FleetPolicy):
+class Current(FleetPolicy):
     """The placer as it is wired: counts exchanged and cache events heard."""
 
     name = "this"
