--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -35,7 +35,7 @@
 from chivetrack.components.routing.placer import Placer
 from chivetrack.helpers.codec import pack
 
-_ALWAYS = -1e9
+_LONG_AGO = -1e9
 
 
 def make_endpoint(engine: FakeEngine, joined_at: float) -> EndpointState:
@@ -66,7 +66,7 @@
     def __init__(self, *, engines: Sequence[FakeEngine]) -> None:
         """List engines that have been there for long."""
         self.version = 0
-        self._endpoints = {e.engine_id: make_endpoint(e, _ALWAYS) for e in engines}
+        self._endpoints = {e.engine_id: make_endpoint(e, _LONG_AGO) for e in engines}
         self._listed = tuple(self._endpoints.values())
 
     def list_endpoints(self, service: str) -> Sequence[EndpointState]:
