--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -158,12 +158,12 @@
         self._send_counts(router)
         self._arm(router)
 
-    def _report(self, router: int, engine: FakeEngine, in_flight: int, taken_at: float) -> None:
+    def _report(self, router: int, engine: FakeEngine, in_flight: int, sampled_at: float) -> None:
         self.routers[router].load.report_load(
             engine.engine_id,
             in_flight,
             incarnation=engine.incarnation,
-            age_s=self.world.now - taken_at,
+            age_s=self.world.now - sampled_at,
             now=self.world.now,
         )
 
--- a/benchmarks/placement/policies.py
+++ b/benchmarks/placement/policies.py
@@ -70,7 +70,7 @@
         self._reports: list[dict[str, int]] = [{} for _ in self.views]
         subscribe_reports(world, len(self.views), self._report)
 
-    def _report(self, router: int, engine: FakeEngine, in_flight: int, taken_at: float) -> None:
+    def _report(self, router: int, engine: FakeEngine, in_flight: int, sampled_at: float) -> None:
         self._reports[router][engine.engine_id] = in_flight
 
     def place(self, request: Request, excluded: frozenset[str]) -> str | None:
--- a/benchmarks/placement/reports.py
+++ b/benchmarks/placement/reports.py
@@ -17,12 +17,12 @@
     def report(engine: FakeEngine) -> None:
         if not engine.alive:
             return
-        in_flight, taken_at = engine.in_flight, world.now
+        in_flight, sampled_at = engine.in_flight, world.now
         for router in range(routers):
             if world.random.random() < REPORT_LOSS:
                 continue
             at = world.now + world.random.uniform(lag / 2, lag)
-            world.call_at(at, partial(receive, router, engine, in_flight, taken_at))
+            world.call_at(at, partial(receive, router, engine, in_flight, sampled_at))
 
     for engine in world.engines.values():
         world.call_every(lag / 2, partial(report, engine), first=world.random.uniform(0, lag / 2))
