--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -114,7 +114,7 @@
         count = world.options.fleet.routers
         self.routers = [FakeRouter(number=number, world=world) for number in range(count)]
         if self.receives_load_reports:
-            subscribe_reports(world, count, self._report)
+            subscribe_reports(world, count, self._handle_report)
         if self.exchanges_counts:
             for router in self.routers:
                 self._arm(router)
@@ -158,7 +158,9 @@
         self._send_counts(router)
         self._arm(router)
 
-    def _report(self, router: int, engine: FakeEngine, in_flight: int, sampled_at: float) -> None:
+    def _handle_report(
+        self, router: int, engine: FakeEngine, in_flight: int, sampled_at: float
+    ) -> None:
         self.routers[router].load.report_load(
             engine.engine_id,
             in_flight,
--- a/benchmarks/placement/policies.py
+++ b/benchmarks/placement/policies.py
@@ -68,9 +68,11 @@
         """Hear reports."""
         super().__init__(world=world)
         self._reports: list[dict[str, int]] = [{} for _ in self.views]
-        subscribe_reports(world, len(self.views), self._report)
+        subscribe_reports(world, len(self.views), self._handle_report)
 
-    def _report(self, router: int, engine: FakeEngine, in_flight: int, sampled_at: float) -> None:
+    def _handle_report(
+        self, router: int, engine: FakeEngine, in_flight: int, sampled_at: float
+    ) -> None:
         self._reports[router][engine.engine_id] = in_flight
 
     def place(self, request: Request, excluded: frozenset[str]) -> str | None:
