--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -91,7 +91,7 @@
         self.view = RouterView(engines=list(world.engines.values()))
         self.load = LoadTracker(router_id=self.router_id)
         self.pacer = CountsPacer()
-        self.armed_at = inf
+        self.next_send_at = inf
         self.hints = CacheHints()
         self.placer = Placer(
             view=self.view,
@@ -145,15 +145,15 @@
             return
         now = self.world.now
         due = max(router.pacer.find_next_due(now), now)
-        if due >= router.armed_at or due >= self.world.options.seconds:
+        if due >= router.next_send_at or due >= self.world.options.seconds:
             return
-        router.armed_at = due
+        router.next_send_at = due
         self.world.call_at(due, partial(self._send_due, router, due))
 
     def _send_due(self, router: FakeRouter, due: float) -> None:
-        if router.armed_at != due:
+        if router.next_send_at != due:
             return
-        router.armed_at = inf
+        router.next_send_at = inf
         router.pacer.record_sent(self.world.now)
         self._send_counts(router)
         self._arm(router)
