--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -117,7 +117,7 @@
             subscribe_reports(world, count, self._handle_report)
         if self.exchanges_counts:
             for router in self.routers:
-                self._arm(router)
+                self._schedule_send(router)
 
     def place(self, request: Request, excluded: frozenset[str]) -> str | None:
         """Ask the placer of the request's router."""
@@ -130,16 +130,16 @@
         router = self.routers[request.router]
         router.load.start(engine_id, self.world.now)
         router.pacer.record_start(self.world.now)
-        self._arm(router)
+        self._schedule_send(router)
 
     def finish(self, request: Request, engine_id: str) -> None:
         """Count the request as over."""
         router = self.routers[request.router]
         router.load.finish(engine_id, self.world.now)
         router.pacer.record_finish(self.world.now)
-        self._arm(router)
+        self._schedule_send(router)
 
-    def _arm(self, router: FakeRouter) -> None:
+    def _schedule_send(self, router: FakeRouter) -> None:
         """Set the router's next send, unless an earlier one is set."""
         if not self.exchanges_counts:
             return
@@ -156,7 +156,7 @@
         router.next_send_at = inf
         router.pacer.record_sent(self.world.now)
         self._send_counts(router)
-        self._arm(router)
+        self._schedule_send(router)
 
     def _handle_report(
         self, router: int, engine: FakeEngine, in_flight: int, sampled_at: float
