--- a/benchmarks/placement/timing.py
+++ b/benchmarks/placement/timing.py
@@ -13,7 +13,7 @@
 
 _DECISIONS = 4000
 _LOAD_SHARE = 0.5
-_CENTILES = 100
+_PERCENTILES = 100
 
 
 def measure_decisions(count: int, seed: int) -> tuple[float, float]:
@@ -31,5 +31,5 @@
         started = perf_counter()
         placer.place(demand, now=1.0)
         times.append((perf_counter() - started) * MICROSECONDS)
-    cuts = quantiles(times, n=_CENTILES)
+    cuts = quantiles(times, n=_PERCENTILES)
     return cuts[49], cuts[98]
