--- a/benchmarks/placement/world.py
+++ b/benchmarks/placement/world.py
@@ -139,7 +139,7 @@
         self._policy = policy
         self._mean_sum = 0.0
         self._running: dict[str, dict[int, Request]] = {name: {} for name in world.engines}
-        self._over = 0
+        self._over_bound_samples = 0
         world.call_every(SAMPLE_INTERVAL_S, self._sample, first=world.options.warm_up_s)
         if world.options.churn:
             world.call_every(CHURN_INTERVAL_S, self._churn, first=CHURN_INTERVAL_S)
@@ -198,10 +198,10 @@
             return
         result = self._world.result
         result.skews.append(max(loads) / mean)
-        self._over += max(loads) > max(DEFAULT_LOAD_BOUND * mean, ceil(mean))
+        self._over_bound_samples += max(loads) > max(DEFAULT_LOAD_BOUND * mean, ceil(mean))
         self._mean_sum += mean
         result.mean_in_flight = self._mean_sum / len(result.skews)
-        result.over_bound = self._over / len(result.skews)
+        result.over_bound = self._over_bound_samples / len(result.skews)
 
     def _churn(self) -> None:
         world = self._world
