--- a/benchmarks/placement/__init__.py
+++ b/benchmarks/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement measured: the real decision objects against a table of fake engines."""
+"""Placement experiment: the real placement components with simulated engines."""
--- a/benchmarks/placement/__main__.py
+++ b/benchmarks/placement/__main__.py
@@ -34,13 +34,17 @@
     workload: Annotated[str, typer.Option(help="A workload, or all.")] = _ALL,
     policy: Annotated[list[str] | None, typer.Option(help="Policies; default all.")] = None,
     fleet: Annotated[str, typer.Option(help="today (9 x 6) or region (54 x 571).")] = "today",
-    lag: Annotated[float, typer.Option(help="Lag of engines' reports in seconds.")] = 1.0,
+    lag: Annotated[
+        float, typer.Option(help="Maximum delay of engines' load reports in seconds.")
+    ] = 1.0,
     seconds: Annotated[float, typer.Option(help="Length of a run.")] = 1440.0,
     seed: Annotated[int, typer.Option()] = 1,
-    churn: Annotated[bool | None, typer.Option(help="Only with, or only without churn.")] = None,
+    churn: Annotated[
+        bool | None, typer.Option(help="Run only with or only without churn; default both.")
+    ] = None,
     plot: Annotated[bool, typer.Option()] = True,
 ) -> None:
-    """Drive the placer of several routers and print what was measured."""
+    """Run the policies on the workloads and print their results."""
     names = policy or list(POLICIES)
     for name in list(WORKLOADS) if workload == _ALL else [workload]:
         for churns in (False, True) if churn is None else (churn,):
--- a/benchmarks/placement/fleet.py
+++ b/benchmarks/placement/fleet.py
@@ -1,4 +1,4 @@
-"""Policies made of the real decision objects, one set for each router."""
+"""Policies that use the real placement components, one set per router."""
 
 from collections.abc import Sequence
 from functools import partial
@@ -39,7 +39,7 @@
 
 
 def make_endpoint(engine: FakeEngine, joined_at: float) -> EndpointState:
-    """Return an engine as a router sees it."""
+    """Return the endpoint state that a router holds for an engine."""
     return EndpointState(
         endpoint_id=engine.engine_id,
         incarnation=engine.incarnation,
@@ -54,7 +54,7 @@
 
 
 def make_demand(request: Request, excluded: frozenset[str]) -> Demand:
-    """Return what routing is asked for a request."""
+    """Return the routing demand of a request."""
     return Demand(
         affinity=request.key, workspace="w", service=SERVICE, region=REGION, excluded=excluded
     )
@@ -64,17 +64,17 @@
     """One router's list of endpoints."""
 
     def __init__(self, *, engines: Sequence[FakeEngine]) -> None:
-        """List engines that have been there for long."""
+        """Initialize the list with engines that joined long ago."""
         self.version = 0
         self._endpoints = {e.engine_id: make_endpoint(e, _LONG_AGO) for e in engines}
         self._listed = tuple(self._endpoints.values())
 
     def list_endpoints(self, service: str) -> Sequence[EndpointState]:
-        """Return the endpoints."""
+        """Return all endpoints; ``service`` is ignored."""
         return self._listed
 
     def apply(self, engine: FakeEngine, now: float) -> None:
-        """Take in that an engine is gone or back."""
+        """Remove an engine that has failed, or add one that has restarted."""
         self._endpoints.pop(engine.engine_id, None)
         if engine.alive:
             self._endpoints[engine.engine_id] = make_endpoint(engine, now)
@@ -83,10 +83,10 @@
 
 
 class FakeRouter:
-    """The decision objects of one router."""
+    """The placement components of one router."""
 
     def __init__(self, *, number: int, world: World) -> None:
-        """Start with the full list of engines."""
+        """Initialize the components with the full list of engines."""
         self.router_id = f"router-{number}"
         self.view = RouterView(engines=list(world.engines.values()))
         self.load = LoadTracker(router_id=self.router_id)
@@ -102,14 +102,14 @@
 
 
 class FleetPolicy(Policy):
-    """The placer and load book; subclasses switch what routers hear."""
+    """Policy with the placer and load tracker; subclasses select what routers exchange."""
 
     exchanges_counts = True
     receives_cache_events = True
     receives_load_reports = True
 
     def __init__(self, *, world: World) -> None:
-        """Make the routers and subscribe them."""
+        """Create the routers and subscribe them to load reports."""
         super().__init__(world=world)
         count = world.options.fleet.routers
         self.routers = [FakeRouter(number=number, world=world) for number in range(count)]
@@ -120,27 +120,27 @@
                 self._schedule_send(router)
 
     def place(self, request: Request, excluded: frozenset[str]) -> str | None:
-        """Ask the placer of the request's router."""
+        """Return the engine that the placer of the request's router chooses."""
         demand = make_demand(request, excluded)
         endpoint = self.routers[request.router].placer.place(demand, now=self.world.now).endpoint
         return endpoint.endpoint_id if endpoint else None
 
     def start(self, request: Request, engine_id: str) -> None:
-        """Count the request."""
+        """Count the request as started."""
         router = self.routers[request.router]
         router.load.start(engine_id, self.world.now)
         router.pacer.record_start(self.world.now)
         self._schedule_send(router)
 
     def finish(self, request: Request, engine_id: str) -> None:
-        """Count the request as over."""
+        """Count the request as finished."""
         router = self.routers[request.router]
         router.load.finish(engine_id, self.world.now)
         router.pacer.record_finish(self.world.now)
         self._schedule_send(router)
 
     def _schedule_send(self, router: FakeRouter) -> None:
-        """Set the router's next send, unless an earlier one is set."""
+        """Schedule the router's next send of its counts, unless an earlier one is scheduled."""
         if not self.exchanges_counts:
             return
         now = self.world.now
@@ -199,24 +199,24 @@
             self.world.result.received_bytes += received
 
     def handle_cache_change(self, engine: FakeEngine, key: str, evicted: list[str]) -> None:
-        """Deliver cache events to each router, late and partly lost."""
+        """Deliver cache events to each router with a delay and with losses."""
         if not self.receives_cache_events or len(self.world.engines) > MAX_EVENT_ENGINES:
             return
         world = self.world
         incarnation, at = engine.incarnation, world.now
-        events = [(hash_affinity(old), False) for old in evicted]
+        events = [(hash_affinity(evicted_key), False) for evicted_key in evicted]
         events.append((hash_affinity(key), True))
         for router in self.routers:
             self._count_bytes(received=EVENT_BYTES * len(events))
-            kept = [event for event in events if world.random.random() >= EVENT_LOSS]
+            delivered = [event for event in events if world.random.random() >= EVENT_LOSS]
             delay = world.random.uniform(*EVENT_DELAY_S)
             world.call_at(
                 at + delay,
-                partial(_apply_events, router.hints, kept, engine.engine_id, incarnation, at),
+                partial(_apply_events, router.hints, delivered, engine.engine_id, incarnation, at),
             )
 
     def handle_engine_change(self, engine: FakeEngine) -> None:
-        """Tell each router after seconds."""
+        """Notify each router after a random delay within ``VIEW_DELAY_S``."""
         for router in self.routers:
             delay = self.world.random.uniform(*VIEW_DELAY_S)
             self.world.call_at(self.world.now + delay, partial(self._apply, router, engine))
@@ -244,7 +244,7 @@
 
 @POLICIES.register("previous")
 class Previous(FleetPolicy):
-    """The placer by engines' reports and own requests since, without cache events."""
+    """The placer with engines' load reports and own requests only, without cache events."""
 
     name = "previous"
     exchanges_counts = False
@@ -253,7 +253,7 @@
 
 @POLICIES.register("counts")
 class Counts(FleetPolicy):
-    """The placer with counts exchanged, without cache events."""
+    """The placer with load counts exchanged between routers, without cache events."""
 
     name = "counts"
     receives_cache_events = False
@@ -261,6 +261,6 @@
 
 @POLICIES.register("this")
 class Current(FleetPolicy):
-    """The placer as it is wired: counts exchanged and cache events heard."""
+    """The placer as deployed, with load counts exchanged and cache events received."""
 
     name = "this"
--- a/benchmarks/placement/models.py
+++ b/benchmarks/placement/models.py
@@ -1,11 +1,11 @@
-"""Shapes of the placement experiment."""
+"""Models of the placement experiment."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One arrival, the same for every policy."""
+    """One request; all policies get the same requests."""
 
     number: int
     at: float
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fleet:
-    """How many routers and engines, and how much an engine may cache."""
+    """Numbers of routers and engines, and the cache size of an engine in tokens."""
 
     name: str
     routers: int
@@ -28,7 +28,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Result:
-    """What one run gave; ``skews`` are max/mean in flight, sampled evenly in time."""
+    """Measurements of one run.
+
+    ``skews`` are samples at equal intervals of the highest number of requests in flight at an
+    engine, relative to the mean.
+    """
 
     policy: str
     prompt_tokens: int = 0
@@ -48,7 +52,7 @@
 
     @property
     def reuse(self) -> float:
-        """Return the share of prompt tokens found in a cache."""
+        """Return the share of prompt tokens that were cached."""
         return self.reused_tokens / max(self.prompt_tokens, 1)
 
     def get_skew(self, share: float) -> float:
--- a/benchmarks/placement/policies.py
+++ b/benchmarks/placement/policies.py
@@ -1,4 +1,4 @@
-"""The policies that are compared, from round robin to the placer itself."""
+"""Reference policies that the placer is compared with."""
 
 from bisect import bisect
 from functools import partial
@@ -18,7 +18,7 @@
 
 
 class _ViewPolicy(Policy):
-    """Each router has its own list of engines and hears of changes seconds late."""
+    """Policy whose routers have their own lists of engines, updated with a delay."""
 
     def __init__(self, *, world: World) -> None:
         super().__init__(world=world)
@@ -37,17 +37,17 @@
         self.rebuild(router)
 
     def rebuild(self, router: int) -> None:
-        """Renew what was computed from a router's list."""
+        """Recompute the state that is derived from a router's list."""
 
 
 @POLICIES.register("round-robin")
 class RoundRobin(_ViewPolicy):
-    """Each router takes its engines in turn."""
+    """Each router uses its engines in turn."""
 
     name = "round-robin"
 
     def __init__(self, *, world: World) -> None:
-        """Start each router at another engine."""
+        """Initialize each router with a different first engine."""
         super().__init__(world=world)
         self._next = list(range(len(self.views)))
 
@@ -60,12 +60,12 @@
 
 @POLICIES.register("least-loaded")
 class LeastLoaded(_ViewPolicy):
-    """Each router takes the engine whose last report was least."""
+    """Each router chooses the engine with the lowest load in its last report."""
 
     name = "least-loaded"
 
     def __init__(self, *, world: World) -> None:
-        """Hear reports."""
+        """Subscribe the routers to load reports."""
         super().__init__(world=world)
         self._reports: list[dict[str, int]] = [{} for _ in self.views]
         subscribe_reports(world, len(self.views), self._handle_report)
@@ -76,7 +76,7 @@
         self._reports[router][engine.engine_id] = in_flight
 
     def place(self, request: Request, excluded: frozenset[str]) -> str | None:
-        """Return the engine with the least report."""
+        """Return the engine with the lowest reported load."""
         reports = self._reports[request.router]
         names = [name for name in self.views[request.router] if name not in excluded]
         return min(names, key=lambda name: reports.get(name, 0)) if names else None
@@ -84,7 +84,7 @@
 
 @POLICIES.register("consistent-hash")
 class ConsistentHash(_ViewPolicy):
-    """A ring of points and no bound."""
+    """Consistent hashing without a load bound."""
 
     name = "consistent-hash"
 
@@ -96,7 +96,7 @@
             self.rebuild(router)
 
     def rebuild(self, router: int) -> None:
-        """Build the ring anew."""
+        """Rebuild the hash ring of a router."""
         self._rings[router] = sorted(
             (xxh3_64_intdigest(f"{name}/{point}".encode()), name)
             for name in self.views[router]
@@ -104,7 +104,7 @@
         )
 
     def place(self, request: Request, excluded: frozenset[str]) -> str | None:
-        """Return the next engine on the ring that was not tried."""
+        """Return the first engine on the ring, from the key's point on, that is not excluded."""
         ring = self._rings[request.router]
         start = bisect(ring, (xxh3_64_intdigest(request.key.encode()), ""))
         for offset in range(len(ring)):
@@ -116,19 +116,19 @@
 
 @POLICIES.register("oracle")
 class Oracle(Policy):
-    """Knows every cache and every count at once, and keeps the bound.
+    """Policy with immediate knowledge of all caches and loads, within the load bound.
 
-    Takes the engine below the bound that holds most of the chat; without one, the least
-    loaded, which leaves the others free for the chats they hold.
+    Chooses the engine below the bound that has cached most tokens of the chat. If none has any,
+    chooses the least loaded one, which leaves the others free for the chats that they cache.
     """
 
     name = "oracle"
 
     def place(self, request: Request, excluded: frozenset[str]) -> str | None:
-        """Return the best engine of this moment."""
+        """Return the best engine for the current caches and loads."""
         engines = [e for e in self.world.list_alive() if e.engine_id not in excluded]
-        fair = (sum(engine.in_flight for engine in engines) + 1) / len(engines)
-        limit = max(DEFAULT_LOAD_BOUND * fair, ceil(fair))
+        mean = (sum(engine.in_flight for engine in engines) + 1) / len(engines)
+        limit = max(DEFAULT_LOAD_BOUND * mean, ceil(mean))
         best, best_score = engines[0], (-inf, 0)
         for engine in engines:
             if engine.in_flight + 1 <= limit:
--- a/benchmarks/placement/report.py
+++ b/benchmarks/placement/report.py
@@ -38,7 +38,7 @@
 
 
 def print_plot(title: str, results: Sequence[Result]) -> None:
-    """Plot reuse and p99 skew as bars."""
+    """Print a bar chart of reuse and p99 skew."""
     names = [result.policy for result in results]
     reuse = [round(result.reuse, 3) for result in results]
     skew = [round(result.get_skew(0.99), 2) for result in results]
--- a/benchmarks/placement/reports.py
+++ b/benchmarks/placement/reports.py
@@ -1,4 +1,4 @@
-"""Engines' load reports, late and partly lost."""
+"""Engines' load reports with delays and losses."""
 
 from collections.abc import Callable
 from functools import partial
@@ -11,7 +11,10 @@
 
 
 def subscribe_reports(world: World, routers: int, receive: ReportReceiver) -> None:
-    """Deliver each engine's load to each router: late by the lag, one in ten lost."""
+    """Deliver each engine's load to each router.
+
+    A report arrives after half to the whole of ``lag_s``; the share ``REPORT_LOSS`` is lost.
+    """
     lag = world.options.lag_s
 
     def report(engine: FakeEngine) -> None:
--- a/benchmarks/placement/slots.py
+++ b/benchmarks/placement/slots.py
@@ -1,4 +1,4 @@
-"""The placer with owners that grant slots."""
+"""Policy in which each engine has an owner router that grants its slots."""
 
 from functools import partial
 
@@ -21,14 +21,14 @@
 
 @POLICIES.register("slots")
 class Slots(FleetPolicy):
-    """Owners grant slots; routers tell each other nothing else but summaries."""
+    """Owner routers grant slots; besides, routers exchange load summaries only."""
 
     name = "slots"
     exchanges_counts = False
     receives_load_reports = False
 
     def __init__(self, *, world: World) -> None:
-        """Give each router a slot placer and a summary to send."""
+        """Create a slot placer for each router and schedule its summaries."""
         super().__init__(world=world)
         names = [router.router_id for router in self.routers]
         self._numbers = {name: number for number, name in enumerate(names)}
@@ -50,7 +50,7 @@
             world.call_every(interval, partial(self._summarise, number), first=first)
 
     def choose(self, request: Request, excluded: frozenset[str], done: OnChosen) -> None:
-        """Ask the slot placer of the request's router."""
+        """Request a placement from the slot placer of the request's router."""
         self._serial += 1
         name = f"{request.number}/{self._serial}"
         self._waiting[name] = done
@@ -59,14 +59,14 @@
         self._execute_effects(request.router, effects)
 
     def start(self, request: Request, engine_id: str) -> None:
-        """Do nothing: the slot placer counted the request."""
+        """Do nothing, as the slot placer has already counted the request."""
 
     def abandon(self, request: Request, engine_id: str) -> None:
-        """Give the slot back."""
+        """Release the slot."""
         self.finish(request, engine_id)
 
     def finish(self, request: Request, engine_id: str) -> None:
-        """Count the request as over."""
+        """Release the slot of a finished request."""
         effects = self._slots[request.router].finish(engine_id, now=self.world.now)
         self._execute_effects(request.router, effects)
 
--- a/benchmarks/placement/timing.py
+++ b/benchmarks/placement/timing.py
@@ -1,4 +1,4 @@
-"""How long one decision takes."""
+"""Measures the time of one placement decision."""
 
 from random import Random
 from statistics import quantiles
@@ -17,7 +17,7 @@
 
 
 def measure_decisions(count: int, seed: int) -> tuple[float, float]:
-    """Return p50 and p99 microseconds of a placement with ``count`` endpoints."""
+    """Return p50 and p99 of the time of a placement with ``count`` endpoints, in us."""
     random = Random(seed)
     engines = [FakeEngine(engine_id=f"engine-{n}", cache_tokens=1) for n in range(count)]
     load = LoadTracker(router_id="router")
@@ -31,5 +31,5 @@
         started = perf_counter()
         placer.place(demand, now=1.0)
         times.append((perf_counter() - started) * MICROSECONDS)
-    cuts = quantiles(times, n=_PERCENTILES)
-    return cuts[49], cuts[98]
+    percentiles = quantiles(times, n=_PERCENTILES)
+    return percentiles[49], percentiles[98]
--- a/benchmarks/placement/workloads.py
+++ b/benchmarks/placement/workloads.py
@@ -1,4 +1,4 @@
-"""Arrivals: Hakata's, Sikka's, a few large workspaces, chats that return."""
+"""Workloads: two workspaces, a few large workspaces, and chats that return after pauses."""
 
 import heapq
 from collections.abc import Callable, Iterator
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Workload:
-    """What arrives per engine; times in seconds, sizes in tokens."""
+    """Distribution of the arrivals per engine; times are in seconds, sizes in tokens."""
 
     name: str
     rate_per_engine: float
@@ -91,28 +91,29 @@
 
 
 class _Arrivals:
-    """Draws the parts of a request that all workloads share."""
+    """Generates the properties of a request that are drawn alike for all workloads."""
 
     def __init__(self, workload: Workload, fleet: Fleet, random: Random) -> None:
         self._workload = workload
         self._random = random
         self._turns: dict[str, int] = {}
         self._number = 0
-        # Callers are spread unevenly: the busiest router has three times the least.
+        # Callers are distributed unevenly: the busiest router gets three times the requests of
+        # the least busy one.
         shares = [1.0 + 2.0 * index / max(fleet.routers - 1, 1) for index in range(fleet.routers)]
         self._routers = range(fleet.routers)
         self._router_shares = list(accumulate(shares))
 
     def make(self, at: float, key: str) -> Request:
-        work = self._workload
+        workload = self._workload
         turn = self._turns.get(key, 0)
         self._turns[key] = (turn + 1) % _MAX_TURNS
         self._number += 1
-        sigma = work.service_sigma
-        service = self._random.lognormvariate(log(work.service_s) - sigma * sigma / 2, sigma)
+        sigma = workload.service_sigma
+        service = self._random.lognormvariate(log(workload.service_s) - sigma * sigma / 2, sigma)
         router = self._random.choices(self._routers, cum_weights=self._router_shares)[0]
-        prompt = work.prompt_tokens + turn * work.growth_tokens
-        return Request(self._number, at, router, key, prompt, work.growth_tokens // 2, service)
+        prompt = workload.prompt_tokens + turn * workload.growth_tokens
+        return Request(self._number, at, router, key, prompt, workload.growth_tokens // 2, service)
 
 
 def generate_requests(
@@ -148,7 +149,8 @@
 
 def _make_chooser(workload: Workload, fleet: Fleet, random: Random) -> Callable[[], str]:
     count = workload.keys_per_engine * fleet.engines
-    # The most wanted key of six engines takes the same part of their load at any size.
+    # The ranks are scaled so that the most frequent key causes the same share of the load of
+    # six engines at any fleet size.
     scale = _BASE_ENGINES / max(fleet.engines, _BASE_ENGINES)
     weights = list(accumulate((rank * scale + 1) ** -workload.zipf for rank in range(count)))
     keys = [f"dossier-{rank}" for rank in range(count)]
--- a/benchmarks/placement/world.py
+++ b/benchmarks/placement/world.py
@@ -1,4 +1,4 @@
-"""One run: arrivals, answers, reports and churn in order of time, for one policy."""
+"""Discrete-event simulation of one policy: arrivals, answers, reports and churn."""
 
 import heapq
 import itertools
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunOptions:
-    """What a run is made of, besides its arrivals."""
+    """Parameters of a run other than its arrivals; ``lag_s`` is the delay of load reports."""
 
     fleet: Fleet
     seconds: float
@@ -34,15 +34,15 @@
 
     @property
     def warm_up_s(self) -> float:
-        """Return from when on the run is measured."""
+        """Return the time in seconds after which the run is measured."""
         return min(WARM_UP_S, self.seconds * WARM_UP_SHARE)
 
 
 class World:
-    """The table of engines, the clock and the queue of what happens next."""
+    """The engines, the simulated clock and the queue of scheduled actions."""
 
     def __init__(self, *, options: RunOptions, policy: str) -> None:
-        """Start at time 0 with idle engines."""
+        """Initialize the clock to 0 and all engines as idle."""
         self.options = options
         self.now = 0.0
         self.random = Random(options.seed)
@@ -58,11 +58,11 @@
         self._order = itertools.count()
 
     def call_at(self, at: float, action: Action) -> None:
-        """Run an action at a time."""
+        """Schedule an action for the time ``at``."""
         heapq.heappush(self._queue, (at, next(self._order), action))
 
     def call_every(self, interval: float, action: Action, *, first: float) -> None:
-        """Run an action again and again until the run ends."""
+        """Run an action at ``first`` and every ``interval`` seconds until the run ends."""
 
         def run() -> None:
             action()
@@ -72,11 +72,11 @@
         self.call_at(first, run)
 
     def list_alive(self) -> list[FakeEngine]:
-        """Return the engines that run."""
+        """Return the running engines."""
         return [engine for engine in self.engines.values() if engine.alive]
 
     def run_until(self, time: float) -> None:
-        """Do everything that is due before a time."""
+        """Run all actions that are due at or before ``time``."""
         queue = self._queue
         while queue and queue[0][0] <= time:
             at, _, action = heapq.heappop(queue)
@@ -86,42 +86,42 @@
 
 
 class Policy:
-    """Where requests go; a subclass hears of everything it may know."""
+    """Chooses engines for requests; subclasses implement the callbacks that they need."""
 
     name = ""
 
     def __init__(self, *, world: World) -> None:
-        """Subscribe to what the policy needs."""
+        """Initialize the policy for a simulation."""
         self.world = world
 
     def place(self, request: Request, excluded: frozenset[str]) -> str | None:
-        """Return the engine for a request."""
+        """Return the id of the engine for a request, or ``None`` to refuse it."""
         raise NotImplementedError
 
     def choose(self, request: Request, excluded: frozenset[str], done: OnChosen) -> None:
-        """Call ``done`` with the engine, now or a little later."""
+        """Call ``done`` with the chosen engine, immediately or at a later simulated time."""
         done(self.place(request, excluded))
 
     def start(self, request: Request, engine_id: str) -> None:
-        """Hear that a request was sent."""
+        """Handle that a request was sent."""
 
     def abandon(self, request: Request, engine_id: str) -> None:
-        """Hear that a request could not be sent to the chosen engine."""
+        """Handle that a request could not be sent to the chosen engine."""
 
     def finish(self, request: Request, engine_id: str) -> None:
-        """Hear that a request is over."""
+        """Handle that a request has finished."""
 
     def handle_cache_change(self, engine: FakeEngine, key: str, evicted: list[str]) -> None:
-        """Hear what an engine cached and evicted, to be delivered as events."""
+        """Handle which key an engine has cached and which keys it has evicted."""
 
     def handle_engine_change(self, engine: FakeEngine) -> None:
-        """Hear that an engine is gone or back."""
+        """Handle that an engine has failed or restarted."""
 
 
 def run_policy(
     options: RunOptions, make_policy: type[Policy], requests: Iterable[Request]
 ) -> Result:
-    """Run the arrivals through a policy and return what was measured."""
+    """Simulate the arrivals under a policy and return the measurements."""
     world = World(options=options, policy=make_policy.name)
     run = _Run(world, make_policy(world=world))
     for request in requests:
@@ -145,7 +145,7 @@
             world.call_every(CHURN_INTERVAL_S, self._churn, first=CHURN_INTERVAL_S)
 
     def send(self, request: Request, excluded: frozenset[str]) -> None:
-        """Place and run a request; on a dead engine, once more elsewhere."""
+        """Place and run a request; if the engine is down, place it at another one."""
         done = partial(self._send_to, request, excluded)
         self._policy.choose(request, excluded, done)
 
@@ -156,7 +156,7 @@
             return
         engine = world.engines[engine_id]
         if not engine.alive:
-            # The connect fails, so the request was certainly not sent.
+            # The connection attempt fails, so the request was not sent and may be resent.
             result.resent += 1
             self._policy.abandon(request, engine_id)
             self.send(request, excluded | {engine_id})
@@ -183,13 +183,13 @@
         self._policy.finish(request, engine.engine_id)
 
     def _fail(self, engine: FakeEngine) -> None:
-        """Cut all requests of an engine; their routers see it at once."""
+        """Fail an engine and its requests; their routers are notified at once."""
         engine.fail()
-        cut = self._running[engine.engine_id]
-        self._world.result.lost += len(cut)
-        for request in cut.values():
+        lost = self._running[engine.engine_id]
+        self._world.result.lost += len(lost)
+        for request in lost.values():
             self._policy.finish(request, engine.engine_id)
-        cut.clear()
+        lost.clear()
 
     def _sample(self) -> None:
         loads = [engine.in_flight for engine in self._world.list_alive()]
@@ -205,9 +205,9 @@
 
     def _churn(self) -> None:
         world = self._world
-        gone = [engine for engine in world.engines.values() if not engine.alive]
-        if gone:
-            engine = gone[0]
+        failed = [engine for engine in world.engines.values() if not engine.alive]
+        if failed:
+            engine = failed[0]
             engine.restart()
         else:
             engine = world.random.choice(world.list_alive())
