--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Reading:
+class Measurement:
     """The means over the instances of one fleet, and the greatest."""
 
     title: str
@@ -50,7 +50,7 @@
     return totals
 
 
-def measure(fleet: Fleet, title: str) -> Reading:
+def measure(fleet: Fleet, title: str) -> Measurement:
     """Return what the instances of a fleet use in a while."""
     http = urllib3.PoolManager()
     pids = [fleet.members[plan.name].process.pid for plan in fleet.plans]
@@ -63,7 +63,7 @@
     after = [read_usage(pid) for pid in pids]
     rates = [(b - a) / took for a, b in zip(sent, read_sent(fleet, http), strict=True)]
     shares = [(b.cpu_s - a.cpu_s) / took * 100 for a, b in zip(before, after, strict=True)]
-    return Reading(
+    return Measurement(
         title=title,
         cpu_percent=sum(shares) / len(shares),
         cpu_worst=max(shares),
@@ -73,7 +73,7 @@
     )
 
 
-def measure_instances(count: int) -> Reading:
+def measure_instances(count: int) -> Measurement:
     """Measure an idle fleet of so many instances, three of them replicas."""
     with open_fleet() as fleet:
         fleet.plan_instances(count)
@@ -81,7 +81,7 @@
         return measure(fleet, f"{count} instances, idle")
 
 
-def measure_endpoints(count: int) -> Reading:
+def measure_endpoints(count: int) -> Measurement:
     """Measure three instances with so many endpoints that renew their leases."""
     with open_fleet() as fleet:
         fleet.plan_instances(3)
@@ -93,7 +93,7 @@
         return measure(fleet, f"3 instances, {count} endpoints")
 
 
-def measure_changes(per_minute: int) -> Reading:
+def measure_changes(per_minute: int) -> Measurement:
     """Measure three instances while operators change workspaces."""
     with open_fleet() as fleet:
         fleet.plan_instances(3)
@@ -117,7 +117,7 @@
         fleet.manage("POST", member, "/api/v1/workspace", value)
 
 
-def make_table(readings: list[Reading]) -> str:
+def make_table(readings: list[Measurement]) -> str:
     """Return the readings as a Markdown table."""
     head = (
         "| fleet | % of a core, mean / worst | resident MB | bytes sent a second, mean / worst |\n"
