--- a/benchmarks/founding.py
+++ b/benchmarks/founding.py
@@ -15,7 +15,7 @@
 REPLICAS = 5
 TOLERATED = 2
 # From the first start on: the programs are up after half a second, and have founded soon after.
-KILLS_WITHIN_S = 1.5
+KILL_WINDOW_S = 1.5
 FOUNDED_WITHIN_S = 20.0
 
 
@@ -34,7 +34,7 @@
     wipes = rng.choice((0, 0, 1))
     kills = []
     for _ in range(rng.choice((1, 1, 2, 3))):
-        at_s = rng.uniform(0.0, KILLS_WITHIN_S)
+        at_s = rng.uniform(0.0, KILL_WINDOW_S)
         for name in rng.sample(names, rng.choice((1, 2, replicas))):
             loses_disk = wipes > 0 and rng.random() < 0.5
             wipes -= loses_disk
