--- a/benchmarks/founding.py
+++ b/benchmarks/founding.py
@@ -16,7 +16,7 @@
 TOLERATED = 2
 # From the first start on: the programs are up after half a second, and have founded soon after.
 KILL_WINDOW_S = 1.5
-FOUNDED_WITHIN_S = 20.0
+BOOTSTRAP_TIMEOUT_S = 20.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -66,7 +66,7 @@
 
 
 def _wait_founded(deployment: Deployment, since: float) -> float | None:
-    while time.monotonic() - since < FOUNDED_WITHIN_S:
+    while time.monotonic() - since < BOOTSTRAP_TIMEOUT_S:
         answers = [
             deployment.control("PUT", name, "/config", make_config(3))[0]
             for name in deployment.list_names("p")
