--- a/benchmarks/founding.py
+++ b/benchmarks/founding.py
@@ -13,7 +13,7 @@
 from tests.system.deployment import Deployment, make_config, open_deployment
 
 REPLICAS = 5
-TOLERATED = 2
+TOLERATED_LOSSES = 2
 # From the first start on: the programs are up after half a second, and have founded soon after.
 KILL_WINDOW_S = 1.5
 BOOTSTRAP_TIMEOUT_S = 20.0
