--- a/benchmarks/founding.py
+++ b/benchmarks/founding.py
@@ -53,11 +53,11 @@
         deployment.start_all()
         for kill in kills:
             time.sleep(max(0.0, began + kill.at_s - time.monotonic()))
-            _carry_out(deployment, kill)
+            _execute(deployment, kill)
         return _wait_founded(deployment, time.monotonic())
 
 
-def _carry_out(deployment: Deployment, kill: Kill) -> None:
+def _execute(deployment: Deployment, kill: Kill) -> None:
     deployment.is_first_start = False
     deployment.kill(kill.name)
     if kill.loses_disk and (deployment.folder / f"{kill.name}-data").exists():
