--- a/benchmarks/founding.py
+++ b/benchmarks/founding.py
@@ -54,7 +54,7 @@
         for kill in kills:
             time.sleep(max(0.0, began + kill.at_s - time.monotonic()))
             _execute(deployment, kill)
-        return _wait_founded(deployment, time.monotonic())
+        return _wait_bootstrapped(deployment, time.monotonic())
 
 
 def _execute(deployment: Deployment, kill: Kill) -> None:
@@ -65,7 +65,7 @@
     deployment.start(kill.name)
 
 
-def _wait_founded(deployment: Deployment, since: float) -> float | None:
+def _wait_bootstrapped(deployment: Deployment, since: float) -> float | None:
     while time.monotonic() - since < BOOTSTRAP_TIMEOUT_S:
         answers = [
             deployment.control("PUT", name, "/config", make_config(3))[0]
