--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Spent:
+class CpuTime:
     """Processor time of the components, summed over all routers."""
 
     seconds: float = 0.0
@@ -42,7 +42,7 @@
 class Timed:
     """A component whose processor time is summed."""
 
-    def __init__(self, *, component: Component, spent: Spent) -> None:
+    def __init__(self, *, component: Component, spent: CpuTime) -> None:
         """Wrap a component."""
         self._component = component
         self._spent = spent
@@ -91,7 +91,7 @@
         """Start all routers; endpoints announce themselves once time runs."""
         self.network = Network(seed=1)
         self.random = random.Random(2)
-        self.spent = Spent()
+        self.spent = CpuTime()
         self.delays: list[float] = []
         self.left: dict[str, float] = {}
         self.names = [f"{ZONES[index % 3]}-{index}" for index in range(routers)]
