--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -42,10 +42,10 @@
 class Timed:
     """A component whose processor time is summed."""
 
-    def __init__(self, *, component: Component, spent: CpuTime) -> None:
+    def __init__(self, *, component: Component, cpu_time: CpuTime) -> None:
         """Wrap a component."""
         self._component = component
-        self._spent = spent
+        self._spent = cpu_time
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Hand the event on and take the time."""
@@ -91,7 +91,7 @@
         """Start all routers; endpoints announce themselves once time runs."""
         self.network = Network(seed=1)
         self.random = random.Random(2)
-        self.spent = CpuTime()
+        self.cpu_time = CpuTime()
         self.delays: list[float] = []
         self.left: dict[str, float] = {}
         self.names = [f"{ZONES[index % 3]}-{index}" for index in range(routers)]
@@ -130,7 +130,7 @@
         router = Router(gossip, EndpointRegistry(gossip=gossip, instance_id=name))
         gossip.subscribe("load", lambda news: self._note_load(router, news))
         parts: list[Component] = [gossip, membership, router.registry]
-        timed: list[Component] = [Timed(component=part, spent=self.spent) for part in parts]
+        timed: list[Component] = [Timed(component=part, cpu_time=self.cpu_time) for part in parts]
         phase = stream.uniform(0.0, LOAD_EVERY_S)
         publisher = LoadPublisher(gossip=gossip, size=self.load_bytes, phase=phase)
         self.network.start(name, [*timed, publisher])
@@ -229,7 +229,7 @@
     fleet = Fleet(routers=routers, endpoints=endpoints, budget=budget)
     fleet.run_for(case.warm_up_s)
     fleet.delays.clear()
-    fleet.spent.seconds = 0.0
+    fleet.cpu_time.seconds = 0.0
     first = len(fleet.network.sent)
     started = fleet.network.now
     ages: list[float] = []
@@ -252,8 +252,8 @@
         f"{pick(fleet.delays, 0.5):6.2f} {pick(fleet.delays, 0.99):6.2f}",
         f"{pick(ages, 0.5):6.2f} {pick(ages, 0.99):6.2f}",
         f"{pick(leaving, 0.5):6.2f} {pick(leaving, 0.99):6.2f}",
-        f"{1e6 * fleet.spent.seconds / max(1, len(sent)):7.0f}",
-        f"{1e3 * fleet.spent.seconds / seconds / routers:6.1f}",
+        f"{1e6 * fleet.cpu_time.seconds / max(1, len(sent)):7.0f}",
+        f"{1e3 * fleet.cpu_time.seconds / seconds / routers:6.1f}",
     ]
     missing = max(endpoints - count for count in listed)
     return "  ".join(cells) + (f"  {missing} not yet listed" if missing > 0 else "")
