--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -39,7 +39,7 @@
     seconds: float = 0.0
 
 
-class Timed:
+class TimedComponent:
     """A component whose processor time is summed."""
 
     def __init__(self, *, component: Component, cpu_time: CpuTime) -> None:
@@ -130,7 +130,9 @@
         router = Router(gossip, EndpointRegistry(gossip=gossip, instance_id=name))
         gossip.subscribe("load", lambda news: self._note_load(router, news))
         parts: list[Component] = [gossip, membership, router.registry]
-        timed: list[Component] = [Timed(component=part, cpu_time=self.cpu_time) for part in parts]
+        timed: list[Component] = [
+            TimedComponent(component=part, cpu_time=self.cpu_time) for part in parts
+        ]
         phase = stream.uniform(0.0, LOAD_EVERY_S)
         publisher = LoadPublisher(gossip=gossip, size=self.load_bytes, phase=phase)
         self.network.start(name, [*timed, publisher])
