--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -128,7 +128,7 @@
         ]
         membership = Membership(gossip=gossip, own=own, seeds=seeds, random=stream)
         router = Router(gossip, EndpointRegistry(gossip=gossip, instance_id=name))
-        gossip.subscribe("load", lambda news: self._note_load(router, news))
+        gossip.subscribe("load", lambda news: self._record_load(router, news))
         parts: list[Component] = [gossip, membership, router.registry]
         timed: list[Component] = [
             TimedComponent(component=part, cpu_time=self.cpu_time) for part in parts
@@ -138,7 +138,7 @@
         self.network.start(name, [*timed, publisher])
         return router
 
-    def _note_load(self, router: Router, news: ValueUpdate) -> None:
+    def _record_load(self, router: Router, news: ValueUpdate) -> None:
         router.born[f"{news.origin}/{news.key}"] = news.now - news.age_s
         self.delays.append(news.age_s)
 
