--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -128,7 +128,7 @@
         ]
         membership = Membership(gossip=gossip, own=own, seeds=seeds, random=stream)
         router = Router(gossip, EndpointRegistry(gossip=gossip, instance_id=name))
-        gossip.subscribe("load", lambda news: self._record_load(router, news))
+        gossip.subscribe("load", lambda update: self._record_load(router, update))
         parts: list[Component] = [gossip, membership, router.registry]
         timed: list[Component] = [
             TimedComponent(component=part, cpu_time=self.cpu_time) for part in parts
@@ -138,9 +138,9 @@
         self.network.start(name, [*timed, publisher])
         return router
 
-    def _record_load(self, router: Router, news: ValueUpdate) -> None:
-        router.born[f"{news.origin}/{news.key}"] = news.now - news.age_s
-        self.delays.append(news.age_s)
+    def _record_load(self, router: Router, update: ValueUpdate) -> None:
+        router.born[f"{update.origin}/{update.key}"] = update.now - update.age_s
+        self.delays.append(update.age_s)
 
     def run_for(self, seconds: float) -> None:
         """Run, with announcements at their time."""
