--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -81,7 +81,7 @@
 
     gossip: Gossip
     registry: EndpointRegistry
-    born: dict[str, float] = field(default_factory=dict)
+    created_at: dict[str, float] = field(default_factory=dict)
 
 
 class Fleet:
@@ -139,7 +139,7 @@
         return router
 
     def _record_load(self, router: Router, update: ValueUpdate) -> None:
-        router.born[f"{update.origin}/{update.key}"] = update.now - update.age_s
+        router.created_at[f"{update.origin}/{update.key}"] = update.now - update.age_s
         self.delays.append(update.age_s)
 
     def run_for(self, seconds: float) -> None:
@@ -160,7 +160,11 @@
     def list_ages(self) -> list[float]:
         """Return how old the load counts are that each router holds of each other."""
         now = self.network.now
-        return [now - born for router in self.routers.values() for born in router.born.values()]
+        return [
+            now - created_at
+            for router in self.routers.values()
+            for created_at in router.created_at.values()
+        ]
 
 
 def _name_endpoints(count: int) -> list[str]:
