--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -27,7 +27,7 @@
 IN_FLIGHT = 15
 BYTES_PER_COUNT = 5
 MAX_LOAD_BYTES = 200
-LOAD_EVERY_S = 0.1
+LOAD_INTERVAL_S = 0.1
 MEASURED_S = 20.0
 CHURN_EVERY_S = 2.0
 
@@ -68,7 +68,7 @@
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Publish when it is time."""
         if now >= self._due:
-            self._due = now + LOAD_EVERY_S
+            self._due = now + LOAD_INTERVAL_S
             for index, part in enumerate(self._parts):
                 key = str(index) if index else ""
                 self._gossip.publish("load", key, part, Urgency.LOAD, now=now)
@@ -133,7 +133,7 @@
         timed: list[Component] = [
             TimedComponent(component=part, cpu_time=self.cpu_time) for part in parts
         ]
-        phase = stream.uniform(0.0, LOAD_EVERY_S)
+        phase = stream.uniform(0.0, LOAD_INTERVAL_S)
         publisher = LoadPublisher(gossip=gossip, size=self.load_bytes, phase=phase)
         self.network.start(name, [*timed, publisher])
         return router
