--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -29,7 +29,7 @@
 MAX_LOAD_BYTES = 200
 LOAD_INTERVAL_S = 0.1
 MEASURED_S = 20.0
-CHURN_EVERY_S = 2.0
+CHURN_INTERVAL_S = 2.0
 
 
 @dataclass(slots=True)
@@ -246,7 +246,7 @@
         ages.extend(fleet.list_ages())
         if case.churn and fleet.network.now >= next_churn:
             leaving.extend(measure_leaving(fleet))
-            next_churn = fleet.network.now + CHURN_EVERY_S
+            next_churn = fleet.network.now + CHURN_INTERVAL_S
     sent = fleet.network.sent[first:]
     seconds = fleet.network.now - started
     listed = [len(parts.registry.list_endpoints(SERVICE)) for parts in fleet.routers.values()]
