--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -187,7 +187,7 @@
     )
 
 
-def pick(values: list[float], share: float) -> float:
+def get_quantile(values: list[float], share: float) -> float:
     """Return a quantile, not-a-number for no values."""
     if not values:
         return float("nan")
@@ -255,9 +255,9 @@
         f"{fleet.load_bytes:5d}",
         f"{sum(s.charged_bytes for s in sent) / seconds / routers:7.0f}",
         f"{len(sent) / seconds / routers:5.1f}",
-        f"{pick(fleet.delays, 0.5):6.2f} {pick(fleet.delays, 0.99):6.2f}",
-        f"{pick(ages, 0.5):6.2f} {pick(ages, 0.99):6.2f}",
-        f"{pick(leaving, 0.5):6.2f} {pick(leaving, 0.99):6.2f}",
+        f"{get_quantile(fleet.delays, 0.5):6.2f} {get_quantile(fleet.delays, 0.99):6.2f}",
+        f"{get_quantile(ages, 0.5):6.2f} {get_quantile(ages, 0.99):6.2f}",
+        f"{get_quantile(leaving, 0.5):6.2f} {get_quantile(leaving, 0.99):6.2f}",
         f"{1e6 * fleet.cpu_time.seconds / max(1, len(sent)):7.0f}",
         f"{1e3 * fleet.cpu_time.seconds / seconds / routers:6.1f}",
     ]
