--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -29,7 +29,7 @@
 ROUNDS: Final = 500
 BETWEEN_S: Final = 0.004
 
-Take = Callable[[str, Message], None]
+OnMessage = Callable[[str, Message], None]
 
 
 class _Transport(Protocol):
@@ -37,7 +37,7 @@
     def send(self, target: str, message: Message) -> None: ...
 
 
-def _make_grpc(address: str, take: Take) -> _Transport:
+def _make_grpc(address: str, take: OnMessage) -> _Transport:
     return PeerTransport(
         instance_id=address,
         listen=address,
@@ -48,7 +48,7 @@
     )
 
 
-def _make_links(address: str, take: Take) -> _Transport:
+def _make_links(address: str, take: OnMessage) -> _Transport:
     return LinkTransport(address=address, on_message=take, on_error=print)
 
 
@@ -68,7 +68,7 @@
     )
 
 
-def measure(make: Callable[[str, Take], _Transport], port: int) -> float:
+def measure(make: Callable[[str, OnMessage], _Transport], port: int) -> float:
     """Return the seconds of processor time of one question and its answer."""
     router, replica = f"{HOST}:{port}", f"{HOST}:{port + 1}"
     view = _make_view()
