--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -74,9 +74,9 @@
     view = _make_view()
     answers: list[Message] = []
     asking = make(router, lambda _, message: answers.append(message))
-    answering = make(replica, lambda source, _: answering.send(source, view))
+    responder = make(replica, lambda source, _: responder.send(source, view))
     asking.start()
-    answering.start()
+    responder.start()
     follow = Follow(router=router, run="f00d", change=0, version=7, is_assigned=True)
     began = 0.0
     for number in range(ROUNDS + 20):
