--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -27,7 +27,7 @@
 PORT: Final = 18890
 ENDPOINTS: Final = 64
 ROUNDS: Final = 500
-BETWEEN_S: Final = 0.004
+REQUEST_INTERVAL_S: Final = 0.004
 
 OnMessage = Callable[[str, Message], None]
 
@@ -83,7 +83,7 @@
         if number == 20:
             began = time.process_time()
         asking.send(replica, follow)
-        gevent.sleep(BETWEEN_S)
+        gevent.sleep(REQUEST_INTERVAL_S)
     assert len(answers) > ROUNDS
     return (time.process_time() - began) / ROUNDS
 
@@ -92,7 +92,7 @@
     """Print one line for each transport."""
     idle = time.process_time()
     for _ in range(ROUNDS):
-        gevent.sleep(BETWEEN_S)
+        gevent.sleep(REQUEST_INTERVAL_S)
     idle = (time.process_time() - idle) / ROUNDS
     for name, make, port in (("grpc", _make_grpc, PORT), ("links", _make_links, PORT + 4)):
         print(f"{name}: {(measure(make, port) - idle) * 1e6:.0f} us a question and answer")
