--- a/benchmarks/log.py
+++ b/benchmarks/log.py
@@ -29,7 +29,7 @@
 from chivetrack.helpers.codec import pack, unpack
 
 NAMES: Final = ("a", "b", "c")
-VALUE: Final = b"x" * 300
+ENTRY_DATA: Final = b"x" * 300
 SECONDS: Final = 5.0
 SETTLE_S: Final = 1.0
 FAILOVERS: Final = 7
@@ -184,7 +184,7 @@
             else:
                 leader.stop()
             others = [one for one in fleet.replicas.values() if one is not leader]
-            while not any(one.propose(VALUE).is_ok() for one in others):
+            while not any(one.propose(ENTRY_DATA).is_ok() for one in others):
                 gevent.sleep(0.001)
             times.append(time.perf_counter() - start)
     times.sort()
@@ -201,7 +201,7 @@
     create_folder(path, identity=identity, snapshot=first)
     with open_storage(path=path) as storage:
         for index in range(2, ENTRIES + 2):
-            entry = Entry(index=index, term=1, kind=EntryKind.DATA, data=VALUE)
+            entry = Entry(index=index, term=1, kind=EntryKind.DATA, data=ENTRY_DATA)
             storage.save([Persist(entries=(entry,), last_index=index, last_term=1)])
 
 
@@ -228,7 +228,7 @@
         replica.stop()
         writer.join()
     print(
-        f"restart with {ENTRIES} entries of {len(VALUE)} bytes: read in {opened:.3f} s, "
+        f"restart with {ENTRIES} entries of {len(ENTRY_DATA)} bytes: read in {opened:.3f} s, "
         f"elected and applied after {applied:.3f} s more, "
         f"resident memory {before:.1f} MiB before, {after:.1f} MiB after"
     )
@@ -244,7 +244,7 @@
         gevent.sleep(SETTLE_S)
         measure_idle(fleet)
         for callers in (1, 64):
-            measure_calls("commits", fleet, lambda: leader.propose(VALUE).is_ok(), callers)
+            measure_calls("commits", fleet, lambda: leader.propose(ENTRY_DATA).is_ok(), callers)
         for callers in (1, 64):
             measure_calls("reads", fleet, lambda: leader.confirm_read().is_ok(), callers)
     for hand_over in (True, False):
