--- a/benchmarks/log.py
+++ b/benchmarks/log.py
@@ -171,7 +171,7 @@
     )
 
 
-def measure_failover(*, hand_over: bool) -> None:
+def measure_failover(*, is_transfer: bool) -> None:
     """Print how long no commit was possible after the leader stopped."""
     times: list[float] = []
     for _ in range(FAILOVERS):
@@ -179,7 +179,7 @@
             leader = fleet.find_leader()
             gevent.sleep(SETTLE_S)
             start = time.perf_counter()
-            if hand_over:
+            if is_transfer:
                 leader.transfer_leadership()
             else:
                 leader.stop()
@@ -188,7 +188,7 @@
                 gevent.sleep(0.001)
             times.append(time.perf_counter() - start)
     times.sort()
-    name = "hand-over" if hand_over else "stopped leader"
+    name = "hand-over" if is_transfer else "stopped leader"
     middle = times[len(times) // 2]
     print(f"{name}, {FAILOVERS} times: p50 {middle:.3f} s, longest {times[-1]:.3f} s to a commit")
 
@@ -247,8 +247,8 @@
             measure_calls("commits", fleet, lambda: leader.propose(ENTRY_DATA).is_ok(), callers)
         for callers in (1, 64):
             measure_calls("reads", fleet, lambda: leader.confirm_read().is_ok(), callers)
-    for hand_over in (True, False):
-        measure_failover(hand_over=hand_over)
+    for is_transfer in (True, False):
+        measure_failover(is_transfer=is_transfer)
     with tempfile.TemporaryDirectory() as root:
         path = Path(root) / "data"
         fill_folder(path)
