--- a/benchmarks/log.py
+++ b/benchmarks/log.py
@@ -66,7 +66,7 @@
         self.replicas: dict[str, Replica] = {}
         self.messages = 0
         self.message_bytes = 0
-        self.saves: list[float] = []
+        self.sync_times: list[float] = []
 
     def send(self, source: str, effect: SendMessage) -> None:
         """Hand a message over as bytes."""
@@ -79,7 +79,7 @@
         """Sync in the thread pool and note how long it takes."""
         start = time.perf_counter()
         gevent.get_hub().threadpool.apply(call)
-        self.saves.append(time.perf_counter() - start)
+        self.sync_times.append(time.perf_counter() - start)
 
     def add(self, name: str, storage: Storage) -> None:
         """Add a replica."""
@@ -141,7 +141,7 @@
 def measure_calls(name: str, fleet: Fleet, call: Callable[[], bool], callers: int) -> None:
     """Print calls a second and latencies with this many callers."""
     fleet.messages = fleet.message_bytes = 0
-    fleet.saves.clear()
+    fleet.sync_times.clear()
     times: list[float] = []
     cpu = time.process_time()
     until = time.perf_counter() + SECONDS
@@ -150,8 +150,8 @@
     cpu = time.process_time() - cpu
     times.sort()
     p50, p99 = (1000 * times[int(len(times) * share)] for share in (0.5, 0.99))
-    saves = sorted(fleet.saves)
-    sync = 1000 * saves[len(saves) // 2] if saves else 0.0
+    sync_times = sorted(fleet.sync_times)
+    sync = 1000 * sync_times[len(sync_times) // 2] if sync_times else 0.0
     print(
         f"{name}, {callers} callers: {len(times) / SECONDS:.0f}/s, p50 {p50:.2f} ms, "
         f"p99 {p99:.2f} ms; {fleet.messages / len(times):.2f} messages each, "
