--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Spent:
+class BlockUsage:
     """What a block of work took; ``cpu_s`` is without what the process uses when idle."""
 
     cpu_s: float
@@ -96,11 +96,11 @@
         self._begin = time.perf_counter()
         self._before = read_usage(pid)
 
-    def stop(self) -> Spent:
+    def stop(self) -> BlockUsage:
         """Return what was spent since the beginning."""
         took_s = time.perf_counter() - self._begin
         used_s = read_usage(self._pid).cpu_s - self._before.cpu_s
-        return Spent(cpu_s=used_s - self._idle_share * took_s, took_s=took_s)
+        return BlockUsage(cpu_s=used_s - self._idle_share * took_s, took_s=took_s)
 
 
 def _split(address: str) -> tuple[str, int]:
