--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -124,11 +124,11 @@
             target.run(count // 10)
             meter = Meter(pid=router.process.pid, idle_share=idle_share)
             durations = target.run(count)
-            spent = meter.stop()
-            cost = spent.cpu_s / count * MICROSECONDS if way == "router" else 0.0
+            usage = meter.stop()
+            cost = usage.cpu_s / count * MICROSECONDS if way == "router" else 0.0
             print(
                 f"{concurrency:>10} {way:>8} {get_quantile(durations, 0.5):>8.2f}"
-                f" {get_quantile(durations, 0.99):>8.2f} {count / spent.took_s:>8.0f} {cost:>18.0f}"
+                f" {get_quantile(durations, 0.99):>8.2f} {count / usage.took_s:>8.0f} {cost:>18.0f}"
             )
 
 
@@ -143,11 +143,11 @@
     meter = Meter(pid=router.process.pid, idle_share=idle_share)
     with ThreadPoolExecutor(8) as workers:
         list(workers.map(lambda number: target.call(number, stream=True), range(streams)))
-    spent = meter.stop()
+    usage = meter.stop()
     chunks = tokens * streams
-    cost = spent.cpu_s / chunks * MICROSECONDS
+    cost = usage.cpu_s / chunks * MICROSECONDS
     print(
-        f"{chunks} chunks in {streams} streams, {spent.took_s:.1f} s:"
+        f"{chunks} chunks in {streams} streams, {usage.took_s:.1f} s:"
         f" {cost:.1f} us of router cpu a chunk beyond idle"
     )
 
