--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -83,7 +83,7 @@
     """What a block of work took; ``cpu_s`` is without what the process uses when idle."""
 
     cpu_s: float
-    took_s: float
+    elapsed_s: float
 
 
 class Meter:
@@ -98,9 +98,9 @@
 
     def stop(self) -> BlockUsage:
         """Return what was spent since the beginning."""
-        took_s = time.perf_counter() - self._begin
+        elapsed_s = time.perf_counter() - self._begin
         used_s = read_usage(self._pid).cpu_s - self._before.cpu_s
-        return BlockUsage(cpu_s=used_s - self._idle_share * took_s, took_s=took_s)
+        return BlockUsage(cpu_s=used_s - self._idle_share * elapsed_s, elapsed_s=elapsed_s)
 
 
 def _split(address: str) -> tuple[str, int]:
@@ -128,7 +128,7 @@
             cost = usage.cpu_s / count * MICROSECONDS if way == "router" else 0.0
             print(
                 f"{concurrency:>10} {way:>8} {get_quantile(durations, 0.5):>8.2f}"
-                f" {get_quantile(durations, 0.99):>8.2f} {count / usage.took_s:>8.0f} {cost:>18.0f}"
+                f" {get_quantile(durations, 0.99):>8.2f} {count / usage.elapsed_s:>8.0f} {cost:>18.0f}"
             )
 
 
@@ -147,7 +147,7 @@
     chunks = tokens * streams
     cost = usage.cpu_s / chunks * MICROSECONDS
     print(
-        f"{chunks} chunks in {streams} streams, {usage.took_s:.1f} s:"
+        f"{chunks} chunks in {streams} streams, {usage.elapsed_s:.1f} s:"
         f" {cost:.1f} us of router cpu a chunk beyond idle"
     )
 
