--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Wish:
+class SendAttempt:
     """A router has a request that it would send to the cold endpoint."""
 
     at: float
@@ -88,11 +88,11 @@
     return allow
 
 
-def draw_wishes(routers: int, wanted_per_s: float, rng: random.Random) -> Iterator[Wish]:
+def draw_wishes(routers: int, wanted_per_s: float, rng: random.Random) -> Iterator[SendAttempt]:
     """Yield requests at random times of the cold span."""
     now = rng.expovariate(wanted_per_s)
     while now < COLD_S:
-        yield Wish(at=now, router=rng.randrange(routers))
+        yield SendAttempt(at=now, router=rng.randrange(routers))
         now += rng.expovariate(wanted_per_s)
 
 
