--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -88,7 +88,9 @@
     return allow
 
 
-def draw_wishes(routers: int, wanted_per_s: float, rng: random.Random) -> Iterator[SendAttempt]:
+def generate_attempts(
+    routers: int, wanted_per_s: float, rng: random.Random
+) -> Iterator[SendAttempt]:
     """Yield requests at random times of the cold span."""
     now = rng.expovariate(wanted_per_s)
     while now < COLD_S:
@@ -100,7 +102,7 @@
     """Return when requests went to the endpoint."""
     rng = random.Random(seed)
     allow = WAYS[way](routers, rng)
-    wishes = draw_wishes(routers, wanted_per_s, rng)
+    wishes = generate_attempts(routers, wanted_per_s, rng)
     return [wish.at for wish in wishes if allow(wish.router, wish.at)]
 
 
