--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -102,8 +102,8 @@
     """Return when requests went to the endpoint."""
     rng = random.Random(seed)
     allow = WAYS[way](routers, rng)
-    wishes = generate_attempts(routers, wanted_per_s, rng)
-    return [wish.at for wish in wishes if allow(wish.router, wish.at)]
+    attempts = generate_attempts(routers, wanted_per_s, rng)
+    return [wish.at for wish in attempts if allow(wish.router, wish.at)]
 
 
 def find_most(times: list[float]) -> int:
