--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -103,7 +103,7 @@
     rng = random.Random(seed)
     allow = WAYS[way](routers, rng)
     attempts = generate_attempts(routers, wanted_per_s, rng)
-    return [wish.at for wish in attempts if allow(wish.router, wish.at)]
+    return [attempt.at for attempt in attempts if allow(attempt.router, attempt.at)]
 
 
 def find_most(times: list[float]) -> int:
