--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -98,7 +98,7 @@
         now += rng.expovariate(wanted_per_s)
 
 
-def play(way: str, routers: int, wanted_per_s: float, seed: int) -> list[float]:
+def simulate(way: str, routers: int, wanted_per_s: float, seed: int) -> list[float]:
     """Return when requests went to the endpoint."""
     rng = random.Random(seed)
     allow = WAYS[way](routers, rng)
@@ -120,7 +120,7 @@
     for way in WAYS:
         for routers in ROUTERS:
             for wanted in WANTED_PER_S:
-                plays = [play(way, routers, wanted, seed) for seed in range(seeds)]
+                plays = [simulate(way, routers, wanted, seed) for seed in range(seeds)]
                 most = max(find_most(times) for times in plays)
                 mean = sum(len(times) for times in plays) / COLD_S / seeds
                 print(f"{way:10} {routers:7} {wanted:8.0f} {most:6} {mean:6.1f}")
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from benchmarks.slow_start import COLD_S, PER_S, find_most, play
+from benchmarks.slow_start import COLD_S, PER_S, find_most, simulate
 from chivetrack.components.slow_start.cold import ColdTable
 from chivetrack.components.slow_start.const import FLEET_HALVES_S, SETTLE_S
 from chivetrack.components.slow_start.permits import FleetShare, PermitBook
@@ -23,7 +23,7 @@
         for routers in (9, 62, 200, 400):
             for wanted_per_s in (60.0, 300.0):
                 with self.subTest(routers=routers, wanted_per_s=wanted_per_s):
-                    plays = [play("permits", routers, wanted_per_s, seed) for seed in range(40)]
+                    plays = [simulate("permits", routers, wanted_per_s, seed) for seed in range(40)]
                     self.assertLessEqual(max(map(find_most, plays)), MOST_IN_A_SECOND)
                     mean = sum(map(len, plays)) / len(plays) / COLD_S
                     self.assertGreaterEqual(mean, 0.8 * PER_S)
