--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -120,9 +120,9 @@
     for way in WAYS:
         for routers in ROUTERS:
             for wanted in WANTED_PER_S:
-                plays = [simulate(way, routers, wanted, seed) for seed in range(seeds)]
-                most = max(find_most(times) for times in plays)
-                mean = sum(len(times) for times in plays) / COLD_S / seeds
+                runs = [simulate(way, routers, wanted, seed) for seed in range(seeds)]
+                most = max(find_most(times) for times in runs)
+                mean = sum(len(times) for times in runs) / COLD_S / seeds
                 print(f"{way:10} {routers:7} {wanted:8.0f} {most:6} {mean:6.1f}")
 
 
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -23,9 +23,9 @@
         for routers in (9, 62, 200, 400):
             for wanted_per_s in (60.0, 300.0):
                 with self.subTest(routers=routers, wanted_per_s=wanted_per_s):
-                    plays = [simulate("permits", routers, wanted_per_s, seed) for seed in range(40)]
-                    self.assertLessEqual(max(map(find_most, plays)), MOST_IN_A_SECOND)
-                    mean = sum(map(len, plays)) / len(plays) / COLD_S
+                    runs = [simulate("permits", routers, wanted_per_s, seed) for seed in range(40)]
+                    self.assertLessEqual(max(map(find_most, runs)), MOST_IN_A_SECOND)
+                    mean = sum(map(len, runs)) / len(runs) / COLD_S
                     self.assertGreaterEqual(mean, 0.8 * PER_S)
 
     def test_fleet_that_is_cut_in_two(self) -> None:
