--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -106,7 +106,7 @@
     return [attempt.at for attempt in attempts if allow(attempt.router, attempt.at)]
 
 
-def find_most(times: list[float]) -> int:
+def find_peak_count(times: list[float]) -> int:
     """Return the most in any second."""
     return max((sum(1 for one in times if at <= one < at + 1) for at in times), default=0)
 
@@ -121,7 +121,7 @@
         for routers in ROUTERS:
             for wanted in WANTED_PER_S:
                 runs = [simulate(way, routers, wanted, seed) for seed in range(seeds)]
-                most = max(find_most(times) for times in runs)
+                most = max(find_peak_count(times) for times in runs)
                 mean = sum(len(times) for times in runs) / COLD_S / seeds
                 print(f"{way:10} {routers:7} {wanted:8.0f} {most:6} {mean:6.1f}")
 
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from benchmarks.slow_start import COLD_S, PER_S, find_most, simulate
+from benchmarks.slow_start import COLD_S, PER_S, find_peak_count, simulate
 from chivetrack.components.slow_start.cold import ColdTable
 from chivetrack.components.slow_start.const import FLEET_HALVES_S, SETTLE_S
 from chivetrack.components.slow_start.permits import FleetShare, PermitBook
@@ -24,7 +24,7 @@
             for wanted_per_s in (60.0, 300.0):
                 with self.subTest(routers=routers, wanted_per_s=wanted_per_s):
                     runs = [simulate("permits", routers, wanted_per_s, seed) for seed in range(40)]
-                    self.assertLessEqual(max(map(find_most, runs)), MOST_IN_A_SECOND)
+                    self.assertLessEqual(max(map(find_peak_count, runs)), MOST_IN_A_SECOND)
                     mean = sum(map(len, runs)) / len(runs) / COLD_S
                     self.assertGreaterEqual(mean, 0.8 * PER_S)
 
@@ -46,7 +46,7 @@
                 for at in asked
                 if book.ask("e", per_s=PER_S, share=share.find(31, now=at), now=at) == 0
             ]
-        self.assertLessEqual(find_most(sorted(times)), MOST_IN_A_SECOND)
+        self.assertLessEqual(find_peak_count(sorted(times)), MOST_IN_A_SECOND)
 
     def test_replica_that_has_just_started_grants_nothing(self) -> None:
         """It knows of no other replica's routers yet and would take all permits for its own."""
