--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -33,16 +33,16 @@
     router: int
 
 
-WAYS: Registry[Callable[[int, random.Random], Allow]] = Registry(name="way")
+LIMITERS: Registry[Callable[[int, random.Random], Allow]] = Registry(name="way")
 
 
-@WAYS.register("unlimited")
+@LIMITERS.register("unlimited")
 def allow_all(routers: int, rng: random.Random) -> Allow:
     """Nothing but the usual weights."""
     return lambda router, now: True
 
 
-@WAYS.register("share")
+@LIMITERS.register("share")
 def allow_share(routers: int, rng: random.Random) -> Allow:
     """Each router alone: its share of the rate, from a moment of its own on."""
     interval = routers / PER_S
@@ -65,7 +65,7 @@
     share: FleetShare = field(default_factory=FleetShare)
 
 
-@WAYS.register("permits")
+@LIMITERS.register("permits")
 def allow_permits(routers: int, rng: random.Random) -> Allow:
     """The replica that a router is close to grants single requests."""
     replicas = [_Replica() for _ in range(REPLICAS)]
@@ -101,7 +101,7 @@
 def simulate(way: str, routers: int, wanted_per_s: float, seed: int) -> list[float]:
     """Return when requests went to the endpoint."""
     rng = random.Random(seed)
-    allow = WAYS[way](routers, rng)
+    allow = LIMITERS[way](routers, rng)
     attempts = generate_attempts(routers, wanted_per_s, rng)
     return [attempt.at for attempt in attempts if allow(attempt.router, attempt.at)]
 
@@ -117,7 +117,7 @@
     parser.add_argument("--seeds", type=int, default=200)
     seeds = parser.parse_args().seeds
     print(f"{'way':10} {'routers':>7} {'wanted/s':>8} {'most/s':>6} {'mean/s':>6}")
-    for way in WAYS:
+    for way in LIMITERS:
         for routers in ROUTERS:
             for wanted in WANTED_PER_S:
                 runs = [simulate(way, routers, wanted, seed) for seed in range(seeds)]
