--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class _Replica:
-    book: PermitBook = field(default_factory=lambda: PermitBook(started_at=-9.0))
+    ledger: PermitBook = field(default_factory=lambda: PermitBook(started_at=-9.0))
     share: FleetShare = field(default_factory=FleetShare)
 
 
@@ -81,7 +81,7 @@
             return False
         replica = replicas[close[router]]
         share = replica.share.find(close.count(close[router]), now=now)
-        wait_s = replica.book.ask("e", per_s=PER_S, share=share, now=now)
+        wait_s = replica.ledger.ask("e", per_s=PER_S, share=share, now=now)
         wait_until[router] = now + wait_s
         return wait_s == 0
 
