--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -37,19 +37,19 @@
     def send(self, target: str, message: Message) -> None: ...
 
 
-def _make_grpc(address: str, take: OnMessage) -> _Transport:
+def _make_grpc(address: str, on_message: OnMessage) -> _Transport:
     return PeerTransport(
         instance_id=address,
         listen=address,
         advertised=address,
         resolve=lambda target: target,
-        on_message=take,
+        on_message=on_message,
         on_error=print,
     )
 
 
-def _make_links(address: str, take: OnMessage) -> _Transport:
-    return LinkTransport(address=address, on_message=take, on_error=print)
+def _make_links(address: str, on_message: OnMessage) -> _Transport:
+    return LinkTransport(address=address, on_message=on_message, on_error=print)
 
 
 def _make_view() -> View:
