--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -73,16 +73,16 @@
     router, replica = f"{HOST}:{port}", f"{HOST}:{port + 1}"
     view = _make_view()
     answers: list[Message] = []
-    asking = make(router, lambda _, message: answers.append(message))
+    requester = make(router, lambda _, message: answers.append(message))
     responder = make(replica, lambda source, _: responder.send(source, view))
-    asking.start()
+    requester.start()
     responder.start()
     follow = Follow(router=router, run="f00d", change=0, version=7, is_assigned=True)
     began = 0.0
     for number in range(ROUNDS + 20):
         if number == 20:
             began = time.process_time()
-        asking.send(replica, follow)
+        requester.send(replica, follow)
         gevent.sleep(REQUEST_INTERVAL_S)
     assert len(answers) > ROUNDS
     return (time.process_time() - began) / ROUNDS
