--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -69,18 +69,18 @@
 def allow_permits(routers: int, rng: random.Random) -> Allow:
     """The replica that a router is close to grants single requests."""
     replicas = [_Replica() for _ in range(REPLICAS)]
-    close = [rng.randrange(REPLICAS) for _ in range(routers)]
+    assigned = [rng.randrange(REPLICAS) for _ in range(routers)]
     for number, replica in enumerate(replicas):
         # The number of the others' routers is as old as the last exchange, or lost since.
-        others = sum(1 for one in close if one != number) + rng.choice((-1, 0, 0, 1))
-        replica.share.note(close.count(number) + others, now=-rng.random())
+        others = sum(1 for one in assigned if one != number) + rng.choice((-1, 0, 0, 1))
+        replica.share.note(assigned.count(number) + others, now=-rng.random())
     wait_until = [0.0] * routers
 
     def allow(router: int, now: float) -> bool:
         if now < wait_until[router]:
             return False
-        replica = replicas[close[router]]
-        share = replica.share.find(close.count(close[router]), now=now)
+        replica = replicas[assigned[router]]
+        share = replica.share.find(assigned.count(assigned[router]), now=now)
         wait_s = replica.ledger.ask("e", per_s=PER_S, share=share, now=now)
         wait_until[router] = now + wait_s
         return wait_s == 0
