--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -214,10 +214,10 @@
     router = make_configuration("router-1", None)
     router.view.adopt(copy_table(store))
     peers = PeersChanged(leader="leader", replicas=("leader",))
-    question = find_sent(router.handle(peers, now=1.0))
-    delivered = MessageReceived(source="router-1", message=question)
+    poll_request = find_sent(router.handle(peers, now=1.0))
+    delivered = MessageReceived(source="router-1", message=poll_request)
     answer = find_sent(leader.handle(delivered, now=1.0))
-    print(f"poll without news: {len(pack(question))} bytes, answer {len(pack(answer))} bytes")
+    print(f"poll without news: {len(pack(poll_request))} bytes, answer {len(pack(answer))} bytes")
 
     def serve() -> None:
         for _ in range(POLLS):
