--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,9 +1,9 @@
-"""Measure the slopes of control of ``chivetrackd``: processor time, memory, bytes a second.
+"""Measure the cost of control in ``chivetrackd``: processor time, memory, bytes per second.
 
 Run with: python -m benchmarks.capacity
-Local fleets of real processes, idle but for what is varied: instances, endpoints,
-changes a minute. The deployed processes are measured by the users' sweep, see
-docs/CAPACITY.md.
+It starts local fleets of real processes that are idle except for the varied quantity: the
+number of instances, the number of endpoints, or the changes per minute. The deployed processes
+are measured by the users' sweep, see docs/CAPACITY.md.
 """
 
 import re
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Measurement:
-    """The means over the instances of one fleet, and the greatest."""
+    """Means and maxima over the instances of one fleet; rates are in bytes per second."""
 
     title: str
     cpu_percent: float
@@ -33,7 +33,7 @@
     sent_worst: float
 
     def format(self) -> str:
-        """Return the reading as a row of the table."""
+        """Return the measurement as a row of the table."""
         return (
             f"| {self.title} | {self.cpu_percent:.1f} / {self.cpu_worst:.1f} "
             f"| {self.resident_mb:.0f} | {self.sent_per_s:.0f} / {self.sent_worst:.0f} |"
@@ -41,7 +41,7 @@
 
 
 def read_sent(fleet: Fleet, http: urllib3.PoolManager) -> list[float]:
-    """Return the control bytes that each instance has sent so far."""
+    """Return the number of control bytes that each instance has sent since its start."""
     totals = []
     for plan in fleet.plans:
         url = f"http://{plan.host}:{TELEMETRY_PORT}/metrics"
@@ -51,7 +51,7 @@
 
 
 def measure(fleet: Fleet, title: str) -> Measurement:
-    """Return what the instances of a fleet use in a while."""
+    """Measure the instances of a fleet for ``MEASURE_S`` seconds after ``SETTLE_S`` seconds."""
     http = urllib3.PoolManager()
     pids = [fleet.members[plan.name].process.pid for plan in fleet.plans]
     time.sleep(SETTLE_S)
@@ -59,22 +59,22 @@
     before = [read_usage(pid) for pid in pids]
     begin = time.monotonic()
     time.sleep(MEASURE_S)
-    took = time.monotonic() - begin
+    elapsed = time.monotonic() - begin
     after = [read_usage(pid) for pid in pids]
-    rates = [(b - a) / took for a, b in zip(sent, read_sent(fleet, http), strict=True)]
-    shares = [(b.cpu_s - a.cpu_s) / took * 100 for a, b in zip(before, after, strict=True)]
+    rates = [(b - a) / elapsed for a, b in zip(sent, read_sent(fleet, http), strict=True)]
+    shares = [(b.cpu_s - a.cpu_s) / elapsed * 100 for a, b in zip(before, after, strict=True)]
     return Measurement(
         title=title,
         cpu_percent=sum(shares) / len(shares),
         cpu_worst=max(shares),
-        resident_mb=sum(each.resident for each in after) / len(after) / 1e6,
+        resident_mb=sum(usage.resident for usage in after) / len(after) / 1e6,
         sent_per_s=sum(rates) / len(rates),
         sent_worst=max(rates),
     )
 
 
 def measure_instances(count: int) -> Measurement:
-    """Measure an idle fleet of so many instances, three of them replicas."""
+    """Measure an idle fleet of ``count`` instances, three of them replicas."""
     with open_fleet() as fleet:
         fleet.plan_instances(count)
         fleet.start_instances()
@@ -82,7 +82,7 @@
 
 
 def measure_endpoints(count: int) -> Measurement:
-    """Measure three instances with so many endpoints that renew their leases."""
+    """Measure three instances with ``count`` endpoints that renew their leases."""
     with open_fleet() as fleet:
         fleet.plan_instances(3)
         fleet.start_instances()
@@ -94,7 +94,7 @@
 
 
 def measure_changes(per_minute: int) -> Measurement:
-    """Measure three instances while operators change workspaces."""
+    """Measure three instances while ``per_minute`` workspaces are created per minute."""
     with open_fleet() as fleet:
         fleet.plan_instances(3)
         fleet.start_instances()
@@ -117,24 +117,24 @@
         fleet.manage("POST", member, "/api/v1/workspace", value)
 
 
-def make_table(readings: list[Measurement]) -> str:
-    """Return the readings as a Markdown table."""
+def make_table(measurements: list[Measurement]) -> str:
+    """Return the measurements as a Markdown table."""
     head = (
         "| fleet | % of a core, mean / worst | resident MB | bytes sent a second, mean / worst |\n"
         "| --- | --- | --- | --- |"
     )
-    return "\n".join([head, *(reading.format() for reading in readings)])
+    return "\n".join([head, *(measurement.format() for measurement in measurements)])
 
 
 def main() -> None:
-    """Measure the slopes and print them."""
-    readings = []
+    """Run all measurements and print their table."""
+    measurements = []
     for count in (3, 6, 9, 15):
-        readings.append(measure_instances(count))
+        measurements.append(measure_instances(count))
     for count in (6, 60, 600):
-        readings.append(measure_endpoints(count))
-    readings.append(measure_changes(100))
-    print(make_table(readings))
+        measurements.append(measure_endpoints(count))
+    measurements.append(measure_changes(100))
+    print(make_table(measurements))
 
 
 if __name__ == "__main__":
--- a/benchmarks/founding.py
+++ b/benchmarks/founding.py
@@ -14,14 +14,15 @@
 
 REPLICAS = 5
 TOLERATED_LOSSES = 2
-# From the first start on: the programs are up after half a second, and have founded soon after.
+# Seconds after the first start in which replicas are killed. The processes run after half a
+# second and complete the bootstrap soon after.
 KILL_WINDOW_S = 1.5
 BOOTSTRAP_TIMEOUT_S = 20.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Kill:
-    """A replica is killed at ``at_s`` after the first start, and starts again."""
+    """A kill of a replica ``at_s`` seconds after the first start, followed by its restart."""
 
     at_s: float
     name: str
@@ -29,23 +30,25 @@
 
 
 def draw_kills(rng: random.Random, *, replicas: int = REPLICAS) -> list[Kill]:
-    """Return kills of one, two or all replicas; at most as many disks as may be are lost."""
+    """Return random kills of one, two or all replicas, of which at most one loses its disk."""
     names = [f"p{number}" for number in range(1, replicas + 1)]
-    wipes = rng.choice((0, 0, 1))
+    remaining_losses = rng.choice((0, 0, 1))
     kills = []
     for _ in range(rng.choice((1, 1, 2, 3))):
         at_s = rng.uniform(0.0, KILL_WINDOW_S)
         for name in rng.sample(names, rng.choice((1, 2, replicas))):
-            loses_disk = wipes > 0 and rng.random() < 0.5
-            wipes -= loses_disk
+            loses_disk = remaining_losses > 0 and rng.random() < 0.5
+            remaining_losses -= loses_disk
             kills.append(Kill(at_s=at_s, name=name, loses_disk=loses_disk))
-    return sorted(kills, key=lambda one: one.at_s)
+    return sorted(kills, key=lambda kill: kill.at_s)
 
 
 def run_scenario(seed: int) -> float | None:
-    """Found a deployment under the kills of a seed; return how long it took after the last.
+    """Bootstrap a deployment under the kills of a seed.
 
-    ``None`` stands for one that acknowledged no configuration, or not the same one twice.
+    Returns the seconds from the last kill until every replica acknowledges a configuration, or
+    ``None`` if that takes longer than ``BOOTSTRAP_TIMEOUT_S``. The same configuration is sent
+    again until all do, so a replica must acknowledge it repeatedly.
     """
     kills = draw_kills(random.Random(seed))
     with open_deployment(replicas=REPLICAS, routers=0) as deployment:
@@ -78,17 +81,17 @@
 
 
 def main() -> None:
-    """Play patterns one after the other."""
+    """Run the scenarios one after the other and print their results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--patterns", type=int, default=20)
     parser.add_argument("--seed", type=int, default=1)
     arguments = parser.parse_args()
     seeds = range(arguments.seed, arguments.seed + arguments.patterns)
     times = {seed: run_scenario(seed) for seed in seeds}
-    for seed, took_s in times.items():
-        if took_s is None:
+    for seed, elapsed_s in times.items():
+        if elapsed_s is None:
             print(f"seed {seed}: not founded, {draw_kills(random.Random(seed))}")
-    founded = [one for one in times.values() if one is not None]
+    founded = [elapsed_s for elapsed_s in times.values() if elapsed_s is not None]
     print(f"{len(founded)} of {len(times)} founded")
     if founded:
         print(
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -1,9 +1,9 @@
-"""Measures gossip: bytes, messages, propagation and processor time, on the network in memory.
+"""Measures gossip on an in-memory network: bytes, messages, propagation and processor time.
 
-Run ``python -m benchmarks.gossip``. Times of propagation are simulated (1-4 ms one way,
-no loss, all routers with their own phase); processor time is this machine's. Load counts
-take 5 bytes an endpoint that the router has requests at, with 15 in flight an endpoint,
-in values of up to 200 bytes.
+Run ``python -m benchmarks.gossip``. Propagation times are simulated (1-4 ms one way, no loss,
+each router with its own phase); processor time is that of the local machine. Load counts take
+5 bytes for each endpoint at which the router has requests, with 15 requests in flight per
+endpoint, and are published in values of up to 200 bytes.
 """
 
 import random
@@ -34,21 +34,21 @@
 
 @dataclass(slots=True)
 class CpuTime:
-    """Processor time of the components, summed over all routers."""
+    """Processor time of the components, accumulated over all routers."""
 
     seconds: float = 0.0
 
 
 class TimedComponent:
-    """A component whose processor time is summed."""
+    """A wrapper that accumulates the processor time of a component."""
 
     def __init__(self, *, component: Component, cpu_time: CpuTime) -> None:
-        """Wrap a component."""
+        """Wrap a component and add its processor time to ``cpu_time``."""
         self._component = component
         self._spent = cpu_time
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Hand the event on and take the time."""
+        """Forward the event to the component and measure its processor time."""
         started = time.perf_counter()
         effects = self._component.handle(event, now=now)
         self._spent.seconds += time.perf_counter() - started
@@ -56,17 +56,17 @@
 
 
 class LoadPublisher:
-    """Publishes a router's load counts of ever the same size."""
+    """Publishes a router's load counts, always ``size`` bytes in total."""
 
     def __init__(self, *, gossip: Gossip, size: int, phase: float) -> None:
-        """Start at ``phase`` seconds."""
+        """Initialize the publisher; ``phase`` is the time of the first publication in seconds."""
         self._gossip = gossip
         starts = range(0, size, MAX_LOAD_BYTES)
         self._parts = [bytes(min(MAX_LOAD_BYTES, size - start)) for start in starts]
         self._due = phase
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Publish when it is time."""
+        """Publish the load counts if the interval has passed."""
         if now >= self._due:
             self._due = now + LOAD_INTERVAL_S
             for index, part in enumerate(self._parts):
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Router:
-    """The parts of one router."""
+    """The components of one router and the creation times of the load values it holds."""
 
     gossip: Gossip
     registry: EndpointRegistry
@@ -88,7 +88,7 @@
     """Routers with endpoints that announce themselves to any of them."""
 
     def __init__(self, *, routers: int, endpoints: int, budget: int) -> None:
-        """Start all routers; endpoints announce themselves once time runs."""
+        """Start all routers; ``run_for`` announces the endpoints."""
         self.network = Network(seed=1)
         self.random = random.Random(2)
         self.cpu_time = CpuTime()
@@ -96,8 +96,8 @@
         self.left: dict[str, float] = {}
         self.names = [f"{ZONES[index % 3]}-{index}" for index in range(routers)]
         self.budget = budget
-        each = min(endpoints, IN_FLIGHT * endpoints // routers) or 1
-        self.load_bytes = each * BYTES_PER_COUNT
+        counts = min(endpoints, IN_FLIGHT * endpoints // routers) or 1
+        self.load_bytes = counts * BYTES_PER_COUNT
         self.routers = {name: self._start(name) for name in self.names}
         self.endpoints = {name: _announce(name) for name in _name_endpoints(endpoints)}
         self._due = dict.fromkeys(self.endpoints, 0.0)
@@ -143,7 +143,7 @@
         self.delays.append(update.age_s)
 
     def run_for(self, seconds: float) -> None:
-        """Run, with announcements at their time."""
+        """Run the network and send the announcements that become due."""
         end = self.network.now + seconds
         while self.network.now < end:
             self.network.run_for(0.05)
@@ -153,12 +153,12 @@
                     self.announce(self.endpoints[name])
 
     def announce(self, announcement: Announcement) -> None:
-        """Let an endpoint announce itself to a random router."""
+        """Announce an endpoint to a random router."""
         router = self.routers[self.random.choice(self.names)]
         router.registry.announce(announcement, now=self.network.now)
 
     def list_ages(self) -> list[float]:
-        """Return how old the load counts are that each router holds of each other."""
+        """Return the ages in seconds of all load values that routers hold of other routers."""
         now = self.network.now
         return [
             now - created_at
@@ -188,14 +188,17 @@
 
 
 def get_quantile(values: list[float], share: float) -> float:
-    """Return a quantile, not-a-number for no values."""
+    """Return a quantile of the values, or NaN if there are none."""
     if not values:
         return float("nan")
     return sorted(values)[min(len(values) - 1, int(share * len(values)))]
 
 
 def measure_leaving(fleet: Fleet) -> list[float]:
-    """Let one endpoint leave; return after how long each router knew."""
+    """Announce that an endpoint leaves; return the delay in seconds until each router knows.
+
+    Routers that do not know it after 10 seconds count as 10 seconds.
+    """
     name = fleet.random.choice(list(fleet.endpoints))
     old = fleet.endpoints[name]
     fleet.endpoints[name] = replace(old, state=AnnouncedState.LEAVING)
@@ -220,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One fleet to measure."""
+    """Parameters of a fleet to measure; ``budget`` is in bytes per second and router."""
 
     routers: int
     endpoints: int
@@ -230,7 +233,7 @@
 
 
 def measure(case: Case) -> str:
-    """Run one fleet and return its line of the table."""
+    """Measure one fleet and return its row of the table."""
     routers, endpoints, budget = case.routers, case.endpoints, case.budget
     fleet = Fleet(routers=routers, endpoints=endpoints, budget=budget)
     fleet.run_for(case.warm_up_s)
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -1,7 +1,7 @@
-"""Processor time of a question and its answer between two instances, by transport.
+"""Measures the processor time of a request and its answer between two instances.
 
-``python -m benchmarks.links`` prints it for streams of gRPC and for frames over sockets, both
-sides together, with views of as many endpoints as a large fleet has.
+``python -m benchmarks.links`` prints the time for both sides together, for gRPC streams and for
+frames over sockets, with views of as many endpoints as a large fleet has.
 """
 
 from gevent import monkey
@@ -69,7 +69,7 @@
 
 
 def measure(make: Callable[[str, OnMessage], _Transport], port: int) -> float:
-    """Return the seconds of processor time of one question and its answer."""
+    """Return the processor time in seconds of one request and its answer."""
     router, replica = f"{HOST}:{port}", f"{HOST}:{port + 1}"
     view = _make_view()
     answers: list[Message] = []
@@ -89,7 +89,7 @@
 
 
 def main() -> None:
-    """Print one line for each transport."""
+    """Print the time for each transport, without that of an idle process."""
     idle = time.process_time()
     for _ in range(ROUNDS):
         gevent.sleep(REQUEST_INTERVAL_S)
--- a/benchmarks/log.py
+++ b/benchmarks/log.py
@@ -1,8 +1,8 @@
-"""Measure the replicated log: commits, reads, idle traffic, restart.
+"""Measure the replicated log: commits, reads, idle traffic, failover and restart.
 
-``python -m benchmarks.log`` runs three replicas in one process under gevent, each
-with a data folder of its own and real syncs in the thread pool. Messages pass
-through the codec but not through gRPC: add its cost for each message.
+``python -m benchmarks.log`` runs three replicas in one process under gevent, each with its own
+data folder and real syncs in the thread pool. Messages are encoded and decoded but not sent
+through gRPC, whose cost per message has to be added.
 """
 
 import subprocess
@@ -38,14 +38,14 @@
 
 
 class Counter:
-    """A state machine that counts, with a state of a fixed size."""
+    """A state machine that counts its entries, so that its state stays small."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Initialize the count to zero."""
         self.count = 0
 
     def apply(self, index: int, data: bytes) -> bytes:
-        """Count an entry."""
+        """Count an entry and return the new count."""
         self.count += 1
         return b"%d" % self.count
 
@@ -54,35 +54,35 @@
         return b"%d" % self.count
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Take a count over."""
+        """Restore the count from a snapshot."""
         self.count = int(data or b"0")
 
 
 class Fleet:
-    """Three replicas and the messages between them."""
+    """Replicas in one process, with counters of the messages between them."""
 
     def __init__(self) -> None:
-        """Start without replicas."""
+        """Initialize a fleet without replicas."""
         self.replicas: dict[str, Replica] = {}
         self.messages = 0
         self.message_bytes = 0
         self.sync_times: list[float] = []
 
     def send(self, source: str, effect: SendMessage) -> None:
-        """Hand a message over as bytes."""
+        """Encode a message, count it and deliver it to its target."""
         data = pack(effect.message)
         self.messages += 1
         self.message_bytes += len(data)
         self.replicas[effect.target].receive(source, unpack(data))
 
     def run_blocking(self, call: Callable[[], None]) -> None:
-        """Sync in the thread pool and note how long it takes."""
+        """Run a sync in the thread pool and record its duration."""
         start = time.perf_counter()
         gevent.get_hub().threadpool.apply(call)
         self.sync_times.append(time.perf_counter() - start)
 
     def add(self, name: str, storage: Storage) -> None:
-        """Add a replica."""
+        """Create a replica on its storage and add it."""
         recovered = storage.take_recovered()
         core = ReplicaCore(
             consensus=Consensus(
@@ -104,7 +104,7 @@
         )
 
     def find_leader(self) -> Replica:
-        """Wait until a replica leads and return it."""
+        """Wait until a replica is the leader and return it."""
         while True:
             for replica in self.replicas.values():
                 if replica.get_status().consensus.role == "leader":
@@ -116,7 +116,7 @@
 def run_fleet() -> Iterator[Fleet]:
     """Run three replicas in a temporary folder."""
     fleet = Fleet()
-    members = tuple(Member(replica_id=one, instance_id=one, voter=True) for one in NAMES)
+    members = tuple(Member(replica_id=name, instance_id=name, voter=True) for name in NAMES)
     first = Snapshot(index=1, term=1, members=Members(members=members))
     with ExitStack() as stack:
         root = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -124,7 +124,7 @@
             identity = Identity(replica_id=name, instance_id=name)
             create_folder(root / name, identity=identity, snapshot=first)
             fleet.add(name, stack.enter_context(open_storage(path=root / name)))
-        writers = [gevent.spawn(one.run) for one in fleet.replicas.values()]
+        writers = [gevent.spawn(replica.run) for replica in fleet.replicas.values()]
         yield fleet
         for replica in fleet.replicas.values():
             replica.stop()
@@ -132,14 +132,14 @@
 
 
 def call_repeatedly(call: Callable[[], bool], until: float, times: list[float]) -> None:
-    """Call until a time and note how long each successful call took."""
+    """Repeat a call until a time and append the duration of each successful call to ``times``."""
     while (start := time.perf_counter()) < until:
         if call():
             times.append(time.perf_counter() - start)
 
 
 def measure_calls(name: str, fleet: Fleet, call: Callable[[], bool], callers: int) -> None:
-    """Print calls a second and latencies with this many callers."""
+    """Print calls per second and latencies with ``callers`` concurrent callers."""
     fleet.messages = fleet.message_bytes = 0
     fleet.sync_times.clear()
     times: list[float] = []
@@ -160,7 +160,7 @@
 
 
 def measure_idle(fleet: Fleet) -> None:
-    """Print the traffic of a fleet that is asked nothing."""
+    """Print the traffic of a fleet without requests."""
     fleet.messages = fleet.message_bytes = 0
     cpu = time.process_time()
     gevent.sleep(SECONDS)
@@ -172,7 +172,7 @@
 
 
 def measure_failover(*, is_transfer: bool) -> None:
-    """Print how long no commit was possible after the leader stopped."""
+    """Print the time to the next commit after the leader transfers leadership or stops."""
     times: list[float] = []
     for _ in range(FAILOVERS):
         with run_fleet() as fleet:
@@ -183,18 +183,18 @@
                 leader.transfer_leadership()
             else:
                 leader.stop()
-            others = [one for one in fleet.replicas.values() if one is not leader]
-            while not any(one.propose(ENTRY_DATA).is_ok() for one in others):
+            others = [replica for replica in fleet.replicas.values() if replica is not leader]
+            while not any(replica.propose(ENTRY_DATA).is_ok() for replica in others):
                 gevent.sleep(0.001)
             times.append(time.perf_counter() - start)
     times.sort()
     name = "hand-over" if is_transfer else "stopped leader"
-    middle = times[len(times) // 2]
-    print(f"{name}, {FAILOVERS} times: p50 {middle:.3f} s, longest {times[-1]:.3f} s to a commit")
+    median = times[len(times) // 2]
+    print(f"{name}, {FAILOVERS} times: p50 {median:.3f} s, longest {times[-1]:.3f} s to a commit")
 
 
 def fill_folder(path: Path) -> None:
-    """Make a lone replica's folder with many entries after its snapshot."""
+    """Create the data folder of a single replica with many entries after its snapshot."""
     member = Member(replica_id="a", instance_id="a", voter=True)
     first = Snapshot(index=1, term=1, members=Members(members=(member,)))
     identity = Identity(replica_id="a", instance_id="a")
@@ -206,12 +206,12 @@
 
 
 def get_resident_mebibytes() -> float:
-    """Return the memory of this process that is resident (pages of 4 KiB)."""
+    """Return the resident memory of this process in MiB, assuming pages of 4 KiB."""
     return int(Path("/proc/self/statm").read_text().split()[1]) / PAGES_PER_MEBIBYTE
 
 
 def measure_restart(path: Path) -> None:
-    """Print time and memory until a lone replica has applied all entries again."""
+    """Print time and memory that a single replica needs to apply all entries after a restart."""
     before = get_resident_mebibytes()
     start = time.perf_counter()
     fleet = Fleet()
@@ -235,7 +235,7 @@
 
 
 def main() -> None:
-    """Run all measurements."""
+    """Run all measurements, or only that of a restart for the folder given as argument."""
     if len(sys.argv) > 1:
         measure_restart(Path(sys.argv[1]))
         return
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,8 +1,8 @@
-"""Measure the path: added latency, requests a second, cost of a chunk, memory.
+"""Measure the request path: added latency, requests per second, cost per chunk, memory.
 
 Run with: python -m benchmarks.path
-Processor time is without what an idle router uses, which is printed on its own.
-Prints a table; the endpoint called directly and through one router, in the same run.
+It prints a table of an endpoint called directly and through one router in the same run.
+Processor times exclude the usage of an idle router, which is printed separately.
 """
 
 import json
@@ -34,7 +34,7 @@
 
 
 def read_usage(pid: int) -> Usage:
-    """Return what a process has used so far."""
+    """Return the processor time of a process since its start and its resident memory."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as stat:
         fields = stat.read().rsplit(") ", 1)[1].split()
     with open(f"/proc/{pid}/statm", encoding="ascii") as statm:
@@ -44,16 +44,16 @@
 
 
 def make_body(number: int, *, stream: bool) -> bytes:
-    """Return a chat request of one of many chats."""
+    """Return the body of a chat request whose text contains ``number``."""
     message = {"role": "user", "content": f"chat {number}"}
     return json.dumps({"model": MODEL, "messages": [message], "stream": stream}).encode()
 
 
 class Target:
-    """Sends requests to one address and keeps their durations."""
+    """Sends requests to one address and measures their durations."""
 
     def __init__(self, *, address: str, concurrency: int) -> None:
-        """Open a pool for so many requests at once."""
+        """Open a connection pool for ``concurrency`` concurrent requests."""
         self._pool = urllib3.HTTPConnectionPool(
             *_split(address), maxsize=concurrency, block=True, retries=False
         )
@@ -73,31 +73,31 @@
         return time.perf_counter() - begin
 
     def run(self, count: int) -> list[float]:
-        """Send so many requests and return their durations, sorted."""
+        """Send ``count`` requests and return their sorted durations in seconds."""
         with ThreadPoolExecutor(self._concurrency) as workers:
             return sorted(workers.map(self.call, range(count)))
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BlockUsage:
-    """What a block of work took; ``cpu_s`` is without what the process uses when idle."""
+    """Usage of a block of work in seconds; ``cpu_s`` excludes the usage of the idle process."""
 
     cpu_s: float
     elapsed_s: float
 
 
 class Meter:
-    """Measures a process around a block of work."""
+    """Measures the usage of a process during a block of work."""
 
     def __init__(self, *, pid: int, idle_share: float) -> None:
-        """Begin now; ``idle_share`` of a core is what the process uses without any work."""
+        """Start the measurement; an idle process uses the share ``idle_share`` of a core."""
         self._pid = pid
         self._idle_share = idle_share
         self._begin = time.perf_counter()
         self._before = read_usage(pid)
 
     def stop(self) -> BlockUsage:
-        """Return what was spent since the beginning."""
+        """Return the usage since the start of the measurement."""
         elapsed_s = time.perf_counter() - self._begin
         used_s = read_usage(self._pid).cpu_s - self._before.cpu_s
         return BlockUsage(cpu_s=used_s - self._idle_share * elapsed_s, elapsed_s=elapsed_s)
@@ -109,12 +109,12 @@
 
 
 def get_quantile(durations: list[float], share: float) -> float:
-    """Return a quantile of sorted durations, in milliseconds."""
+    """Return a quantile in milliseconds of sorted durations in seconds."""
     return durations[min(len(durations) - 1, int(share * len(durations)))] * MILLISECONDS
 
 
 def measure_latency(fleet: Fleet, endpoint: Member, count: int, idle_share: float) -> None:
-    """Print latency through a router and directly."""
+    """Print the latency of direct requests and of requests through a router."""
     router = fleet.members["entry-1"]
     names = f"{'p50 ms':>8} {'p99 ms':>8} {'req/s':>8} {'router cpu us/req':>18}"
     print(f"{'concurrent':>10} {'way':>8} {names}")
@@ -128,14 +128,15 @@
             cost = usage.cpu_s / count * MICROSECONDS if way == "router" else 0.0
             print(
                 f"{concurrency:>10} {way:>8} {get_quantile(durations, 0.5):>8.2f}"
-                f" {get_quantile(durations, 0.99):>8.2f} {count / usage.elapsed_s:>8.0f} {cost:>18.0f}"
+                f" {get_quantile(durations, 0.99):>8.2f} {count / usage.elapsed_s:>8.0f}"
+                f" {cost:>18.0f}"
             )
 
 
 def measure_chunks(fleet: Fleet, tokens: int, streams: int, idle_share: float) -> None:
-    """Print the router's processor time for each streamed chunk.
+    """Print the router's processor time per streamed chunk.
 
-    The direct path has no router, so all of it is what the router adds.
+    Direct requests use no router, so the whole time is added by the router.
     """
     router = fleet.members["entry-1"]
     target = Target(address=router.address, concurrency=8)
@@ -153,36 +154,36 @@
 
 
 def measure_idle(fleet: Fleet, seconds: float) -> float:
-    """Print memory and processor share of idle routers; return the first one's share."""
+    """Print memory and processor share of idle routers; return the share of the first router."""
     shares: list[float] = []
     members = [fleet.members[plan.name] for plan in fleet.plans]
     before = [read_usage(member.process.pid) for member in members]
     time.sleep(seconds)
-    for member, old in zip(members, before, strict=True):
-        new = read_usage(member.process.pid)
-        share = (new.cpu_s - old.cpu_s) / seconds
+    for member, start in zip(members, before, strict=True):
+        end = read_usage(member.process.pid)
+        share = (end.cpu_s - start.cpu_s) / seconds
         shares.append(share)
-        print(f"{member.name}: {new.resident / 1e6:.0f} MB resident, {share:.1%} of a core idle")
+        print(f"{member.name}: {end.resident / 1e6:.0f} MB resident, {share:.1%} of a core idle")
     return shares[0]
 
 
 def main(
-    count: Annotated[int, typer.Option(help="Requests a measurement.")] = 1000,
-    tokens: Annotated[int, typer.Option(help="Chunks a stream.")] = 500,
-    streams: Annotated[int, typer.Option(help="Streams.")] = 64,
+    count: Annotated[int, typer.Option(help="Requests per measurement.")] = 1000,
+    tokens: Annotated[int, typer.Option(help="Chunks per stream.")] = 500,
+    streams: Annotated[int, typer.Option(help="Number of streams.")] = 64,
 ) -> None:
     """Measure the path of a local fleet."""
     with open_fleet() as fleet:
         fleet.plan_instances(3)
         fleet.start_instances()
-        quick = fleet.start_endpoint(
+        engine = fleet.start_endpoint(
             "engine-1", "--model", MODEL, "--tokens", "1", "--token-ms", "0"
         )
         apply_workspace(fleet)
         wait_routed(fleet)
         idle_share = measure_idle(fleet, 5.0)
-        measure_latency(fleet, quick, count, idle_share)
-        quick.stop()
+        measure_latency(fleet, engine, count, idle_share)
+        engine.stop()
         fleet.start_endpoint(
             "engine-2", "--model", MODEL, "--tokens", str(tokens), "--token-ms", "1"
         )
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -1,8 +1,9 @@
-"""How many requests a second reach one cold endpoint, by the way in which they are limited.
+"""Compares limiters of the requests that reach one cold endpoint.
 
-``python -m benchmarks.slow_start`` prints for fleets of several sizes the most in any second
-and the mean, of an endpoint that bears 10 a second and is not to get more than 20. Routers
-hear late, and at different times, how many they are; each wants the endpoint at random.
+``python -m benchmarks.slow_start`` prints for fleets of several sizes the highest number of
+requests within one second and the mean per second. The endpoint sustains 10 requests per second
+and must get at most 20 within any second. Routers learn the number of routers with a delay and
+at different times; each tries to send requests at random times.
 """
 
 import argparse
@@ -17,9 +18,9 @@
 COLD_S = 3.0
 REPLICAS = 5
 ROUTERS = (9, 62, 200, 400)
-# What all routers together would send, as in a burst on an idle zone.
+# Requests per second of all routers together, as in a burst on an idle zone.
 WANTED_PER_S = (12.0, 60.0, 300.0)
-# A share that a router does not use within this time is lost.
+# A router's share expires if it is not used within this time.
 SHARE_VALID_S = 0.5
 
 Allow = Callable[[int, float], bool]
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SendAttempt:
-    """A router has a request that it would send to the cold endpoint."""
+    """A request that a router would send to the cold endpoint at the time ``at``."""
 
     at: float
     router: int
@@ -38,13 +39,13 @@
 
 @LIMITERS.register("unlimited")
 def allow_all(routers: int, rng: random.Random) -> Allow:
-    """Nothing but the usual weights."""
+    """Allow all requests."""
     return lambda router, now: True
 
 
 @LIMITERS.register("share")
 def allow_share(routers: int, rng: random.Random) -> Allow:
-    """Each router alone: its share of the rate, from a moment of its own on."""
+    """Limit each router to its share of the rate, from a random start time, without permits."""
     interval = routers / PER_S
     next_at = [rng.uniform(0.0, interval) for _ in range(routers)]
 
@@ -67,12 +68,13 @@
 
 @LIMITERS.register("permits")
 def allow_permits(routers: int, rng: random.Random) -> Allow:
-    """The replica that a router is close to grants single requests."""
+    """Limit requests by permits that a router's assigned replica grants one by one."""
     replicas = [_Replica() for _ in range(REPLICAS)]
     assigned = [rng.randrange(REPLICAS) for _ in range(routers)]
     for number, replica in enumerate(replicas):
-        # The number of the others' routers is as old as the last exchange, or lost since.
-        others = sum(1 for one in assigned if one != number) + rng.choice((-1, 0, 0, 1))
+        # A replica's count of the other replicas' routers is from the last exchange, so it may
+        # be wrong by one.
+        others = sum(1 for other in assigned if other != number) + rng.choice((-1, 0, 0, 1))
         replica.share.note(assigned.count(number) + others, now=-rng.random())
     wait_until = [0.0] * routers
 
@@ -91,7 +93,7 @@
 def generate_attempts(
     routers: int, wanted_per_s: float, rng: random.Random
 ) -> Iterator[SendAttempt]:
-    """Yield requests at random times of the cold span."""
+    """Yield attempts at random times of the cold period of ``COLD_S`` seconds."""
     now = rng.expovariate(wanted_per_s)
     while now < COLD_S:
         yield SendAttempt(at=now, router=rng.randrange(routers))
@@ -99,7 +101,7 @@
 
 
 def simulate(way: str, routers: int, wanted_per_s: float, seed: int) -> list[float]:
-    """Return when requests went to the endpoint."""
+    """Simulate one cold period; return the times at which requests were sent."""
     rng = random.Random(seed)
     allow = LIMITERS[way](routers, rng)
     attempts = generate_attempts(routers, wanted_per_s, rng)
@@ -107,8 +109,8 @@
 
 
 def find_peak_count(times: list[float]) -> int:
-    """Return the most in any second."""
-    return max((sum(1 for one in times if at <= one < at + 1) for at in times), default=0)
+    """Return the highest number of requests within any second."""
+    return max((sum(1 for time in times if at <= time < at + 1) for at in times), default=0)
 
 
 def main() -> None:
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,6 +1,6 @@
-"""Measures the store and the configuration; prints only.
+"""Measures the time and memory of the store and the configuration.
 
-python -m benchmarks.store
+Run with: python -m benchmarks.store
 """
 
 import gc
@@ -41,12 +41,12 @@
 
 
 def make_key(number: int) -> str:
-    """Return the caller's key of a workspace."""
+    """Return the API key of a workspace."""
     return f"benchmark-key-{number:012d}"
 
 
 def make_spec(number: int, rate: int = 10) -> bytes:
-    """Return the specification of a workspace, about 300 bytes."""
+    """Return the encoded specification of a workspace, about 300 bytes."""
     spec = {
         "display_name": f"Workspace number {number} of the benchmark",
         "keys": [hash_key(make_key(number))],
@@ -60,7 +60,7 @@
 
 
 def fill(store: Store) -> None:
-    """Create all workspaces."""
+    """Create ``WORKSPACES`` workspaces in the store."""
     for number in range(WORKSPACES):
         name = f"workspace-{number:05d}"
         command = Create(Stamp(number), "workspace", name, make_spec(number))
@@ -68,7 +68,7 @@
 
 
 def change(store: Store, count: int, *, with_request_ids: bool = False) -> None:
-    """Change as many workspaces, one after the other."""
+    """Replace ``count`` randomly chosen workspaces one after the other."""
     rng = random.Random(1)
     for number in range(count):
         chosen = rng.randrange(WORKSPACES)
@@ -79,7 +79,7 @@
 
 
 def measure(call: Callable[[], object]) -> float:
-    """Return the least time of some rounds, in seconds."""
+    """Return the shortest time of ``ROUNDS`` calls in seconds."""
     best = float("inf")
     for _ in range(ROUNDS):
         started = time.perf_counter()
@@ -89,7 +89,7 @@
 
 
 def measure_memory(make: Callable[[], object]) -> tuple[object, int, int]:
-    """Return what was made, the bytes it holds and the peak while it was made."""
+    """Return the object that ``make`` creates, its size and the peak of memory, in bytes."""
     gc.collect()
     tracemalloc.start()
     made = make()
@@ -100,7 +100,7 @@
 
 
 def report_commands(store: Store) -> None:
-    """Print the cost of applying commands."""
+    """Print the time for applying commands of several kinds."""
     rng = random.Random(2)
     packed = []
     for number in range(COMMANDS):
@@ -126,7 +126,7 @@
 
 
 def print_cost(name: str, store: Store, packed: list[bytes]) -> None:
-    """Apply commands and print the time for each."""
+    """Apply commands and print the mean time per command."""
     index = store.index
     started = time.perf_counter()
     for number, data in enumerate(packed, 1):
@@ -176,15 +176,15 @@
 
 
 def report_changes(store: Store) -> None:
-    """Print the size of deltas and the time for changes that have piled up."""
+    """Print the size of deltas and the time for decoding and applying many changes."""
     before = store.revision
     base = copy_table(store)
     change(store, CHANGES)
     changes = store.table.list_changes(before)
     assert changes is not None
     last = changes[-1]
-    one = ConfigDelta(1, last.revision - 1, last.revision, last.revision, (last,))
-    print(f"delta with one change: {len(encode(one))} bytes")
+    delta = ConfigDelta(1, last.revision - 1, last.revision, last.revision, (last,))
+    print(f"delta with one change: {len(encode(delta))} bytes")
     batch = ConfigDelta(1, before, store.revision, store.revision, tuple(changes))
     data = pack(batch)
     print(f"delta with {len(changes)} changes: {len(data) / KIBIBYTE:.0f} KiB")
@@ -208,7 +208,7 @@
 
 
 def report_polling(store: Store) -> None:
-    """Print bytes and time of one question for changes and its answer, without any."""
+    """Print bytes and time of a poll for changes and its answer when there are no changes."""
     leader = make_configuration("leader", store.table)
     leader.handle(QuorumConfirmed(term=3, revision=store.revision, started_at=1.0), now=1.0)
     router = make_configuration("router-1", None)
@@ -228,8 +228,8 @@
     def poll() -> None:
         for number in range(1, POLLS + 1):
             now = number * 2.0
-            asked = router.handle(TimeReached(), now=now)
-            pull = find_sent(asked)
+            effects = router.handle(TimeReached(), now=now)
+            pull = find_sent(effects)
             delta = ConfigDelta(pull.correlation, pull.revision, pull.revision, pull.revision)
             event = MessageReceived(source="leader", message=delta)
             router.handle(event, now=now)
@@ -241,14 +241,14 @@
 
 
 def copy_table(store: Store) -> ResourceTable:
-    """Return a table over the records of a store, without its history."""
+    """Return a table that shares the records of a store but not its history."""
     table = ResourceTable()
     table.replace(store.table.export(), revision=store.revision)
     return table
 
 
 def make_configuration(instance: str, table: ResourceTable | None) -> Configuration:
-    """Return the configuration of a replica with a store's table, or of a router."""
+    """Return the configuration component of a replica, or of a router if ``table`` is ``None``."""
     return Configuration(
         instance=instance,
         incarnation=1,
@@ -260,12 +260,12 @@
 
 
 def find_sent(effects: Sequence[Effect]) -> Any:
-    """Return the one message among effects."""
+    """Return the first message that the effects send."""
     return next(effect.message for effect in effects if isinstance(effect, SendMessage))
 
 
 def report_log_replay() -> None:
-    """Print the time to apply piled-up commands of a log after a restart."""
+    """Print the time to apply the commands of a log after a restart."""
     store = Store()
     for number in range(100):
         command = Create(Stamp(number), "workspace", f"workspace-{number:05d}", make_spec(number))
