--- a/script/settings_reference.py
+++ b/script/settings_reference.py
@@ -85,7 +85,7 @@
     return find_inner_model(annotation)
 
 
-def write_reference(settings: type[Any] = Settings, introduction: str = INTRODUCTION) -> str:
+def render_reference(settings: type[Any] = Settings, introduction: str = INTRODUCTION) -> str:
     """Return the whole page."""
     lines = [introduction]
     for section in _list_fields(settings):
@@ -153,7 +153,7 @@
     """Write the pages."""
     FOLDER.mkdir(parents=True, exist_ok=True)
     for name, (settings, introduction) in PAGES.items():
-        (FOLDER / name).write_text(write_reference(settings, introduction), encoding="utf-8")
+        (FOLDER / name).write_text(render_reference(settings, introduction), encoding="utf-8")
 
 
 if __name__ == "__main__":
--- a/tests/components/settings/test_reference.py
+++ b/tests/components/settings/test_reference.py
@@ -2,18 +2,18 @@
 
 import unittest
 
-from script.settings_reference import FOLDER, PAGES, TARGET, write_reference
+from script.settings_reference import FOLDER, PAGES, TARGET, render_reference
 
 
 class ReferenceTest(unittest.TestCase):
     def test_page_is_up_to_date(self) -> None:
         self.assertEqual(
             TARGET.read_text(encoding="utf-8"),
-            write_reference(),
+            render_reference(),
             "run script/settings_reference and commit the page",
         )
 
     def test_every_page_is_of_the_models_as_they_are(self) -> None:
         for name, (settings, introduction) in PAGES.items():
             page = (FOLDER / name).read_text(encoding="utf-8")
-            self.assertEqual(page, write_reference(settings, introduction), name)
+            self.assertEqual(page, render_reference(settings, introduction), name)
