--- a/script/settings_reference.py
+++ b/script/settings_reference.py
@@ -101,7 +101,7 @@
 def _list_rows(model: type[Any], *, prefix: str) -> Iterator[tuple[str, ...]]:
     for field in _list_fields(model):
         key = f"{prefix}{field.name}"
-        form = _name_form(field)
+        form = _describe_form(field)
         yield (f"`{key}`", form, _format_default(field), field.description)
         inner = _find_section(field.annotation)
         if inner is not None:
@@ -109,7 +109,7 @@
             yield from _list_rows(inner, prefix=f"{key}{mark}")
 
 
-def _name_form(field: _Field) -> str:
+def _describe_form(field: _Field) -> str:
     words = _name_type(field.annotation)
     for entry in field.metadata:
         for bound, text in BOUNDS.items():
