--- a/script/settings_reference.py
+++ b/script/settings_reference.py
@@ -110,7 +110,7 @@
 
 
 def _describe_form(field: _Field) -> str:
-    words = _name_type(field.annotation)
+    words = _describe_type(field.annotation)
     for entry in field.metadata:
         for bound, text in BOUNDS.items():
             value = getattr(entry, bound, None)
@@ -119,12 +119,12 @@
     return words
 
 
-def _name_type(annotation: Any) -> str:
+def _describe_type(annotation: Any) -> str:
     arguments = [a for a in get_args(annotation) if a not in (type(None), Ellipsis)]
     if getattr(annotation, "__origin__", None) is tuple:
-        return f"list of {_name_type(arguments[0])}"
+        return f"list of {_describe_type(arguments[0])}"
     if arguments and not isinstance(annotation, type):
-        return _name_type(arguments[0])
+        return _describe_type(arguments[0])
     if isinstance(annotation, type) and issubclass(annotation, Enum):
         return " or ".join(f"`{member.value}`" for member in annotation)
     if find_inner_model(annotation) is not None:
