--- a/script/settings_reference.py
+++ b/script/settings_reference.py
@@ -93,12 +93,12 @@
         assert model is not None
         lines += [f"## `[{section.name}]`", "", model.__doc__ or "", ""]
         lines += ["| key | form | default | meaning |", "| --- | --- | --- | --- |"]
-        lines += [f"| {' | '.join(row)} |" for row in _list_rows(model, prefix="")]
+        lines += [f"| {' | '.join(row)} |" for row in _iterate_rows(model, prefix="")]
         lines.append("")
     return "\n".join(lines).rstrip() + "\n"
 
 
-def _list_rows(model: type[Any], *, prefix: str) -> Iterator[tuple[str, ...]]:
+def _iterate_rows(model: type[Any], *, prefix: str) -> Iterator[tuple[str, ...]]:
     for field in _list_fields(model):
         key = f"{prefix}{field.name}"
         form = _describe_form(field)
@@ -106,7 +106,7 @@
         inner = _find_section(field.annotation)
         if inner is not None:
             mark = "[]." if form.startswith("list") else "."
-            yield from _list_rows(inner, prefix=f"{key}{mark}")
+            yield from _iterate_rows(inner, prefix=f"{key}{mark}")
 
 
 def _describe_form(field: _Field) -> str:
