--- a/script/settings_reference.py
+++ b/script/settings_reference.py
@@ -53,7 +53,7 @@
     description: str
 
 
-def _list_fields(model: type[Any]) -> Iterator[_Field]:
+def _iterate_fields(model: type[Any]) -> Iterator[_Field]:
     if issubclass(model, msgspec.Struct):
         for field in msgspec.structs.fields(model):
             kind, *metadata = [field.type]
@@ -88,7 +88,7 @@
 def render_reference(settings: type[Any] = Settings, introduction: str = INTRODUCTION) -> str:
     """Return the whole page."""
     lines = [introduction]
-    for section in _list_fields(settings):
+    for section in _iterate_fields(settings):
         model = _find_section(section.annotation)
         assert model is not None
         lines += [f"## `[{section.name}]`", "", model.__doc__ or "", ""]
@@ -99,7 +99,7 @@
 
 
 def _iterate_rows(model: type[Any], *, prefix: str) -> Iterator[tuple[str, ...]]:
-    for field in _list_fields(model):
+    for field in _iterate_fields(model):
         key = f"{prefix}{field.name}"
         form = _describe_form(field)
         yield (f"`{key}`", form, _format_default(field), field.description)
