--- a/tests/test_operator_pages.py
+++ b/tests/test_operator_pages.py
@@ -79,7 +79,7 @@
             r"^\| `(chivetrack_\w+)` \| `(\S+)` \| `(\S+)` \| (.*) \| (.*) \|$", text, re.M
         )
         with open_telemetry(instance_id="r1") as telemetry:
-            self.record_everything(telemetry.instruments)
+            self.record_all_metrics(telemetry.instruments)
             rendered = telemetry.render_metrics().decode()
         self.assertEqual([row[1] for row in rows], list(INSTRUMENTS))
         for exported, name, unit, attributes, description in rows:
@@ -90,7 +90,7 @@
                 self.assertEqual(attributes, labels)
                 self.assertIn(f"# TYPE {exported} ", rendered)
 
-    def record_everything(self, instruments: Any) -> None:
+    def record_all_metrics(self, instruments: Any) -> None:
         instruments.record_request(service="s", code="ok", duration_s=1.0)
         instruments.record_first_chunk(service="s", duration_s=1.0)
         instruments.record_chunks(service="s", count=1)
