--- a/script/__init__.py
+++ b/script/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks of the developers."""
+"""Scripts for developers."""
--- a/script/settings_reference.py
+++ b/script/settings_reference.py
@@ -1,4 +1,4 @@
-"""Writes the reference of the settings from their models."""
+"""Generates the reference pages of the settings from their models."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Field:
-    """One setting, of a model of pydantic or of a struct."""
+    """One setting, from a field of a pydantic model or a msgspec struct."""
 
     name: str
     annotation: Any
@@ -86,7 +86,7 @@
 
 
 def render_reference(settings: type[Any] = Settings, introduction: str = INTRODUCTION) -> str:
-    """Return the whole page."""
+    """Return the Markdown page of a settings model."""
     lines = [introduction]
     for section in _iterate_fields(settings):
         model = _find_section(section.annotation)
@@ -105,18 +105,18 @@
         yield (f"`{key}`", form, _format_default(field), field.description)
         inner = _find_section(field.annotation)
         if inner is not None:
-            mark = "[]." if form.startswith("list") else "."
-            yield from _iterate_rows(inner, prefix=f"{key}{mark}")
+            separator = "[]." if form.startswith("list") else "."
+            yield from _iterate_rows(inner, prefix=f"{key}{separator}")
 
 
 def _describe_form(field: _Field) -> str:
-    words = _describe_type(field.annotation)
+    description = _describe_type(field.annotation)
     for entry in field.metadata:
         for bound, text in BOUNDS.items():
             value = getattr(entry, bound, None)
             if value is not None:
-                words += f", {text} {value}"
-    return words
+                description += f", {text} {value}"
+    return description
 
 
 def _describe_type(annotation: Any) -> str:
@@ -150,7 +150,7 @@
 
 
 def main() -> None:
-    """Write the pages."""
+    """Write the reference pages to the folder of the operators' pages."""
     FOLDER.mkdir(parents=True, exist_ok=True)
     for name, (settings, introduction) in PAGES.items():
         (FOLDER / name).write_text(render_reference(settings, introduction), encoding="utf-8")
--- a/script/tests.py
+++ b/script/tests.py
@@ -1,4 +1,4 @@
-"""Run every test, print the count, and pass over just the tests in KNOWN-RED.txt."""
+"""Run all tests and print the counts; failures listed in KNOWN-RED.txt are tolerated."""
 
 import sys
 import unittest
@@ -9,7 +9,7 @@
 
 
 def read_known_red() -> set[str]:
-    """Return the ids of the tests that are known to fail; prints each line."""
+    """Print the lines of KNOWN-RED.txt and return the ids of the tests that are known to fail."""
     if not KNOWN_RED.exists():
         return set()
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -19,7 +19,7 @@
 
 
 def main() -> int:
-    """Run the tests; return 0 when no test failed that is not known to fail."""
+    """Run the tests; return 1 if a test fails that is not known to fail, or if none ran."""
     known = read_known_red()
     suite = unittest.defaultTestLoader.discover(str(ROOT / "tests"), top_level_dir=str(ROOT))
     result = unittest.TextTestRunner(verbosity=1).run(suite)
--- a/tests/test_operator_pages.py
+++ b/tests/test_operator_pages.py
@@ -1,4 +1,4 @@
-"""The operators' pages against the code: commands, settings, metrics, links."""
+"""Tests that the operators' pages match the code: commands, settings, metrics and links."""
 
 import re
 import unittest
