--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Commands that measure; nothing here asserts a speed."""
+"""Benchmark commands that print measurements; they assert no limits."""
--- a/benchmarks/founding.py
+++ b/benchmarks/founding.py
@@ -1,7 +1,7 @@
-"""Founds deployments whose replicas are killed at random moments of their first second.
+"""Bootstraps deployments whose replicas are killed at random times right after their start.
 
-``python -m benchmarks.founding --patterns 200 --seed 1`` prints each pattern after which no
-configuration was acknowledged, and how long the others took.
+``python -m benchmarks.founding --patterns 200 --seed 1`` prints each pattern of kills after
+which not every replica acknowledged a configuration, and the times that the others took.
 """
 
 import argparse
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -72,8 +72,8 @@
     replicas = [_Replica() for _ in range(REPLICAS)]
     assigned = [rng.randrange(REPLICAS) for _ in range(routers)]
     for number, replica in enumerate(replicas):
-        # A replica's count of the other replicas' routers is from the last exchange, so it may
-        # be wrong by one.
+        # A replica's count of the other replicas' routers is as old as the last exchange and
+        # may have changed since, here by at most one.
         others = sum(1 for other in assigned if other != number) + rng.choice((-1, 0, 0, 1))
         replica.share.note(assigned.count(number) + others, now=-rng.random())
     wait_until = [0.0] * routers
--- a/tests/system/test_path_own_answer.py
+++ b/tests/system/test_path_own_answer.py
@@ -157,8 +157,8 @@
         cannot be recalled, so the router sends a last event with the error and breaks the
         connection.
         """
-        policy_stall = {"cut": 0.0, "truncate": 0.0, "stall": 60.0}
-        for mode, delay_s in policy_stall.items():
+        delays_s = {"cut": 0.0, "truncate": 0.0, "stall": 60.0}
+        for mode, delay_s in delays_s.items():
             with self.subTest(mode):
                 self.inject_fault(mode, after_chunks=3, delay_s=delay_s)
                 connection = http.client.HTTPConnection(self.routers[0].address, timeout=60)
--- a/tests/system/test_stop.py
+++ b/tests/system/test_stop.py
@@ -125,7 +125,7 @@
         self.assertEqual(deployment.call("r1", X_Chivetrack_Deadline_Ms="1500")[0], 200)
 
     def test_late_request_on_an_open_connection_is_not_run(self) -> None:
-        """Guards against a request taken 3 s after SIGTERM and cut at the exit."""
+        """Guards against a request that is accepted 3 s after SIGTERM and cut at the exit."""
         deployment, endpoint = self.open_stopping()
         time.sleep(1.5)
         connection = http.client.HTTPConnection(deployment.get_host("r1"), CALLER_PORT, timeout=20)
@@ -142,7 +142,7 @@
         self.assertEqual(len(endpoint.seen), before)
 
     def test_late_request_on_a_new_connection_is_not_run(self) -> None:
-        """Guards against a request taken 3 s after SIGTERM and cut at the exit."""
+        """Guards against a request that is accepted 3 s after SIGTERM and cut at the exit."""
         deployment, endpoint = self.open_stopping()
         time.sleep(3.0)
         endpoint.work_s = 6.0
