--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -1,4 +1,4 @@
-"""Plays a deployment: callers, routers with the real decision objects, engines."""
+"""Simulates a deployment: callers, routers with the real placement component, and engines."""
 
 import heapq
 from collections.abc import Callable, Sequence
@@ -19,20 +19,24 @@
 from chivetrack.components.traffic.models import EngineProfile, Service
 from chivetrack.components.traffic.requests import PromptPart, RequestFacts
 
-# Routers tell each other their counts this often, and hear of it so much later.
-NEWS_EVERY_MS = 300.0
-NEWS_LAG_MS = 150.0
-# A crashed engine is still believed to be there for so long.
-NOTICE_MS = 600.0
-ZONE_MS = 0.9
-# Routers share them evenly; what each passes on to its own is limited.
+# Routers exchange their load counts at this interval; an update arrives after this delay.
+EXCHANGE_INTERVAL_MS = 300.0
+EXCHANGE_DELAY_MS = 150.0
+# Time for which routers still list a crashed engine.
+CRASH_DETECTION_MS = 600.0
+NETWORK_DELAY_MS = 0.9
+# Routers are assigned evenly to the replicas; each replica relays a limited number of
+# placements per round to its routers.
 REPLICAS = 5
-EXCHANGES_FOR_S = 1.5
+EXCHANGE_TAIL_S = 1.5
 
 
 @dataclass(slots=True, kw_only=True)
 class Outcome:
-    """How one request ended; ``first_ms`` is ``None`` if it was never served."""
+    """The outcome of a request.
+
+    ``first_ms`` is the time to the first token, or ``None`` if the request was not served.
+    """
 
     kind: RequestKind
     first_ms: float | None
@@ -40,7 +44,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Result:
-    """What a run measured."""
+    """Measurements of a run.
+
+    ``placed`` counts placements, ``other_zone`` those in another zone, and ``over`` those above
+    the load bound. ``skews`` samples the highest load of an engine relative to the mean.
+    """
 
     outcomes: list[Outcome] = field(default_factory=list)
     totals: Totals = field(default_factory=Totals)
@@ -54,7 +62,7 @@
 class _Router:
     zone: str
     placement: Placement
-    told_change: int = 0
+    last_change: int = 0
 
 
 @dataclass(slots=True, kw_only=True)
@@ -63,17 +71,17 @@
     facts: RequestFacts
     job: Job
     router: _Router
-    came_at: float
+    arrived_at: float
     tried: set[str] = field(default_factory=set)
     placed: Placed | None = None
     outcome: Outcome | None = None
 
 
 class World:
-    """One run of one policy on one deployment."""
+    """Discrete-event simulation of one policy on one deployment."""
 
     def __init__(self, *, deployment: Deployment, policy: Policy, seed: int) -> None:
-        """Build routers and engines; nothing happens before ``play``."""
+        """Build routers and engines; ``simulate`` starts the run."""
         self._deployment = deployment
         self._random = Random(seed)
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
@@ -89,8 +97,8 @@
             can_fetch=True,
         )
         self._placements = Placements()
-        close = max(1, deployment.routers // REPLICAS)
-        self._news_limit = max(1, PLACEMENTS_PER_ROUND // close)
+        routers_per_replica = max(1, deployment.routers // REPLICAS)
+        self._max_placements_per_exchange = max(1, PLACEMENTS_PER_ROUND // routers_per_replica)
         self._service = Service(name="llm", engine=profile)
         self._is_oracle = policy.is_oracle
         self._routers = [
@@ -124,24 +132,24 @@
     def _join(self, number: int, now: float) -> None:
         self._add_engine(number, 1.0)
 
-    def _at(self, when: float, do: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._numbers), do))
+    def _schedule(self, when: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (when, next(self._numbers), action))
 
-    def play(self) -> Result:
-        """Play the whole run."""
+    def simulate(self) -> Result:
+        """Run the simulation to its end and return the measurements."""
         deployment = self._deployment
-        for trouble in deployment.troubles:
-            name = f"e{trouble.engine}"
-            self._at(trouble.at_s * 1000, partial(self._harm, name, trouble.factor))
-            self._at((trouble.at_s + trouble.for_s) * 1000, partial(self._mend, name))
+        for fault in deployment.engine_faults:
+            name = f"e{fault.engine}"
+            self._schedule(fault.at_s * 1000, partial(self._start_fault, name, fault.factor))
+            self._schedule((fault.at_s + fault.duration_s) * 1000, partial(self._end_fault, name))
         for index, at_s in enumerate(deployment.joins_at_s):
             number = len(deployment.speeds) + index
-            self._at(at_s * 1000, partial(self._join, number))
-        self._at(NEWS_EVERY_MS, self._exchange)
-        self._at(0.0, self._arrive)
+            self._schedule(at_s * 1000, partial(self._join, number))
+        self._schedule(EXCHANGE_INTERVAL_MS, self._exchange)
+        self._schedule(0.0, self._arrive)
         while self._events:
-            now, _, do = heapq.heappop(self._events)
-            do(now)
+            now, _, action = heapq.heappop(self._events)
+            action(now)
         return self.result
 
     # Callers
@@ -152,9 +160,9 @@
             return
         third = deployment.seconds * 1000 / 3
         rate = deployment.requests_per_s * (deployment.burst if third < now < 1.6 * third else 1.0)
-        self._at(now + self._random.expovariate(rate) * 1000, self._arrive)
+        self._schedule(now + self._random.expovariate(rate) * 1000, self._arrive)
         kind = self._random.choices(
-            deployment.kinds, weights=[one.share for one in deployment.kinds]
+            deployment.kinds, weights=[kind.share for kind in deployment.kinds]
         )[0]
         self._start(self._make_request(kind, now), now)
 
@@ -163,7 +171,7 @@
         number = next(self._numbers)
         subject = random.randrange(kind.subjects)
         parts = (
-            PromptPart(f"{kind.name}-c{subject % kind.commons}", kind.common_tokens),
+            PromptPart(f"{kind.name}-c{subject % kind.common_parts}", kind.common_tokens),
             PromptPart(f"{kind.name}-s{subject}", kind.subject_tokens),
             PromptPart(f"o{number}", max(1, round(kind.own_tokens * random.uniform(0.5, 1.5)))),
         )
@@ -178,7 +186,7 @@
             number=number,
         )
         router = random.choice(self._routers)
-        return _Request(kind=kind, facts=facts, job=job, router=router, came_at=now)
+        return _Request(kind=kind, facts=facts, job=job, router=router, arrived_at=now)
 
     def _start(self, request: _Request, now: float) -> None:
         choice = self._choose(request, now)
@@ -194,32 +202,34 @@
         )
         engine = self._engines[record.endpoint_id]
         if not engine.is_up:
-            self._at(now + 2 * ZONE_MS, lambda at: self._retry(request, at))
+            self._schedule(now + 2 * NETWORK_DELAY_MS, lambda at: self._retry(request, at))
             return
         known = max(
-            one.count_cached(request.facts.shared_parts)
-            for one in self._engines.values()
-            if one.is_up
+            other.count_cached(request.facts.shared_parts)
+            for other in self._engines.values()
+            if other.is_up
         )
-        self._note_over(engine)
+        self._record_over_bound(engine)
         source = self._engines.get(choice.fetch_from)
-        delay = engine.take(request.job, known_elsewhere=known, fetch_from=source)
+        delay = engine.admit(request.job, known_elsewhere=known, fetch_from=source)
         self._jobs[record.endpoint_id].append(request)
         name = record.endpoint_id
-        self._at(now + ZONE_MS + delay, lambda at: self._enqueue(name, request, at))
+        self._schedule(now + NETWORK_DELAY_MS + delay, lambda at: self._enqueue(name, request, at))
         if not request.tried - {name}:
-            self._at(request.came_at + request.kind.timeout_ms, lambda at: self._time_out(request))
+            self._schedule(
+                request.arrived_at + request.kind.timeout_ms, lambda at: self._time_out(request)
+            )
 
-    def _note_over(self, engine: Engine) -> None:
-        """Count a request that reaches an engine over twice the mean and three."""
-        up = [one.in_flight for one in self._engines.values() if one.is_up]
-        self.result.over += engine.in_flight + 1 > 2 * (sum(up) + 1) / len(up) + 3
+    def _record_over_bound(self, engine: Engine) -> None:
+        """Count a request that raises the load of an engine above twice the mean plus three."""
+        loads = [other.in_flight for other in self._engines.values() if other.is_up]
+        self.result.over += engine.in_flight + 1 > 2 * (sum(loads) + 1) / len(loads) + 3
 
     def _choose(self, request: _Request, now: float) -> Choice | None:
         candidates, sources = [], []
         for name, record in self._records.items():
             gone_at = self._gone_at.get(name)
-            if gone_at is not None and now - gone_at > NOTICE_MS:
+            if gone_at is not None and now - gone_at > CRASH_DETECTION_MS:
                 continue
             sources.append(Source(record=record))
             if name not in request.tried:
@@ -235,7 +245,7 @@
 
     def _time_out(self, request: _Request) -> None:
         if request.outcome is None:
-            request.job.gave_up = True
+            request.job.abandoned = True
             self._end(request, None)
 
     def _retry(self, request: _Request, now: float) -> None:
@@ -247,13 +257,13 @@
         if len(request.tried) >= 2:
             self._end(request, None)
             return
-        old = request.job
+        previous = request.job
         request.job = Job(
-            parts=old.parts,
-            prompt_tokens=old.prompt_tokens,
-            answer_tokens=old.answer_tokens,
-            priority=old.priority,
-            number=old.number,
+            parts=previous.parts,
+            prompt_tokens=previous.prompt_tokens,
+            answer_tokens=previous.answer_tokens,
+            priority=previous.priority,
+            number=previous.number,
         )
         self._start(request, now)
 
@@ -277,15 +287,15 @@
             return
         end = now + engine.step(now)
         engine.free_at = end
-        self._at(end, lambda at: self._after_step(name, at))
+        self._schedule(end, lambda at: self._after_step(name, at))
 
     def _after_step(self, name: str, now: float) -> None:
-        left = []
+        remaining = []
         for request in self._jobs[name]:
             placement = request.router.placement
             if request.placed is not None and request.job.first_at is not None:
                 placement.record_first_event(request.placed, now=now / 1000)
-            is_over = request.job.ended_at is not None or request.job.gave_up
+            is_over = request.job.ended_at is not None or request.job.abandoned
             if is_over and request.placed is not None:
                 is_complete = request.job.ended_at is not None
                 request.placed.is_complete = is_complete
@@ -293,14 +303,14 @@
                 request.placed = None
                 if is_complete and request.outcome is None:
                     assert request.job.first_at is not None
-                    self._end(request, request.job.first_at - request.came_at + ZONE_MS)
+                    self._end(request, request.job.first_at - request.arrived_at + NETWORK_DELAY_MS)
             if not is_over:
-                left.append(request)
-        self._jobs[name] = left
+                remaining.append(request)
+        self._jobs[name] = remaining
         if self._engines[name].in_flight:
             self._step(name, now)
 
-    def _harm(self, name: str, factor: float, now: float) -> None:
+    def _start_fault(self, name: str, factor: float, now: float) -> None:
         if factor:
             self._engines[name].slowness = factor
             return
@@ -310,7 +320,7 @@
         for request in lost:
             self._retry(request, now)
 
-    def _mend(self, name: str, now: float) -> None:
+    def _end_fault(self, name: str, now: float) -> None:
         engine = self._engines[name]
         engine.slowness = 1.0
         if engine.is_up:
@@ -321,50 +331,56 @@
         for router in self._routers:
             router.placement.forget(name)
 
-    # What routers tell each other
+    # Exchange between routers
 
     def _exchange(self, now: float) -> None:
-        if now > (self._deployment.seconds + EXCHANGES_FOR_S) * 1000:
+        if now > (self._deployment.seconds + EXCHANGE_TAIL_S) * 1000:
             return
-        self._at(now + NEWS_EVERY_MS, self._exchange)
-        in_flight = [one.in_flight for one in self._engines.values() if one.is_up]
+        self._schedule(now + EXCHANGE_INTERVAL_MS, self._exchange)
+        in_flight = [engine.in_flight for engine in self._engines.values() if engine.is_up]
         mean = sum(in_flight) / len(in_flight)
         if mean >= 1:
             self.result.skews.append(max(in_flight) / mean)
-        told = [list(one.placement.list_own()) for one in self._routers]
+        reported_loads = [list(router.placement.list_own()) for router in self._routers]
         for router in self._routers:
             self._placements.record(router.placement.pop_placements(now / 1000), now=now / 1000)
-        sums = _add_up(told)
-        lag = 0.0 if self._is_oracle else NEWS_LAG_MS
+        sums = _sum_loads(reported_loads)
+        delay = 0.0 if self._is_oracle else EXCHANGE_DELAY_MS
         for number, router in enumerate(self._routers):
-            others = _subtract(sums, told[number])
-            news, router.told_change = self._placements.list_after(
-                router.told_change, now=now / 1000, limit=self._news_limit
+            others = _subtract_own_load(sums, reported_loads[number])
+            placements, router.last_change = self._placements.list_after(
+                router.last_change, now=now / 1000, limit=self._max_placements_per_exchange
             )
-            self._at(now + lag, partial(self._hear, router, others, news))
-
-    def _hear(
-        self, router: _Router, loads: list[EndpointLoad], news: Sequence[PlacedPart], now: float
+            self._schedule(now + delay, partial(self._handle_updates, router, others, placements))
+
+    def _handle_updates(
+        self,
+        router: _Router,
+        loads: list[EndpointLoad],
+        placements: Sequence[PlacedPart],
+        now: float,
     ) -> None:
         capacity = self._deployment.engine.memory_tokens
         router.placement.handle_other_loads(loads, now=now / 1000)
-        router.placement.handle_placements(news, now=now / 1000, capacity=capacity)
+        router.placement.handle_placements(placements, now=now / 1000, capacity=capacity)
 
 
-def _add_up(told: list[list[EndpointLoad]]) -> dict[str, tuple[int, int]]:
+def _sum_loads(reported_loads: list[list[EndpointLoad]]) -> dict[str, tuple[int, int]]:
     sums: dict[str, tuple[int, int]] = {}
-    for loads in told:
+    for loads in reported_loads:
         for load in loads:
             running, tokens = sums.get(load.endpoint_id, (0, 0))
             sums[load.endpoint_id] = (running + load.running, tokens + load.tokens)
     return sums
 
 
-def _subtract(sums: dict[str, tuple[int, int]], own: list[EndpointLoad]) -> list[EndpointLoad]:
-    mine = {load.endpoint_id: load for load in own}
+def _subtract_own_load(
+    sums: dict[str, tuple[int, int]], own: list[EndpointLoad]
+) -> list[EndpointLoad]:
+    own_loads = {load.endpoint_id: load for load in own}
     others = []
     for name, (running, tokens) in sums.items():
-        load = mine.get(name)
+        load = own_loads.get(name)
         others.append(
             EndpointLoad(
                 endpoint_id=name,
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -1,9 +1,9 @@
-"""Measures gossip: bytes, messages, propagation and processor time, on the network in memory.
+"""Measures gossip on an in-memory network: bytes, messages, propagation and processor time.
 
-Run ``python -m benchmarks.gossip``. Times of propagation are simulated (1-4 ms one way,
-no loss, all routers with their own phase); processor time is this machine's. Load counts
-take 5 bytes an endpoint that the router has requests at, with 15 in flight an endpoint,
-in values of up to 200 bytes.
+Run ``python -m benchmarks.gossip``. Propagation times are simulated (1-4 ms one way, no loss,
+each router with its own phase); processor time is that of the local machine. Load counts take
+5 bytes for each endpoint at which the router has requests, with 15 requests in flight per
+endpoint, and are published in values of up to 200 bytes.
 """
 
 import random
@@ -27,28 +27,28 @@
 IN_FLIGHT = 15
 BYTES_PER_COUNT = 5
 MAX_LOAD_BYTES = 200
-LOAD_EVERY_S = 0.1
+LOAD_INTERVAL_S = 0.1
 MEASURED_S = 20.0
-CHURN_EVERY_S = 2.0
+CHURN_INTERVAL_S = 2.0
 
 
 @dataclass(slots=True)
-class Spent:
-    """Processor time of the components, summed over all routers."""
+class CpuTime:
+    """Processor time of the components, accumulated over all routers."""
 
     seconds: float = 0.0
 
 
-class Timed:
-    """A component whose processor time is summed."""
+class TimedComponent:
+    """A wrapper that accumulates the processor time of a component."""
 
-    def __init__(self, *, component: Component, spent: Spent) -> None:
-        """Wrap a component."""
+    def __init__(self, *, component: Component, cpu_time: CpuTime) -> None:
+        """Wrap a component and add its processor time to ``cpu_time``."""
         self._component = component
-        self._spent = spent
+        self._spent = cpu_time
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Hand the event on and take the time."""
+        """Forward the event to the component and measure its processor time."""
         started = time.perf_counter()
         effects = self._component.handle(event, now=now)
         self._spent.seconds += time.perf_counter() - started
@@ -56,19 +56,19 @@
 
 
 class LoadPublisher:
-    """Publishes a router's load counts of ever the same size."""
+    """Publishes a router's load counts, always ``size`` bytes in total."""
 
     def __init__(self, *, gossip: Gossip, size: int, phase: float) -> None:
-        """Start at ``phase`` seconds."""
+        """Initialize the publisher; ``phase`` is the time of the first publication in seconds."""
         self._gossip = gossip
         starts = range(0, size, MAX_LOAD_BYTES)
         self._parts = [bytes(min(MAX_LOAD_BYTES, size - start)) for start in starts]
         self._due = phase
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
-        """Publish when it is time."""
+        """Publish the load counts if the interval has passed."""
         if now >= self._due:
-            self._due = now + LOAD_EVERY_S
+            self._due = now + LOAD_INTERVAL_S
             for index, part in enumerate(self._parts):
                 key = str(index) if index else ""
                 self._gossip.publish("load", key, part, Urgency.LOAD, now=now)
@@ -77,27 +77,27 @@
 
 @dataclass(slots=True)
 class Router:
-    """The parts of one router."""
+    """The components of one router and the creation times of the load values it holds."""
 
     gossip: Gossip
     registry: EndpointRegistry
-    born: dict[str, float] = field(default_factory=dict)
+    created_at: dict[str, float] = field(default_factory=dict)
 
 
 class Fleet:
     """Routers with endpoints that announce themselves to any of them."""
 
     def __init__(self, *, routers: int, endpoints: int, budget: int) -> None:
-        """Start all routers; endpoints announce themselves once time runs."""
+        """Start all routers; ``run_for`` announces the endpoints."""
         self.network = Network(seed=1)
         self.random = random.Random(2)
-        self.spent = Spent()
+        self.cpu_time = CpuTime()
         self.delays: list[float] = []
         self.left: dict[str, float] = {}
         self.names = [f"{ZONES[index % 3]}-{index}" for index in range(routers)]
         self.budget = budget
-        each = min(endpoints, IN_FLIGHT * endpoints // routers) or 1
-        self.load_bytes = each * BYTES_PER_COUNT
+        counts = min(endpoints, IN_FLIGHT * endpoints // routers) or 1
+        self.load_bytes = counts * BYTES_PER_COUNT
         self.routers = {name: self._start(name) for name in self.names}
         self.endpoints = {name: _announce(name) for name in _name_endpoints(endpoints)}
         self._due = dict.fromkeys(self.endpoints, 0.0)
@@ -128,20 +128,22 @@
         ]
         membership = Membership(gossip=gossip, own=own, seeds=seeds, random=stream)
         router = Router(gossip, EndpointRegistry(gossip=gossip, instance_id=name))
-        gossip.subscribe("load", lambda news: self._note_load(router, news))
+        gossip.subscribe("load", lambda update: self._record_load(router, update))
         parts: list[Component] = [gossip, membership, router.registry]
-        timed: list[Component] = [Timed(component=part, spent=self.spent) for part in parts]
-        phase = stream.uniform(0.0, LOAD_EVERY_S)
+        timed: list[Component] = [
+            TimedComponent(component=part, cpu_time=self.cpu_time) for part in parts
+        ]
+        phase = stream.uniform(0.0, LOAD_INTERVAL_S)
         publisher = LoadPublisher(gossip=gossip, size=self.load_bytes, phase=phase)
         self.network.start(name, [*timed, publisher])
         return router
 
-    def _note_load(self, router: Router, news: ValueUpdate) -> None:
-        router.born[f"{news.origin}/{news.key}"] = news.now - news.age_s
-        self.delays.append(news.age_s)
+    def _record_load(self, router: Router, update: ValueUpdate) -> None:
+        router.created_at[f"{update.origin}/{update.key}"] = update.now - update.age_s
+        self.delays.append(update.age_s)
 
     def run_for(self, seconds: float) -> None:
-        """Run, with announcements at their time."""
+        """Run the network and send the announcements that become due."""
         end = self.network.now + seconds
         while self.network.now < end:
             self.network.run_for(0.05)
@@ -151,14 +153,18 @@
                     self.announce(self.endpoints[name])
 
     def announce(self, announcement: Announcement) -> None:
-        """Let an endpoint announce itself to a random router."""
+        """Announce an endpoint to a random router."""
         router = self.routers[self.random.choice(self.names)]
         router.registry.announce(announcement, now=self.network.now)
 
     def list_ages(self) -> list[float]:
-        """Return how old the load counts are that each router holds of each other."""
+        """Return the ages in seconds of all load values that routers hold of other routers."""
         now = self.network.now
-        return [now - born for router in self.routers.values() for born in router.born.values()]
+        return [
+            now - created_at
+            for router in self.routers.values()
+            for created_at in router.created_at.values()
+        ]
 
 
 def _name_endpoints(count: int) -> list[str]:
@@ -181,15 +187,18 @@
     )
 
 
-def pick(values: list[float], share: float) -> float:
-    """Return a quantile, not-a-number for no values."""
+def get_quantile(values: list[float], share: float) -> float:
+    """Return a quantile of the values, or NaN if there are none."""
     if not values:
         return float("nan")
     return sorted(values)[min(len(values) - 1, int(share * len(values)))]
 
 
 def measure_leaving(fleet: Fleet) -> list[float]:
-    """Let one endpoint leave; return after how long each router knew."""
+    """Announce that an endpoint leaves; return the delay in seconds until each router knows.
+
+    Routers that do not know it after 10 seconds count as 10 seconds.
+    """
     name = fleet.random.choice(list(fleet.endpoints))
     old = fleet.endpoints[name]
     fleet.endpoints[name] = replace(old, state=AnnouncedState.LEAVING)
@@ -214,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One fleet to measure."""
+    """Parameters of a fleet to measure; ``budget`` is in bytes per second and router."""
 
     routers: int
     endpoints: int
@@ -224,12 +233,12 @@
 
 
 def measure(case: Case) -> str:
-    """Run one fleet and return its line of the table."""
+    """Measure one fleet and return its row of the table."""
     routers, endpoints, budget = case.routers, case.endpoints, case.budget
     fleet = Fleet(routers=routers, endpoints=endpoints, budget=budget)
     fleet.run_for(case.warm_up_s)
     fleet.delays.clear()
-    fleet.spent.seconds = 0.0
+    fleet.cpu_time.seconds = 0.0
     first = len(fleet.network.sent)
     started = fleet.network.now
     ages: list[float] = []
@@ -240,7 +249,7 @@
         ages.extend(fleet.list_ages())
         if case.churn and fleet.network.now >= next_churn:
             leaving.extend(measure_leaving(fleet))
-            next_churn = fleet.network.now + CHURN_EVERY_S
+            next_churn = fleet.network.now + CHURN_INTERVAL_S
     sent = fleet.network.sent[first:]
     seconds = fleet.network.now - started
     listed = [len(parts.registry.list_endpoints(SERVICE)) for parts in fleet.routers.values()]
@@ -249,11 +258,11 @@
         f"{fleet.load_bytes:5d}",
         f"{sum(s.charged_bytes for s in sent) / seconds / routers:7.0f}",
         f"{len(sent) / seconds / routers:5.1f}",
-        f"{pick(fleet.delays, 0.5):6.2f} {pick(fleet.delays, 0.99):6.2f}",
-        f"{pick(ages, 0.5):6.2f} {pick(ages, 0.99):6.2f}",
-        f"{pick(leaving, 0.5):6.2f} {pick(leaving, 0.99):6.2f}",
-        f"{1e6 * fleet.spent.seconds / max(1, len(sent)):7.0f}",
-        f"{1e3 * fleet.spent.seconds / seconds / routers:6.1f}",
+        f"{get_quantile(fleet.delays, 0.5):6.2f} {get_quantile(fleet.delays, 0.99):6.2f}",
+        f"{get_quantile(ages, 0.5):6.2f} {get_quantile(ages, 0.99):6.2f}",
+        f"{get_quantile(leaving, 0.5):6.2f} {get_quantile(leaving, 0.99):6.2f}",
+        f"{1e6 * fleet.cpu_time.seconds / max(1, len(sent)):7.0f}",
+        f"{1e3 * fleet.cpu_time.seconds / seconds / routers:6.1f}",
     ]
     missing = max(endpoints - count for count in listed)
     return "  ".join(cells) + (f"  {missing} not yet listed" if missing > 0 else "")
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -1,7 +1,7 @@
-"""Processor time of a question and its answer between two instances, by transport.
+"""Measures the processor time of a request and its answer between two instances.
 
-``python -m benchmarks.links`` prints it for streams of gRPC and for frames over sockets, both
-sides together, with views of as many endpoints as a large fleet has.
+``python -m benchmarks.links`` prints the time for both sides together, for gRPC streams and for
+frames over sockets, with views of as many endpoints as a large fleet has.
 """
 
 from gevent import monkey
@@ -27,9 +27,9 @@
 PORT: Final = 18890
 ENDPOINTS: Final = 64
 ROUNDS: Final = 500
-BETWEEN_S: Final = 0.004
+REQUEST_INTERVAL_S: Final = 0.004
 
-Take = Callable[[str, Message], None]
+OnMessage = Callable[[str, Message], None]
 
 
 class _Transport(Protocol):
@@ -37,19 +37,19 @@
     def send(self, target: str, message: Message) -> None: ...
 
 
-def _make_grpc(address: str, take: Take) -> _Transport:
+def _make_grpc(address: str, on_message: OnMessage) -> _Transport:
     return PeerTransport(
         instance_id=address,
         listen=address,
         advertised=address,
         resolve=lambda target: target,
-        on_message=take,
+        on_message=on_message,
         on_error=print,
     )
 
 
-def _make_links(address: str, take: Take) -> _Transport:
-    return LinkTransport(address=address, on_message=take, on_error=print)
+def _make_links(address: str, on_message: OnMessage) -> _Transport:
+    return LinkTransport(address=address, on_message=on_message, on_error=print)
 
 
 def _make_view() -> View:
@@ -68,31 +68,31 @@
     )
 
 
-def measure(make: Callable[[str, Take], _Transport], port: int) -> float:
-    """Return the seconds of processor time of one question and its answer."""
+def measure(make: Callable[[str, OnMessage], _Transport], port: int) -> float:
+    """Return the processor time in seconds of one request and its answer."""
     router, replica = f"{HOST}:{port}", f"{HOST}:{port + 1}"
     view = _make_view()
     answers: list[Message] = []
-    asking = make(router, lambda _, message: answers.append(message))
-    answering = make(replica, lambda source, _: answering.send(source, view))
-    asking.start()
-    answering.start()
+    requester = make(router, lambda _, message: answers.append(message))
+    responder = make(replica, lambda source, _: responder.send(source, view))
+    requester.start()
+    responder.start()
     follow = Follow(router=router, run="f00d", change=0, version=7, is_assigned=True)
     began = 0.0
     for number in range(ROUNDS + 20):
         if number == 20:
             began = time.process_time()
-        asking.send(replica, follow)
-        gevent.sleep(BETWEEN_S)
+        requester.send(replica, follow)
+        gevent.sleep(REQUEST_INTERVAL_S)
     assert len(answers) > ROUNDS
     return (time.process_time() - began) / ROUNDS
 
 
 def main() -> None:
-    """Print one line for each transport."""
+    """Print the time for each transport, without that of an idle process."""
     idle = time.process_time()
     for _ in range(ROUNDS):
-        gevent.sleep(BETWEEN_S)
+        gevent.sleep(REQUEST_INTERVAL_S)
     idle = (time.process_time() - idle) / ROUNDS
     for name, make, port in (("grpc", _make_grpc, PORT), ("links", _make_links, PORT + 4)):
         print(f"{name}: {(measure(make, port) - idle) * 1e6:.0f} us a question and answer")
--- a/benchmarks/placement/slots.py
+++ b/benchmarks/placement/slots.py
@@ -1,4 +1,4 @@
-"""The placer with owners that grant slots."""
+"""Policy in which each engine has an owner router that grants its slots."""
 
 from functools import partial
 
@@ -12,7 +12,7 @@
 from benchmarks.placement.fleet import FakeRouter, FleetPolicy, make_demand
 from benchmarks.placement.models import Request
 from benchmarks.placement.policies import POLICIES
-from benchmarks.placement.world import Chosen, World
+from benchmarks.placement.world import OnChosen, World
 from chivetrack.components.load.models import LoadSummary
 from chivetrack.components.routing.slots import Placed, SlotPlacer
 from chivetrack.core import Effect, MessageReceived, SendMessage, TimeReached, WakeAt
@@ -21,18 +21,18 @@
 
 @POLICIES.register("slots")
 class Slots(FleetPolicy):
-    """Owners grant slots; routers tell each other nothing else but summaries."""
+    """Owner routers grant slots; besides, routers exchange load summaries only."""
 
     name = "slots"
     exchanges_counts = False
-    hears_reports = False
+    receives_load_reports = False
 
     def __init__(self, *, world: World) -> None:
-        """Give each router a slot placer and a summary to send."""
+        """Create a slot placer for each router and schedule its summaries."""
         super().__init__(world=world)
         names = [router.router_id for router in self.routers]
         self._numbers = {name: number for number, name in enumerate(names)}
-        self._waiting: dict[str, Chosen] = {}
+        self._waiting: dict[str, OnChosen] = {}
         self._serial = 0
         self._slots = [
             SlotPlacer(
@@ -49,28 +49,28 @@
             first = world.random.uniform(0.0, interval)
             world.call_every(interval, partial(self._summarise, number), first=first)
 
-    def choose(self, request: Request, excluded: frozenset[str], done: Chosen) -> None:
-        """Ask the slot placer of the request's router."""
+    def choose(self, request: Request, excluded: frozenset[str], done: OnChosen) -> None:
+        """Request a placement from the slot placer of the request's router."""
         self._serial += 1
         name = f"{request.number}/{self._serial}"
         self._waiting[name] = done
         slots = self._slots[request.router]
         effects = slots.place(name, make_demand(request, excluded), now=self.world.now)
-        self._carry_out(request.router, effects)
+        self._execute_effects(request.router, effects)
 
     def start(self, request: Request, engine_id: str) -> None:
-        """Do nothing: the slot placer counted the request."""
+        """Do nothing, as the slot placer has already counted the request."""
 
     def abandon(self, request: Request, engine_id: str) -> None:
-        """Give the slot back."""
+        """Release the slot."""
         self.finish(request, engine_id)
 
     def finish(self, request: Request, engine_id: str) -> None:
-        """Count the request as over."""
+        """Release the slot of a finished request."""
         effects = self._slots[request.router].finish(engine_id, now=self.world.now)
-        self._carry_out(request.router, effects)
+        self._execute_effects(request.router, effects)
 
-    def _carry_out(self, router: int, effects: list[Effect]) -> None:
+    def _execute_effects(self, router: int, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, Placed):
                 endpoint = effect.placement.endpoint
@@ -83,7 +83,7 @@
 
     def _wake(self, router: int) -> None:
         slots = self._slots[router]
-        self._carry_out(router, slots.handle(TimeReached(), now=self.world.now))
+        self._execute_effects(router, slots.handle(TimeReached(), now=self.world.now))
 
     def _send(self, source: int, target: int, message: Message) -> None:
         size = len(pack(message)) + MESSAGE_OVERHEAD_BYTES
@@ -93,7 +93,7 @@
 
     def _deliver(self, source: int, target: int, message: Message) -> None:
         event = MessageReceived(source=self.routers[source].router_id, message=message)
-        self._carry_out(target, self._slots[target].handle(event, now=self.world.now))
+        self._execute_effects(target, self._slots[target].handle(event, now=self.world.now))
 
     def _summarise(self, router: int) -> None:
         summary: LoadSummary = self._slots[router].collect_summary(self.world.now)
@@ -112,4 +112,4 @@
         effects = self._slots[number].set_view(
             router_ids=list(self._numbers), endpoint_ids=names, now=self.world.now
         )
-        self._carry_out(number, effects)
+        self._execute_effects(number, effects)
--- a/script/settings_reference.py
+++ b/script/settings_reference.py
@@ -1,4 +1,4 @@
-"""Writes the reference of the settings from their models."""
+"""Generates the reference pages of the settings from their models."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Field:
-    """One setting, of a model of pydantic or of a struct."""
+    """One setting, from a field of a pydantic model or a msgspec struct."""
 
     name: str
     annotation: Any
@@ -53,7 +53,7 @@
     description: str
 
 
-def _list_fields(model: type[Any]) -> Iterator[_Field]:
+def _iterate_fields(model: type[Any]) -> Iterator[_Field]:
     if issubclass(model, msgspec.Struct):
         for field in msgspec.structs.fields(model):
             kind, *metadata = [field.type]
@@ -85,46 +85,46 @@
     return find_inner_model(annotation)
 
 
-def write_reference(settings: type[Any] = Settings, introduction: str = INTRODUCTION) -> str:
-    """Return the whole page."""
+def render_reference(settings: type[Any] = Settings, introduction: str = INTRODUCTION) -> str:
+    """Return the Markdown page of a settings model."""
     lines = [introduction]
-    for section in _list_fields(settings):
+    for section in _iterate_fields(settings):
         model = _find_section(section.annotation)
         assert model is not None
         lines += [f"## `[{section.name}]`", "", model.__doc__ or "", ""]
         lines += ["| key | form | default | meaning |", "| --- | --- | --- | --- |"]
-        lines += [f"| {' | '.join(row)} |" for row in _list_rows(model, prefix="")]
+        lines += [f"| {' | '.join(row)} |" for row in _iterate_rows(model, prefix="")]
         lines.append("")
     return "\n".join(lines).rstrip() + "\n"
 
 
-def _list_rows(model: type[Any], *, prefix: str) -> Iterator[tuple[str, ...]]:
-    for field in _list_fields(model):
+def _iterate_rows(model: type[Any], *, prefix: str) -> Iterator[tuple[str, ...]]:
+    for field in _iterate_fields(model):
         key = f"{prefix}{field.name}"
-        form = _name_form(field)
+        form = _describe_form(field)
         yield (f"`{key}`", form, _format_default(field), field.description)
         inner = _find_section(field.annotation)
         if inner is not None:
-            mark = "[]." if form.startswith("list") else "."
-            yield from _list_rows(inner, prefix=f"{key}{mark}")
+            separator = "[]." if form.startswith("list") else "."
+            yield from _iterate_rows(inner, prefix=f"{key}{separator}")
 
 
-def _name_form(field: _Field) -> str:
-    words = _name_type(field.annotation)
+def _describe_form(field: _Field) -> str:
+    description = _describe_type(field.annotation)
     for entry in field.metadata:
         for bound, text in BOUNDS.items():
             value = getattr(entry, bound, None)
             if value is not None:
-                words += f", {text} {value}"
-    return words
+                description += f", {text} {value}"
+    return description
 
 
-def _name_type(annotation: Any) -> str:
+def _describe_type(annotation: Any) -> str:
     arguments = [a for a in get_args(annotation) if a not in (type(None), Ellipsis)]
     if getattr(annotation, "__origin__", None) is tuple:
-        return f"list of {_name_type(arguments[0])}"
+        return f"list of {_describe_type(arguments[0])}"
     if arguments and not isinstance(annotation, type):
-        return _name_type(arguments[0])
+        return _describe_type(arguments[0])
     if isinstance(annotation, type) and issubclass(annotation, Enum):
         return " or ".join(f"`{member.value}`" for member in annotation)
     if find_inner_model(annotation) is not None:
@@ -150,10 +150,10 @@
 
 
 def main() -> None:
-    """Write the pages."""
+    """Write the reference pages to the folder of the operators' pages."""
     FOLDER.mkdir(parents=True, exist_ok=True)
     for name, (settings, introduction) in PAGES.items():
-        (FOLDER / name).write_text(write_reference(settings, introduction), encoding="utf-8")
+        (FOLDER / name).write_text(render_reference(settings, introduction), encoding="utf-8")
 
 
 if __name__ == "__main__":
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in endpoint: a model engine or a plain service, as a process of its own."""
+"""A stand-in endpoint that simulates a model engine or a plain service in its own process."""
 
 import signal
 import socket
@@ -22,25 +22,25 @@
     HEADER_DID_NOT_RUN,
     HEADER_REQUEST_ID,
     LEASE_S,
-    STOP_LIMIT_S,
+    STOP_TIMEOUT_S,
 )
 from standins.models import EndpointIdentity, Faults, SeenRequest
 
 
-class PromptHandler(WSGIHandler):
-    """Sends each write at once.
+class NoDelayHandler(WSGIHandler):
+    """Request handler that sets TCP_NODELAY, so that each write is sent at once.
 
-    The library writes head and body one by one. With the system's delay of small
-    packets the body waits up to 40 ms for the other side's acknowledgement.
+    pywsgi writes head and body separately. With Nagle's algorithm the body would wait up to
+    40 ms for the peer's acknowledgement of the head.
     """
 
     def handle(self) -> None:
-        """Serve a connection."""
+        """Disable Nagle's algorithm and serve the connection."""
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().handle()
 
     def handle_error(self, t: Any, v: Any, tb: Any) -> None:
-        """Close without a word when a death is played."""
+        """Close the connection without an answer for an injected crash."""
         if isinstance(v, CutError):
             self.close_connection = True
             return
@@ -48,11 +48,11 @@
 
 
 class CutError(Exception):
-    """Ends an answer in the middle, as a dying engine does."""
+    """Aborts an answer to simulate an engine that crashes."""
 
 
 class StandInEndpoint:
-    """Serves chat completions and plain calls, and keeps a record of what it ran."""
+    """Serves chat completions and plain calls, and records the requests that it receives."""
 
     def __init__(
         self,
@@ -63,7 +63,11 @@
         cache_chats: int,
         end: Callable[[], None],
     ) -> None:
-        """Take what it is and how fast it answers; ``end`` ends the process at once."""
+        """Initialize the endpoint.
+
+        An answer has ``tokens`` tokens, each of which takes ``token_ms`` milliseconds; the
+        prefix cache holds ``cache_chats`` chats. ``end`` requests the end of the process.
+        """
         self.identity = identity
         self.faults = Faults()
         self.seen: list[SeenRequest] = []
@@ -75,7 +79,7 @@
         self._end = end
 
     def build(self) -> Bottle:
-        """Return the application."""
+        """Return the WSGI application."""
         app = Bottle(catchall=False)
         app.route("/v1/chat/completions", "POST", self._serve_chat)
         app.route("/standin/seen", "GET", self._show_seen)
@@ -90,7 +94,7 @@
         self.faults = msgspec.convert(msgspec.json.decode(request.body.read()), Faults)
         return HTTPResponse(status=204)
 
-    def _note(self, *, chat: str, ran: bool = True) -> SeenRequest:
+    def _record(self, *, chat: str, ran: bool = True) -> SeenRequest:
         seen = SeenRequest(
             request_id=request.get_header(HEADER_REQUEST_ID, ""),
             chat=chat,
@@ -103,28 +107,28 @@
         self.seen.append(seen)
         return seen
 
-    def _play_early_fault(self, fault: str, chat: str) -> HTTPResponse | None:
+    def _inject_early_fault(self, fault: str, chat: str) -> HTTPResponse | None:
         if fault == "refuse":
-            self._note(chat=chat, ran=False)
+            self._record(chat=chat, ran=False)
             headers = {HEADER_DID_NOT_RUN: "true", "Retry-After": "1"}
             return HTTPResponse(status=503, headers=headers)
         if fault == "late":
             gevent.sleep(self.faults.delay_s)
         if fault == "error":
-            self._note(chat=chat)
+            self._record(chat=chat)
             return _answer_json({"error": "played"}, "", status=500)
         if fault == "die":
-            self._note(chat=chat)
+            self._record(chat=chat)
             raise CutError
         return None
 
     def _serve_call(self, path: str) -> HTTPResponse:
         chat = request.get_header("X-Chat-Id", "")
-        fault = self.faults.take()
-        early = self._play_early_fault(fault, chat)
+        fault = self.faults.pop_next()
+        early = self._inject_early_fault(fault, chat)
         if early is not None:
             return early
-        seen = self._note(chat=chat)
+        seen = self._record(chat=chat)
         seen.finished = True
         answer = {
             "endpoint": self.identity.endpoint_id,
@@ -138,20 +142,20 @@
     def _serve_chat(self) -> HTTPResponse:
         body = msgspec.json.decode(request.body.read())
         chat = request.get_header("X-Chat-Id", "")
-        fault = self.faults.take()
-        early = self._play_early_fault(fault, chat)
+        fault = self.faults.pop_next()
+        early = self._inject_early_fault(fault, chat)
         if early is not None:
             return early
-        seen = self._note(chat=chat)
+        seen = self._record(chat=chat)
         seen.cached = self._cache.use(chat)
         text = str(body["messages"][-1].get("content", ""))
         if not body.get("stream"):
-            return self._answer_whole(seen, text, fault)
+            return self._answer_unstreamed(seen, text, fault)
         headers = {"Content-Type": "text/event-stream", HEADER_REQUEST_ID: _echo_id(fault)}
         stream = TokenStream(endpoint=self, seen=seen, text=text, fault=fault, count=self._tokens)
         return HTTPResponse(body=stream, status=200, headers=headers)
 
-    def _answer_whole(self, seen: SeenRequest, text: str, fault: str) -> HTTPResponse:
+    def _answer_unstreamed(self, seen: SeenRequest, text: str, fault: str) -> HTTPResponse:
         self.in_flight += 1
         try:
             gevent.sleep(self._tokens * self._token_s)
@@ -173,20 +177,20 @@
             response.headers["Content-Length"] = str(len(response.body) + 10)
             response.headers["Connection"] = "close"
         if fault == "double":
-            response.body += _make_raw_answer(response)
+            response.body += _format_raw_answer(response)
         return response
 
     def make_token(self, seen: SeenRequest, text: str, number: int) -> str:
-        """Return a token that names its request, so that a mix-up shows."""
+        """Return a token that names its request, so that tests can detect mixed-up answers."""
         return f"{seen.chat}/{text}/{number} "
 
     def wait_token(self) -> None:
-        """Wait as long as a token takes."""
+        """Wait for the time of one token."""
         gevent.sleep(self._token_s)
 
 
 class TokenStream:
-    """The chunks of one streamed answer; closing it early is a cancel."""
+    """The chunks of one streamed answer; closing it before its end counts as a cancel."""
 
     def __init__(
         self, *, endpoint: StandInEndpoint, seen: SeenRequest, text: str, fault: str, count: int
@@ -205,7 +209,7 @@
         return next(self._chunks)
 
     def close(self) -> None:
-        """Take note of the end; not finished means cancelled."""
+        """Count the stream as ended, and as cancelled if it was not finished."""
         if not self._open:
             return
         self._open = False
@@ -242,7 +246,7 @@
     return "another-request" if fault == "wrong_id" else given
 
 
-def _make_raw_answer(response: HTTPResponse) -> bytes:
+def _format_raw_answer(response: HTTPResponse) -> bytes:
     lines = ["HTTP/1.1 200 OK", *(f"{name}: {value}" for name, value in response.headerlist)]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + response.body
 
@@ -266,7 +270,7 @@
     cache_chats: int,
     key: str,
 ) -> None:
-    """Serve until SIGTERM; then announce the leave and finish what is in flight."""
+    """Serve until SIGTERM; then announce ``leaving`` and complete the requests in flight."""
     stop = Event()
     endpoint = StandInEndpoint(
         identity=identity,
@@ -281,7 +285,7 @@
         endpoint.build(),
         log=None,
         error_log=None,
-        handler_class=PromptHandler,
+        handler_class=NoDelayHandler,
     )
     server.start()
     address = f"{host}:{server.server_port}"
@@ -296,7 +300,7 @@
     stop.wait()
     announcer.state = "leaving"
     announcer.announce()
-    deadline = time.monotonic() + STOP_LIMIT_S
+    deadline = time.monotonic() + STOP_TIMEOUT_S
     gevent.sleep(LEASE_S)
     while endpoint.in_flight and time.monotonic() < deadline:
         gevent.sleep(0.05)
@@ -311,16 +315,20 @@
     ] = None,
     listen: Annotated[str, typer.Option(help="host:port; port 0 chooses one.")] = "127.0.0.1:0",
     kind: Annotated[str, typer.Option(help="engine or service.")] = "engine",
-    service: Annotated[str, typer.Option(help="Service that it belongs to.")] = "valuation",
-    model: Annotated[list[str] | None, typer.Option(help="Models that it serves.")] = None,
+    service: Annotated[
+        str, typer.Option(help="Service that the endpoint belongs to.")
+    ] = "valuation",
+    model: Annotated[
+        list[str] | None, typer.Option(help="Models that the endpoint serves.")
+    ] = None,
     region: Annotated[str, typer.Option(help="Region.")] = "kyushu",
     zone: Annotated[str, typer.Option(help="Availability zone.")] = "fukuoka-hall",
     capacity: Annotated[int, typer.Option(help="Requests served at once.")] = 16,
     tokens: Annotated[int, typer.Option(help="Tokens of each answer.")] = DEFAULT_TOKENS,
-    token_ms: Annotated[float, typer.Option(help="Time a token takes.")] = DEFAULT_TOKEN_MS,
+    token_ms: Annotated[float, typer.Option(help="Time per token in ms.")] = DEFAULT_TOKEN_MS,
     cache_chats: Annotated[int, typer.Option(help="Chats in the cache.")] = DEFAULT_CACHE_CHATS,
-    incarnation: Annotated[int, typer.Option(help="0: the current time.")] = 0,
-    key: Annotated[str, typer.Option(help="Announcer's key.")] = "",
+    incarnation: Annotated[int, typer.Option(help="Incarnation; 0: the current time in ms.")] = 0,
+    key: Annotated[str, typer.Option(help="Key for the announcements.")] = "",
 ) -> None:
     """Run a stand-in endpoint."""
     identity = EndpointIdentity(
--- a/standins/link.py
+++ b/standins/link.py
@@ -1,8 +1,8 @@
-"""A link between instances that can be cut without a sign, as a process of its own.
+"""A proxy for the peer port of one instance that can drop bytes to simulate a partition.
 
-It stands before one instance's peer port. The file given by ``--cuts`` names process
-ids, one a line: bytes from and to those processes are swallowed while the connections
-stay up. A ``*`` swallows everything.
+It runs in its own process. The file given by ``--cuts`` lists process ids, one per line:
+bytes from and to those processes are dropped while their connections stay open. A ``*``
+drops all bytes.
 """
 
 import os
@@ -16,44 +16,44 @@
 import typer
 from gevent.server import StreamServer
 
-from standins.const import PUMP_SIZE
+from standins.const import RECEIVE_BUFFER_BYTES
 
-READ_EVERY_S = 0.05
-TABLE_READS = 20
-READ_AGAIN_S = 0.005
-# gRPC opens sockets that speak both versions of IP where the machine has both; those to an
-# IPv4 address stand in the second table, with the address behind this prefix.
+CUTS_POLL_INTERVAL_S = 0.05
+MAX_TABLE_READS = 20
+TABLE_RETRY_DELAY_S = 0.005
+# gRPC opens dual-stack sockets where the machine supports IPv6. Their connections to IPv4
+# addresses are listed in the tcp6 table, with this prefix before the address.
 TCP_TABLES = ((Path("/proc/net/tcp"), ""), (Path("/proc/net/tcp6"), "0000000000000000FFFF0000"))
 
 
-Endpoint = tuple[str, int]
+SocketAddress = tuple[str, int]
 
 
 def find_owner(inode: str, pids: list[int]) -> int:
-    """Return which of the processes owns the socket with an inode, or 0."""
+    """Return the id of the process in ``pids`` that owns the socket ``inode``, or 0."""
     if not inode:
         return 0
     for pid in pids:
-        if _owns(pid, f"socket:[{inode}]"):
+        if _has_socket(pid, f"socket:[{inode}]"):
             return pid
     return 0
 
 
-def find_inode(source: Endpoint, target: Endpoint) -> str:
-    """Return the inode of the socket that connects source to target, empty if there is none.
+def find_inode(source: SocketAddress, target: SocketAddress) -> str:
+    """Return the inode of the socket that connects source to target, or an empty string.
 
-    Both ends count: two processes may connect from the same local port to different
-    targets at once, and the port alone would name either of them. The kernel gives its
-    table out in pieces, and a socket that others move past meanwhile is left out; so it
-    is read again before a connection counts as unknown.
+    Both ends are compared: two processes may connect from the same local port to different
+    targets at once, so the port alone is ambiguous. The kernel returns its table in pieces
+    and omits a socket whose position changes between two of them, so the table is read up to
+    ``MAX_TABLE_READS`` times before a connection counts as unknown.
     """
-    for _ in range(TABLE_READS):
+    for _ in range(MAX_TABLE_READS):
         for table, prefix in TCP_TABLES:
-            wanted = [prefix + _format_end(source), prefix + _format_end(target)]
+            wanted = [prefix + _format_address(source), prefix + _format_address(target)]
             inode = _read_inode(table, wanted)
             if inode:
                 return inode
-        gevent.sleep(READ_AGAIN_S)
+        gevent.sleep(TABLE_RETRY_DELAY_S)
     return ""
 
 
@@ -67,13 +67,13 @@
     return ""
 
 
-def _format_end(end: Endpoint) -> str:
-    """Write an address as the kernel's table does: hexadecimal, in its own byte order."""
+def _format_address(end: SocketAddress) -> str:
+    """Format an address as in the kernel's table: hexadecimal, in the machine's byte order."""
     number = int.from_bytes(socket.inet_aton(end[0]), sys.byteorder)
     return f"{number:08X}:{end[1]:04X}"
 
 
-def _owns(pid: int, name: str) -> bool:
+def _has_socket(pid: int, name: str) -> bool:
     folder = Path(f"/proc/{pid}/fd")
     try:
         links = list(folder.iterdir())
@@ -88,16 +88,16 @@
     return False
 
 
-def get_taken(cuts: Path) -> Path:
-    """Return the file into which a link writes the cuts that it has taken."""
+def get_applied_path(cuts: Path) -> Path:
+    """Return the path of the file to which a link writes the cuts that it has applied."""
     return cuts.with_suffix(".taken")
 
 
 class Link:
-    """Pipes connections to one instance and swallows what is cut."""
+    """Forwards connections to one instance and drops the bytes of cut processes."""
 
     def __init__(self, *, listen: str, target: str, cuts: Path) -> None:
-        """Bind the listener."""
+        """Create the server; ``listen`` and ``target`` have the form ``host:port``."""
         host, _, port = listen.rpartition(":")
         self._target = target
         self._cuts = cuts
@@ -106,7 +106,7 @@
         self.server = StreamServer((host, int(port)), self._handle)
 
     def watch(self) -> None:
-        """Read the file of cuts again and again."""
+        """Poll the file of cuts and apply its changes until the greenlet is killed."""
         while True:
             try:
                 text = self._cuts.read_text()
@@ -115,8 +115,8 @@
             if text != self._text:
                 self._text = text
                 self._cut = frozenset(text.split())
-                get_taken(self._cuts).write_text(text)
-            gevent.sleep(READ_EVERY_S)
+                get_applied_path(self._cuts).write_text(text)
+            gevent.sleep(CUTS_POLL_INTERVAL_S)
 
     def _handle(self, source: socket.socket, address: tuple[str, int]) -> None:
         host, _, port = self._target.rpartition(":")
@@ -127,15 +127,15 @@
             return
         sink.settimeout(None)
         inode = find_inode((address[0], address[1]), source.getsockname()[:2])
-        other = gevent.spawn(self._pump, sink, source, inode)
+        reverse = gevent.spawn(self._pump, sink, source, inode)
         self._pump(source, sink, inode)
-        other.join()
+        reverse.join()
         source.close()
         sink.close()
 
     def _pump(self, source: socket.socket, sink: socket.socket, inode: str) -> None:
         try:
-            while data := source.recv(PUMP_SIZE):
+            while data := source.recv(RECEIVE_BUFFER_BYTES):
                 if not self._is_cut(inode):
                     sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
@@ -154,7 +154,7 @@
 def main(
     listen: Annotated[str, typer.Option(help="host:port.")],
     target: Annotated[str, typer.Option(help="host:port of the instance.")],
-    cuts: Annotated[Path, typer.Option(help="File with the process ids that are cut.")],
+    cuts: Annotated[Path, typer.Option(help="File with the ids of the processes to cut off.")],
 ) -> None:
     """Run a link until SIGTERM."""
     link = Link(listen=listen, target=target, cuts=cuts)
--- a/tests/benchmarks/test_fleet.py
+++ b/tests/benchmarks/test_fleet.py
@@ -1,4 +1,4 @@
-"""The model of a fleet, and the loads that decided between policies."""
+"""Tests of the fleet simulation and of the load bound that it shows."""
 
 import unittest
 from dataclasses import replace
@@ -9,36 +9,37 @@
 from benchmarks.fleet.world import World
 
 
-def play(deployment: Deployment, policy: str, seed: int = 1) -> Figures:
+def simulate(deployment: Deployment, policy: str, seed: int = 1) -> Figures:
     world = World(deployment=deployment, policy=POLICIES[policy](), seed=seed)
-    return measure(world.play())
+    return measure(world.simulate())
 
 
 class FleetModelTest(unittest.TestCase):
     def test_same_seed_same_figures(self) -> None:
         deployment = replace(draw_deployment(3), seconds=5.0)
-        self.assertEqual(play(deployment, "deployed"), play(deployment, "deployed"))
+        self.assertEqual(simulate(deployment, "deployed"), simulate(deployment, "deployed"))
 
-    def test_every_request_has_an_end(self) -> None:
+    def test_every_request_has_an_outcome(self) -> None:
         deployment = replace(make_boards(seed=2, requests_per_s=50.0), seconds=10.0)
         world = World(deployment=deployment, policy=POLICIES["deployed"](), seed=2)
-        result = world.play()
+        result = world.simulate()
         ends = len(result.outcomes)
         self.assertGreater(ends, 350)
         self.assertLess(measure(result).unserved, 0.01)
 
-    def test_bound_is_kept_with_late_counts(self) -> None:
-        """Nine routers, nine engines, a third of the engines' capacity in use.
+    def test_load_bound_holds_with_delayed_counts(self) -> None:
+        """Guards against a load bound of routers that is too wide for delayed counts.
 
-        Each router knows the others' counts half a second late, so the bound that it keeps
-        has to lie below the one that is promised, twice the mean and three. A wider one
-        moves fewer prompts, and sends twice as many requests over the promise.
+        Nine routers send to nine engines at a third of their capacity. A router gets the
+        others' counts about half a second late, so its own bound must be lower than the
+        documented one of twice the mean plus three. A wider bound moves fewer prompts and
+        sends twice as many requests above the documented bound.
         """
         figures: dict[str, list[Figures]] = {"deployed": [], "wide-bound": []}
         for name, runs in figures.items():
             for seed in (1, 2):
                 deployment = replace(make_boards(seed=seed, requests_per_s=150.0), seconds=20.0)
-                runs.append(play(deployment, name, seed))
+                runs.append(simulate(deployment, name, seed))
         deployed = average(figures["deployed"])
         wide = average(figures["wide-bound"])
         self.assertLess(deployed.over, 0.01)
--- a/tests/components/slow_start/test_permits.py
+++ b/tests/components/slow_start/test_permits.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from benchmarks.slow_start import COLD_S, PER_S, find_most, play
+from benchmarks.slow_start import COLD_S, PER_S, find_peak_count, simulate
 from chivetrack.components.slow_start.cold import ColdEndpointTracker
 from chivetrack.components.slow_start.const import FLEET_HALF_LIFE_S, STARTUP_DELAY_S
 from chivetrack.components.slow_start.permits import FleetShare, PermitLedger
@@ -24,8 +24,10 @@
         for routers in (9, 62, 200, 400):
             for requested_per_s in (60.0, 300.0):
                 with self.subTest(routers=routers, requested_per_s=requested_per_s):
-                    runs = [play("permits", routers, requested_per_s, seed) for seed in range(40)]
-                    self.assertLessEqual(max(map(find_most, runs)), MOST_IN_A_SECOND)
+                    runs = [
+                        simulate("permits", routers, requested_per_s, seed) for seed in range(40)
+                    ]
+                    self.assertLessEqual(max(map(find_peak_count, runs)), MOST_IN_A_SECOND)
                     mean = sum(map(len, runs)) / len(runs) / COLD_S
                     self.assertGreaterEqual(mean, 0.8 * PER_S)
 
@@ -48,7 +50,7 @@
                 for at in requested
                 if ledger.request("e", per_s=PER_S, share=share.compute(31, now=at), now=at) == 0
             ]
-        self.assertLessEqual(find_most(sorted(times)), MOST_IN_A_SECOND)
+        self.assertLessEqual(find_peak_count(sorted(times)), MOST_IN_A_SECOND)
 
     def test_replica_that_has_just_started_grants_nothing(self) -> None:
         """Without reports of other replicas it would grant the rate of the whole fleet."""
--- a/tests/system/crashing.py
+++ b/tests/system/crashing.py
@@ -14,8 +14,8 @@
 HEARTBEAT_S = 0.5
 
 
-class _Lifetime(Endpoint):
-    """One lifetime of the endpoint's process; a crash closes all its connections."""
+class _Incarnation(Endpoint):
+    """One incarnation of the endpoint's process; a crash closes all its connections."""
 
     allow_reuse_address = True
 
@@ -48,7 +48,7 @@
 
 
 class _Handler(EndpointHandler):
-    server: _Lifetime
+    server: _Incarnation
 
     def _serve(self, body: bytes) -> None:
         if self.headers.get("X-Chivetrack-Expect-Instance") != self.server.name:
@@ -65,7 +65,7 @@
     """One address whose process restarts with a new id after each crash."""
 
     def __init__(self, deployment: Deployment, number: int, *, keeps_port_open: bool) -> None:
-        """Start the first lifetime and announce it."""
+        """Start the first incarnation and send its heartbeats."""
         self.keeps_port_open = keeps_port_open
         self.crash_bodies: set[bytes] = set()
         self.runs: list[tuple[float, bytes]] = []
@@ -81,47 +81,47 @@
 
     def _start(self) -> None:
         self._starts += 1
-        self._lifetime: _Lifetime | None = _Lifetime(
+        self._incarnation: _Incarnation | None = _Incarnation(
             host=self._host, name=f"i-{self._number}-{self._starts}", service="portal", owner=self
         )
 
-    def run(self, lifetime: _Lifetime, body: bytes) -> None:
+    def run(self, incarnation: _Incarnation, body: bytes) -> None:
         """Record the run of a request; crash if its body is in ``crash_bodies``."""
         with self._lock:
             self.runs.append((time.monotonic(), body))
-            if body not in self.crash_bodies or self._lifetime is not lifetime:
+            if body not in self.crash_bodies or self._incarnation is not incarnation:
                 return
-            self._lifetime = None
+            self._incarnation = None
             self.crashes.append(time.monotonic())
-        threading.Thread(target=self._replace, args=(lifetime,), daemon=True).start()
+        threading.Thread(target=self._replace, args=(incarnation,), daemon=True).start()
         time.sleep(0.1)
 
-    def _replace(self, lifetime: _Lifetime) -> None:
-        lifetime.crash()
-        lifetime.shutdown()
+    def _replace(self, incarnation: _Incarnation) -> None:
+        incarnation.crash()
+        incarnation.shutdown()
         is_stopped = self._stopped.wait(RESTART_DELAY_S)
-        if lifetime.retained_listener is not None:
-            lifetime.retained_listener.close()
+        if incarnation.retained_listener is not None:
+            incarnation.retained_listener.close()
         if not is_stopped:
             self._start()
 
     def _announce(self) -> None:
         while not self._stopped.wait(HEARTBEAT_S):
-            lifetime = self._lifetime
-            if lifetime is None:
+            incarnation = self._incarnation
+            if incarnation is None:
                 continue
-            heartbeat = lifetime.make_heartbeat()
+            heartbeat = incarnation.make_heartbeat()
             for name in self._deployment.list_names("p"):
-                path = f"/instances/{lifetime.name}"
+                path = f"/instances/{incarnation.name}"
                 if self._deployment.control("PUT", name, path, heartbeat)[0] == 200:
                     break
 
     def stop(self) -> None:
-        """Stop the current lifetime and its heartbeats."""
+        """Stop the current incarnation and its heartbeats."""
         self._stopped.set()
-        if self._lifetime is not None:
-            self._lifetime.shutdown()
-            self._lifetime.server_close()
+        if self._incarnation is not None:
+            self._incarnation.shutdown()
+            self._incarnation.server_close()
 
 
 @contextmanager
@@ -136,5 +136,5 @@
     try:
         yield endpoints
     finally:
-        for one in endpoints:
-            one.stop()
+        for endpoint in endpoints:
+            endpoint.stop()
--- a/tests/system/test_stop.py
+++ b/tests/system/test_stop.py
@@ -1,4 +1,4 @@
-"""The stop of a deployed router: what it still takes, and what becomes of it."""
+"""System tests of the stop of a router: which requests it still accepts and how they end."""
 
 import http.client
 import json
@@ -19,7 +19,7 @@
 from tests.system.deployment import open_endpoint as open_endpoint_of
 from tests.system.fleets import wait_for
 
-LONG_TIMEOUT_MS = 15_000
+ROUTE_TIMEOUT_MS = 15_000
 HEADERS = {"Host": "one.example", "X-Chivetrack-Key": "key"}
 
 
@@ -32,16 +32,16 @@
         deployment.start_all()
         endpoint = self.enterContext(open_endpoint_of(deployment, 1))
         config = make_config(3)
-        config["routes"][0]["timeoutMs"] = LONG_TIMEOUT_MS
+        config["routes"][0]["timeoutMs"] = ROUTE_TIMEOUT_MS
         deployment.put(config)
         deployment.announce(endpoint)
         for name in deployment.list_names("r"):
             deployment.wait_served(name)
         return deployment, endpoint
 
-    def call_soon(self, deployment: Deployment, **headers: str) -> threading.Thread:
-        """Start a request that waits for a long time, and return its thread."""
-        headers.setdefault("X_Chivetrack_Deadline_Ms", str(LONG_TIMEOUT_MS))
+    def start_call(self, deployment: Deployment, **headers: str) -> threading.Thread:
+        """Start a request in a thread, with a deadline of ``ROUTE_TIMEOUT_MS``."""
+        headers.setdefault("X_Chivetrack_Deadline_Ms", str(ROUTE_TIMEOUT_MS))
         caller = threading.Thread(target=lambda: deployment.call("r1", **headers))
         caller.start()
         self.addCleanup(caller.join)
@@ -51,16 +51,18 @@
     def find_events(deployment: Deployment, event: str, request: str) -> list[dict[str, Any]]:
         events = deployment.read_events("r1")
         return [
-            one for one in events if one.get("event") == event and one.get("request") == request
+            entry
+            for entry in events
+            if entry.get("event") == event and entry.get("request") == request
         ]
 
 
 class CutRequestTest(StopCase):
     def test_request_cut_by_the_exit_has_its_end_logged(self) -> None:
-        """Guards against a request that is cut by the exit and has no line of its end."""
+        """Guards against a request that is cut by the exit without a ``request_ended`` event."""
         deployment, endpoint = self.open(stop_within_s=2.0)
         endpoint.work_s = 6.0
-        caller = self.call_soon(deployment, X_Chivetrack_Attempt_Id="cut-1")
+        caller = self.start_call(deployment, X_Chivetrack_Attempt_Id="cut-1")
         time.sleep(0.3)
         started_at = time.monotonic()
         deployment.begin_stop("r1").wait(timeout=20)
@@ -73,13 +75,13 @@
 
 class ForeseeableCutTest(StopCase):
     def test_answer_that_takes_longer_than_the_exit_is_not_begun(self) -> None:
-        """Guards against answers that break off at the exit although that was foreseeable."""
+        """Guards against accepting a request that the exit will foreseeably cut."""
         deployment, endpoint = self.open(stop_within_s=3.0)
         endpoint.work_s = 1.0
-        callers = [self.call_soon(deployment) for _ in range(30)]
+        callers = [self.start_call(deployment) for _ in range(30)]
         for caller in callers:
             caller.join()
-        self.call_soon(deployment)
+        self.start_call(deployment)
         time.sleep(0.3)
         self.addCleanup(deployment.begin_stop("r1").wait)
         time.sleep(1.0)
@@ -93,17 +95,17 @@
 
 class LateRequestTest(StopCase):
     def open_stopping(self) -> tuple[Deployment, Endpoint]:
-        """Return a router that has got SIGTERM with a request in flight to its end."""
+        """Return a deployment whose router stops while a request stays in flight until its exit."""
         deployment, endpoint = self.open(stop_within_s=8.0)
         endpoint.work_s = 9.0
-        self.call_soon(deployment)
+        self.start_call(deployment)
         time.sleep(0.3)
         self.addCleanup(deployment.begin_stop("r1").wait)
         endpoint.work_s = 0.0
         return deployment, endpoint
 
     def test_connection_after_the_window_is_answered_at_once(self) -> None:
-        """Guards against connections that nobody accepts until the process exits."""
+        """Guards against connections that are not accepted until the process exits."""
         deployment, endpoint = self.open_stopping()
         time.sleep(4.0)
         before = len(endpoint.seen)
@@ -117,13 +119,13 @@
         self.assertEqual(len(endpoint.seen), before)
 
     def test_request_that_ends_before_the_exit_is_served_after_the_window(self) -> None:
-        """Guards against refusing what its own timeout ends before the exit."""
+        """Guards against refusing a request whose own timeout ends before the exit."""
         deployment, _ = self.open_stopping()
         time.sleep(4.0)
         self.assertEqual(deployment.call("r1", X_Chivetrack_Deadline_Ms="1500")[0], 200)
 
     def test_late_request_on_an_open_connection_is_not_run(self) -> None:
-        """Guards against a request taken 3 s after SIGTERM and cut at the exit."""
+        """Guards against a request that is accepted 3 s after SIGTERM and cut at the exit."""
         deployment, endpoint = self.open_stopping()
         time.sleep(1.5)
         connection = http.client.HTTPConnection(deployment.get_host("r1"), CALLER_PORT, timeout=20)
@@ -140,7 +142,7 @@
         self.assertEqual(len(endpoint.seen), before)
 
     def test_late_request_on_a_new_connection_is_not_run(self) -> None:
-        """Guards against a request taken 3 s after SIGTERM and cut at the exit."""
+        """Guards against a request that is accepted 3 s after SIGTERM and cut at the exit."""
         deployment, endpoint = self.open_stopping()
         time.sleep(3.0)
         endpoint.work_s = 6.0
@@ -153,7 +155,7 @@
 
 class ReplicaStopTest(unittest.TestCase):
     def test_call_in_progress_gets_its_answer(self) -> None:
-        """Guards against a change whose operator never learns what became of it."""
+        """Guards against a change whose operator gets no answer when the replica stops."""
         deployment = self.enterContext(open_deployment(replicas=3, routers=0))
         deployment.start_all()
         deployment.put(make_config(3))
@@ -165,7 +167,7 @@
         body = json.dumps(make_config(4))
         answers: list[int] = []
         caller = threading.Thread(
-            target=lambda: answers.append(deployment.ask("PUT", url, body=body)[0])
+            target=lambda: answers.append(deployment.send_request("PUT", url, body=body)[0])
         )
         caller.start()
         time.sleep(0.2)
@@ -175,18 +177,18 @@
 
     @staticmethod
     def find_leader(deployment: Deployment) -> str:
-        """Return the replica that has last become the leader, by its lines."""
+        """Return the replica with the latest ``leader_changed`` event as leader."""
 
         def find() -> str:
             led_at = {
-                one["at"]: name
+                event["at"]: name
                 for name in deployment.list_names("p")
-                for one in deployment.read_events(name)
-                if one.get("event") == "leader_changed" and one["role"] == "leader"
+                for event in deployment.read_events(name)
+                if event.get("event") == "leader_changed" and event["role"] == "leader"
             }
             return led_at[max(led_at)] if led_at else ""
 
-        return str(wait_for(find, "no replica says that it leads"))
+        return str(wait_for(find, "no replica has logged that it leads"))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_tls.py
+++ b/tests/system/test_tls.py
@@ -1,4 +1,4 @@
-"""A fleet whose every listener is encrypted."""
+"""System test of a fleet whose listeners all use TLS."""
 
 import json
 import socket
@@ -49,11 +49,11 @@
         except urllib3.exceptions.HTTPError:
             return False
 
-    def test_everything_works_encrypted_and_nothing_in_plain_text(self) -> None:
-        """Instances meet, found the log and serve operators over TLS only.
+    def test_listeners_accept_tls_and_reject_plain_text(self) -> None:
+        """Guards against a listener that fails with TLS or accepts plain text.
 
-        Ready means that gossip, log and configuration went over mutual TLS. A client
-        without TLS, or a peer without a certificate of the fleet, gets nowhere.
+        A ready instance has exchanged gossip, log and configuration over mutual TLS. A client
+        without TLS and a peer without a certificate of the fleet must be refused.
         """
         fleet = self.open()
         hosts = [plan.host for plan in fleet.plans]
@@ -72,15 +72,15 @@
         for port in (CALLER_PORT, RESOURCE_PORT, TELEMETRY_PORT):
             with self.subTest(port=port), self.assertRaises(urllib3.exceptions.HTTPError):
                 plain.request("GET", f"http://{hosts[0]}:{port}/readyz")
-        self.check_stranger(hosts[0])
+        self.assert_peer_without_certificate_is_refused(hosts[0])
 
-    def check_stranger(self, host: str) -> None:
+    def assert_peer_without_certificate_is_refused(self, host: str) -> None:
         context = ssl.create_default_context(cafile=str(self.ca_file))
         context.set_alpn_protocols(["h2"])
         with self.assertRaises((ssl.SSLError, OSError)):
-            self.talk_without_certificate(host, context)
+            self.connect_without_certificate(host, context)
 
-    def talk_without_certificate(self, host: str, context: ssl.SSLContext) -> None:
+    def connect_without_certificate(self, host: str, context: ssl.SSLContext) -> None:
         with (
             socket.create_connection((host, PEER_PORT), timeout=5.0) as raw,
             context.wrap_socket(raw, server_hostname=host) as connection,
