--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -31,9 +31,9 @@
     PUSH_DELAY_S,
     STOP_CALLS_TIMEOUT_S,
 )
+from chivetrack.daemon.fleet.desk import ControlHandler
 from chivetrack.daemon.fleet.documents import DocumentHandler
 from chivetrack.daemon.fleet.gauges import Gauge
-from chivetrack.daemon.fleet.handler import ControlHandler
 from chivetrack.daemon.fleet.log_host import LogHost
 from chivetrack.daemon.fleet.metrics import Metrics, open_metrics_server
 from chivetrack.daemon.fleet.peering import TrafficLog, list_seed_peers, make_transport, send_all
