--- a/chivetrack/daemon/fleet/meters.py
+++ b/chivetrack/daemon/fleet/meters.py
@@ -32,19 +32,19 @@
         self._duration = meter.create_histogram(
             "chivetrack.router.duration",
             unit="s",
-            description="Time from the arrival of a request to its end.",
+            description="From the request to its end.",
             explicit_bucket_boundaries_advisory=DURATION_BOUNDS_S,
         )
         self._first_event = meter.create_histogram(
             "chivetrack.router.first_event",
             unit="s",
-            description="Time from the arrival of a request to the first event of its stream.",
+            description="From the request to a stream's first event.",
             explicit_bucket_boundaries_advisory=DURATION_BOUNDS_S,
         )
         self._answers = meter.create_counter(
             "chivetrack.router.endpoint_answers",
             unit="{answer}",
-            description="Answers of endpoints by whether the request ran.",
+            description="Heads of answers by what they say of the request.",
         )
         self._crashes = meter.create_counter(
             "chivetrack.router.endpoint_crashes",
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -123,7 +123,7 @@
             Gauge(
                 name="chivetrack.replica.quarantined_requests",
                 unit="{request}",
-                description="Requests that are rejected because they crash endpoints.",
+                description="Requests that are rejected since they crash endpoints.",
                 read=lambda: len(self._store.quarantine.requests),
             ),
         )
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -145,13 +145,13 @@
         yield Gauge(
             name="chivetrack.router.evacuated_zones",
             unit="{zone}",
-            description="Zones whose endpoints get no new requests.",
+            description="Zones whose endpoints get nothing new.",
             read=lambda: len(view.directory.evacuations.list_evacuated()),
         )
         yield Gauge(
             name="chivetrack.router.requests_in_evacuated_zones",
             unit="{request}",
-            description="Requests of this router that still run in evacuated zones.",
+            description="Requests of this router that still run there.",
             read=lambda: view.count_running_in(view.directory.evacuations.list_evacuated()),
         )
 
