--- a/chivetrack/components/distribution/endpoint_feed.py
+++ b/chivetrack/components/distribution/endpoint_feed.py
@@ -169,8 +169,8 @@
     def send_round(self, *, now: float) -> list[SendMessage]:
         """Return the messages that are due, as far as the rate limit allows.
 
-        Changes go first, then whole tables, because routers without a table refuse all requests.
-        Then follow the lists of silent endpoints.
+        Changes go first, then whole tables, then the list of silent endpoints. The list goes last
+        because a router without a table refuses all requests and has no use for the list.
         """
         if now < self._next_round_at:
             return []
--- a/chivetrack/components/drains/observation.py
+++ b/chivetrack/components/drains/observation.py
@@ -8,7 +8,7 @@
 
 
 class FleetObserver:
-    """Reads the endpoint registry, the load counts and the list of instances."""
+    """Reads the endpoint registry, the load tracker and the list of instances."""
 
     def __init__(
         self,
--- a/chivetrack/components/limits/infeasible.py
+++ b/chivetrack/components/limits/infeasible.py
@@ -6,8 +6,8 @@
 from chivetrack.components.limits.models import Cause, WaitEstimate
 from chivetrack.exceptions import Fault
 
-# What is expected of an endpoint is wrong by a half either way, at lag; a request is refused
-# only where even half of the expected time is too long.
+# The expected time can be wrong by half in either direction because load reports lag; a request
+# is refused only where even half of the expected time is too long.
 EXPECTED_TIME_LOWER_BOUND = 0.5
 
 
@@ -20,8 +20,8 @@
     the deadline and ``target_s`` the latency target of the route.
 
     This matters when the load is several times the capacity of the endpoints: they queue by
-    rank, and without a refusal the caller of a request at the end of the queue would wait
-    until its deadline and get nothing. ``Retry-After`` is the time in which the queue drains
+    priority rank, and without a refusal the caller of a request at the end of the queue would
+    wait until its deadline and get nothing. ``Retry-After`` is the time in which the queue drains
     to what can be answered within ``target_s``, with jitter so that callers do not retry
     together.
     """
--- a/chivetrack/daemon/fleet/const.py
+++ b/chivetrack/daemon/fleet/const.py
@@ -27,9 +27,9 @@
 NO_DOCUMENT_RETRY_S: Final = 1.0
 
 START_WAIT_S: Final = 2.0
-"""Limit of the time from a router's start until it knows configuration and endpoints, also if
-all replicas start with it: a leader is elected 0.8 s after the router's own start, two rounds
-of the exchange follow, and the sum is doubled as a margin."""
+"""Time from a router's start until it knows configuration and endpoints, also if all replicas
+start with it: 0.8 s longer than the time from a replica's own start to a leader, two rounds of
+the exchange, and as much again."""
 
 PUSH_DELAY_S: Final = 0.02
 """Endpoint changes within this time are sent to routers together."""
--- a/chivetrack/daemon/fleet/crashes.py
+++ b/chivetrack/daemon/fleet/crashes.py
@@ -17,9 +17,9 @@
 # A crash breaks all answers of an endpoint within a few milliseconds; one probe covers them.
 COLLECT_WINDOW_S = 0.02
 PROBE_TIMEOUT_S = 1.0
-# If the probe is not refused, a lifetime that is lost or replaced within this time has crashed.
+# If the probe is not refused, an incarnation that is lost or replaced within this time has crashed.
 CONFIRMATION_WINDOW_S = 10.0
-# Limits the reports kept per lifetime when further answers break; the oldest are dropped.
+# Limits the reports kept per incarnation when further answers break; the oldest are dropped.
 MAX_UNCONFIRMED_REPORTS = 256
 _MAX_LOGGED_FINGERPRINTS = 16
 
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class _BrokenAnswers:
-    """Requests without a usable answer from one lifetime of an endpoint."""
+    """Requests without a usable answer from one incarnation of an endpoint."""
 
     record: EndpointRecord
     reports: list[CrashReport] = field(default_factory=list)
@@ -58,7 +58,7 @@
     """Report endpoints that broke answers and then refuse connections or are lost or replaced.
 
     The probe succeeds if a supervisor holds the listening socket or restarts the process
-    immediately. In that case the crash is detected when the lifetime is lost or replaced.
+    immediately. In that case the crash is detected when the incarnation is lost or replaced.
     """
 
     def __init__(
@@ -71,8 +71,8 @@
     ) -> None:
         """Call ``on_crash`` with the requests that a crash left without a usable answer.
 
-        ``is_lost_or_replaced`` returns whether a lifetime is marked lost or a later one has
-        started under its id.
+        ``is_lost_or_replaced`` returns whether an incarnation is marked lost or a later one
+        has started under its id.
         """
         self._events = events
         self._on_crash = on_crash
--- a/chivetrack/daemon/founding.py
+++ b/chivetrack/daemon/founding.py
@@ -37,7 +37,7 @@
 ) -> Iterator[Storage]:
     """Open the folder of a replica; create a new replica in an empty folder.
 
-    A new folder stores ``founders``, because the settings do not name these instances at
+    A new folder stores ``bootstrap_instances``, because the settings do not name these instances at
     a later start.
     """
     with ExitStack() as stack:
--- a/tests/daemon/fleet/test_crashes.py
+++ b/tests/daemon/fleet/test_crashes.py
@@ -74,7 +74,7 @@
         self.assertEqual(sorted(self.crashes), [("i-1", 5), ("i-2", 1)])
         self.assertEqual(len(self.probed), 2)
 
-    def test_lifetimes_of_one_endpoint_id_are_separate(self) -> None:
+    def test_incarnations_of_one_endpoint_id_are_separate(self) -> None:
         detector = self.make_detector(ProbeResult.REFUSED)
         self.break_answers(detector, make_record(born=1), make_record(born=2))
         self.assertEqual(self.crashes, [("i-1", 1), ("i-1", 1)])
@@ -100,7 +100,7 @@
         self.assertEqual(self.crashes, [("i-1", 2)])
 
     def test_endpoint_replaced_before_the_probe_has_crashed(self) -> None:
-        """Guards against waiting for the end of a lifetime that has already ended."""
+        """Guards against waiting for the end of an incarnation that has already ended."""
         self.is_lost_or_replaced = True
         self.break_answers(self.make_detector(ProbeResult.ACCEPTED), make_record())
         self.assertEqual(self.crashes, [("i-1", 1)])
@@ -113,7 +113,7 @@
         detector.handle_incarnation_end("i-1", 1, False)
         self.assertEqual(self.crashes, [])
 
-    def test_lifetime_end_after_the_confirmation_window_is_no_crash(self) -> None:
+    def test_incarnation_end_after_the_confirmation_window_is_no_crash(self) -> None:
         """Guards against attributing an unrelated later restart to a request."""
         self.addCleanup(setattr, crashes_module, "CONFIRMATION_WINDOW_S", 10.0)
         crashes_module.CONFIRMATION_WINDOW_S = 0.05
--- a/tests/daemon/fleet/test_start.py
+++ b/tests/daemon/fleet/test_start.py
@@ -17,7 +17,7 @@
 address = "127.0.0.1:%d" % listener.getsockname()[1]
 EndpointConnection(address=address, connect_timeout_s=1.0)
 links = LinkTransport(address="127.0.0.1:0", on_message=print, on_error=print)
-assert links._dial(address) is not None
+assert links._connect(address) is not None
 print(len(os.listdir("/proc/self/task")))
 heavy = ("grpc", "pydantic", "typer", "opentelemetry")
 print(*[name for name in heavy if name in sys.modules])
