--- a/chivetrack/components/routing/slots.py
+++ b/chivetrack/components/routing/slots.py
@@ -20,9 +20,9 @@
 )
 from chivetrack.components.routing.messages import SlotAnswer, SlotRequest
 from chivetrack.components.routing.models import Candidate, Demand, Placement
-from chivetrack.components.routing.news import ReportSchedule
 from chivetrack.components.routing.owners import OwnerMap
 from chivetrack.components.routing.placer import LoadSample, Placer
+from chivetrack.components.routing.report_schedule import ReportSchedule
 from chivetrack.core import Effect, Event, MessageReceived, SendMessage, TimeReached, WakeAt
 
 _NO_ENDPOINT = ""
