--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -35,7 +35,7 @@
     REOPEN_DELAY_S,
     REPAIR_INTERVAL_S,
 )
-from chivetrack.daemon.founding import (
+from chivetrack.daemon.log_bootstrap import (
     POLL_INTERVAL_S,
     LogBootstrapRunner,
     build_replica,
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -29,14 +29,14 @@
 from chivetrack.components.store.store import Store, StoreError
 from chivetrack.components.store.table import TableUpdate
 from chivetrack.core import Event, SendMessage
-from chivetrack.daemon.founding import (
+from chivetrack.daemon.leader_requests import LeaderRequestHandler
+from chivetrack.daemon.log_bootstrap import (
     POLL_INTERVAL_S,
     LogBootstrapRunner,
     build_replica,
     is_blank,
     open_replica_folder,
 )
-from chivetrack.daemon.leader_requests import LeaderRequestHandler
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.log import get_logger
 
