--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -128,7 +128,7 @@
 
     def _handle_hello(self, source: str, hello: Hello) -> None:
         if self._bootstrap is not None:
-            self._bootstrap.take(source, hello)
+            self._bootstrap.handle_hello(source, hello)
             return
         members = self.get_members()
         if members.members and hello.members is None:
--- a/chivetrack/daemon/log_bootstrap.py
+++ b/chivetrack/daemon/log_bootstrap.py
@@ -77,7 +77,7 @@
         """Return whether this replica is one of the first members of the log."""
         return self.members.find(self._replica_id) is not None
 
-    def take(self, source: str, hello: Hello) -> None:
+    def handle_hello(self, source: str, hello: Hello) -> None:
         """Handle a hello message from another instance."""
         event = MessageReceived(source=source, message=hello)
         self._execute(self._log_bootstrap.handle(event, now=time.monotonic()))
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -117,7 +117,7 @@
 
     def _handle_hello(self, source: str, hello: Hello) -> None:
         if self._bootstrap_runner is not None:
-            self._bootstrap_runner.take(source, hello)
+            self._bootstrap_runner.handle_hello(source, hello)
             return
         if self.replica is not None and hello.members is None:
             members = self.replica.get_status().consensus.members
