--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -272,7 +272,7 @@
             tolerated_losses=self._tolerated_losses,
         )
         bootstrap = self._bootstrap = LogBootstrapRunner(
-            formation=log_bootstrap, replica_id=self.replica_id, send=self._send
+            log_bootstrap=log_bootstrap, replica_id=self.replica_id, send=self._send
         )
         loss_logger = gevent.spawn(self._log_possible_loss, bootstrap)
         try:
--- a/chivetrack/daemon/log_bootstrap.py
+++ b/chivetrack/daemon/log_bootstrap.py
@@ -59,9 +59,9 @@
 class LogBootstrapRunner:
     """Takes part in the bootstrap of the log until the log exists."""
 
-    def __init__(self, *, formation: LogBootstrap, replica_id: str, send: Send) -> None:
+    def __init__(self, *, log_bootstrap: LogBootstrap, replica_id: str, send: Send) -> None:
         """Create a runner; ``formation`` is the decision logic, ``send`` sends messages."""
-        self._log_bootstrap = formation
+        self._log_bootstrap = log_bootstrap
         self._replica_id = replica_id
         self._send = send
         self._ended = Signal()
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -158,7 +158,7 @@
             instances=self._initial_instances,
         )
         runner = self._bootstrap_runner = LogBootstrapRunner(
-            formation=log_bootstrap, replica_id=self.replica_id, send=self._send
+            log_bootstrap=log_bootstrap, replica_id=self.replica_id, send=self._send
         )
         recovered = runner.run(storage, recovered)
         self._bootstrap_runner = None
