--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -377,7 +377,7 @@
             if contact != self._instance_id:
                 self._send(contact, request)
 
-    def hand_over_leadership(self) -> None:
+    def transfer_leadership(self) -> None:
         """Transfer leadership to another replica before a stop; wait until it has moved."""
         if self.replica is None or not self.is_leader:
             return
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -260,7 +260,7 @@
         began = time.monotonic()
         self._events.write("stopping", leads=self.host.is_leader, open=self._gate.open_count)
         self._gate.is_closed = True
-        self.host.hand_over_leadership()
+        self.host.transfer_leadership()
         while self._gate.open_count and time.monotonic() < began + STOP_CALLS_TIMEOUT_S:
             gevent.sleep(_POLL_S)
         gevent.sleep(_FINAL_SENDS_WAIT_S)
