--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -128,14 +128,14 @@
         take_document: Callable[[int, bytes], None],
         on_unreadable: Callable[[int, str], None],
         on_bad_update: Callable[[str, str], None],
-        get_news: Callable[[], RouterReport],
+        get_report: Callable[[], RouterReport],
     ) -> None:
         """Set the router's own addresses, the seed replicas and the callbacks.
 
         ``take_document`` gets the version and the document as the operator sent it,
         ``on_unreadable`` the version and a description of the fault in a received document, and
         ``on_bad_update`` the replica and a description of the fault in packed endpoints.
-        ``get_news`` returns this router's report.
+        ``get_report`` returns this router's report.
         """
         self._router = router
         self._document_address = document_address
@@ -144,7 +144,7 @@
         self._apply_document = take_document
         self._on_unreadable = on_unreadable
         self._on_bad_update = on_bad_update
-        self._get_report = get_news
+        self._get_report = get_report
         self._replicas: dict[str, _Replica] = {}
         self._next_follow = float("-inf")
         self._next_report = float("-inf")
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -267,7 +267,7 @@
             self._events.write("endpoint_leaving", endpoint=record.endpoint_id, born=record.born)
             self._forget_endpoint(record.endpoint_id)
 
-    def get_news(self) -> RouterReport:
+    def get_report(self) -> RouterReport:
         """Return the report of this router's loads, placements and crashes for other routers."""
         now = time.monotonic()
         loads = self.health.add_outcomes(self.placement.list_own(), now=now)
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -101,7 +101,7 @@
             take_document=self.view.take_document,
             on_unreadable=self._note_unreadable,
             on_bad_update=self._note_bad_update,
-            get_news=self.view.get_news,
+            get_report=self.view.get_report,
         )
         self._message_handlers = dict(self._list_message_handlers())
         self.transport = make_transport(
--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -100,7 +100,7 @@
             take_document=lambda version, body: None,
             on_unreadable=lambda version, detail: None,
             on_bad_update=lambda replica, detail: None,
-            get_news=lambda: RouterReport(loads=(), placed=()),
+            get_report=lambda: RouterReport(loads=(), placed=()),
         )
         self.known[name] = Router(subscriber, table, Link(ROUTER_BYTES_PER_S))
 
--- a/tests/components/distribution/test_watching.py
+++ b/tests/components/distribution/test_watching.py
@@ -29,7 +29,7 @@
                 take_document=lambda version, body: None,
                 on_unreadable=lambda version, detail: None,
                 on_bad_update=lambda replica, detail: None,
-                get_news=lambda: RouterReport(loads=(), placed=()),
+                get_report=lambda: RouterReport(loads=(), placed=()),
             )
             first = {e.target for e in subscriber.wake(now=0.0) if isinstance(e, SendMessage)}
             later = {e.target for e in subscriber.wake(now=2.0) if isinstance(e, SendMessage)}
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -46,7 +46,7 @@
             take_document=self.take_document,
             on_unreadable=lambda version, detail: self.unreadable.append(version),
             on_bad_update=lambda replica, detail: None,
-            get_news=lambda: self.report,
+            get_report=lambda: self.report,
         )
 
     def make_publisher(self, run: str) -> Publisher:
@@ -108,7 +108,7 @@
             take_document=lambda version, body: None,
             on_unreadable=lambda version, detail: None,
             on_bad_update=lambda replica, detail: None,
-            get_news=lambda: RouterReport(loads=(), placed=()),
+            get_report=lambda: RouterReport(loads=(), placed=()),
         )
         self.run(0.0, 3.0)
 
--- a/tests/daemon/fleet/test_fleet_view.py
+++ b/tests/daemon/fleet/test_fleet_view.py
@@ -208,7 +208,7 @@
         self.apply_view(make_record(service="portal"))
         self.view.health.record_outcome("e1", None)
         self.view.health.record_outcome("e1", SendEnd.NOT_SENT)
-        (load,) = self.view.get_news().loads
+        (load,) = self.view.get_report().loads
         self.assertEqual((load.running, load.answered, load.failed), (0, 1, 1))
 
     def test_readiness(self) -> None:
