--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -136,7 +136,7 @@
         self._update_ready()
 
     def _apply_loads(self, loads: Sequence[EndpointLoad], now: float) -> None:
-        self.health.take_others(loads, now=now)
+        self.health.handle_peer_loads(loads, now=now)
         self.placement.handle_other_loads(loads, now=now)
 
     def handle_loads(self, payload: bytes) -> None:
--- a/chivetrack/daemon/fleet/health.py
+++ b/chivetrack/daemon/fleet/health.py
@@ -103,7 +103,7 @@
 
     # Outcomes exchanged between routers
 
-    def take_others(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
+    def handle_peer_loads(self, loads: Iterable[EndpointLoad], *, now: float) -> None:
         """Apply the outcomes of the attempts of other routers."""
         self._outcomes.handle_peer_counts(loads, now=now)
 
