--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -99,7 +99,7 @@
             seeds=list_seed_peers(settings),
             table=self.view.directory.table,
             take_document=self.view.take_document,
-            on_unreadable=self._note_unreadable,
+            on_unreadable=self._log_unreadable,
             on_bad_update=self._note_bad_update,
             get_report=self.view.get_report,
         )
@@ -205,7 +205,7 @@
             idle_timeout_s=limits.idle_timeout_s,
         )
 
-    def _note_unreadable(self, version: int, detail: str) -> None:
+    def _log_unreadable(self, version: int, detail: str) -> None:
         self._events.write("configuration_unreadable", version=version, detail=detail)
 
     def _note_bad_update(self, replica: str, detail: str) -> None:
