--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -100,7 +100,7 @@
             table=self.view.directory.table,
             take_document=self.view.take_document,
             on_unreadable=self._log_unreadable,
-            on_bad_update=self._note_bad_update,
+            on_bad_update=self._log_bad_update,
             get_report=self.view.get_report,
         )
         self._message_handlers = dict(self._list_message_handlers())
@@ -208,7 +208,7 @@
     def _log_unreadable(self, version: int, detail: str) -> None:
         self._events.write("configuration_unreadable", version=version, detail=detail)
 
-    def _note_bad_update(self, replica: str, detail: str) -> None:
+    def _log_bad_update(self, replica: str, detail: str) -> None:
         self._events.write("endpoints_unreadable", replica=replica, detail=detail)
 
     def _handle_message(self, source: str, message: Message) -> None:
