--- a/chivetrack/components/model_placement/runner.py
+++ b/chivetrack/components/model_placement/runner.py
@@ -38,13 +38,13 @@
             list_engines=observer.list_engines,
             to_wall_ms=to_wall_ms,
         )
-        self.order_coordinator = OrderHandler(
+        self.order_handler = OrderHandler(
             lease=lease,
             list_targets=self.controller.list_targets,
-            admission=LoadQueue(read_states=lambda: self.order_coordinator.read_states()),
+            admission=LoadQueue(read_states=lambda: self.order_handler.read_states()),
             random=random,
         )
-        observer.connect(self.order_coordinator)
+        observer.connect(self.order_handler)
         self.loop = ControllerLoop(
             controller=self.controller,
             lease=lease,
@@ -60,7 +60,7 @@
 
     def handle(self, event: Event, *, now: float) -> list[Effect]:
         """Handle an event at time ``now``."""
-        return [*self.loop.handle(event, now=now), *self.order_coordinator.handle(event, now=now)]
+        return [*self.loop.handle(event, now=now), *self.order_handler.handle(event, now=now)]
 
     def release(self, *, now: float) -> list[Effect]:
         """Release the lease, for an orderly stop."""
