--- a/chivetrack/components/model_placement/engines.py
+++ b/chivetrack/components/model_placement/engines.py
@@ -14,11 +14,11 @@
     def __init__(self, *, registry: EndpointRegistry) -> None:
         """Initialize the observer; until it is connected, no engine has a known state."""
         self._registry = registry
-        self._coordinator: OrderHandler | None = None
+        self._order_handler: OrderHandler | None = None
 
     def connect(self, coordinator: OrderHandler) -> None:
         """Set the source of the engine states, which in turn needs the list of engines."""
-        self._coordinator = coordinator
+        self._order_handler = coordinator
 
     def list_engines(self) -> list[EngineView]:
         """Return all registered engines."""
@@ -41,8 +41,10 @@
             checks_fencing=endpoint.checks_fencing,
             is_usable=endpoint.availability is not Availability.LEAVING,
             is_healthy=endpoint.availability is Availability.READY,
-            state=None if self._coordinator is None else self._coordinator.get_state(name),
+            state=None if self._order_handler is None else self._order_handler.get_state(name),
             state_at=(
-                float("-inf") if self._coordinator is None else self._coordinator.get_state_at(name)
+                float("-inf")
+                if self._order_handler is None
+                else self._order_handler.get_state_at(name)
             ),
         )
--- a/tests/components/model_placement/site.py
+++ b/tests/components/model_placement/site.py
@@ -40,10 +40,10 @@
 
     def __init__(self, site: "Site") -> None:
         self._site = site
-        self._coordinator: Any = None
+        self._order_handler: Any = None
 
     def connect(self, coordinator: OrderHandler) -> None:
-        self._coordinator = coordinator
+        self._order_handler = coordinator
 
     def list_engines(self) -> list[EngineView]:
         listed = [engine for engine in self._site.engines.values() if engine.is_listed]
@@ -59,8 +59,8 @@
             checks_fencing=engine.checks,
             is_usable=not engine.is_leaving,
             is_healthy=not engine.is_leaving,
-            state=self._coordinator.get_state(engine.name),
-            state_at=self._coordinator.get_state_at(engine.name),
+            state=self._order_handler.get_state(engine.name),
+            state_at=self._order_handler.get_state_at(engine.name),
         )
 
 
