--- a/chivetrack/components/model_placement/engines.py
+++ b/chivetrack/components/model_placement/engines.py
@@ -16,9 +16,9 @@
         self._registry = registry
         self._order_handler: OrderHandler | None = None
 
-    def connect(self, coordinator: OrderHandler) -> None:
+    def connect(self, order_handler: OrderHandler) -> None:
         """Set the source of the engine states, which in turn needs the list of engines."""
-        self._order_handler = coordinator
+        self._order_handler = order_handler
 
     def list_engines(self) -> list[EngineView]:
         """Return all registered engines."""
--- a/tests/components/model_placement/site.py
+++ b/tests/components/model_placement/site.py
@@ -42,8 +42,8 @@
         self._site = site
         self._order_handler: Any = None
 
-    def connect(self, coordinator: OrderHandler) -> None:
-        self._order_handler = coordinator
+    def connect(self, order_handler: OrderHandler) -> None:
+        self._order_handler = order_handler
 
     def list_engines(self) -> list[EngineView]:
         listed = [engine for engine in self._site.engines.values() if engine.is_listed]
