--- a/chivetrack/components/membership/membership.py
+++ b/chivetrack/components/membership/membership.py
@@ -303,14 +303,14 @@
 
     # Gossip records
 
-    def _receive_record(self, news: ValueUpdate) -> None:
-        record = _decode_record(news.payload)
+    def _receive_record(self, update: ValueUpdate) -> None:
+        record = _decode_record(update.payload)
         if record is None:
             return
-        last_seen_at = news.now - news.age_s
-        member = self._members.get(news.origin)
+        last_seen_at = update.now - update.age_s
+        member = self._members.get(update.origin)
         if member is None:
-            self._add_member(news, record, last_seen_at)
+            self._add_member(update, record, last_seen_at)
             return
         state_version = StateVersion(record.incarnation, record.refutation)
         # Gossip delivers no older record; one of the same version matters only if it leaves.
@@ -323,40 +323,40 @@
         if is_new_life:
             member.last_seen_at = max(member.last_seen_at, last_seen_at)
         if record.leaving:
-            self._change(member, InstanceStatus.LEFT, "announced that it leaves", news.now)
+            self._change(member, InstanceStatus.LEFT, "announced that it leaves", update.now)
         elif is_new_life:
-            self._change(member, InstanceStatus.ALIVE, "restarted or refuted a verdict", news.now)
+            self._change(member, InstanceStatus.ALIVE, "restarted or refuted a verdict", update.now)
 
-    def _add_member(self, news: ValueUpdate, record: InstanceRecord, last_seen_at: float) -> None:
+    def _add_member(self, update: ValueUpdate, record: InstanceRecord, last_seen_at: float) -> None:
         # The record may be old, so the silence is counted from now on.
         status = InstanceStatus.LEFT if record.leaving else InstanceStatus.ALIVE
         member = Member(
-            instance_id=news.origin,
+            instance_id=update.origin,
             record=record,
-            last_seen_at=max(last_seen_at, news.now),
-            since=news.now,
+            last_seen_at=max(last_seen_at, update.now),
+            since=update.now,
             status=status,
         )
-        self._members[news.origin] = member
+        self._members[update.origin] = member
         self._notify(member)
 
-    def _receive_verdict(self, news: ValueUpdate) -> None:
-        if news.payload is None:
+    def _receive_verdict(self, update: ValueUpdate) -> None:
+        if update.payload is None:
             return
         try:
-            verdict = decode("membership.verdict", news.payload)
+            verdict = decode("membership.verdict", update.payload)
         except DecodeError:
             return
         if not isinstance(verdict, Verdict) or not verdict.witnesses:
             return
         state_version = StateVersion(verdict.incarnation, verdict.refutation)
         if verdict.target == self._own.instance_id:
-            self._refute(state_version, news.now)
+            self._refute(state_version, update.now)
             return
-        self._accept_verdict(verdict, state_version, news)
+        self._accept_verdict(verdict, state_version, update)
 
     def _accept_verdict(
-        self, verdict: Verdict, state_version: StateVersion, news: ValueUpdate
+        self, verdict: Verdict, state_version: StateVersion, update: ValueUpdate
     ) -> None:
         member = self._members.get(verdict.target)
         if member is None or not member.is_counted or state_version < member.state_version:
@@ -366,10 +366,10 @@
             member.last_seen_at, last_seen_at if last_seen_at is not None else member.last_seen_at
         )
         # A heartbeat from after the verdict overrides it.
-        if latest > news.now - news.age_s:
+        if latest > update.now - update.age_s:
             return
-        reason = f"declared dead by {news.origin} and {', '.join(verdict.witnesses)}"
-        self._change(member, InstanceStatus.DEAD, reason, news.now)
+        reason = f"declared dead by {update.origin} and {', '.join(verdict.witnesses)}"
+        self._change(member, InstanceStatus.DEAD, reason, update.now)
 
     def _refute(self, accused: StateVersion, now: float) -> None:
         """Refute a verdict by publishing a higher version; ignore one of an earlier version."""
--- a/chivetrack/components/membership/regions.py
+++ b/chivetrack/components/membership/regions.py
@@ -68,23 +68,23 @@
             self._is_publisher = False
             self._gossip.retract(TOPIC_REGION, self._own_region, Urgency.REST, now=now)
 
-    def _receive(self, news: ValueUpdate) -> None:
-        if news.payload is None or news.key == self._own_region:
+    def _receive(self, update: ValueUpdate) -> None:
+        if update.payload is None or update.key == self._own_region:
             return
         try:
-            record = decode("membership.region", news.payload)
+            record = decode("membership.region", update.payload)
         except DecodeError:
             return
-        last_seen_at = news.now - news.age_s
-        held = self._summaries.get(news.key)
+        last_seen_at = update.now - update.age_s
+        held = self._summaries.get(update.key)
         # Two instances may both publish for a while; the later summary wins.
         if not isinstance(record, RegionRecord) or (held and held.last_seen_at > last_seen_at):
             return
-        self._summaries[news.key] = RegionSummary(
-            region=news.key,
+        self._summaries[update.key] = RegionSummary(
+            region=update.key,
             routers=record.routers,
             contacts=tuple(
-                Seed(instance_id=c.instance_id, address=c.address, region=news.key)
+                Seed(instance_id=c.instance_id, address=c.address, region=update.key)
                 for c in record.contacts
             ),
             last_seen_at=last_seen_at,
