--- a/chivetrack/components/limits/exchange.py
+++ b/chivetrack/components/limits/exchange.py
@@ -48,11 +48,11 @@
         self._published = report.demands
         self._gossip.publish(TOPIC_DEMAND, "", encode(report), Urgency.OVERLOAD, now=now)
 
-    def _handle_update(self, news: ValueUpdate) -> None:
-        if news.payload is None:
+    def _handle_update(self, update: ValueUpdate) -> None:
+        if update.payload is None:
             return
         try:
-            report = decode_as(DemandReport, news.payload)
+            report = decode_as(DemandReport, update.payload)
         except DecodeError:
             return
-        self._shares.merge_demands(news.origin, report)
+        self._shares.merge_demands(update.origin, report)
