--- a/chivetrack/components/distribution/subscriber.py
+++ b/chivetrack/components/distribution/subscriber.py
@@ -125,14 +125,14 @@
         document_address: str,
         seeds: Sequence[str],
         table: EndpointTable,
-        take_document: Callable[[int, bytes], None],
+        apply_document: Callable[[int, bytes], None],
         on_unreadable: Callable[[int, str], None],
         on_bad_update: Callable[[str, str], None],
         get_report: Callable[[], RouterReport],
     ) -> None:
         """Set the router's own addresses, the seed replicas and the callbacks.
 
-        ``take_document`` gets the version and the document as the operator sent it,
+        ``apply_document`` gets the version and the document as the operator sent it,
         ``on_unreadable`` the version and a description of the fault in a received document, and
         ``on_bad_update`` the replica and a description of the fault in packed endpoints.
         ``get_report`` returns this router's report.
@@ -141,7 +141,7 @@
         self._document_address = document_address
         self._seeds = tuple(seeds)
         self._table = table
-        self._apply_document = take_document
+        self._apply_document = apply_document
         self._on_unreadable = on_unreadable
         self._on_bad_update = on_bad_update
         self._get_report = get_report
--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -94,7 +94,7 @@
         """Return the version of the configuration in force at this router, 0 without one."""
         return 0 if self.table is None else self.table.version
 
-    def take_document(self, version: int, body: bytes) -> None:
+    def apply_document(self, version: int, body: bytes) -> None:
         """Put a configuration in force; an invalid one is logged and ignored."""
         document = self._decode(body)
         if document is None:
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -98,7 +98,7 @@
             document_address=str(settings.listeners.ready),
             seeds=list_seed_peers(settings),
             table=self.view.directory.table,
-            take_document=self.view.take_document,
+            apply_document=self.view.apply_document,
             on_unreadable=self._log_unreadable,
             on_bad_update=self._log_bad_update,
             get_report=self.view.get_report,
--- a/tests/components/distribution/links.py
+++ b/tests/components/distribution/links.py
@@ -97,7 +97,7 @@
             document_address="",
             seeds=[REPLICA],
             table=table,
-            take_document=lambda version, body: None,
+            apply_document=lambda version, body: None,
             on_unreadable=lambda version, detail: None,
             on_bad_update=lambda replica, detail: None,
             get_report=lambda: RouterReport(loads=(), placed=()),
--- a/tests/components/distribution/test_watching.py
+++ b/tests/components/distribution/test_watching.py
@@ -26,7 +26,7 @@
                 document_address="",
                 seeds=["p1", "p2", "p3"],
                 table=EndpointTable(),
-                take_document=lambda version, body: None,
+                apply_document=lambda version, body: None,
                 on_unreadable=lambda version, detail: None,
                 on_bad_update=lambda replica, detail: None,
                 get_report=lambda: RouterReport(loads=(), placed=()),
--- a/tests/components/distribution/world.py
+++ b/tests/components/distribution/world.py
@@ -43,7 +43,7 @@
             document_address="r1:80",
             seeds=["p1"],
             table=self.own,
-            take_document=self.take_document,
+            apply_document=self.apply_document,
             on_unreadable=lambda version, detail: self.unreadable.append(version),
             on_bad_update=lambda replica, detail: None,
             get_report=lambda: self.report,
@@ -57,7 +57,7 @@
             list_replicas=lambda: ("p1", "p2"),
         )
 
-    def take_document(self, version: int, body: bytes) -> None:
+    def apply_document(self, version: int, body: bytes) -> None:
         self.taken.append(version)
         self.bodies[version] = body
 
@@ -105,7 +105,7 @@
             document_address="",
             seeds=self.replicas[:3],
             table=EndpointTable(),
-            take_document=lambda version, body: None,
+            apply_document=lambda version, body: None,
             on_unreadable=lambda version, detail: None,
             on_bad_update=lambda replica, detail: None,
             get_report=lambda: RouterReport(loads=(), placed=()),
--- a/tests/daemon/fleet/test_fleet_view.py
+++ b/tests/daemon/fleet/test_fleet_view.py
@@ -44,7 +44,7 @@
             decode=lambda body: make_document(),
             forget_endpoint=self.forgotten.append,
         )
-        self.view.take_document(1, b"")
+        self.view.apply_document(1, b"")
 
     def apply_view(self, *records: Any, **changes: Any) -> None:
         for record in records:
