--- a/chivetrack/components/claims/coordinator.py
+++ b/chivetrack/components/claims/coordinator.py
@@ -107,7 +107,9 @@
         report = AbandonClaim if effect.did_not_run else ReportClaimUnknown
         return report(stamp=stamp, workspace=effect.workspace, key=effect.key, grant=grant)
 
-    def take_end(self, ended: SubmissionEnded, *, now: float) -> ClaimAnswered | Submit | None:
+    def handle_submission_ended(
+        self, ended: SubmissionEnded, *, now: float
+    ) -> ClaimAnswered | Submit | None:
         """Handle the end of a submission.
 
         Returns the resulting event or follow-up submission, ``None`` if there is none.
--- a/chivetrack/components/controllers/host.py
+++ b/chivetrack/components/controllers/host.py
@@ -26,7 +26,7 @@
     """Runs several runners as one component.
 
     The caller must pass every event to ``handle`` and every ended submission to
-    ``take_end``. Proposals are submitted through ``proposals``; other effects are
+    ``handle_submission_ended``. Proposals are submitted through ``proposals``; other effects are
     returned.
     """
 
@@ -42,7 +42,7 @@
             effects.extend(self._submit(runner.handle(event, now=now), now))
         return effects
 
-    def take_end(self, ended: SubmissionEnded, *, now: float) -> list[Effect]:
+    def handle_submission_ended(self, ended: SubmissionEnded, *, now: float) -> list[Effect]:
         """Handle an ended submission; submissions of other components are ignored."""
         return self.handle(make_event(ended), now=now)
 
--- a/chivetrack/node.py
+++ b/chivetrack/node.py
@@ -109,11 +109,11 @@
         return self._handle_submission_ended(effect, now)
 
     def _handle_submission_ended(self, ended: SubmissionEnded, now: float) -> list[Effect]:
-        effects = self._controllers.take_end(ended, now=now)
+        effects = self._controllers.handle_submission_ended(ended, now=now)
         if self._claims.needs_cleanup(ended):
             clean_up = self._claims.clean_up(ended, now=now)
             effects.extend(self._proposals.handle(clean_up, now=now))
-        next_step = self._claims.take_end(ended, now=now)
+        next_step = self._claims.handle_submission_ended(ended, now=now)
         if isinstance(next_step, Submit):
             effects.extend(self._proposals.handle(next_step, now=now))
         elif next_step is not None:
--- a/tests/components/controllers/test_host.py
+++ b/tests/components/controllers/test_host.py
@@ -53,7 +53,7 @@
         while waiting:
             effect = waiting.popleft()
             if isinstance(effect, SubmissionEnded):
-                waiting.extend(self.host.take_end(effect, now=now))
+                waiting.extend(self.host.handle_submission_ended(effect, now=now))
             elif isinstance(effect, SendMessage):
                 waiting.extend(self.answer(effect.message, now))
 
