--- a/chivetrack/components/endpoints/publisher.py
+++ b/chivetrack/components/endpoints/publisher.py
@@ -125,19 +125,19 @@
     return Renewal(record.endpoint_hash, round((now - record.direct_at) * 10))
 
 
-def decode_announcement(news: ValueUpdate) -> Announcement | None:
+def decode_announcement(update: ValueUpdate) -> Announcement | None:
     """Return the announcement in a gossip update, ``None`` if it cannot be decoded."""
     try:
-        body = decode("endpoints.body", news.payload or b"")
+        body = decode("endpoints.body", update.payload or b"")
         return read_body(body) if isinstance(body, EndpointBody) else None
     except (DecodeError, ValueError):
         return None
 
 
-def decode_renewals(news: ValueUpdate) -> Renewals | None:
+def decode_renewals(update: ValueUpdate) -> Renewals | None:
     """Return the renewals in a gossip update, ``None`` if they cannot be decoded."""
     try:
-        renewals = decode("endpoints.renewals", news.payload or b"")
+        renewals = decode("endpoints.renewals", update.payload or b"")
     except DecodeError:
         return None
     return renewals if isinstance(renewals, Renewals) else None
--- a/chivetrack/components/endpoints/registry.py
+++ b/chivetrack/components/endpoints/registry.py
@@ -164,23 +164,23 @@
 
     # Incoming announcements
 
-    def _handle_announcement(self, news: ValueUpdate) -> None:
-        if news.payload is None:
-            record = self._records.get(news.key)
+    def _handle_announcement(self, update: ValueUpdate) -> None:
+        if update.payload is None:
+            record = self._records.get(update.key)
             if record is not None:
-                record.carriers.pop(news.origin, None)
+                record.carriers.pop(update.origin, None)
             return
-        body = decode_announcement(news)
+        body = decode_announcement(update)
         if body is None:
             return
-        at = news.now - news.age_s
-        source = f"router {news.origin}"
-        record, _ = self._accept(body, at=at, source=source, now=news.now)
-        record.carriers[news.origin] = body
-        self._update([record], news.now, defer_rebuild=not record.is_listed)
-
-    def _handle_renewals(self, news: ValueUpdate) -> None:
-        renewals = decode_renewals(news)
+        at = update.now - update.age_s
+        source = f"router {update.origin}"
+        record, _ = self._accept(body, at=at, source=source, now=update.now)
+        record.carriers[update.origin] = body
+        self._update([record], update.now, defer_rebuild=not record.is_listed)
+
+    def _handle_renewals(self, update: ValueUpdate) -> None:
+        renewals = decode_renewals(update)
         if renewals is None:
             return
         renewed: list[Record] = []
@@ -188,9 +188,9 @@
             record = self._records_by_hash.get(renewal.endpoint_hash)
             if record is None:
                 continue
-            record.renew(news.now - news.age_s - renewal.age_ds / 10)
+            record.renew(update.now - update.age_s - renewal.age_ds / 10)
             renewed.append(record)
-        self._update(renewed, news.now, defer_rebuild=True)
+        self._update(renewed, update.now, defer_rebuild=True)
 
     def _accept(
         self, announcement: Announcement, *, at: float, source: str, now: float
