--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -159,7 +159,7 @@
         self.advance()
 
     def transfer(self, target: str) -> None:
-        """Refuse further proposals and hand over once the target holds every entry.
+        """Refuse further proposals and transfer leadership once the target holds every entry.
 
         Without a ``target``, the reachable voter with the most entries is chosen.
         """
--- a/chivetrack/components/consensus/models.py
+++ b/chivetrack/components/consensus/models.py
@@ -256,7 +256,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TransferRefused(Effect):
-    """Leadership was not handed over."""
+    """Leadership was not transferred."""
 
     refusal: Refusal
 
--- a/chivetrack/components/endpoints/explanation.py
+++ b/chivetrack/components/endpoints/explanation.py
@@ -46,23 +46,23 @@
 
 
 def _explain_leaving(record: Record, listed_state: EndpointState, now: float) -> Explanation:
-    word = record.leaving_source or "a request that it refused to this router"
+    source = record.leaving_source or "a request that it refused to this router"
     if record.drained_by and not record.is_leaving:
-        word = f"configuration: {record.drained_by}"
+        source = f"configuration: {record.drained_by}"
     return _make_explanation(
-        record, listed_state.availability.value, listed_state.reason, word, record.since, now
+        record, listed_state.availability.value, listed_state.reason, source, record.since, now
     )
 
 
 def _make_explanation(
-    record: Record, verdict: str, reason: str, word: str, since: float, now: float
+    record: Record, verdict: str, reason: str, source: str, since: float, now: float
 ) -> Explanation:
     return Explanation(
         endpoint_id=record.announcement.endpoint_id,
         verdict=verdict,
         reason=reason,
         since_s=now - since,
-        word=word,
+        word=source,
         incarnation=record.announcement.incarnation,
         lease_left_s=max(0.0, record.lease_until - now),
         carriers=tuple(sorted(record.carriers)),
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -256,7 +256,7 @@
             return self._stop()
 
     def _stop(self) -> int:
-        """Hand over leadership, finish the calls in progress and return the number cut."""
+        """Transfer leadership, finish the calls in progress and return the number cut."""
         began = time.monotonic()
         self._events.write("stopping", leads=self.host.is_leader, open=self._gate.open_count)
         self._gate.is_closed = True
--- a/chivetrack/daemon/log_bootstrap.py
+++ b/chivetrack/daemon/log_bootstrap.py
@@ -60,7 +60,7 @@
     """Takes part in the bootstrap of the log until the log exists."""
 
     def __init__(self, *, log_bootstrap: LogBootstrap, replica_id: str, send: Send) -> None:
-        """Create a runner; ``formation`` is the decision logic, ``send`` sends messages."""
+        """Create a runner; ``log_bootstrap`` is the decision logic, ``send`` sends messages."""
         self._log_bootstrap = log_bootstrap
         self._replica_id = replica_id
         self._send = send
