--- a/chivetrack/components/consensus/leadership.py
+++ b/chivetrack/components/consensus/leadership.py
@@ -171,7 +171,7 @@
         deadline = self._state.now + self._state.timing.election_max_s
         self._transfer = _LeadershipTransfer(target=target, deadline=deadline)
         self._replication.send_entries(progress)
-        self._try_hand_over()
+        self._try_transfer()
 
     def _choose_target(self) -> str:
         state = self._state
@@ -184,7 +184,7 @@
         best = max(candidates, key=lambda one: one.match_index, default=None)
         return "" if best is None else best.replica_id
 
-    def _try_hand_over(self) -> None:
+    def _try_transfer(self) -> None:
         state = self._state
         if self._transfer is None:
             return
@@ -239,7 +239,7 @@
             if self._state.log.members_index <= self._state.commit_index:
                 self._replication.drop_removed()
         self._confirm_reads()
-        self._try_hand_over()
+        self._try_transfer()
 
     def _commit(self) -> None:
         state = self._state
