--- a/tests/components/consensus/test_failures.py
+++ b/tests/components/consensus/test_failures.py
@@ -181,7 +181,7 @@
         assert node.consensus is not None
         return node.consensus.get_status(now=self.network.now).members
 
-    def test_hand_over(self) -> None:
+    def test_leadership_transfer(self) -> None:
         """A graceful stop transfers leadership within a few round trips. Writes before it
         are committed, those after it are refused, none ends as unknown."""
         before = self.network.propose(self.leader)
--- a/tests/components/replica/test_replica.py
+++ b/tests/components/replica/test_replica.py
@@ -254,7 +254,7 @@
         self.assertLessEqual(len(disk.saves), 1 + 64 // 10)
         self.assertEqual(len(self.cluster.journals[self.name].values), 64)
 
-    def test_hand_over(self) -> None:
+    def test_leadership_transfer(self) -> None:
         self.leader.transfer_leadership()
         self.cluster.work()
         self.assertNotEqual(self.cluster.elect(), self.name)
