--- a/tests/components/consensus/test_core.py
+++ b/tests/components/consensus/test_core.py
@@ -346,7 +346,7 @@
         ended = self.subject.list_effects(ProposalEnded)
         self.assertEqual([(one.outcome, one.leader) for one in ended], [(Outcome.REFUSED, "c")])
 
-    def test_hand_over_waits_for_commits(self) -> None:
+    def test_leadership_transfer_waits_for_commits(self) -> None:
         """b holds every entry, but the last one is not committed yet. A transfer now would
         needlessly end its proposal as unknown."""
         persist = self.subject.list_effects(Persist)[0]
