--- a/tests/components/consensus/test_failures.py
+++ b/tests/components/consensus/test_failures.py
@@ -194,7 +194,7 @@
         self.assertIs(self.get_outcome(before), Outcome.COMMITTED)
         self.assertIs(self.get_outcome(after), Outcome.REFUSED)
 
-    def test_hand_over_to_a_dead_replica_is_abandoned(self) -> None:
+    def test_leadership_transfer_to_a_dead_replica_is_abandoned(self) -> None:
         self.others[0].crash()
         self.network.propose(self.leader)
         self.network.transfer(self.leader, self.others[0].replica_id)
