--- a/chivetrack/components/distribution/messages.py
+++ b/chivetrack/components/distribution/messages.py
@@ -32,7 +32,7 @@
 
 @message("distribution.follow")
 class Follow(Message, frozen=True, array_like=True):
-    """Poll of a replica by a router: says what the router has and requests what it lacks.
+    """Poll of a replica by a router: states what the router has and requests what it lacks.
 
     ``run`` identifies the process of the replica whose change numbers are meant; ``change`` is the
     last endpoint change known from it, and ``placed_change`` the last placement change.
--- a/chivetrack/components/upstream/connection.py
+++ b/chivetrack/components/upstream/connection.py
@@ -91,7 +91,7 @@
 class EndpointAnswer:
     """An answer whose status and headers were received; ``read_chunks`` reads its body.
 
-    ``is_complete`` is set once the body was read to its end. ``is_framed`` tells whether
+    ``is_complete`` is set once the body was read to its end. ``is_framed`` is whether
     the answer has a length or is chunked; otherwise its end is the end of the connection.
     """
 
--- a/tests/components/gossip/test_gossip.py
+++ b/tests/components/gossip/test_gossip.py
@@ -40,9 +40,9 @@
         for name, (drop, duplicate, delay) in cases.items():
             for seed in range(3):
                 with self.subTest(name, seed=seed):
-                    self._spread(seed, drop, duplicate, delay)
+                    self._check_delivery(seed, drop, duplicate, delay)
 
-    def _spread(self, seed: int, drop: float, duplicate: float, delay: float) -> None:
+    def _check_delivery(self, seed: int, drop: float, duplicate: float, delay: float) -> None:
         fleet = GossipFleet(9, seed=seed)
         fleet.network.drop, fleet.network.duplicate = drop, duplicate
         fleet.network.delay_s = (0.001, delay)
