--- a/chivetrack/daemon/fleet/fleet_view.py
+++ b/chivetrack/daemon/fleet/fleet_view.py
@@ -94,7 +94,7 @@
         """Return the version of the configuration in force at this router, 0 without one."""
         return 0 if self.table is None else self.table.version
 
-    def take_document(self, version: int, body: bytes) -> None:
+    def apply_document(self, version: int, body: bytes) -> None:
         """Put a configuration in force; an invalid one is logged and ignored."""
         document = self._decode(body)
         if document is None:
@@ -136,7 +136,7 @@
         self._update_ready()
 
     def _apply_loads(self, loads: Sequence[EndpointLoad], now: float) -> None:
-        self.health.take_others(loads, now=now)
+        self.health.handle_peer_loads(loads, now=now)
         self.placement.handle_other_loads(loads, now=now)
 
     def handle_loads(self, payload: bytes) -> None:
@@ -267,7 +267,7 @@
             self._events.write("endpoint_leaving", endpoint=record.endpoint_id, born=record.born)
             self._forget_endpoint(record.endpoint_id)
 
-    def get_news(self) -> RouterReport:
+    def get_report(self) -> RouterReport:
         """Return the report of this router's loads, placements and crashes for other routers."""
         now = time.monotonic()
         loads = self.health.add_outcomes(self.placement.list_own(), now=now)
--- a/chivetrack/daemon/fleet/log_host.py
+++ b/chivetrack/daemon/fleet/log_host.py
@@ -35,7 +35,7 @@
     REOPEN_DELAY_S,
     REPAIR_INTERVAL_S,
 )
-from chivetrack.daemon.founding import (
+from chivetrack.daemon.log_bootstrap import (
     POLL_INTERVAL_S,
     LogBootstrapRunner,
     build_replica,
@@ -128,7 +128,7 @@
 
     def _handle_hello(self, source: str, hello: Hello) -> None:
         if self._bootstrap is not None:
-            self._bootstrap.take(source, hello)
+            self._bootstrap.handle_hello(source, hello)
             return
         members = self.get_members()
         if members.members and hello.members is None:
@@ -272,7 +272,7 @@
             tolerated_losses=self._tolerated_losses,
         )
         bootstrap = self._bootstrap = LogBootstrapRunner(
-            formation=log_bootstrap, replica_id=self.replica_id, send=self._send
+            log_bootstrap=log_bootstrap, replica_id=self.replica_id, send=self._send
         )
         loss_logger = gevent.spawn(self._log_possible_loss, bootstrap)
         try:
@@ -377,7 +377,7 @@
             if contact != self._instance_id:
                 self._send(contact, request)
 
-    def hand_over_leadership(self) -> None:
+    def transfer_leadership(self) -> None:
         """Transfer leadership to another replica before a stop; wait until it has moved."""
         if self.replica is None or not self.is_leader:
             return
--- a/chivetrack/daemon/fleet/replica.py
+++ b/chivetrack/daemon/fleet/replica.py
@@ -31,7 +31,7 @@
     PUSH_DELAY_S,
     STOP_CALLS_TIMEOUT_S,
 )
-from chivetrack.daemon.fleet.desk import ControlHandler
+from chivetrack.daemon.fleet.control_handler import ControlHandler
 from chivetrack.daemon.fleet.documents import DocumentHandler
 from chivetrack.daemon.fleet.gauges import Gauge
 from chivetrack.daemon.fleet.log_host import LogHost
@@ -123,7 +123,7 @@
             Gauge(
                 name="chivetrack.replica.quarantined_requests",
                 unit="{request}",
-                description="Requests that are rejected because they crash endpoints.",
+                description="Requests that are rejected since they crash endpoints.",
                 read=lambda: len(self._store.quarantine.requests),
             ),
         )
@@ -256,11 +256,11 @@
             return self._stop()
 
     def _stop(self) -> int:
-        """Hand over leadership, finish the calls in progress and return the number cut."""
+        """Transfer leadership, finish the calls in progress and return the number cut."""
         began = time.monotonic()
         self._events.write("stopping", leads=self.host.is_leader, open=self._gate.open_count)
         self._gate.is_closed = True
-        self.host.hand_over_leadership()
+        self.host.transfer_leadership()
         while self._gate.open_count and time.monotonic() < began + STOP_CALLS_TIMEOUT_S:
             gevent.sleep(_POLL_S)
         gevent.sleep(_FINAL_SENDS_WAIT_S)
--- a/chivetrack/daemon/fleet/router.py
+++ b/chivetrack/daemon/fleet/router.py
@@ -98,10 +98,10 @@
             document_address=str(settings.listeners.ready),
             seeds=list_seed_peers(settings),
             table=self.view.directory.table,
-            take_document=self.view.take_document,
-            on_unreadable=self._note_unreadable,
-            on_bad_update=self._note_bad_update,
-            get_news=self.view.get_news,
+            apply_document=self.view.apply_document,
+            on_unreadable=self._log_unreadable,
+            on_bad_update=self._log_bad_update,
+            get_report=self.view.get_report,
         )
         self._message_handlers = dict(self._list_message_handlers())
         self.transport = make_transport(
@@ -145,13 +145,13 @@
         yield Gauge(
             name="chivetrack.router.evacuated_zones",
             unit="{zone}",
-            description="Zones whose endpoints get no new requests.",
+            description="Zones whose endpoints get nothing new.",
             read=lambda: len(view.directory.evacuations.list_evacuated()),
         )
         yield Gauge(
             name="chivetrack.router.requests_in_evacuated_zones",
             unit="{request}",
-            description="Requests of this router that still run in evacuated zones.",
+            description="Requests of this router that still run there.",
             read=lambda: view.count_running_in(view.directory.evacuations.list_evacuated()),
         )
 
@@ -205,10 +205,10 @@
             idle_timeout_s=limits.idle_timeout_s,
         )
 
-    def _note_unreadable(self, version: int, detail: str) -> None:
+    def _log_unreadable(self, version: int, detail: str) -> None:
         self._events.write("configuration_unreadable", version=version, detail=detail)
 
-    def _note_bad_update(self, replica: str, detail: str) -> None:
+    def _log_bad_update(self, replica: str, detail: str) -> None:
         self._events.write("endpoints_unreadable", replica=replica, detail=detail)
 
     def _handle_message(self, source: str, message: Message) -> None:
--- a/chivetrack/daemon/founding.py
+++ b/chivetrack/daemon/log_bootstrap.py
@@ -37,7 +37,7 @@
 ) -> Iterator[Storage]:
     """Open the folder of a replica; create a new replica in an empty folder.
 
-    A new folder stores ``founders``, because the settings do not name these instances at
+    A new folder stores ``bootstrap_instances``, because the settings do not name these instances at
     a later start.
     """
     with ExitStack() as stack:
@@ -59,9 +59,9 @@
 class LogBootstrapRunner:
     """Takes part in the bootstrap of the log until the log exists."""
 
-    def __init__(self, *, formation: LogBootstrap, replica_id: str, send: Send) -> None:
-        """Create a runner; ``formation`` is the decision logic, ``send`` sends messages."""
-        self._log_bootstrap = formation
+    def __init__(self, *, log_bootstrap: LogBootstrap, replica_id: str, send: Send) -> None:
+        """Create a runner; ``log_bootstrap`` is the decision logic, ``send`` sends messages."""
+        self._log_bootstrap = log_bootstrap
         self._replica_id = replica_id
         self._send = send
         self._ended = Signal()
@@ -77,7 +77,7 @@
         """Return whether this replica is one of the first members of the log."""
         return self.members.find(self._replica_id) is not None
 
-    def take(self, source: str, hello: Hello) -> None:
+    def handle_hello(self, source: str, hello: Hello) -> None:
         """Handle a hello message from another instance."""
         event = MessageReceived(source=source, message=hello)
         self._execute(self._log_bootstrap.handle(event, now=time.monotonic()))
--- a/chivetrack/daemon/replica_host.py
+++ b/chivetrack/daemon/replica_host.py
@@ -29,14 +29,14 @@
 from chivetrack.components.store.store import Store, StoreError
 from chivetrack.components.store.table import TableUpdate
 from chivetrack.core import Event, SendMessage
-from chivetrack.daemon.founding import (
+from chivetrack.daemon.leader_requests import LeaderRequestHandler
+from chivetrack.daemon.log_bootstrap import (
     POLL_INTERVAL_S,
     LogBootstrapRunner,
     build_replica,
     is_blank,
     open_replica_folder,
 )
-from chivetrack.daemon.leader_requests import LeaderRequestHandler
 from chivetrack.helpers.codec import Message
 from chivetrack.helpers.log import get_logger
 
@@ -117,7 +117,7 @@
 
     def _handle_hello(self, source: str, hello: Hello) -> None:
         if self._bootstrap_runner is not None:
-            self._bootstrap_runner.take(source, hello)
+            self._bootstrap_runner.handle_hello(source, hello)
             return
         if self.replica is not None and hello.members is None:
             members = self.replica.get_status().consensus.members
@@ -158,7 +158,7 @@
             instances=self._initial_instances,
         )
         runner = self._bootstrap_runner = LogBootstrapRunner(
-            formation=log_bootstrap, replica_id=self.replica_id, send=self._send
+            log_bootstrap=log_bootstrap, replica_id=self.replica_id, send=self._send
         )
         recovered = runner.run(storage, recovered)
         self._bootstrap_runner = None
